--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Attempts.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Attempts.java
@@ -26,7 +26,7 @@
       Announcement upstream,
       @Nullable ModelVersion version,
       Duration timeout,
-      Turn turn) {
+      EventContext turn) {
     checkMayBegin(active, version);
     active.attempts++;
     active.stepAttempts++;
@@ -56,20 +56,20 @@
   }
 
   /** Takes note that an attempt ended by itself. */
-  void end(ActiveRequest active, Attempt attempt, boolean healthy, Turn turn) {
+  void end(ActiveRequest active, Attempt attempt, boolean healthy, EventContext turn) {
     requests.removeAttempt(active, attempt);
     parts.chooser().ended(attempt.upstream, active.request, healthy, turn.now());
   }
 
   /** Gives up an attempt; whatever still comes of it is counted as late. */
-  void cancel(ActiveRequest active, Attempt attempt, boolean healthy, Turn turn) {
+  void cancel(ActiveRequest active, Attempt attempt, boolean healthy, EventContext turn) {
     end(active, attempt, healthy, turn);
     active.mayHaveStarted = true;
     turn.effect(new UpstreamEffect.CancelAttempt(attempt.id));
   }
 
   /** Gives up all attempts of a request whose answer is there or not wanted any more. */
-  void cancelAll(ActiveRequest active, Turn turn) {
+  void cancelAll(ActiveRequest active, EventContext turn) {
     for (Attempt attempt : List.copyOf(active.running.values())) {
       cancel(active, attempt, true, turn);
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Cascade.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Cascade.java
@@ -26,7 +26,7 @@
   }
 
   /** Holds a whole answer of a rated step and asks for its rating; an empty one needs none. */
-  void hold(ActiveRequest active, HeldAnswer answer, AttemptOutcome outcome, Turn turn) {
+  void hold(ActiveRequest active, HeldAnswer answer, AttemptOutcome outcome, EventContext turn) {
     active.held = answer;
     active.heldOutcome = outcome;
     if (answer.text().isEmpty()) {
@@ -59,7 +59,7 @@
    * @return whether the request goes on: {@code held} is the accepted answer, or null if the next
    *     step is to run
    */
-  boolean rated(ActiveRequest active, String attemptId, @Nullable Double score, Turn turn) {
+  boolean rated(ActiveRequest active, String attemptId, @Nullable Double score, EventContext turn) {
     HeldAnswer held = active.held;
     boolean awaited =
         active.phase == ActiveRequest.Phase.RATING
@@ -74,7 +74,7 @@
       return true;
     }
     AttemptOutcome told = Objects.requireNonNull(active.heldOutcome);
-    quality.record(Outcomes.ratedLater(told, score), turn.now());
+    quality.record(AttemptOutcomes.ratedLater(told, score), turn.now());
     if (score < Objects.requireNonNull(active.plan).qualityTarget()) {
       escalate(active, held.withScore(score), "rated " + score, turn);
     }
@@ -85,7 +85,7 @@
    * Decides without a rating: the next step runs unless the version's answers are known to reach
    * the target more often than not, or too little time is left for it.
    */
-  private void judgeUnrated(ActiveRequest active, HeldAnswer held, Turn turn) {
+  private void judgeUnrated(ActiveRequest active, HeldAnswer held, EventContext turn) {
     turn.count("ratings_missing", held.version().toString());
     Plan plan = Objects.requireNonNull(active.plan);
     double chance =
@@ -100,7 +100,7 @@
     }
   }
 
-  private void escalate(ActiveRequest active, HeldAnswer answer, String why, Turn turn) {
+  private void escalate(ActiveRequest active, HeldAnswer answer, String why, EventContext turn) {
     HeldAnswer best = active.best;
     if (!answer.text().isEmpty() && (best == null || answer.score() >= best.score())) {
       active.best = answer;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashGuard.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashGuard.java
@@ -76,7 +76,7 @@
    *
    * <p>An upstream that leaves or was drained ends by itself.
    */
-  void lost(ActiveRequest active, Attempt attempt, Moment moment, Turn turn) {
+  void lost(ActiveRequest active, Attempt attempt, Moment moment, EventContext turn) {
     if (!mayHaveEndedIt(moment) || endsByOrder(attempt.target.id())) {
       return;
     }
@@ -109,19 +109,19 @@
   }
 
   /** Takes note that the last upstream that a request was sent to answered it whole. */
-  void served(ActiveRequest active, Turn turn) {
+  void served(ActiveRequest active, EventContext turn) {
     if (watch.suspects()) {
       watch.served(active.content(), turn.output());
     }
   }
 
   /** Takes the word of a probe. */
-  void probed(UpstreamEvent.UpstreamProbed probed, Turn turn) {
+  void probed(UpstreamEvent.UpstreamProbed probed, EventContext turn) {
     watch.probed(probed.upstream(), probed.reachable(), turn.now(), turn.output());
   }
 
   /** Tells again what may not have arrived. */
-  void tick(Turn turn) {
+  void tick(EventContext turn) {
     watch.tick(turn.now(), turn.output());
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RatingSampler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RatingSampler.java
@@ -33,7 +33,7 @@
   }
 
   /** Asks for the rating of an answer; beyond a bound the sample is dropped. */
-  void ask(ActiveRequest active, HeldAnswer answer, AttemptOutcome outcome, Turn turn) {
+  void ask(ActiveRequest active, HeldAnswer answer, AttemptOutcome outcome, EventContext turn) {
     if (open.size() >= MOST_OPEN || answer.text().isEmpty()) {
       return;
     }
@@ -49,10 +49,10 @@
   }
 
   /** Takes a rating that came after the answer was sent; one that wasn't asked for is ignored. */
-  void rated(String attemptId, @Nullable Double score, Turn turn) {
+  void rated(String attemptId, @Nullable Double score, EventContext turn) {
     AttemptOutcome outcome = open.remove(attemptId);
     if (outcome != null && score != null) {
-      quality.record(Outcomes.ratedLater(outcome, score), turn.now());
+      quality.record(AttemptOutcomes.ratedLater(outcome, score), turn.now());
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestPart.java
@@ -29,11 +29,11 @@
   private final RequestCollaborators parts;
   private final RequestSettings settings;
   private final Attempts attempts;
-  private final Ending ending;
+  private final RequestCompletion ending;
   private final RatingSampler sampler;
-  private final DraftRun drafts;
-  private final CallRun calls;
-  private final Intake intake;
+  private final DraftExecutor drafts;
+  private final CallExecutor calls;
+  private final RequestIntake intake;
   private final CrashGuard crashes;
   private boolean stopping;
   private boolean drained;
@@ -51,13 +51,13 @@
     this.crashes = new CrashGuard(parts);
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     this.attempts = new Attempts(requests, parts);
-    this.ending = new Ending(requests, parts, attempts);
+    this.ending = new RequestCompletion(requests, parts, attempts);
     this.sampler = new RatingSampler(settings, parts.quality(), random);
-    Routes routes = new Routes(parts.configuration(), parts.ruleBooks());
-    Planning planning = new Planning(parts, routes);
-    Retries retries = new Retries(requests, settings, random);
+    RuleMatcher routes = new RuleMatcher(parts.configuration(), parts.ruleBooks());
+    DraftPlanner planning = new DraftPlanner(parts, routes);
+    RetryPolicy retries = new RetryPolicy(requests, settings, random);
     this.drafts =
-        new DraftRun(
+        new DraftExecutor(
             requests,
             parts,
             settings,
@@ -65,13 +65,21 @@
             attempts,
             retries,
             new Cascade(requests, parts.quality(), settings),
-            new DraftAnswer(requests, parts, planning, sampler, ending),
+            new DraftDelivery(requests, parts, planning, sampler, ending),
             ending,
             crashes);
     this.calls =
-        new CallRun(
-            requests, parts, settings, attempts, retries, new Hedging(settings), ending, crashes);
-    this.intake = new Intake(requests, parts, settings, routes, ending, drafts, calls, crashes);
+        new CallExecutor(
+            requests,
+            parts,
+            settings,
+            attempts,
+            retries,
+            new HedgePolicy(settings),
+            ending,
+            crashes);
+    this.intake =
+        new RequestIntake(requests, parts, settings, routes, ending, drafts, calls, crashes);
   }
 
   /** Returns how many requests are held and not yet ended. */
@@ -86,7 +94,7 @@
 
   @Override
   public void apply(Event event, Instant now, Output output) {
-    Turn turn = new Turn(now, output);
+    EventContext turn = new EventContext(now, output);
     if (event instanceof CallerEvent callerEvent) {
       caller(callerEvent, turn);
     } else if (event instanceof UpstreamEvent upstreamEvent) {
@@ -107,7 +115,7 @@
     drainWhenIdle(turn);
   }
 
-  private void caller(CallerEvent event, Turn turn) {
+  private void caller(CallerEvent event, EventContext turn) {
     if (event instanceof CallerEvent.RequestReceived received) {
       intake.received(received.request(), turn);
     } else if (event instanceof CallerEvent.AnswerDelivered delivered) {
@@ -121,7 +129,7 @@
     }
   }
 
-  private void ledger(LedgerEvent event, Turn turn) {
+  private void ledger(LedgerEvent event, EventContext turn) {
     if (event instanceof LedgerEvent.ClaimAnswered answered) {
       ActiveRequest active = requests.find(answered.requestId());
       if (active == null) {
@@ -142,7 +150,7 @@
     }
   }
 
-  private void admission(AdmissionEvent event, Turn turn) {
+  private void admission(AdmissionEvent event, EventContext turn) {
     if (event instanceof AdmissionEvent.Admitted admitted) {
       ActiveRequest active = requests.find(admitted.requestId());
       if (active != null) {
@@ -156,19 +164,19 @@
     }
   }
 
-  private void upstream(UpstreamEvent event, Turn turn) {
+  private void upstream(UpstreamEvent event, EventContext turn) {
     if (event instanceof UpstreamEvent.TokensArrived tokens) {
-      Answering found = find(tokens.attemptId(), tokens.echoedRequestId(), turn);
+      AttemptMatch found = find(tokens.attemptId(), tokens.echoedRequestId(), turn);
       if (found != null) {
         drafts.tokens(found.active, found.attempt, tokens, turn);
       }
     } else if (event instanceof UpstreamEvent.DraftFinished finished) {
-      Answering found = find(finished.attemptId(), finished.echoedRequestId(), turn);
+      AttemptMatch found = find(finished.attemptId(), finished.echoedRequestId(), turn);
       if (found != null) {
         drafts.finished(found.active, found.attempt, finished, turn);
       }
     } else if (event instanceof UpstreamEvent.ServiceAnswered answered) {
-      Answering found = find(answered.attemptId(), answered.echoedRequestId(), turn);
+      AttemptMatch found = find(answered.attemptId(), answered.echoedRequestId(), turn);
       if (found != null) {
         calls.answered(found.active, found.attempt, answered, turn);
       }
@@ -184,7 +192,7 @@
   }
 
   /** An attempt and the request that it belongs to. */
-  private record Answering(ActiveRequest active, Attempt attempt) {}
+  private record AttemptMatch(ActiveRequest active, Attempt attempt) {}
 
   /**
    * Finds the attempt that an answer belongs to.
@@ -193,7 +201,8 @@
    * is crossed. Either would reach the wrong caller, so it is dropped, and a crossed connection is
    * not believed again.
    */
-  private @Nullable Answering find(String attemptId, @Nullable String echoed, Turn turn) {
+  private @Nullable AttemptMatch find(
+      String attemptId, @Nullable String echoed, EventContext turn) {
     ActiveRequest active = requests.ofAttempt(attemptId);
     if (active == null) {
       turn.count("answers_late", "");
@@ -206,10 +215,10 @@
       failed(active, attempt, Moment.ANSWER_BEGUN, "the answer names another request", turn);
       return null;
     }
-    return new Answering(active, attempt);
+    return new AttemptMatch(active, attempt);
   }
 
-  private void attemptFailed(UpstreamEvent.AttemptFailed event, Turn turn) {
+  private void attemptFailed(UpstreamEvent.AttemptFailed event, EventContext turn) {
     ActiveRequest active = requests.ofAttempt(event.attemptId());
     if (active == null) {
       turn.count("failures_late", event.moment().name());
@@ -221,7 +230,7 @@
   }
 
   private void failed(
-      ActiveRequest active, Attempt attempt, Moment moment, String detail, Turn turn) {
+      ActiveRequest active, Attempt attempt, Moment moment, String detail, EventContext turn) {
     turn.timeline("attempt.failed", active, attempt, moment + ": " + detail);
     turn.count("attempts_failed", moment.name());
     crashes.lost(active, attempt, moment, turn);
@@ -232,7 +241,8 @@
     }
   }
 
-  private void rated(String requestId, String attemptId, @Nullable Double score, Turn turn) {
+  private void rated(
+      String requestId, String attemptId, @Nullable Double score, EventContext turn) {
     ActiveRequest active = requests.find(requestId);
     if (active != null) {
       drafts.rated(active, attemptId, score, turn);
@@ -240,7 +250,7 @@
     sampler.rated(attemptId, score, turn);
   }
 
-  private void lifecycle(LifecycleEvent event, Turn turn) {
+  private void lifecycle(LifecycleEvent event, EventContext turn) {
     if (event instanceof LifecycleEvent.StopRequested) {
       stopping = true;
     } else if (event instanceof LifecycleEvent.Ending) {
@@ -254,7 +264,7 @@
     }
   }
 
-  private void wakeDue(Turn turn) {
+  private void wakeDue(EventContext turn) {
     ActiveRequest due = requests.nextDue(turn.now());
     while (due != null) {
       wake(due, turn);
@@ -262,7 +272,7 @@
     }
   }
 
-  private void wake(ActiveRequest active, Turn turn) {
+  private void wake(ActiveRequest active, EventContext turn) {
     if (!turn.now().isBefore(active.latestEnd())) {
       deadline(active, turn);
     }
@@ -281,14 +291,14 @@
     }
   }
 
-  private void deadline(ActiveRequest active, Turn turn) {
+  private void deadline(ActiveRequest active, EventContext turn) {
     boolean served = active.request.kind().isDraft() && drafts.deliverBest(active, turn);
     if (!served && !turn.now().isBefore(active.request.deadline())) {
       ending.deadline(active, turn);
     }
   }
 
-  private boolean isOver(ActiveRequest active, Turn turn) {
+  private boolean isOver(ActiveRequest active, EventContext turn) {
     Instant end = active.phaseEnd;
     if (end == null || !end.isAfter(turn.now())) {
       return true;
@@ -297,14 +307,14 @@
     return false;
   }
 
-  private void wakeForPins(ActiveRequest active, Turn turn) {
+  private void wakeForPins(ActiveRequest active, EventContext turn) {
     if (isOver(active, turn)) {
       turn.count("pins_unresolved", "");
       intake.pinsResolved(active, turn);
     }
   }
 
-  private void wakeAfterPause(ActiveRequest active, Turn turn) {
+  private void wakeAfterPause(ActiveRequest active, EventContext turn) {
     if (!isOver(active, turn)) {
       return;
     }
@@ -315,7 +325,7 @@
     }
   }
 
-  private void wakeForRating(ActiveRequest active, Turn turn) {
+  private void wakeForRating(ActiveRequest active, EventContext turn) {
     HeldAnswer held = active.held;
     if (held != null && isOver(active, turn)) {
       drafts.rated(active, held.attemptId(), null, turn);
@@ -323,7 +333,7 @@
   }
 
   /** Fails attempts that are silent for too long, and hedges a slow lookup. */
-  private void wakeForAttempts(ActiveRequest active, Turn turn) {
+  private void wakeForAttempts(ActiveRequest active, EventContext turn) {
     for (Attempt attempt : List.copyOf(active.running.values())) {
       if (attempt.silentAt().isAfter(turn.now())) {
         requests.wakeBy(active, attempt.silentAt());
@@ -339,7 +349,7 @@
   }
 
   /** Lets the daemon end once no caller can come any more and none is still served. */
-  private void drainWhenIdle(Turn turn) {
+  private void drainWhenIdle(EventContext turn) {
     boolean done =
         stopping
             && !drained
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Retries.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RetryPolicy.java
@@ -10,7 +10,7 @@
 import org.skylarkfork.core.request.RunState;
 
 /** Decides whether a request whose attempt failed is tried again, and after which pause. */
-final class Retries {
+final class RetryPolicy {
 
   private static final long RETRY_AFTER_MILLIS = 1000;
 
@@ -19,7 +19,7 @@
   private final AttemptBudget budget;
   private final UniformRandomProvider random;
 
-  Retries(ActiveRequests requests, RequestSettings settings, UniformRandomProvider random) {
+  RetryPolicy(ActiveRequests requests, RequestSettings settings, UniformRandomProvider random) {
     this.requests = requests;
     this.settings = settings;
     this.budget = new AttemptBudget(settings.retryShare(), settings.retryReserve());
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftSimulation.java
@@ -179,7 +179,7 @@
     groups.put(name, consensus);
     List<Part> parts = new ArrayList<>(List.of(consensus, configuration));
     if (votes) {
-      parts.add(new CrashJudgePart(configuration, now -> consensus.holdsLease(GROUP, now)));
+      parts.add(new CrashReviewPart(configuration, now -> consensus.holdsLease(GROUP, now)));
     } else {
       parts.add(requestPart(name, configuration, seed));
     }
@@ -203,7 +203,7 @@
             fake.ledger,
             new OpenAdmission(),
             fake,
-            new VotersAsJudges(name, voters)),
+            new VoterCrashReviewers(name, voters)),
         RequestFixture.SETTINGS,
         seed);
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RequestFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RequestFixture.java
@@ -101,9 +101,9 @@
             ledger,
             admission,
             this,
-            new VotersAsJudges(SELF, List.of(SELF)));
+            new VoterCrashReviewers(SELF, List.of(SELF)));
     part = new RequestPart(parts, settings, seed);
-    Part judge = new CrashJudgePart(this, at -> true);
+    Part judge = new CrashReviewPart(this, at -> true);
     List<Part> all = new ArrayList<>(List.of(part, judge, this::agree));
     if (admission instanceof Part behind) {
       all.add(1, behind);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
@@ -15,11 +15,11 @@
 import org.skylarkfork.core.admission.LeasedShares;
 import org.skylarkfork.core.admission.ShareSettings;
 import org.skylarkfork.core.admission.TeamLoad;
-import org.skylarkfork.core.attempt.CrashJudgePart;
+import org.skylarkfork.core.attempt.CrashReviewPart;
 import org.skylarkfork.core.attempt.RequestCollaborators;
 import org.skylarkfork.core.attempt.RequestPart;
 import org.skylarkfork.core.attempt.RequestSettings;
-import org.skylarkfork.core.attempt.VotersAsJudges;
+import org.skylarkfork.core.attempt.VoterCrashReviewers;
 import org.skylarkfork.core.command.CompositeMachine;
 import org.skylarkfork.core.command.ConfigurationCommand;
 import org.skylarkfork.core.command.GroupId;
@@ -276,7 +276,7 @@
             ledger,
             admission,
             entries,
-            new VotersAsJudges(settings.node(), settings.voters())),
+            new VoterCrashReviewers(settings.node(), settings.voters())),
         RequestSettings.DEFAULT,
         seed);
   }
@@ -308,7 +308,7 @@
                 ledger));
     if (settings.isVoter()) {
       parts.add(orders);
-      parts.add(new CrashJudgePart(configuration, this::leadsConfiguration));
+      parts.add(new CrashReviewPart(configuration, this::leadsConfiguration));
     }
     return new Reducer(parts);
   }
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/MeasuredDaemon.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/MeasuredDaemon.java
@@ -16,7 +16,7 @@
 import org.skylarkfork.core.attempt.RequestCollaborators;
 import org.skylarkfork.core.attempt.RequestPart;
 import org.skylarkfork.core.attempt.RequestSettings;
-import org.skylarkfork.core.attempt.VotersAsJudges;
+import org.skylarkfork.core.attempt.VoterCrashReviewers;
 import org.skylarkfork.core.configuration.ConfigurationChange;
 import org.skylarkfork.core.consensus.Submitter;
 import org.skylarkfork.core.effect.Effect;
@@ -128,7 +128,7 @@
                 ledger,
                 admission,
                 new AlwaysListed(),
-                new VotersAsJudges(NODE, List.of())),
+                new VoterCrashReviewers(NODE, List.of())),
             requestSettings(),
             seed);
     List<Part> parts =
