--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AnswerBuffer.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AnswerBuffer.java
@@ -20,7 +20,7 @@
   }
 
   /** Says how tokens fit, without taking them. */
-  ChunkPosition fit(long offset, int count) {
+  ChunkPosition classify(long offset, int count) {
     if (offset == tokens) {
       return ChunkPosition.NEXT;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AttemptOutcomes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AttemptOutcomes.java
@@ -30,18 +30,18 @@
         active.step > 0);
   }
 
-  static AttemptOutcome ratedLater(AttemptOutcome told, double score) {
+  static AttemptOutcome ratedLater(AttemptOutcome outcome, double score) {
     return new AttemptOutcome(
-        told.requestId(),
-        told.version(),
-        told.team(),
-        told.promptTokens(),
+        outcome.requestId(),
+        outcome.version(),
+        outcome.team(),
+        outcome.promptTokens(),
         Ending.RATED_LATER,
         score,
-        told.firstTokenMillis(),
-        told.completionTokens(),
+        outcome.firstTokenMillis(),
+        outcome.completionTokens(),
         null,
-        told.escalated());
+        outcome.escalated());
   }
 
   /** Returns what a failure says of the version, or null if it says only something of the VM. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashReviewPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashReviewPart.java
@@ -24,19 +24,19 @@
 public final class CrashReviewPart implements Part {
 
   private final ConfigurationView configuration;
-  private final Predicate<Instant> leads;
+  private final Predicate<Instant> isLeader;
   private final CrashReview review = new CrashReview(new ConfiguredQuarantine());
-  private List<RequestKey> known = List.of();
+  private List<RequestKey> quarantined = List.of();
 
   /**
    * Makes the part.
    *
    * @param configuration the configuration in force
-   * @param leads whether this daemon leads the configuration's group at a time
+   * @param isLeader whether this daemon leads the configuration's group at a time
    */
-  public CrashReviewPart(ConfigurationView configuration, Predicate<Instant> leads) {
+  public CrashReviewPart(ConfigurationView configuration, Predicate<Instant> isLeader) {
     this.configuration = configuration;
-    this.leads = leads;
+    this.isLeader = isLeader;
   }
 
   @Override
@@ -44,8 +44,8 @@
     if (event instanceof PeerEvent.MessageReceived received) {
       onMessage(received, now);
     } else if (event instanceof LifecycleEvent.Tick) {
-      noteChanges();
-      if (leads.test(now)) {
+      applyQuarantineChanges();
+      if (isLeader.test(now)) {
         review.tick(now, output);
       }
     }
@@ -59,14 +59,14 @@
     }
   }
 
-  private void noteChanges() {
-    List<RequestKey> present = configuration.current().quarantined();
-    if (present == known) {
+  private void applyQuarantineChanges() {
+    List<RequestKey> current = configuration.current().quarantined();
+    if (current == quarantined) {
       return;
     }
-    present.stream().filter(key -> !known.contains(key)).forEach(review::refused);
-    known.stream().filter(key -> !present.contains(key)).forEach(review::lifted);
-    known = present;
+    current.stream().filter(key -> !quarantined.contains(key)).forEach(review::refused);
+    quarantined.stream().filter(key -> !current.contains(key)).forEach(review::lifted);
+    quarantined = current;
   }
 
   /** The requests that the configuration refuses. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftDelivery.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftDelivery.java
@@ -10,22 +10,22 @@
 final class DraftDelivery {
 
   private final ActiveRequests requests;
-  private final RequestCollaborators parts;
-  private final DraftPlanner planning;
+  private final RequestCollaborators collaborators;
+  private final DraftPlanner planner;
   private final RatingSampler sampler;
-  private final RequestCompletion ending;
+  private final RequestCompleter completer;
 
   DraftDelivery(
       ActiveRequests requests,
-      RequestCollaborators parts,
-      DraftPlanner planning,
+      RequestCollaborators collaborators,
+      DraftPlanner planner,
       RatingSampler sampler,
-      RequestCompletion ending) {
+      RequestCompleter completer) {
     this.requests = requests;
-    this.parts = parts;
-    this.planning = planning;
+    this.collaborators = collaborators;
+    this.planner = planner;
     this.sampler = sampler;
-    this.ending = ending;
+    this.completer = completer;
   }
 
   boolean drawSample(ModelVersion version) {
@@ -34,61 +34,69 @@
 
   /** Adds tokens to the answer, and sends them on if the caller gets them as they come. */
   void append(
-      ActiveRequest active, Attempt attempt, UpstreamEvent.TokensArrived event, EventContext turn) {
-    boolean through = active.streamsThrough();
-    if (through) {
+      ActiveRequest active,
+      Attempt attempt,
+      UpstreamEvent.TokensArrived event,
+      EventContext context) {
+    boolean direct = active.streamsDirectly();
+    if (direct) {
       Invariants.check(active.sentTokens == event.offset(), "a caller's tokens have no gap");
-      beginStream(active, attempt.version, attempt.upstream, turn);
-      turn.effect(new CallerEffect.SendTokens(active.id(), event.text()));
+      beginStream(active, attempt.version, attempt.upstream, context);
+      context.effect(new CallerEffect.SendTokens(active.id(), event.text()));
       active.sentTokens += event.tokens();
     }
-    requests.append(active, event.tokens(), event.text(), !through || active.sampled);
+    requests.append(active, event.tokens(), event.text(), !direct || active.sampled);
   }
 
   private void beginStream(
-      ActiveRequest active, ModelVersion version, String upstream, EventContext turn) {
-    if (active.streamBegun) {
+      ActiveRequest active, ModelVersion version, String upstream, EventContext context) {
+    if (active.streamStarted) {
       return;
     }
-    pin(active, version, turn);
-    active.streamBegun = true;
-    turn.observe("first_token_seconds", active.request.kind().name(), active.arrivedAt);
-    turn.effect(new CallerEffect.BeginStream(active.id(), active.facts(version, upstream)));
+    pinSession(active, version, context);
+    active.streamStarted = true;
+    context.observe("first_token_seconds", active.request.kind().name(), active.arrivedAt);
+    context.effect(new CallerEffect.BeginStream(active.id(), active.facts(version, upstream)));
   }
 
-  private void pin(ActiveRequest active, ModelVersion version, EventContext turn) {
+  private void pinSession(ActiveRequest active, ModelVersion version, EventContext context) {
     String session = active.request.session();
     if (session == null || active.sessionToken != null) {
       return;
     }
     // Two first requests of a session may run at the same time; the one that answers last must not
     // take the session away from the version that the user saw first.
-    ModelVersion kept = planning.keptVersion(active, version.model());
-    ModelVersion pinned = kept == null ? version : kept;
-    active.sessionToken = parts.pins().pin(active.team, session, pinned, turn.now());
+    ModelVersion existing = planner.pinnedVersion(active, version.model());
+    ModelVersion pinned = existing == null ? version : existing;
+    active.sessionToken = collaborators.pins().pin(active.team, session, pinned, context.now());
   }
 
   /** Has the answer rated afterwards if it was drawn for that. */
-  void sample(ActiveRequest active, HeldAnswer answer, AttemptOutcome outcome, EventContext turn) {
+  void requestSampleRating(
+      ActiveRequest active, HeldAnswer answer, AttemptOutcome outcome, EventContext context) {
     if (active.sampled) {
-      sampler.ask(active, answer, outcome, turn);
+      sampler.requestRating(active, answer, outcome, context);
     }
   }
 
   /** Gives the caller an answer; its last frame waits for the bill. */
-  void deliver(ActiveRequest active, HeldAnswer answer, EventContext turn) {
-    pin(active, answer.version(), turn);
+  void deliver(ActiveRequest active, HeldAnswer answer, EventContext context) {
+    pinSession(active, answer.version(), context);
     CallerEffect last =
-        active.request.stream() ? lastOfStream(active, answer, turn) : whole(active, answer);
-    ending.end(
-        active, last, null, ending.bill(active, answer.version().model(), answer.version()), turn);
+        active.request.stream() ? endOfStream(active, answer, context) : wholeDraft(active, answer);
+    completer.complete(
+        active,
+        last,
+        null,
+        completer.bill(active, answer.version().model(), answer.version()),
+        context);
   }
 
-  private CallerEffect lastOfStream(ActiveRequest active, HeldAnswer answer, EventContext turn) {
-    if (!active.streamBegun) {
-      beginStream(active, answer.version(), answer.upstream(), turn);
+  private CallerEffect endOfStream(ActiveRequest active, HeldAnswer answer, EventContext context) {
+    if (!active.streamStarted) {
+      beginStream(active, answer.version(), answer.upstream(), context);
       if (!answer.text().isEmpty()) {
-        turn.effect(new CallerEffect.SendTokens(active.id(), answer.text()));
+        context.effect(new CallerEffect.SendTokens(active.id(), answer.text()));
       }
     }
     return new CallerEffect.EndStream(
@@ -98,7 +106,7 @@
         active.facts(answer.version(), answer.upstream()));
   }
 
-  private static CallerEffect whole(ActiveRequest active, HeldAnswer answer) {
+  private static CallerEffect wholeDraft(ActiveRequest active, HeldAnswer answer) {
     return new CallerEffect.SendDraft(
         active.id(),
         answer.text(),
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftExecutor.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftExecutor.java
@@ -19,70 +19,70 @@
 /** Runs drafts on engines: plan, attempts, resumed streams and the end of each step. */
 final class DraftExecutor {
 
-  private static final int MOST_PLANS = 3;
+  private static final int MAX_REPLANS = 3;
   private static final long RETRY_AFTER_MILLIS = 1000;
 
   private final ActiveRequests requests;
-  private final RequestCollaborators parts;
+  private final RequestCollaborators collaborators;
   private final RequestSettings settings;
-  private final DraftPlanner planning;
+  private final DraftPlanner planner;
   private final Attempts attempts;
-  private final RetryPolicy retries;
+  private final RetryPolicy retryPolicy;
   private final Cascade cascade;
-  private final DraftDelivery answers;
-  private final RequestCompletion ending;
-  private final CrashGuard crashes;
-  private final FirstTokenTimeouts firstTokens;
+  private final DraftDelivery delivery;
+  private final RequestCompleter completer;
+  private final CrashGuard crashGuard;
+  private final FirstTokenTimeouts firstTokenTimeouts;
 
   DraftExecutor(
       ActiveRequests requests,
-      RequestCollaborators parts,
+      RequestCollaborators collaborators,
       RequestSettings settings,
-      DraftPlanner planning,
+      DraftPlanner planner,
       Attempts attempts,
-      RetryPolicy retries,
+      RetryPolicy retryPolicy,
       Cascade cascade,
-      DraftDelivery answers,
-      RequestCompletion ending,
-      CrashGuard crashes) {
+      DraftDelivery delivery,
+      RequestCompleter completer,
+      CrashGuard crashGuard) {
     this.requests = requests;
-    this.parts = parts;
+    this.collaborators = collaborators;
     this.settings = settings;
-    this.planning = planning;
+    this.planner = planner;
     this.attempts = attempts;
-    this.retries = retries;
+    this.retryPolicy = retryPolicy;
     this.cascade = cascade;
-    this.answers = answers;
-    this.ending = ending;
-    this.crashes = crashes;
-    this.firstTokens = new FirstTokenTimeouts(settings);
+    this.delivery = delivery;
+    this.completer = completer;
+    this.crashGuard = crashGuard;
+    this.firstTokenTimeouts = new FirstTokenTimeouts(settings);
   }
 
-  static RoutingError teamGone(String team) {
+  static RoutingError teamRemoved(String team) {
     return RoutingError.notRun(
         ErrorKind.UNAUTHORIZED, "The team " + team + " was removed. Ask your operator.");
   }
 
   /** Starts an admitted draft. */
-  void start(ActiveRequest active, EventContext turn) {
-    retries.earn();
-    plan(active, turn);
+  void start(ActiveRequest active, EventContext context) {
+    retryPolicy.recordRequest();
+    plan(active, context);
   }
 
-  private void plan(ActiveRequest active, EventContext turn) {
-    RoutingError error = planning.plan(active, turn.now());
+  private void plan(ActiveRequest active, EventContext context) {
+    RoutingError error = planner.plan(active, context.now());
     if (error != null) {
-      boolean mayPass = error.kind() == ErrorKind.NO_CAPACITY && active.best == null;
-      if (!mayPass || !retries.pause(active, turn.now())) {
-        giveUp(active, withRunState(active, error), turn);
+      boolean mayBeTemporary = error.kind() == ErrorKind.NO_CAPACITY && active.bestAnswer == null;
+      if (!mayBeTemporary || !retryPolicy.backOff(active, context.now())) {
+        deliverBestOrFail(active, withRunState(active, error), context);
       }
       return;
     }
     active.needsPlan = false;
     active.stepAttempts = 0;
     active.triedUpstreams.clear();
-    turn.timeline("request.planned", active, null, Objects.requireNonNull(active.plan).reason());
-    dispatch(active, turn);
+    context.timeline("request.planned", active, null, Objects.requireNonNull(active.plan).reason());
+    dispatch(active, context);
   }
 
   private static RoutingError withRunState(ActiveRequest active, RoutingError error) {
@@ -91,33 +91,36 @@
   }
 
   /** Goes on after a pause, with a new plan if there was none before it. */
-  void resume(ActiveRequest active, EventContext turn) {
+  void resume(ActiveRequest active, EventContext context) {
     if (active.needsPlan) {
-      plan(active, turn);
+      plan(active, context);
     } else {
-      dispatch(active, turn);
+      dispatch(active, context);
     }
   }
 
   /** Dispatches the present step, or lets it wait, or gives it up. */
-  void dispatch(ActiveRequest active, EventContext turn) {
-    RoutingError refused = crashes.refusal(active);
+  void dispatch(ActiveRequest active, EventContext context) {
+    RoutingError refused = crashGuard.quarantineRefusal(active);
     if (refused != null) {
-      giveUp(active, refused, turn);
+      deliverBestOrFail(active, refused, context);
       return;
     }
     ModelVersion version = active.currentStep().version();
-    if (!planning.mayRun(active, version)) {
-      versionGone(active, version, turn);
+    if (!planner.mayRun(active, version)) {
+      replan(active, version, context);
       return;
     }
-    List<Announcement> candidates = parts.directory().engines(version, turn.now());
+    List<Announcement> candidates = collaborators.directory().engines(version, context.now());
     Optional<Announcement> upstream =
-        parts.chooser().choose(candidates, active.request, active.triedUpstreams, turn.now());
+        collaborators
+            .chooser()
+            .choose(candidates, active.request, active.triedUpstreams, context.now());
     if (upstream.isPresent()) {
-      send(active, upstream.get(), version, turn);
-    } else if (!retries.pause(active, turn.now())) {
-      giveUp(active, retries.failed(active, "all engines of " + version + " are busy"), turn);
+      send(active, upstream.get(), version, context);
+    } else if (!retryPolicy.backOff(active, context.now())) {
+      deliverBestOrFail(
+          active, retryPolicy.failure(active, "all engines of " + version + " are busy"), context);
     }
   }
 
@@ -125,33 +128,35 @@
    * Plans anew when a version was withdrawn or forbidden while the request waited. A caller that
    * has part of its answer can't get the rest from another version: its stream ends in an error.
    */
-  private void versionGone(ActiveRequest active, ModelVersion version, EventContext turn) {
+  private void replan(ActiveRequest active, ModelVersion version, EventContext context) {
     active.replans++;
-    turn.timeline("request.replanned", active, null, version + " may not run any more");
-    if (active.streamBegun || active.replans > MOST_PLANS) {
+    context.timeline("request.replanned", active, null, version + " may not run any more");
+    if (active.streamStarted || active.replans > MAX_REPLANS) {
       String message =
           version + " was withdrawn or forbidden before the answer was whole. Send it again.";
-      giveUp(active, new RoutingError(ErrorKind.NOT_ALLOWED, message, active.runState(), 0L), turn);
+      deliverBestOrFail(
+          active, new RoutingError(ErrorKind.NOT_ALLOWED, message, active.runState(), 0L), context);
       return;
     }
     requests.clearAnswer(active);
     active.needsPlan = true;
-    plan(active, turn);
+    plan(active, context);
   }
 
   private void send(
-      ActiveRequest active, Announcement upstream, ModelVersion version, EventContext turn) {
-    Duration left = Duration.between(turn.now(), active.request.deadline());
-    Duration usual = firstTokens.timeout(version);
-    Duration first = left.compareTo(usual) < 0 ? left : usual;
-    Duration watchdog = first.plus(settings.watchdogGrace());
+      ActiveRequest active, Announcement upstream, ModelVersion version, EventContext context) {
+    Duration remaining = Duration.between(context.now(), active.request.deadline());
+    Duration versionTimeout = firstTokenTimeouts.timeout(version);
+    Duration firstTokenTimeout =
+        remaining.compareTo(versionTimeout) < 0 ? remaining : versionTimeout;
+    Duration watchdog = firstTokenTimeout.plus(settings.watchdogGrace());
     if (active.attempts == 0) {
-      active.sampled = answers.drawSample(version);
+      active.sampled = delivery.drawSample(version);
     }
-    Attempt attempt = attempts.begin(active, upstream, version, watchdog, turn);
+    Attempt attempt = attempts.begin(active, upstream, version, watchdog, context);
     attempt.resumeOffset = active.answer.tokens();
     active.triedUpstreams.add(upstream.id());
-    turn.effect(
+    context.effect(
         new UpstreamEffect.DispatchDraft(
             attempt.id,
             upstream.id(),
@@ -161,70 +166,78 @@
             version,
             active.answer.tokens(),
             active.priority,
-            Math.max(1, first.toMillis())));
+            Math.max(1, firstTokenTimeout.toMillis())));
   }
 
   /** Takes tokens of the running attempt. */
-  void tokens(
-      ActiveRequest active, Attempt attempt, UpstreamEvent.TokensArrived event, EventContext turn) {
-    attempt.heardAt = turn.now();
-    AnswerBuffer.ChunkPosition fit = active.answer.fit(event.offset(), event.tokens());
+  void tokensArrived(
+      ActiveRequest active,
+      Attempt attempt,
+      UpstreamEvent.TokensArrived event,
+      EventContext context) {
+    attempt.lastProgressAt = context.now();
+    AnswerBuffer.ChunkPosition fit = active.answer.classify(event.offset(), event.tokens());
     if (fit == AnswerBuffer.ChunkPosition.DUPLICATE) {
-      turn.count("tokens_duplicate", "");
+      context.count("tokens_duplicate", "");
       return;
     }
     if (fit == AnswerBuffer.ChunkPosition.GAP) {
-      turn.count("answers_with_gap", "");
-      cut(active, attempt, "tokens are missing from the answer", turn);
+      context.count("answers_with_gap", "");
+      abortAttempt(active, attempt, "tokens are missing from the answer", context);
       return;
     }
     if (attempt.firstTokenAt == null) {
-      attempt.firstTokenAt = turn.now();
-      attempt.timeout = settings.silence().plus(settings.watchdogGrace());
-      firstTokens.measured(attempt, turn.now());
-      requests.wakeBy(active, attempt.silentAt());
+      attempt.firstTokenAt = context.now();
+      attempt.timeout = settings.tokenTimeout().plus(settings.watchdogGrace());
+      firstTokenTimeouts.record(attempt, context.now());
+      requests.scheduleCheck(active, attempt.timeoutAt());
     }
     attempt.tokens += event.tokens();
-    answers.append(active, attempt, event, turn);
+    delivery.append(active, attempt, event, context);
     if (requests.heldBytes() > settings.maxHeldBytes()) {
-      makeRoom(active, turn);
+      reduceHeldBytes(active, context);
     }
   }
 
   /**
    * Keeps to the bound on held answers: without the sample if it is one, else without the answer.
    */
-  private void makeRoom(ActiveRequest active, EventContext turn) {
-    if (active.streamsThrough()) {
+  private void reduceHeldBytes(ActiveRequest active, EventContext context) {
+    if (active.streamsDirectly()) {
       active.sampled = false;
       requests.dropText(active);
       return;
     }
     String message = "This entry holds as many answer bytes as it can. Send it again later.";
     RunState state = active.runState();
-    giveUp(
-        active, new RoutingError(ErrorKind.NO_CAPACITY, message, state, RETRY_AFTER_MILLIS), turn);
+    deliverBestOrFail(
+        active,
+        new RoutingError(ErrorKind.NO_CAPACITY, message, state, RETRY_AFTER_MILLIS),
+        context);
   }
 
   /** Gives up an attempt whose answer can't be trusted any more, and goes on elsewhere. */
-  void cut(ActiveRequest active, Attempt attempt, String detail, EventContext turn) {
-    attempts.cancel(active, attempt, false, turn);
-    crashes.lost(active, attempt, Moment.ANSWER_BEGUN, turn);
-    failed(active, attempt, Moment.ANSWER_BEGUN, detail, turn);
+  void abortAttempt(ActiveRequest active, Attempt attempt, String detail, EventContext context) {
+    attempts.cancel(active, attempt, false, context);
+    crashGuard.attemptLost(active, attempt, Moment.ANSWER_BEGUN, context);
+    failed(active, attempt, Moment.ANSWER_BEGUN, detail, context);
   }
 
   /** Takes the final frame of the running attempt. */
   void finished(
-      ActiveRequest active, Attempt attempt, UpstreamEvent.DraftFinished event, EventContext turn) {
+      ActiveRequest active,
+      Attempt attempt,
+      UpstreamEvent.DraftFinished event,
+      EventContext context) {
     long tokens = active.answer.tokens();
     // An engine that counted more tokens than came has an answer whose end was lost on the way: to
     // the caller it would look complete. Its own count shows it.
     if (event.usage().completionTokens() > tokens) {
-      turn.count("answers_with_gap", "");
-      cut(active, attempt, "the end of the answer is missing", turn);
+      context.count("answers_with_gap", "");
+      abortAttempt(active, attempt, "the end of the answer is missing", context);
       return;
     }
-    attempts.end(active, attempt, true, turn);
+    attempts.end(active, attempt, true, context);
     active.ran = true;
     active.finishedVersions.add(Objects.requireNonNull(attempt.version));
     AttemptOutcome outcome =
@@ -232,18 +245,18 @@
             active,
             attempt,
             tokens == 0 ? AttemptOutcome.Ending.EMPTY : AttemptOutcome.Ending.WHOLE,
-            turn.now());
-    parts.quality().record(outcome, turn.now());
+            context.now());
+    collaborators.quality().record(outcome, context.now());
     HeldAnswer answer = wholeAnswer(active, attempt, event);
-    ending.charge(active, answer.version(), answer.usage());
-    if (active.isHeldStep()) {
-      cascade.hold(active, answer, outcome, turn);
-      next(active, turn);
+    completer.charge(active, answer.version(), answer.usage());
+    if (active.holdsAnswerForRating()) {
+      cascade.hold(active, answer, outcome, context);
+      proceed(active, context);
       return;
     }
-    crashes.served(active, turn);
-    answers.sample(active, answer, outcome, turn);
-    answers.deliver(active, answer, turn);
+    crashGuard.requestServed(active, context);
+    delivery.requestSampleRating(active, answer, outcome, context);
+    delivery.deliver(active, answer, context);
   }
 
   private static HeldAnswer wholeAnswer(
@@ -263,71 +276,73 @@
   }
 
   /** Takes a rating of a held answer; null if there will be none. */
-  void rated(ActiveRequest active, String attemptId, @Nullable Double score, EventContext turn) {
-    if (cascade.rated(active, attemptId, score, turn)) {
-      next(active, turn);
+  void rated(ActiveRequest active, String attemptId, @Nullable Double score, EventContext context) {
+    if (cascade.rated(active, attemptId, score, context)) {
+      proceed(active, context);
     }
   }
 
   /** Goes on after a held answer was judged: delivers it, or runs the next step. */
-  private void next(ActiveRequest active, EventContext turn) {
-    HeldAnswer held = active.held;
+  private void proceed(ActiveRequest active, EventContext context) {
+    HeldAnswer held = active.heldAnswer;
     if (active.phase == ActiveRequest.Phase.RATING) {
       return;
     }
     if (held != null) {
-      crashes.served(active, turn);
-      answers.deliver(active, held, turn);
+      crashGuard.requestServed(active, context);
+      delivery.deliver(active, held, context);
       return;
     }
-    dispatch(active, turn);
+    dispatch(active, context);
   }
 
   /** Decides after a failed attempt: resume or repeat elsewhere, a pause, or the end. */
   void failed(
-      ActiveRequest active, Attempt attempt, Moment moment, String detail, EventContext turn) {
+      ActiveRequest active, Attempt attempt, Moment moment, String detail, EventContext context) {
     if (RunStates.after(moment) != RunState.NOT_RUN) {
       active.mayHaveStarted = true;
     }
-    AttemptOutcome.Ending told = AttemptOutcomes.ending(moment);
-    if (told != null) {
-      parts.quality().record(AttemptOutcomes.of(active, attempt, told, turn.now()), turn.now());
+    AttemptOutcome.Ending endingKind = AttemptOutcomes.ending(moment);
+    if (endingKind != null) {
+      collaborators
+          .quality()
+          .record(AttemptOutcomes.of(active, attempt, endingKind, context.now()), context.now());
     }
     boolean resuming = active.answer.tokens() > 0;
-    if (!resuming && retries.waits(active, moment, turn.now())) {
+    if (!resuming && retryPolicy.backOffIfBudgetEmpty(active, moment, context.now())) {
       return;
     }
-    RoutingError error = retries.refusal(active, moment, resuming, detail);
+    RoutingError error = retryPolicy.retryRefusal(active, moment, resuming, detail);
     if (error != null) {
-      giveUp(active, error, turn);
+      deliverBestOrFail(active, error, context);
       return;
     }
     if (resuming) {
-      turn.timeline("attempt.resumed", active, attempt, "after " + active.answer.tokens());
-      turn.count("resumes", "");
+      context.timeline("attempt.resumed", active, attempt, "after " + active.answer.tokens());
+      context.count("resumes", "");
     }
-    dispatch(active, turn);
+    dispatch(active, context);
   }
 
   /** Ends a draft that can't be finished: with the best held answer if there is one. */
-  void giveUp(ActiveRequest active, RoutingError error, EventContext turn) {
-    HeldAnswer best = active.best;
-    if (best != null && !active.streamBegun) {
+  void deliverBestOrFail(ActiveRequest active, RoutingError error, EventContext context) {
+    HeldAnswer best = active.bestAnswer;
+    if (best != null && !active.streamStarted) {
       active.notice = "the rating of this answer is below the target; a better one failed";
-      answers.deliver(active, best, turn);
+      delivery.deliver(active, best, context);
       return;
     }
-    ending.fail(active, error, turn);
+    completer.fail(active, error, context);
   }
 
   /** Delivers a held answer at the deadline, and returns whether there was one. */
-  boolean deliverBest(ActiveRequest active, EventContext turn) {
-    HeldAnswer best = active.held != null ? active.held : active.best;
-    if (best == null || active.streamBegun || active.phase == ActiveRequest.Phase.BILL) {
+  boolean deliverBestAtDeadline(ActiveRequest active, EventContext context) {
+    HeldAnswer best = active.heldAnswer != null ? active.heldAnswer : active.bestAnswer;
+    if (best == null || active.streamStarted || active.phase == ActiveRequest.Phase.BILL) {
       return false;
     }
     active.notice = "the deadline came before a rating or a better answer";
-    answers.deliver(active, best, turn);
+    delivery.deliver(active, best, context);
     return true;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/FirstTokenTimeouts.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/FirstTokenTimeouts.java
@@ -18,33 +18,33 @@
 final class FirstTokenTimeouts {
 
   private static final double PERCENTILE = 99;
-  private static final int SAMPLES = 20;
-  private static final int FACTOR = 3;
+  private static final int MIN_SAMPLES = 20;
+  private static final int TIMEOUT_FACTOR = 3;
 
-  private final Duration shortest;
-  private final Duration longest;
-  private final Map<ModelVersion, RecentDurations> versions = new HashMap<>();
+  private final Duration minTimeout;
+  private final Duration maxTimeout;
+  private final Map<ModelVersion, RecentDurations> durationsByVersion = new HashMap<>();
 
   FirstTokenTimeouts(RequestSettings settings) {
-    this.shortest = settings.silence();
-    this.longest = settings.longestFirstToken();
+    this.minTimeout = settings.tokenTimeout();
+    this.maxTimeout = settings.maxFirstTokenTimeout();
   }
 
-  void measured(Attempt attempt, Instant now) {
-    versions
+  void record(Attempt attempt, Instant now) {
+    durationsByVersion
         .computeIfAbsent(Objects.requireNonNull(attempt.version), version -> new RecentDurations())
         .add(Duration.between(attempt.dispatchedAt, now));
   }
 
   Duration timeout(ModelVersion version) {
-    RecentDurations times = versions.get(version);
-    if (times == null || times.count() < SAMPLES) {
-      return longest;
+    RecentDurations durations = durationsByVersion.get(version);
+    if (durations == null || durations.count() < MIN_SAMPLES) {
+      return maxTimeout;
     }
-    Duration bound = times.percentile(PERCENTILE).multipliedBy(FACTOR);
-    if (bound.compareTo(shortest) < 0) {
-      return shortest;
+    Duration bound = durations.percentile(PERCENTILE).multipliedBy(TIMEOUT_FACTOR);
+    if (bound.compareTo(minTimeout) < 0) {
+      return minTimeout;
     }
-    return bound.compareTo(longest) > 0 ? longest : bound;
+    return bound.compareTo(maxTimeout) > 0 ? maxTimeout : bound;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RecentDurations.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RecentDurations.java
@@ -7,34 +7,34 @@
 /** Measured times of the last one or two windows; older ones no longer count. */
 final class RecentDurations {
 
-  private static final long LONGEST_MICROS = TimeUnit.MINUTES.toMicros(2);
-  private static final int DIGITS = 2;
-  private static final int WINDOW = 2000;
-
-  private Histogram present = new Histogram(LONGEST_MICROS, DIGITS);
-  private Histogram before = new Histogram(LONGEST_MICROS, DIGITS);
-
-  void add(Duration time) {
-    long micros = TimeUnit.NANOSECONDS.toMicros(time.toNanos());
-    present.recordValue(Math.max(0, Math.min(LONGEST_MICROS, micros)));
-    if (present.getTotalCount() >= WINDOW) {
-      Histogram oldest = before;
-      before = present;
+  private static final long MAX_MICROS = TimeUnit.MINUTES.toMicros(2);
+  private static final int SIGNIFICANT_DIGITS = 2;
+  private static final int WINDOW_SAMPLES = 2000;
+
+  private Histogram current = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+  private Histogram previous = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+
+  void add(Duration duration) {
+    long micros = TimeUnit.NANOSECONDS.toMicros(duration.toNanos());
+    current.recordValue(Math.max(0, Math.min(MAX_MICROS, micros)));
+    if (current.getTotalCount() >= WINDOW_SAMPLES) {
+      Histogram oldest = previous;
+      previous = current;
       oldest.reset();
-      present = oldest;
+      current = oldest;
     }
   }
 
-  private Histogram fuller() {
-    return present.getTotalCount() > before.getTotalCount() ? present : before;
+  private Histogram largerWindow() {
+    return current.getTotalCount() > previous.getTotalCount() ? current : previous;
   }
 
   long count() {
-    return fuller().getTotalCount();
+    return largerWindow().getTotalCount();
   }
 
   Duration percentile(double percentile) {
-    long micros = fuller().getValueAtPercentile(percentile);
+    long micros = largerWindow().getValueAtPercentile(percentile);
     return Duration.ofNanos(TimeUnit.MICROSECONDS.toNanos(micros));
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/DraftTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/DraftTest.java
@@ -300,7 +300,7 @@
     assertEquals(own.last(UpstreamEffect.DispatchDraft.class).version(), old);
     own.configuration = RequestFixture.configuration(2, List.of(old));
     own.ask("q", ask);
-    own.pass(RequestSettings.DEFAULT.pinWait().plusMillis(50));
+    own.pass(RequestSettings.DEFAULT.pinTimeout().plusMillis(50));
     assertEquals(own.last(UpstreamEffect.DispatchDraft.class).version(), RequestFixture.SMALL);
     own.tokens("q.1", 0, 1);
     own.finish("q.1", 1);
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/MeasuredDaemon.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/MeasuredDaemon.java
@@ -228,20 +228,20 @@
         usual.maxRequests(),
         usual.maxHeldBytes(),
         usual.maxAttempts(),
-        usual.maxPauses(),
-        usual.firstPause(),
-        usual.silence(),
-        usual.longestFirstToken(),
+        usual.maxBackoffs(),
+        usual.firstBackoff(),
+        usual.tokenTimeout(),
+        usual.maxFirstTokenTimeout(),
         usual.watchdogGrace(),
-        usual.pinWait(),
-        usual.ratingWait(),
-        usual.deliveryWait(),
+        usual.pinTimeout(),
+        usual.ratingTimeout(),
+        usual.deliveryTimeout(),
         usual.retryShare(),
         usual.retryReserve(),
         usual.hedgeShare(),
         usual.hedgePercentile(),
         Integer.MAX_VALUE,
-        usual.sampledRatings());
+        usual.sampledRatingShare());
   }
 
   /** The daemon is alone. */
