--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftExecutor.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftExecutor.java
@@ -28,7 +28,7 @@
   private final DraftPlanner planner;
   private final Attempts attempts;
   private final RetryPolicy retryPolicy;
-  private final Cascade cascade;
+  private final EscalationPolicy escalationPolicy;
   private final DraftDelivery delivery;
   private final RequestCompleter completer;
   private final CrashGuard crashGuard;
@@ -41,7 +41,7 @@
       DraftPlanner planner,
       Attempts attempts,
       RetryPolicy retryPolicy,
-      Cascade cascade,
+      EscalationPolicy escalationPolicy,
       DraftDelivery delivery,
       RequestCompleter completer,
       CrashGuard crashGuard) {
@@ -51,7 +51,7 @@
     this.planner = planner;
     this.attempts = attempts;
     this.retryPolicy = retryPolicy;
-    this.cascade = cascade;
+    this.escalationPolicy = escalationPolicy;
     this.delivery = delivery;
     this.completer = completer;
     this.crashGuard = crashGuard;
@@ -250,7 +250,7 @@
     HeldAnswer answer = wholeAnswer(active, attempt, event);
     completer.charge(active, answer.version(), answer.usage());
     if (active.holdsAnswerForRating()) {
-      cascade.hold(active, answer, outcome, context);
+      escalationPolicy.hold(active, answer, outcome, context);
       proceed(active, context);
       return;
     }
@@ -277,7 +277,7 @@
 
   /** Takes a rating of a held answer; null if there will be none. */
   void rated(ActiveRequest active, String attemptId, @Nullable Double score, EventContext context) {
-    if (cascade.rated(active, attemptId, score, context)) {
+    if (escalationPolicy.onRating(active, attemptId, score, context)) {
       proceed(active, context);
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Cascade.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/EscalationPolicy.java
@@ -10,7 +10,7 @@
 import org.skylarkfork.core.routing.Plan;
 
 /** Judges held answers of rated steps: good enough, or the next step's turn. */
-final class Cascade {
+final class EscalationPolicy {
 
   /** Shortest time to the deadline in which a further step is worth starting. */
   private static final Duration MIN_STEP_TIME = Duration.ofMillis(500);
@@ -19,7 +19,7 @@
   private final QualityBook quality;
   private final RequestSettings settings;
 
-  Cascade(ActiveRequests requests, QualityBook quality, RequestSettings settings) {
+  EscalationPolicy(ActiveRequests requests, QualityBook quality, RequestSettings settings) {
     this.requests = requests;
     this.quality = quality;
     this.settings = settings;
@@ -59,7 +59,7 @@
    * @return whether the request goes on: {@code held} is the accepted answer, or null if the next
    *     step is to run
    */
-  boolean rated(
+  boolean onRating(
       ActiveRequest active, String attemptId, @Nullable Double score, EventContext context) {
     HeldAnswer held = active.heldAnswer;
     boolean awaited =
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestPart.java
@@ -65,7 +65,7 @@
             planner,
             attempts,
             retryPolicy,
-            new Cascade(requests, collaborators.quality(), settings),
+            new EscalationPolicy(requests, collaborators.quality(), settings),
             new DraftDelivery(requests, collaborators, planner, sampler, completer),
             completer,
             crashGuard);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftSimulation.java
@@ -112,7 +112,7 @@
   CrashingDraftSimulation(long seed, int engineCount) {
     network = new MiniNetwork(seed);
     random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-    network.listen(this::onEffect);
+    network.listen(this::handleEffect);
     for (int engine = 0; engine < engineCount; engine++) {
       startEngine();
     }
@@ -277,7 +277,7 @@
     network.inject(entry, new CallerEvent.RequestReceived(request));
   }
 
-  private void onEffect(String entry, Effect effect) {
+  private void handleEffect(String entry, Effect effect) {
     if (effect instanceof UpstreamEffect.DispatchDraft draft) {
       onDispatch(entry, draft);
     } else if (effect instanceof UpstreamEffect.CancelAttempt cancel) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RandomFaultsTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RandomFaultsTest.java
@@ -182,7 +182,7 @@
       } else {
         changeEnvironment();
       }
-      fixture.effects.forEach(this::onEffect);
+      fixture.effects.forEach(this::handleEffect);
     }
 
     private void sendRequest() {
@@ -324,7 +324,7 @@
       }
     }
 
-    private void onEffect(Effect effect) {
+    private void handleEffect(Effect effect) {
       if (effect instanceof UpstreamEffect.DispatchDraft draft) {
         assertFalse(fixture.configuration.isWithdrawn(draft.version()));
         requests.put(draft.request().requestId(), draft.request());
@@ -345,7 +345,7 @@
                     ? new UpstreamEvent.RatingMissing(id, attempt, "silent")
                     : new UpstreamEvent.Rated(id, attempt, random.nextDouble()),
                 fixture.now);
-        more.forEach(this::onEffect);
+        more.forEach(this::handleEffect);
       } else if (effect instanceof TraceEffect.Count count) {
         COUNTER_TOTALS.merge(count.name(), count.amount(), Double::sum);
       } else if (effect instanceof CallerEffect caller) {
@@ -407,7 +407,7 @@
         deliverLedgerEvent();
         decideAdmission();
         fixture.advance(Duration.ofMillis(100));
-        fixture.effects.forEach(this::onEffect);
+        fixture.effects.forEach(this::handleEffect);
       }
     }
 
