--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/ActiveRequest.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/ActiveRequest.java
@@ -19,29 +19,31 @@
 import org.skylarkfork.core.request.RunState;
 import org.skylarkfork.core.routing.Plan;
 
-/** The state of one request from its arrival until its last frame is handed over. */
+/** The mutable state of one request, from its arrival until its final frame is sent. */
 final class ActiveRequest {
 
-  /** How long before the deadline a held answer goes out, so that its bill is safe in time. */
+  /**
+   * Time before the deadline at which a held answer is sent, so that its bill is durable in time.
+   */
   private static final Duration DELIVERY_MARGIN = Duration.ofMillis(100);
 
-  /** What a request waits for. */
+  /** The event that a request waits for. */
   enum Phase {
-    /** The owners of its session. */
+    /** The pins of its session, from the session's owners. */
     PINS,
-    /** Its admission. */
+    /** The admission decision. */
     ADMISSION,
-    /** The decision on its claim. */
+    /** The decision on its claim in the ledger. */
     CLAIM,
-    /** Its attempts. */
+    /** The results of its attempts. */
     ATTEMPTS,
-    /** A free upstream. */
+    /** The end of a backoff, because no upstream was free. */
     PAUSE,
-    /** The rating of a held answer. */
+    /** The rating of its held answer. */
     RATING,
-    /** The record of its outcome. */
+    /** The confirmation that its outcome is recorded in the ledger. */
     RECORD,
-    /** Its bill. */
+    /** The confirmation that its bill is durable. */
     BILL
   }
 
@@ -56,68 +58,72 @@
 
   Phase phase = Phase.ADMISSION;
 
-  /** When the present phase is over, if it has an end of its own. */
+  /** When the current phase times out, or null if only the deadline limits it. */
   @Nullable Instant phaseEnd;
 
-  /** When this request is looked at next; changed only by {@link ActiveRequests}. */
+  /** When this request is checked next; modified only by {@link ActiveRequests}. */
   Instant nextCheckAt;
 
-  /** Revision of the configuration whose rule decided. */
+  /** Revision of the configuration whose rule was matched. */
   long revision;
 
   Rule.Decision.@Nullable Route route;
   int priority;
   @Nullable Plan plan;
 
-  /** Whether the plan is yet to be made, for the first time or anew. */
+  /** Whether a plan must be made, for the first time or again. */
   boolean needsPlan = true;
 
   int step;
 
-  /** Attempts for the present step, and over all steps. */
+  /** Number of attempts for the current step. */
   int stepAttempts;
 
+  /** Number of attempts over all steps. */
   int attempts;
+
   int backoffs;
   int replans;
 
-  /** When a second attempt of a lookup is due, or null if none is or was. */
+  /** When the hedge of a lookup is due, or null if none is scheduled. */
   @Nullable Instant hedgeAt;
 
-  /** Cost and tokens of finished steps. */
+  /** Cost of the finished steps, in micros. */
   long costMicros;
 
+  /** Prompt and completion tokens of the finished steps. */
   long tokens;
+
   @Nullable HeldAnswer heldAnswer;
   @Nullable AttemptOutcome heldOutcome;
   @Nullable HeldAnswer bestAnswer;
 
-  /** Tokens of the answer that the caller got. */
+  /** Number of answer tokens sent to the caller. */
   long sentTokens;
 
-  /** Whether it waits for admission or holds what admission gave. */
+  /** Whether the request waits for admission or holds an admission that must be released. */
   boolean inAdmission;
 
   boolean claimed;
   boolean billDurable;
   boolean streamStarted;
 
-  /** Whether some attempt may have been started by its upstream. */
+  /** Whether an upstream may have started to run an attempt. */
   boolean mayHaveStarted;
 
-  /** Whether a whole answer came from an upstream. */
+  /** Whether an upstream returned a complete answer. */
   boolean ran;
 
-  /** Whether an attempt ended in a way after which a non-idempotent call may not be sent again. */
+  /** Whether a non-idempotent call must not be retried, because an attempt may have started. */
   boolean retryForbidden;
 
-  /** Whether the caller got its one answer or refusal. */
+  /** Whether the final frame, an answer or a refusal, was sent to the caller. */
   boolean answered;
 
-  /** Whether nobody waits for the answer any more. */
+  /** Whether the caller left or was refused at the deadline, so nothing more is sent to it. */
   boolean callerGone;
 
-  /** Whether the answer is rated afterwards, for what is known of its version. */
+  /** Whether the answer is sampled for a rating after delivery, to estimate version quality. */
   boolean sampled;
 
   private @Nullable RequestKey contentKey;
@@ -139,13 +145,16 @@
     return request.requestId();
   }
 
-  /** Returns the key of its claim and bill: a resend with the same key adds none. */
+  /**
+   * Returns the key of the claim and the bill: the idempotency key, or the request id if there is
+   * none. A resend with the same key adds neither a claim nor a bill.
+   */
   String key() {
     String key = request.idempotencyKey();
     return key == null ? request.requestId() : key;
   }
 
-  /** Returns what it has in common with the same request sent again, at whatever entry. */
+  /** Returns the key of the request's content, which is the same for a resend at any entry. */
   RequestKey contentKey() {
     RequestKey cached = contentKey;
     if (cached == null) {
@@ -155,7 +164,7 @@
     return cached;
   }
 
-  /** Takes over the decision of a rule. */
+  /** Applies the route and the priority that a rule decided. */
   void applyRoute(Rule.Decision.Route decision) {
     route = decision;
     Integer override = decision.priority();
@@ -170,17 +179,17 @@
     return step + 1 >= Objects.requireNonNull(plan).steps().size();
   }
 
-  /** Returns whether its tokens go to the caller as they come. */
+  /** Returns whether tokens are forwarded to the caller as they arrive. */
   boolean streamsDirectly() {
     return request.stream() && !holdsAnswerForRating();
   }
 
-  /** Returns whether the present step's answer waits for its rating. */
+  /** Returns whether the answer of the current step is held until it is rated. */
   boolean holdsAnswerForRating() {
     return currentStep().rated() && !isLastStep();
   }
 
-  /** Returns when the request must end, or a held answer must go out to be there in time. */
+  /** Returns the deadline, moved forward by the delivery margin if an answer is held. */
   Instant effectiveDeadline() {
     boolean holds = heldAnswer != null || bestAnswer != null;
     return holds ? request.deadline().minus(DELIVERY_MARGIN) : request.deadline();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/ActiveRequests.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/ActiveRequests.java
@@ -11,7 +11,7 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.Invariants;
 
-/** The requests that this entry holds, found by id, attempt and time of the next look. */
+/** The active requests of this entry, indexed by id, by attempt and by time of the next check. */
 final class ActiveRequests {
 
   private final Map<String, ActiveRequest> byId = new HashMap<>();
@@ -22,7 +22,9 @@
           Comparator.comparing((ActiveRequest active) -> active.nextCheckAt)
               .thenComparing(ActiveRequest::id));
 
-  /** Requests whose last frame was sent but not yet handed over, the oldest first. */
+  /**
+   * When each final frame was sent whose delivery is not confirmed, by request id, oldest first.
+   */
   private final Map<String, Instant> delivering = new LinkedHashMap<>();
 
   private long heldBytes;
@@ -70,14 +72,17 @@
     byAttempt.remove(attempt.id);
   }
 
-  /** Looks at a request again not later than at a time. */
+  /** Schedules the next check of a request at a time, unless an earlier one is scheduled. */
   void scheduleCheck(ActiveRequest active, Instant at) {
     if (at.isBefore(active.nextCheckAt)) {
       reschedule(active, at);
     }
   }
 
-  /** Takes the next request whose time has come; it is looked at again by its end at the latest. */
+  /**
+   * Returns the next request whose check is due, or null if there is none, and reschedules that
+   * request for its effective deadline at the latest.
+   */
   @Nullable ActiveRequest nextDue(Instant now) {
     if (checkQueue.isEmpty() || checkQueue.first().nextCheckAt.isAfter(now)) {
       return null;
@@ -127,7 +132,7 @@
     delivering.remove(requestId);
   }
 
-  /** Stops watching answers that were sent before a time. */
+  /** Drops unconfirmed deliveries that started before a time, and returns how many. */
   int expireDeliveries(Instant before) {
     int size = delivering.size();
     var oldest = delivering.values().iterator();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AnswerBuffer.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AnswerBuffer.java
@@ -2,24 +2,27 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** The answer of the present step, put together in the order of its tokens. */
+/** Collects the answer of the current step in token order. */
 final class AnswerBuffer {
 
   private final StringBuilder text = new StringBuilder();
   private long tokens;
   private long bytes;
 
-  /** What became of tokens. */
+  /** The position of received tokens relative to the buffered answer. */
   enum ChunkPosition {
-    /** They follow on those that are there. */
+    /** The tokens directly follow the buffered ones. */
     NEXT,
-    /** All of them are there already. */
+    /** All of the tokens are already buffered. */
     DUPLICATE,
-    /** Some before them are missing, or they overlap, so that their text can't be cut. */
+    /**
+     * Tokens before them are missing, or they overlap the buffered ones in part. The text of a
+     * partial overlap can't be split by token.
+     */
     GAP
   }
 
-  /** Says how tokens fit, without taking them. */
+  /** Returns the position of tokens relative to the answer, without appending them. */
   ChunkPosition classify(long offset, int count) {
     if (offset == tokens) {
       return ChunkPosition.NEXT;
@@ -27,7 +30,7 @@
     return offset + count <= tokens ? ChunkPosition.DUPLICATE : ChunkPosition.GAP;
   }
 
-  /** Takes tokens that follow; their text is kept only if it is needed again. */
+  /** Appends tokens that follow the buffered ones; stores their text only if requested. */
   void append(int count, String added, boolean keepText) {
     tokens += count;
     if (keepText) {
@@ -36,7 +39,7 @@
     }
   }
 
-  /** Forgets the text that was only kept to be rated, and returns how many bytes it had. */
+  /** Drops the text but keeps the token count, and returns the number of bytes released. */
   long dropText() {
     final long held = bytes;
     text.setLength(0);
@@ -44,7 +47,7 @@
     return held;
   }
 
-  /** Empties the buffer and returns how many bytes it held. */
+  /** Clears the buffer and returns the number of bytes released. */
   long clear() {
     tokens = 0;
     return dropText();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Attempt.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Attempt.java
@@ -15,18 +15,18 @@
   final @Nullable ModelVersion version;
   final Instant dispatchedAt;
 
-  /** How long the upstream may be silent; less after the first token. */
+  /** Longest time without progress before the attempt fails; shorter after the first token. */
   Duration timeout;
 
-  /** Tokens of the answer that were there before this attempt. */
+  /** Number of answer tokens received before this attempt, from which the attempt resumes. */
   long resumeOffset;
 
-  /** When the upstream was last heard of; a plain service is heard of only once. */
+  /** When tokens last arrived, or the dispatch time; a service sends only one event, its answer. */
   Instant lastProgressAt;
 
   @Nullable Instant firstTokenAt;
 
-  /** Tokens that this attempt added to the answer. */
+  /** Number of tokens that this attempt added to the answer. */
   int tokens;
 
   Attempt(
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AttemptBudget.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AttemptBudget.java
@@ -1,11 +1,11 @@
 package org.skylarkfork.core.attempt;
 
 /**
- * Bounds extra attempts to a share of the requests, over the whole entry.
+ * Limits retries or hedges to a share of the requests of this entry, plus a reserve.
  *
- * <p>Without it each request of a burst that meets failing upstreams would be sent several times:
- * the load multiplies just when there is too much of it. Here the extra attempts are at most the
- * share of the requests, plus a reserve for quiet times.
+ * <p>Without a limit, each request of a burst that meets failing upstreams would be sent several
+ * times, which multiplies the load during an overload. The reserve allows extra attempts while
+ * there are few requests.
  */
 final class AttemptBudget {
 
@@ -19,7 +19,7 @@
     this.balance = reserve;
   }
 
-  /** Takes note of a request, which earns its share of an extra attempt. */
+  /** Adds the share that one request contributes, up to the capacity. */
   void deposit() {
     balance = Math.min(capacity, balance + share);
   }
@@ -28,7 +28,7 @@
     return balance < 1;
   }
 
-  /** Takes an extra attempt if there is one left. */
+  /** Withdraws one attempt if the balance allows it, and returns whether it did. */
   boolean tryWithdraw() {
     if (balance < 1) {
       return false;
@@ -37,7 +37,7 @@
     return true;
   }
 
-  /** Takes an extra attempt that has to be made, so that fewer others can be. */
+  /** Withdraws one attempt that is made in any case; the balance doesn't go below 0. */
   void withdraw() {
     balance = Math.max(0, balance - 1);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AttemptOutcomes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AttemptOutcomes.java
@@ -8,13 +8,13 @@
 import org.skylarkfork.core.quality.AttemptOutcome;
 import org.skylarkfork.core.quality.AttemptOutcome.Ending;
 
-/** Puts attempts at drafts into the form in which the evidence on versions takes them. */
+/** Converts attempts of drafts to the outcomes that the quality estimates are based on. */
 final class AttemptOutcomes {
 
   private AttemptOutcomes() {}
 
   static AttemptOutcome of(ActiveRequest active, Attempt attempt, Ending ending, Instant now) {
-    // A resumed attempt gave only the rest, so its time tells nothing of a whole answer's.
+    // A resumed attempt produced only part of the answer, so its duration isn't comparable.
     boolean resumed = attempt.resumeOffset > 0;
     Long totalMillis = resumed ? null : Duration.between(attempt.dispatchedAt, now).toMillis();
     return new AttemptOutcome(
@@ -44,7 +44,7 @@
         outcome.escalated());
   }
 
-  /** Returns what a failure says of the version, or null if it says only something of the VM. */
+  /** Returns the ending to record for the version, or null if the failure is due to the VM. */
   static @Nullable Ending ending(Moment moment) {
     return switch (moment) {
       case ANSWER_BEGUN -> Ending.CUT;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Attempts.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Attempts.java
@@ -9,7 +9,7 @@
 import org.skylarkfork.core.effect.UpstreamEffect;
 import org.skylarkfork.core.upstream.Announcement;
 
-/** Begins and ends attempts, and checks at the last moment that one may begin. */
+/** Starts, ends and cancels attempts, and checks the preconditions of each start. */
 final class Attempts {
 
   private final ActiveRequests requests;
@@ -20,7 +20,7 @@
     this.collaborators = collaborators;
   }
 
-  /** Takes note of an attempt just before its dispatch. */
+  /** Registers an attempt that is about to be dispatched. */
   Attempt begin(
       ActiveRequest active,
       Announcement upstream,
@@ -44,7 +44,7 @@
   private void checkMayBegin(ActiveRequest active, @Nullable ModelVersion version) {
     if (!active.idempotent) {
       Invariants.check(active.claimed, "a non-idempotent call is claimed before its dispatch");
-      Invariants.check(!active.retryForbidden, "a call that may have started is not sent again");
+      Invariants.check(!active.retryForbidden, "a call that may have started is not retried");
       Invariants.check(active.running.isEmpty(), "a non-idempotent call has one attempt at a time");
     }
     if (version != null) {
@@ -55,20 +55,20 @@
     }
   }
 
-  /** Takes note that an attempt ended by itself. */
+  /** Removes an attempt that ended on its own. */
   void end(ActiveRequest active, Attempt attempt, boolean healthy, EventContext context) {
     requests.removeAttempt(active, attempt);
     collaborators.chooser().ended(attempt.upstream, active.request, healthy, context.now());
   }
 
-  /** Gives up an attempt; whatever still comes of it is counted as late. */
+  /** Cancels an attempt; any later answer of it is dropped and counted as late. */
   void cancel(ActiveRequest active, Attempt attempt, boolean healthy, EventContext context) {
     end(active, attempt, healthy, context);
     active.mayHaveStarted = true;
     context.effect(new UpstreamEffect.CancelAttempt(attempt.id));
   }
 
-  /** Gives up all attempts of a request whose answer is there or not wanted any more. */
+  /** Cancels all running attempts of a request that has its answer or needs none any more. */
   void cancelAll(ActiveRequest active, EventContext context) {
     for (Attempt attempt : List.copyOf(active.running.values())) {
       cancel(active, attempt, true, context);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
@@ -20,13 +20,13 @@
 import org.skylarkfork.core.request.RunState;
 import org.skylarkfork.core.upstream.Announcement;
 
-/** Runs calls to plain services: idempotent ones with retries and hedges, others at most once. */
+/** Runs calls to services: idempotent ones with retries and hedges, others at most once. */
 final class CallExecutor {
 
   private static final long CLAIM_RETRY_MILLIS = 1000;
   private static final int SERVER_ERROR = 500;
 
-  // An answer without its body must not look like a whole one.
+  // An answer whose body was not recorded must not be returned as if it were complete.
   private static final RoutingError BODY_NOT_KEPT =
       new RoutingError(
           ErrorKind.CONFLICT,
@@ -62,7 +62,7 @@
     this.crashGuard = crashGuard;
   }
 
-  /** Starts an admitted call; a non-idempotent one is claimed first. */
+  /** Starts an admitted call; a non-idempotent call is claimed in the ledger first. */
   void start(ActiveRequest active, EventContext context) {
     retryPolicy.recordRequest();
     if (active.idempotent) {
@@ -70,7 +70,7 @@
       dispatch(active, context);
       return;
     }
-    // A call that no upstream can take is refused here: its claim would cost a write for nothing.
+    // Without any upstream the call is refused before the claim, which would be a useless write.
     if (collaborators.directory().services(active.request.service(), context.now()).isEmpty()) {
       completer.fail(
           active, retryPolicy.noCapacity("no upstream of the service is known"), context);
@@ -80,7 +80,7 @@
     collaborators.ledger().claim(active.request, active.team, active.key(), context.now());
   }
 
-  /** Goes on once a claim is decided. */
+  /** Dispatches, answers or refuses a call once its claim is decided. */
   void claimDecided(ActiveRequest active, LedgerEvent.ClaimAnswered event, EventContext context) {
     if (active.phase != ActiveRequest.Phase.CLAIM) {
       return;
@@ -131,7 +131,7 @@
               ? new CallerEffect.Refuse(active.id(), BODY_NOT_KEPT, facts)
               : new CallerEffect.SendServiceAnswer(
                   active.id(), answered.status(), answered.headers(), answered.body(), facts);
-      // The bill is handed in again: the first entry may have ended between outcome and bill.
+      // The bill is submitted again: the first entry may have stopped between outcome and bill.
       completer.complete(
           active, last, null, completer.bill(active, active.request.service(), null), context);
       return;
@@ -150,7 +150,7 @@
         context);
   }
 
-  /** Dispatches a call, or lets it wait, or gives it up. */
+  /** Dispatches a call, or backs off, or fails the call. */
   void dispatch(ActiveRequest active, EventContext context) {
     RoutingError refused = crashGuard.quarantineRefusal(active);
     if (refused != null) {
@@ -166,7 +166,7 @@
             .isPresent();
     if (service.isEmpty() || !allowed) {
       String message =
-          "The service was taken from the team while the call waited. Ask your operator.";
+          "The team lost access to the service while the call waited. Ask your operator.";
       completer.fail(
           active,
           new RoutingError(ErrorKind.NOT_ALLOWED, message, active.runState(), null),
@@ -213,8 +213,8 @@
   }
 
   /**
-   * Returns how long an attempt may take. A non-idempotent one is not cut short by its caller's
-   * deadline: a resend must be able to learn its outcome.
+   * Returns the timeout of an attempt in milliseconds. The caller's deadline doesn't shorten the
+   * timeout of a non-idempotent attempt, since a resend must be able to get its outcome.
    */
   private static long timeoutMillis(ActiveRequest active, ServiceDefinition service, Instant now) {
     if (!active.idempotent) {
@@ -233,7 +233,7 @@
     }
   }
 
-  /** Sends a second attempt of a lookup that takes longer than most, if the budget allows. */
+  /** Sends a hedge of a lookup that exceeded its hedge delay, if the budget allows it. */
   void hedge(ActiveRequest active, EventContext context) {
     Instant due = active.hedgeAt;
     if (due == null || active.running.size() != 1) {
@@ -256,7 +256,7 @@
     }
   }
 
-  /** Takes a service's answer; the first one wins. */
+  /** Completes a call with the first answer of a service and cancels its other attempts. */
   void answered(
       ActiveRequest active,
       Attempt attempt,
@@ -292,7 +292,7 @@
         .orElse(0L);
   }
 
-  /** Decides after a failed attempt: another upstream, a pause, or the end. */
+  /** Retries a call after a failed attempt, backs off, or fails the call. */
   void failed(ActiveRequest active, Moment moment, String detail, EventContext context) {
     if (RunStates.after(moment) != RunState.NOT_RUN) {
       active.mayHaveStarted = true;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashGuard.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashGuard.java
@@ -18,10 +18,11 @@
 import org.skylarkfork.core.upstream.UpstreamRun;
 
 /**
- * Keeps requests that end their upstreams from the next one, and reports those that were lost.
+ * Refuses quarantined requests, and reports attempts that were lost together with their upstream.
  *
- * <p>Attempts are bounded for each request, but a caller that sends its request again begins anew
- * at any entry. What is known of a request therefore goes by its content and outlives it.
+ * <p>The number of attempts is limited for each request, but a caller that resends its request
+ * starts again at any entry. Crashes are therefore counted by the content of a request and outlive
+ * the request.
  */
 final class CrashGuard {
 
@@ -37,7 +38,7 @@
     this.detector = new CrashWatch(collaborators.crashReviewers(), "upstreams_ended");
   }
 
-  /** Returns what a request has in common with the same one sent again, at whatever entry. */
+  /** Returns the key of a request's content, which is the same for a resend at any entry. */
   static RequestKey keyOf(String team, CallerRequest request) {
     return new RequestKey(
         team,
@@ -50,14 +51,14 @@
             new String(request.body().value(), StandardCharsets.ISO_8859_1)));
   }
 
-  /** Returns why a request that has just come goes to no upstream, or null if it may. */
+  /** Returns the refusal of a quarantined request that has just arrived, or null to accept. */
   @Nullable RoutingError quarantineRefusal(String team, CallerRequest request) {
     return hasQuarantinedRequests()
         ? quarantineError(keyOf(team, request), RunState.NOT_RUN)
         : null;
   }
 
-  /** Returns why an open request is sent to no further upstream, or null if it may be. */
+  /** Returns the refusal of a quarantined active request, or null if it may be dispatched. */
   @Nullable RoutingError quarantineRefusal(ActiveRequest active) {
     return hasQuarantinedRequests()
         ? quarantineError(active.contentKey(), active.runState())
@@ -68,7 +69,7 @@
     return !collaborators.configuration().current().quarantined().isEmpty();
   }
 
-  /** No time to come back is told: nobody will run it then either. */
+  /** The error has no retry time, since the quarantine applies to later resends too. */
   private @Nullable RoutingError quarantineError(RequestKey key, RunState state) {
     return collaborators.configuration().current().isQuarantined(key)
         ? new RoutingError(ErrorKind.QUARANTINED, QUARANTINE_MESSAGE + key + ".", state, null)
@@ -76,9 +77,9 @@
   }
 
   /**
-   * Takes note of an attempt that was lost after its upstream may have begun it.
+   * Reports an attempt that was lost after its upstream may have started it.
    *
-   * <p>An upstream that leaves or was drained ends by itself.
+   * <p>Upstreams that leave or were drained are ignored, since they stop on their own.
    */
   void attemptLost(ActiveRequest active, Attempt attempt, Moment moment, EventContext context) {
     if (!mayHaveCrashedUpstream(moment) || isPlannedShutdown(attempt.target.id())) {
@@ -112,19 +113,19 @@
     return leaves || collaborators.configuration().current().drainedUpstreams().contains(upstream);
   }
 
-  /** Takes note that the last upstream that a request was sent to answered it whole. */
+  /** Reports that the last upstream of a request answered it completely. */
   void requestServed(ActiveRequest active, EventContext context) {
     if (detector.suspects()) {
       detector.served(active.contentKey(), context.output());
     }
   }
 
-  /** Takes the word of a probe. */
+  /** Applies the result of an upstream probe. */
   void probed(UpstreamEvent.UpstreamProbed probed, EventContext context) {
     detector.probed(probed.upstream(), probed.reachable(), context.now(), context.output());
   }
 
-  /** Tells again what may not have arrived. */
+  /** Sends reports again that may not have arrived. */
   void tick(EventContext context) {
     detector.tick(context.now(), context.output());
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashReviewPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashReviewPart.java
@@ -18,8 +18,8 @@
 import org.skylarkfork.core.message.CrashMessage;
 
 /**
- * A voter's work on requests that end their upstreams: hears what all entries lost, and has them
- * refused through the configuration while it leads.
+ * Reviews crashing requests on a voter: collects the reports of all entries and, while this voter
+ * leads, proposes quarantines as configuration changes.
  */
 public final class CrashReviewPart implements Part {
 
@@ -29,10 +29,10 @@
   private List<RequestKey> quarantined = List.of();
 
   /**
-   * Makes the part.
+   * Creates the part.
    *
    * @param configuration the configuration in force
-   * @param isLeader whether this daemon leads the configuration's group at a time
+   * @param isLeader whether this daemon leads the configuration group at a given time
    */
   public CrashReviewPart(ConfigurationView configuration, Predicate<Instant> isLeader) {
     this.configuration = configuration;
@@ -69,7 +69,7 @@
     quarantined = current;
   }
 
-  /** The requests that the configuration refuses. */
+  /** The quarantine list of the current configuration. */
   private final class ConfiguredQuarantine implements QuarantineList {
 
     @Override
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftDelivery.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftDelivery.java
@@ -6,7 +6,7 @@
 import org.skylarkfork.core.event.UpstreamEvent;
 import org.skylarkfork.core.quality.AttemptOutcome;
 
-/** Gives drafts to their callers: token by token or whole, with the version that answered. */
+/** Delivers drafts to callers, as a stream or as a whole, with the version that answered. */
 final class DraftDelivery {
 
   private final ActiveRequests requests;
@@ -32,7 +32,7 @@
     return sampler.draw(version);
   }
 
-  /** Adds tokens to the answer, and sends them on if the caller gets them as they come. */
+  /** Appends tokens to the answer, and forwards them if the request streams directly. */
   void append(
       ActiveRequest active,
       Attempt attempt,
@@ -64,14 +64,14 @@
     if (session == null || active.sessionToken != null) {
       return;
     }
-    // Two first requests of a session may run at the same time; the one that answers last must not
-    // take the session away from the version that the user saw first.
+    // The first two requests of a session may run concurrently. The later answer must not replace
+    // the pin to the version that the user saw first.
     ModelVersion existing = planner.pinnedVersion(active, version.model());
     ModelVersion pinned = existing == null ? version : existing;
     active.sessionToken = collaborators.pins().pin(active.team, session, pinned, context.now());
   }
 
-  /** Has the answer rated afterwards if it was drawn for that. */
+  /** Requests a rating of the answer if the request was sampled. */
   void requestSampleRating(
       ActiveRequest active, HeldAnswer answer, AttemptOutcome outcome, EventContext context) {
     if (active.sampled) {
@@ -79,7 +79,7 @@
     }
   }
 
-  /** Gives the caller an answer; its last frame waits for the bill. */
+  /** Delivers an answer; the final frame is sent once the bill is durable. */
   void deliver(ActiveRequest active, HeldAnswer answer, EventContext context) {
     pinSession(active, answer.version(), context);
     CallerEffect last =
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftExecutor.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftExecutor.java
@@ -16,7 +16,7 @@
 import org.skylarkfork.core.request.Usage;
 import org.skylarkfork.core.upstream.Announcement;
 
-/** Runs drafts on engines: plan, attempts, resumed streams and the end of each step. */
+/** Runs drafts on engines: plans, dispatches, resumes streams and completes each step. */
 final class DraftExecutor {
 
   private static final int MAX_REPLANS = 3;
@@ -90,7 +90,7 @@
         error.kind(), error.message(), active.runState(), error.retryAfterMillis());
   }
 
-  /** Goes on after a pause, with a new plan if there was none before it. */
+  /** Continues after a backoff, with a new plan if there is none yet. */
   void resume(ActiveRequest active, EventContext context) {
     if (active.needsPlan) {
       plan(active, context);
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Dispatches the present step, or lets it wait, or gives it up. */
+  /** Dispatches the current step, or backs off, or ends the draft. */
   void dispatch(ActiveRequest active, EventContext context) {
     RoutingError refused = crashGuard.quarantineRefusal(active);
     if (refused != null) {
@@ -125,8 +125,8 @@
   }
 
   /**
-   * Plans anew when a version was withdrawn or forbidden while the request waited. A caller that
-   * has part of its answer can't get the rest from another version: its stream ends in an error.
+   * Makes a new plan after a version was withdrawn or forbidden while the request waited. A stream
+   * that already started ends with an error, since another version can't continue the answer.
    */
   private void replan(ActiveRequest active, ModelVersion version, EventContext context) {
     active.replans++;
@@ -169,7 +169,7 @@
             Math.max(1, firstTokenTimeout.toMillis())));
   }
 
-  /** Takes tokens of the running attempt. */
+  /** Appends tokens of the running attempt, or aborts the attempt if there is a gap. */
   void tokensArrived(
       ActiveRequest active,
       Attempt attempt,
@@ -200,7 +200,8 @@
   }
 
   /**
-   * Keeps to the bound on held answers: without the sample if it is one, else without the answer.
+   * Enforces the limit on held bytes: drops the sampled text of a direct stream, else fails the
+   * request.
    */
   private void reduceHeldBytes(ActiveRequest active, EventContext context) {
     if (active.streamsDirectly()) {
@@ -216,22 +217,22 @@
         context);
   }
 
-  /** Gives up an attempt whose answer can't be trusted any more, and goes on elsewhere. */
+  /** Cancels an attempt whose answer is unusable, and continues on another upstream. */
   void abortAttempt(ActiveRequest active, Attempt attempt, String detail, EventContext context) {
     attempts.cancel(active, attempt, false, context);
     crashGuard.attemptLost(active, attempt, Moment.ANSWER_BEGUN, context);
     failed(active, attempt, Moment.ANSWER_BEGUN, detail, context);
   }
 
-  /** Takes the final frame of the running attempt. */
+  /** Handles the final frame of the running attempt. */
   void finished(
       ActiveRequest active,
       Attempt attempt,
       UpstreamEvent.DraftFinished event,
       EventContext context) {
     long tokens = active.answer.tokens();
-    // An engine that counted more tokens than came has an answer whose end was lost on the way: to
-    // the caller it would look complete. Its own count shows it.
+    // If the engine counted more tokens than arrived, the end of the answer was lost in transit.
+    // Without this check the caller would get a truncated answer that looks complete.
     if (event.usage().completionTokens() > tokens) {
       context.count("answers_with_gap", "");
       abortAttempt(active, attempt, "the end of the answer is missing", context);
@@ -275,14 +276,14 @@
         0);
   }
 
-  /** Takes a rating of a held answer; null if there will be none. */
+  /** Applies the rating of a held answer, or null if none arrives in time. */
   void rated(ActiveRequest active, String attemptId, @Nullable Double score, EventContext context) {
     if (escalationPolicy.onRating(active, attemptId, score, context)) {
       proceed(active, context);
     }
   }
 
-  /** Goes on after a held answer was judged: delivers it, or runs the next step. */
+  /** Delivers an accepted held answer or runs the next step; waits while a rating is pending. */
   private void proceed(ActiveRequest active, EventContext context) {
     HeldAnswer held = active.heldAnswer;
     if (active.phase == ActiveRequest.Phase.RATING) {
@@ -296,7 +297,7 @@
     dispatch(active, context);
   }
 
-  /** Decides after a failed attempt: resume or repeat elsewhere, a pause, or the end. */
+  /** Resumes or retries a draft after a failed attempt, backs off, or ends the draft. */
   void failed(
       ActiveRequest active, Attempt attempt, Moment moment, String detail, EventContext context) {
     if (RunStates.after(moment) != RunState.NOT_RUN) {
@@ -324,7 +325,7 @@
     dispatch(active, context);
   }
 
-  /** Ends a draft that can't be finished: with the best held answer if there is one. */
+  /** Ends a draft that can't be finished: with the best held answer, or else with the error. */
   void deliverBestOrFail(ActiveRequest active, RoutingError error, EventContext context) {
     HeldAnswer best = active.bestAnswer;
     if (best != null && !active.streamStarted) {
@@ -335,7 +336,7 @@
     completer.fail(active, error, context);
   }
 
-  /** Delivers a held answer at the deadline, and returns whether there was one. */
+  /** Delivers a held answer at the deadline, and returns whether one could be delivered. */
   boolean deliverBestAtDeadline(ActiveRequest active, EventContext context) {
     HeldAnswer best = active.heldAnswer != null ? active.heldAnswer : active.bestAnswer;
     if (best == null || active.streamStarted || active.phase == ActiveRequest.Phase.BILL) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftPlanner.java
@@ -16,7 +16,7 @@
 import org.skylarkfork.core.routing.Plan;
 import org.skylarkfork.core.routing.PlanQuery;
 
-/** Gives a draft its plan, under the configuration in force and its session's pins. */
+/** Plans drafts under the current configuration and the pins of their sessions. */
 final class DraftPlanner {
 
   private static final long RETRY_AFTER_MILLIS = 1000;
@@ -29,7 +29,7 @@
     this.ruleMatcher = ruleMatcher;
   }
 
-  /** Returns whether a version may get the request's work at this moment. */
+  /** Returns whether the current configuration allows a version to run the request. */
   boolean mayRun(ActiveRequest active, ModelVersion version) {
     Configuration current = collaborators.configuration().current();
     return !current.isWithdrawn(version)
@@ -37,9 +37,9 @@
   }
 
   /**
-   * Plans a draft, with the rule matched again if the configuration changed meanwhile.
+   * Plans a draft, and matches its rule again if the configuration changed.
    *
-   * @return why there is no plan, or null if the request has one now
+   * @return the error if there is no plan, or null if the request has a plan
    */
   @Nullable RoutingError plan(ActiveRequest active, Instant now) {
     Configuration current = collaborators.configuration().current();
@@ -67,7 +67,7 @@
     return null;
   }
 
-  /** Tells what no upstream can help, which ends the request, from what may pass. */
+  /** Returns a temporary error if an allowed version only lacks upstreams, else a final one. */
   private RoutingError noPlan(
       ActiveRequest active, Rule.Decision.Route route, Configuration current) {
     boolean anyAllowed =
@@ -126,7 +126,7 @@
     return null;
   }
 
-  /** Returns the version of a model that the session keeps, unless it may not run any more. */
+  /** Returns the version of a model that the session is pinned to, or null if it may not run. */
   @Nullable ModelVersion pinnedVersion(ActiveRequest active, String model) {
     String session = active.request.session();
     if (session == null) {
@@ -141,8 +141,8 @@
   }
 
   /**
-   * Puts the versions that the session keeps in the place of the plan's, and leaves out what may
-   * not run or has run already.
+   * Replaces planned versions by those that the session is pinned to, and removes versions that may
+   * not run or have already finished a step.
    */
   private Plan restrictToRunnable(ActiveRequest active, Plan plan) {
     List<Plan.Step> steps = new ArrayList<>();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/EscalationPolicy.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/EscalationPolicy.java
@@ -9,10 +9,10 @@
 import org.skylarkfork.core.quality.QualityBook;
 import org.skylarkfork.core.routing.Plan;
 
-/** Judges held answers of rated steps: good enough, or the next step's turn. */
+/** Decides whether the held answer of a rated step is accepted or the next step runs. */
 final class EscalationPolicy {
 
-  /** Shortest time to the deadline in which a further step is worth starting. */
+  /** Shortest time before the deadline in which a further step is still started. */
   private static final Duration MIN_STEP_TIME = Duration.ofMillis(500);
 
   private final ActiveRequests requests;
@@ -25,7 +25,7 @@
     this.settings = settings;
   }
 
-  /** Holds a whole answer of a rated step and asks for its rating; an empty one needs none. */
+  /** Holds the complete answer of a rated step and requests its rating, or escalates if empty. */
   void hold(ActiveRequest active, HeldAnswer answer, AttemptOutcome outcome, EventContext context) {
     active.heldAnswer = answer;
     active.heldOutcome = outcome;
@@ -53,11 +53,11 @@
   }
 
   /**
-   * Takes the rating of the held answer.
+   * Applies the rating of the held answer.
    *
-   * @param score the rating, or null if there will be none in time
-   * @return whether the request goes on: {@code held} is the accepted answer, or null if the next
-   *     step is to run
+   * @param score the rating, or null if none arrives in time
+   * @return whether the answer was decided on: afterwards {@code heldAnswer} is the accepted
+   *     answer, or null if the next step must run; false if this rating isn't awaited
    */
   boolean onRating(
       ActiveRequest active, String attemptId, @Nullable Double score, EventContext context) {
@@ -83,8 +83,8 @@
   }
 
   /**
-   * Decides without a rating: the next step runs unless the version's answers are known to reach
-   * the target more often than not, or too little time is left for it.
+   * Decides without a rating: the next step runs unless the version's estimate reaches the quality
+   * target or too little time is left.
    */
   private void decideWithoutRating(ActiveRequest active, HeldAnswer held, EventContext context) {
     context.count("ratings_missing", held.version().toString());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/EventContext.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/EventContext.java
@@ -8,7 +8,7 @@
 import org.skylarkfork.core.effect.Effect;
 import org.skylarkfork.core.effect.TraceEffect;
 
-/** The event being applied: the present time and where its effects go. */
+/** The context of the event being applied: its time and the output for its effects. */
 record EventContext(Instant now, Output output) {
 
   void effect(Effect effect) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/FirstTokenTimeouts.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/FirstTokenTimeouts.java
@@ -8,12 +8,12 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 
 /**
- * Says how long an engine may take to its first token, from the version's measured times.
+ * Computes the timeout of the first token for each version, from recent times to the first token.
  *
- * <p>In a burst the engines' queues grow, and with them the time to the first token. A fixed bound
- * would then fail requests that are only waiting their turn, and send them again into the same
- * queues; this one grows with the measured times. A silent engine is still found in a few times
- * what is usual.
+ * <p>During a burst the queues of the engines grow, and with them the time to the first token. A
+ * fixed timeout would fail requests that are only queued and would send them into the same queues
+ * again; this timeout grows with the measured times. A silent engine is still detected within a few
+ * times the usual duration.
  */
 final class FirstTokenTimeouts {
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/HedgePolicy.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/HedgePolicy.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 
 /**
- * Says after which time a lookup gets a second attempt, from the service's measured times.
+ * Computes the delay after which a lookup is hedged, from the recent durations of its service.
  *
- * <p>Only recent times count, so that a service that became slower is not hedged for ever at its
- * old percentile; the budget bounds the load until then.
+ * <p>Only recent durations count, so that a service that became slower is not hedged at its old
+ * percentile indefinitely; until the percentile adapts, the budget limits the load.
  */
 final class HedgePolicy {
 
@@ -27,7 +27,7 @@
     this.budget = new AttemptBudget(settings.hedgeShare(), RESERVE);
   }
 
-  /** Takes note of a lookup, which earns its share of a hedge. */
+  /** Adds the share of one lookup to the hedge budget. */
   void recordRequest() {
     budget.deposit();
   }
@@ -36,14 +36,14 @@
     return budget.tryWithdraw();
   }
 
-  /** Takes note of how long an attempt took, or had taken when it was given up. */
+  /** Records the duration of an attempt, or its duration so far if it was cancelled. */
   void recordDuration(String service, Instant from, Instant to) {
     durationsByService
         .computeIfAbsent(service, name -> new RecentDurations())
         .add(Duration.between(from, to));
   }
 
-  /** Returns after which time a lookup is hedged, or empty while too little is known. */
+  /** Returns the hedge delay, or empty while there are too few recorded durations. */
   Optional<Duration> delay(String service) {
     RecentDurations durations = durationsByService.get(service);
     return durations == null || durations.count() < minSamples
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/HeldAnswer.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/HeldAnswer.java
@@ -4,15 +4,15 @@
 import org.skylarkfork.core.request.Usage;
 
 /**
- * A whole answer that has not been given to the caller yet.
+ * A complete answer that has not been delivered to the caller yet.
  *
- * @param attemptId id of the attempt that gave it
- * @param version version that gave it
- * @param upstream id of its upstream
- * @param text its text
- * @param finishReason why it ended
- * @param usage its tokens
- * @param score its rating, or 0 while there is none
+ * @param attemptId id of the attempt that produced the answer
+ * @param version version that produced the answer
+ * @param upstream id of the upstream of the attempt
+ * @param text text of the answer
+ * @param finishReason reason for the end, as the engine reported it
+ * @param usage token counts
+ * @param score rating of the answer, or 0 while there is none
  */
 record HeldAnswer(
     String attemptId,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RatingSampler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RatingSampler.java
@@ -9,7 +9,7 @@
 import org.skylarkfork.core.quality.AttemptOutcome;
 import org.skylarkfork.core.quality.QualityBook;
 
-/** Has a share of the answers rated after they were sent, so that versions stay known. */
+/** Requests ratings for a share of the delivered answers, to keep quality estimates current. */
 final class RatingSampler {
 
   private static final int MAX_PENDING_RATINGS = 1000;
@@ -27,12 +27,12 @@
     this.random = random;
   }
 
-  /** Draws whether an answer is to be rated; more often while it is not clear if it is good. */
+  /** Decides at random whether to rate an answer; more often while the quality is uncertain. */
   boolean draw(ModelVersion version) {
     return random.nextDouble() < quality.ratingShare(version, share);
   }
 
-  /** Asks for the rating of an answer; beyond a bound the sample is dropped. */
+  /** Requests a rating, unless the answer is empty or too many ratings are pending. */
   void requestRating(
       ActiveRequest active, HeldAnswer answer, AttemptOutcome outcome, EventContext context) {
     if (pendingRatings.size() >= MAX_PENDING_RATINGS || answer.text().isEmpty()) {
@@ -49,7 +49,7 @@
             waitMillis));
   }
 
-  /** Takes a rating that came after the answer was sent; one that wasn't asked for is ignored. */
+  /** Records the rating of a delivered answer; ignores ratings that were not requested. */
   void rated(String attemptId, @Nullable Double score, EventContext context) {
     AttemptOutcome outcome = pendingRatings.remove(attemptId);
     if (outcome != null && score != null) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RecentDurations.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RecentDurations.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 import org.HdrHistogram.Histogram;
 
-/** Measured times of the last one or two windows; older ones no longer count. */
+/** Histogram of the durations in the last one or two windows; older durations are dropped. */
 final class RecentDurations {
 
   private static final long MAX_MICROS = TimeUnit.MINUTES.toMicros(2);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCollaborators.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCollaborators.java
@@ -15,19 +15,19 @@
 import org.skylarkfork.core.upstream.UpstreamDirectory;
 
 /**
- * The other parts that the life of a request needs.
+ * The components that request processing depends on.
  *
  * @param configuration the configuration in force
- * @param ruleBooks makes the rules of a configuration ready for matching; called once a revision
- * @param planner chooses the versions that a draft is tried on
+ * @param ruleBooks compiles the rules of a configuration for matching; called once per revision
+ * @param planner selects the versions that a draft is tried on
  * @param directory the known upstreams
- * @param chooser picks the upstream of an attempt
- * @param quality what is known of each version
- * @param pins the versions that sessions keep
- * @param ledger claims and bills
- * @param admission limits and queues
- * @param listing whether this entry takes new work
- * @param crashReviewers those that judge which requests end their upstreams
+ * @param chooser selects the upstream of an attempt
+ * @param quality quality estimates of each version
+ * @param pins the versions that sessions are pinned to
+ * @param ledger records claims, outcomes and bills
+ * @param admission applies limits and queues requests
+ * @param listing whether this entry accepts new work
+ * @param crashReviewers receive reports of requests that may have crashed their upstreams
  */
 public record RequestCollaborators(
     ConfigurationView configuration,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCompleter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCompleter.java
@@ -20,10 +20,11 @@
 import org.skylarkfork.core.request.Usage;
 
 /**
- * Brings requests to their one end: outcome recorded, bill safe, last frame sent, all given back.
+ * Completes requests: records the outcome, submits the bill, sends the final frame and releases all
+ * resources.
  *
- * <p>What is billed: each whole answer of a step, and of a caller that left the tokens that had
- * come by then. Attempts that failed or lost against a hedge cost the team nothing.
+ * <p>Billed are the complete answer of each step and, if the caller left, the tokens received until
+ * then. Failed attempts and attempts that lost against a hedge are free.
  */
 final class RequestCompleter {
 
@@ -33,7 +34,7 @@
   private final RequestCollaborators collaborators;
   private final Attempts attempts;
 
-  /** Claims of requests that ended before their claim was decided, by request id. */
+  /** Requests that ended before their claim was decided, by request id. */
   private final Map<String, ActiveRequest> undecidedClaims = new HashMap<>();
 
   RequestCompleter(ActiveRequests requests, RequestCollaborators collaborators, Attempts attempts) {
@@ -42,7 +43,7 @@
     this.attempts = attempts;
   }
 
-  /** Refuses a request of which no state is held. */
+  /** Refuses a request that was never registered as active. */
   void refuseWithoutState(CallerRequest request, RoutingError error, EventContext context) {
     ActiveRequest stateless = new ActiveRequest(request, "", true, context.now());
     send(
@@ -55,7 +56,7 @@
     return active.facts(null, null);
   }
 
-  /** Ends a request with an error: a refusal, or a broken stream if the answer had begun. */
+  /** Completes a request with an error: a refusal, or a broken stream if the answer started. */
   void fail(ActiveRequest active, RoutingError error, EventContext context) {
     ClaimOutcome outcome =
         error.runState() == RunState.NOT_RUN
@@ -71,12 +72,12 @@
   }
 
   /**
-   * Ends a request.
+   * Completes a request.
    *
    * @param active the request
-   * @param last what the caller gets last, or null if it left
-   * @param outcome what a claim is to record; unused for a request without a claim
-   * @param bill what is billed before, or null for nothing
+   * @param last the final frame for the caller, or null if the caller left
+   * @param outcome the outcome to record for a claim; unused for a request without a claim
+   * @param bill the bill that must be durable before the final frame is sent, or null for none
    * @param context the event being applied
    */
   void complete(
@@ -106,7 +107,7 @@
     }
   }
 
-  /** Goes on once the outcome is recorded, or can't be: the answer is the caller's all the same. */
+  /** Continues after an attempt to record the outcome; the caller gets its answer in any case. */
   void outcomeRecorded(ActiveRequest active, boolean durable, EventContext context) {
     if (active.phase != ActiveRequest.Phase.RECORD) {
       return;
@@ -128,11 +129,12 @@
   }
 
   /**
-   * Goes on once the bill is safe.
+   * Sends the final frame once the bill is durable.
    *
-   * <p>A bill that is not safe is handed in again until the deadline: an answer sent before would
-   * be lost to the statement if this entry ended now. The key keeps it one bill. A lookup is
-   * refused at once instead: it may be sent again, and its caller should not wait.
+   * <p>A bill that is not durable is submitted again until the deadline: if the answer were sent
+   * first and this entry crashed, the bill would be missing from the statement. The key of the bill
+   * prevents duplicates. A lookup is refused immediately instead, since its caller may resend it
+   * and should not wait.
    */
   void billed(ActiveRequest active, boolean durable, EventContext context) {
     if (active.phase != ActiveRequest.Phase.BILL) {
@@ -155,7 +157,7 @@
     requests.scheduleCheck(active, active.phaseEnd);
   }
 
-  /** Hands a bill in again once its pause is over. */
+  /** Submits a bill again once its retry delay is over. */
   void retryBill(ActiveRequest active, EventContext context) {
     Instant end = active.phaseEnd;
     if (end == null) {
@@ -185,12 +187,13 @@
     }
   }
 
-  /** Sends the one answer or refusal of a request. */
+  /** Sends the final frame of a request, an answer or a refusal. */
   private void send(ActiveRequest active, CallerEffect last, EventContext context) {
     Invariants.check(!active.answered, "a request gets one answer");
     boolean refused =
         last instanceof CallerEffect.Refuse || last instanceof CallerEffect.BreakStream;
-    Invariants.check(refused || active.billDurable, "no last frame goes out before the bill");
+    Invariants.check(
+        refused || active.billDurable, "no final answer frame is sent before the bill is durable");
     active.answered = true;
     requests.startDelivery(active.id(), context.now());
     context.effect(last);
@@ -215,7 +218,10 @@
     context.count("requests_refused", error.kind().name());
   }
 
-  /** Ends the wait of a caller whose deadline passed; what may not be lost goes on without it. */
+  /**
+   * Refuses a caller whose deadline passed. Pending ledger writes and a claimed call that is
+   * running continue without the caller.
+   */
   void deadlineReached(ActiveRequest active, EventContext context) {
     if (active.answered || active.callerGone) {
       return;
@@ -247,12 +253,12 @@
     return new RoutingError(ErrorKind.DEADLINE, "The deadline passed. " + remedy, state, null);
   }
 
-  /** Returns whether an attempt is out whose outcome a resend must be able to learn. */
+  /** Returns whether a claimed attempt is running whose outcome a resend must be able to get. */
   private static boolean mustTrackOutcome(ActiveRequest active) {
     return active.claimed && !active.running.isEmpty();
   }
 
-  /** Takes note that the caller left: stops what is not wanted and bills what was used. */
+  /** Handles a caller that left: cancels work that is not needed and bills what was used. */
   void callerLeft(ActiveRequest active, EventContext context) {
     active.callerGone = true;
     context.timeline("request.abandoned", active, null, "the caller left");
@@ -281,7 +287,7 @@
     return bill(active, version.model(), version);
   }
 
-  /** Adds a step's usage to what the request costs. */
+  /** Adds the cost and the tokens of a step to the request. */
   void charge(ActiveRequest active, ModelVersion version, Usage usage) {
     active.tokens += usage.promptTokens() + usage.completionTokens();
     active.costMicros +=
@@ -294,7 +300,7 @@
             .orElse(0L);
   }
 
-  /** Makes the bill of a request. */
+  /** Creates the bill of a request. */
   Bill bill(ActiveRequest active, String model, @Nullable ModelVersion version) {
     boolean lookup = !active.request.kind().isDraft() && active.idempotent;
     String name = version == null ? null : version.version();
@@ -307,7 +313,7 @@
     }
   }
 
-  /** Frees a claim that was granted after its request had ended, so that a resend may run. */
+  /** Releases a claim that was granted after its request ended, so that a resend may run. */
   void claimDecidedLate(LedgerEvent.ClaimAnswered event, EventContext context) {
     ActiveRequest ended = undecidedClaims.remove(event.requestId());
     if (ended != null && event.state() == LedgerEvent.ClaimState.GRANTED) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestIntake.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestIntake.java
@@ -15,7 +15,7 @@
 import org.skylarkfork.core.request.RunState;
 import org.skylarkfork.core.session.SessionPins;
 
-/** Takes requests in: checks who may ask for what, matches the rule, and asks for admission. */
+/** Accepts requests: authenticates, authorizes, matches a rule and asks for admission. */
 final class RequestIntake {
 
   private static final long OTHER_ENTRY_RETRY_AFTER_MILLIS = 0;
@@ -220,7 +220,7 @@
             == SessionPins.Lookup.PENDING;
   }
 
-  /** Goes on once the owners of the session answered, or were asked for long enough. */
+  /** Continues once the owners of the session answered or their timeout expired. */
   void pinsResolved(ActiveRequest active, EventContext context) {
     if (active.phase != ActiveRequest.Phase.PINS) {
       return;
@@ -248,7 +248,7 @@
     }
   }
 
-  /** Starts a request that was admitted. */
+  /** Starts an admitted request. */
   void admitted(ActiveRequest active, EventContext context) {
     if (active.phase != ActiveRequest.Phase.ADMISSION) {
       return;
@@ -262,7 +262,7 @@
     }
   }
 
-  /** Refuses a request whose wait for admission is over. */
+  /** Refuses a request that admission refused after queueing. */
   void admissionRefused(ActiveRequest active, RoutingError error, EventContext context) {
     if (active.phase == ActiveRequest.Phase.ADMISSION) {
       active.inAdmission = false;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestPart.java
@@ -18,10 +18,10 @@
 import org.skylarkfork.core.event.UpstreamEvent.Moment;
 
 /**
- * Carries each request from its arrival to its one answer.
+ * Processes each request from its arrival to its final answer or refusal.
  *
- * <p>It stands behind the parts whose views it reads, and before admission, so that what it gives
- * back is handed on within the same event.
+ * <p>In the reducer, this part comes after the parts whose views it reads and before admission, so
+ * that admission can grant a released slot within the same event.
  */
 public final class RequestPart implements Part {
 
@@ -39,11 +39,11 @@
   private boolean ended;
 
   /**
-   * Makes the part.
+   * Creates the part.
    *
-   * @param collaborators the other parts that it asks
-   * @param settings its bounds
-   * @param seed for the spread of pauses and the drawing of samples
+   * @param collaborators the components that request processing depends on
+   * @param settings limits and timeouts
+   * @param seed seed of the random jitter of backoffs and of the sampling of ratings
    */
   public RequestPart(RequestCollaborators collaborators, RequestSettings settings, long seed) {
     this.collaborators = collaborators;
@@ -84,12 +84,12 @@
             requests, collaborators, settings, ruleMatcher, completer, drafts, calls, crashGuard);
   }
 
-  /** Returns how many requests are held and not yet ended. */
+  /** Returns the number of requests that have not ended. */
   public int activeRequests() {
     return requests.size();
   }
 
-  /** Returns how many bytes of answers are held. */
+  /** Returns the number of bytes of answers held in memory. */
   public long heldBytes() {
     return requests.heldBytes();
   }
@@ -197,11 +197,11 @@
   private record AttemptMatch(ActiveRequest active, Attempt attempt) {}
 
   /**
-   * Finds the attempt that an answer belongs to.
+   * Returns the attempt that an answer belongs to, or null if the answer must be dropped.
    *
-   * <p>An answer on a connection whose attempt was given up is late; one that names another request
-   * is crossed. Either would reach the wrong caller, so it is dropped, and a crossed connection is
-   * not believed again.
+   * <p>An answer on a connection whose attempt was cancelled is late; an answer that names another
+   * request is crossed. Both are dropped, since they would reach the wrong caller, and the attempt
+   * of a crossed answer is cancelled as unhealthy.
    */
   private @Nullable AttemptMatch findAttempt(
       String attemptId, @Nullable String echoed, EventContext context) {
@@ -288,7 +288,7 @@
       case BILL -> completer.retryBill(active, context);
       case ATTEMPTS -> checkAttempts(active, context);
       default -> {
-        // Admission and the ledger tell by themselves when they are done.
+        // Admission and the ledger report their results as events.
       }
     }
   }
@@ -335,7 +335,7 @@
     }
   }
 
-  /** Fails attempts that are silent for too long, and hedges a slow lookup. */
+  /** Fails attempts that timed out, and hedges a slow lookup. */
   private void checkAttempts(ActiveRequest active, EventContext context) {
     for (Attempt attempt : List.copyOf(active.running.values())) {
       if (attempt.timeoutAt().isAfter(context.now())) {
@@ -351,7 +351,7 @@
     }
   }
 
-  /** Lets the daemon end once no caller can come any more and none is still served. */
+  /** Raises the end of the daemon once it is stopping, unlisted, idle and settled in the ledger. */
   private void endWhenIdle(EventContext context) {
     boolean done =
         stopping
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestSettings.java
@@ -3,28 +3,29 @@
 import java.time.Duration;
 
 /**
- * Bounds of the life of a request.
+ * Limits and timeouts of request processing.
  *
- * @param maxRequests requests that this entry holds at the same time
- * @param maxHeldBytes bytes of answers held for rating, recording or billing, over all requests
- * @param maxAttempts attempts for one step of a plan or one call, the first included
- * @param maxBackoffs how often a request waits for an upstream to become free
- * @param firstBackoff length of the first such wait; each later one is twice as long
- * @param tokenTimeout longest time between two tokens before an attempt fails, and the least that
- *     an engine has for its first token
- * @param maxFirstTokenTimeout most that an engine has for its first token
- * @param watchdogGrace how much longer than the runtime this part waits, since the runtime knows
- *     better how far an attempt had got
- * @param pinTimeout longest wait for the owners of a session; longer than that of the sessions'
- *     part, which knows better when to give up
+ * @param maxRequests maximum number of concurrent requests of this entry
+ * @param maxHeldBytes maximum bytes of answers held for rating, recording or billing, over all
+ *     requests
+ * @param maxAttempts maximum attempts for one step of a plan or one call, including the first
+ * @param maxBackoffs maximum number of times that a request waits for a free upstream
+ * @param firstBackoff longest duration of the first backoff; it doubles with each further backoff
+ * @param tokenTimeout longest time between two tokens before an attempt fails, and the shortest
+ *     timeout of the first token
+ * @param maxFirstTokenTimeout longest timeout of the first token
+ * @param watchdogGrace time added to the timeouts of the runtime before this part fails an attempt
+ *     itself, since the runtime knows more precisely how far the attempt had progressed
+ * @param pinTimeout longest wait for the owners of a session; longer than the wait of the session
+ *     part, which can tell more precisely when to stop waiting
  * @param ratingTimeout longest wait for a rating
- * @param deliveryTimeout how long a sent answer is watched for its delivery
- * @param retryShare retries for each request, on average
- * @param retryReserve retries that are there before any request came
- * @param hedgeShare hedges for each lookup, on average
- * @param hedgePercentile percentile of a service's measured times after which a lookup is hedged
- * @param hedgeSamples measured times without which no lookup is hedged
- * @param sampledRatingShare share of the answers without a needed rating that are rated afterwards
+ * @param deliveryTimeout longest wait for the confirmation that a sent answer was delivered
+ * @param retryShare retries allowed per request, on average
+ * @param retryReserve initial and maximum balance of the retry budget
+ * @param hedgeShare hedges allowed per lookup, on average
+ * @param hedgePercentile percentile of a service's recent durations after which a lookup is hedged
+ * @param hedgeSamples minimum number of recorded durations before lookups are hedged
+ * @param sampledRatingShare base share of the answers that are rated after delivery
  */
 public record RequestSettings(
     int maxRequests,
@@ -45,7 +46,7 @@
     int hedgeSamples,
     double sampledRatingShare) {
 
-  /** Bounds for an entry VM of a few cores and 1 GB. */
+  /** Defaults for an entry VM with a few cores and 1 GB of memory. */
   public static final RequestSettings DEFAULT =
       new RequestSettings(
           10_000,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RetryPolicy.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RetryPolicy.java
@@ -9,7 +9,7 @@
 import org.skylarkfork.core.event.UpstreamEvent.Moment;
 import org.skylarkfork.core.request.RunState;
 
-/** Decides whether a request whose attempt failed is tried again, and after which pause. */
+/** Decides whether a request is retried after a failed attempt, and after which backoff. */
 final class RetryPolicy {
 
   private static final long RETRY_AFTER_MILLIS = 1000;
@@ -26,21 +26,22 @@
     this.random = random;
   }
 
-  /** Takes note of a new request, which earns its share of a retry. */
+  /** Adds the share of one request to the retry budget. */
   void recordRequest() {
     budget.deposit();
   }
 
   /**
-   * Returns why a request isn't tried again, or null if it is.
+   * Returns the error if a request must not be retried, or null if it may be retried.
    *
-   * <p>A resume always goes on while attempts are left: it was admitted before, and the rest of an
-   * answer is less work than the whole, so it can't multiply a burst. It is charged all the same.
+   * <p>A resume is always allowed while attempts are left: it was admitted before, and the rest of
+   * an answer is less work than a whole answer, so it can't multiply a burst. It still withdraws
+   * from the retry budget.
    *
    * @param active the request
-   * @param moment how far the failed attempt had got
-   * @param resuming whether only the rest of an answer is asked for
-   * @param detail what the upstream said
+   * @param moment how far the failed attempt had progressed
+   * @param resuming whether only the rest of an answer is requested
+   * @param detail description of the failure
    */
   @Nullable RoutingError retryRefusal(
       ActiveRequest active, Moment moment, boolean resuming, String detail) {
@@ -58,13 +59,13 @@
   }
 
   /**
-   * Lets a request that a full upstream did not start wait while the budget is used up.
+   * Backs off if a full upstream refused to start a request and the retry budget is empty.
    *
-   * <p>A part of the upstreams that refuses everything would otherwise use up the budget, and
-   * requests would be refused for which the others have room. A pause needs no budget: it can't
-   * multiply a burst, since each is twice as long as the one before and attempts stay bounded.
+   * <p>Otherwise a few upstreams that refuse everything would exhaust the budget, and requests
+   * would be refused although other upstreams have capacity. A backoff needs no budget: it can't
+   * multiply a burst, since its duration doubles each time and attempts stay limited.
    *
-   * @return whether it waits
+   * @return whether the request backs off
    */
   boolean backOffIfBudgetEmpty(ActiveRequest active, Moment moment, Instant now) {
     return moment == Moment.REFUSED_NOT_STARTED
@@ -73,7 +74,7 @@
         && backOff(active, now);
   }
 
-  /** Makes the refusal of a request that is given up after a failure. */
+  /** Returns the error of a request that is not retried after a failure. */
   RoutingError failure(ActiveRequest active, String detail) {
     boolean notStarted = active.runState() == RunState.NOT_RUN;
     if (notStarted) {
@@ -91,7 +92,7 @@
     return new RoutingError(ErrorKind.UPSTREAM_FAILED, message, active.runState(), null);
   }
 
-  /** Makes the refusal of a request that no upstream started. */
+  /** Returns the error of a request that no upstream started. */
   RoutingError noCapacity(String detail) {
     return RoutingError.notRunRetry(
         ErrorKind.NO_CAPACITY,
@@ -100,12 +101,14 @@
   }
 
   /**
-   * Lets a request wait until one of its upstreams may be free again.
+   * Backs off until an upstream may be free again.
    *
-   * <p>Only a request that has no other upstream left waits; the pause doubles each time and is
-   * spread at random so that those that failed together don't come back together.
+   * <p>A request backs off only if it has no other upstream left, or if a full upstream refused it
+   * and the retry budget is empty. The duration doubles each time and has random jitter, so that
+   * requests that failed together are not retried together.
    *
-   * @return whether it waits; false if it waited often enough or its deadline comes first
+   * @return whether the request backs off; false if the maximum number of backoffs is reached or
+   *     the backoff would not end before the deadline
    */
   boolean backOff(ActiveRequest active, Instant now) {
     if (active.backoffs >= settings.maxBackoffs()) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RuleMatcher.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RuleMatcher.java
@@ -10,7 +10,7 @@
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.routing.RuleBook;
 
-/** The rules of the configuration in force, made ready once a revision. */
+/** Matches requests against the rules of the current configuration, compiled once per revision. */
 final class RuleMatcher {
 
   private static final long NO_REVISION = -1;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RunStates.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RunStates.java
@@ -3,19 +3,19 @@
 import org.skylarkfork.core.event.UpstreamEvent.Moment;
 import org.skylarkfork.core.request.RunState;
 
-/** What the moment of a failure tells of whether the upstream ran the request. */
+/** Derives from the moment of a failure whether the upstream may have run the request. */
 public final class RunStates {
 
   private RunStates() {}
 
   /**
-   * Returns what is known for certain after a failure.
+   * Returns the run state that is certain after a failure.
    *
-   * <p>Only where no byte can have reached the upstream, or the upstream said that it did not
-   * start, is the request not run. A single byte handed to a connection may be a whole small
-   * request to an upstream that reads ahead, so it already counts as unknown.
+   * <p>A request counts as not run only if no byte can have reached the upstream, or if the
+   * upstream reported that it did not start. After a partial write the state is already unknown,
+   * since the connection may have delivered all of a small request.
    *
-   * @param moment how far the attempt had got
+   * @param moment how far the attempt had progressed
    */
   public static RunState after(Moment moment) {
     return switch (moment) {
@@ -25,9 +25,9 @@
   }
 
   /**
-   * Returns whether a retry after this failure costs upstreams anything.
+   * Returns whether the failed attempt may have put load on an upstream.
    *
-   * @param moment how far the attempt had got
+   * @param moment how far the attempt had progressed
    */
   static boolean reachedUpstream(Moment moment) {
     return moment != Moment.BEFORE_CONNECT && moment != Moment.CONNECTED;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/VoterCrashReviewers.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/VoterCrashReviewers.java
@@ -8,8 +8,8 @@
 import org.skylarkfork.core.message.CrashMessage;
 
 /**
- * All voters of the configuration's group are told of requests that were lost, and the one that
- * leads judges: the next leader then knows as much.
+ * Reports lost requests to all voters of the configuration group. Only the leader proposes
+ * quarantines; the other voters receive the reports so that the next leader has the same data.
  */
 public final class VoterCrashReviewers implements CrashJudges {
 
@@ -17,9 +17,9 @@
   private final List<String> voters;
 
   /**
-   * Makes the judges.
+   * Creates the reviewers.
    *
-   * @param self name of this daemon, which may be a voter
+   * @param self name of this daemon, which may itself be a voter
    * @param voters names of the voters
    */
   public VoterCrashReviewers(String self, List<String> voters) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/package-info.java
@@ -1,4 +1,4 @@
-/** The life of a request: attempts, retries, hedges, resumes, cascades and its one answer. */
+/** Request processing: attempts, retries, hedges, resumed streams, escalations and delivery. */
 @NullMarked
 package org.skylarkfork.core.attempt;
 
