--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/ActiveRequest.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/ActiveRequest.java
@@ -191,8 +191,8 @@
 
   /** Returns the deadline, moved forward by the delivery margin if an answer is held. */
   Instant effectiveDeadline() {
-    boolean holds = heldAnswer != null || bestAnswer != null;
-    return holds ? request.deadline().minus(DELIVERY_MARGIN) : request.deadline();
+    boolean hasAnswer = heldAnswer != null || bestAnswer != null;
+    return hasAnswer ? request.deadline().minus(DELIVERY_MARGIN) : request.deadline();
   }
 
   RunState runState() {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
@@ -257,7 +257,7 @@
   }
 
   /** Completes a call with the first answer of a service and cancels its other attempts. */
-  void answered(
+  void answerReceived(
       ActiveRequest active,
       Attempt attempt,
       UpstreamEvent.ServiceAnswered event,
@@ -293,7 +293,7 @@
   }
 
   /** Retries a call after a failed attempt, backs off, or fails the call. */
-  void failed(ActiveRequest active, Moment moment, String detail, EventContext context) {
+  void attemptFailed(ActiveRequest active, Moment moment, String detail, EventContext context) {
     if (RunStates.after(moment) != RunState.NOT_RUN) {
       active.mayHaveStarted = true;
       active.retryForbidden = !active.idempotent;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftExecutor.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftExecutor.java
@@ -221,11 +221,11 @@
   void abortAttempt(ActiveRequest active, Attempt attempt, String detail, EventContext context) {
     attempts.cancel(active, attempt, false, context);
     crashGuard.attemptLost(active, attempt, Moment.ANSWER_BEGUN, context);
-    failed(active, attempt, Moment.ANSWER_BEGUN, detail, context);
+    attemptFailed(active, attempt, Moment.ANSWER_BEGUN, detail, context);
   }
 
   /** Handles the final frame of the running attempt. */
-  void finished(
+  void draftFinished(
       ActiveRequest active,
       Attempt attempt,
       UpstreamEvent.DraftFinished event,
@@ -277,7 +277,8 @@
   }
 
   /** Applies the rating of a held answer, or null if none arrives in time. */
-  void rated(ActiveRequest active, String attemptId, @Nullable Double score, EventContext context) {
+  void ratingReceived(
+      ActiveRequest active, String attemptId, @Nullable Double score, EventContext context) {
     if (escalationPolicy.onRating(active, attemptId, score, context)) {
       proceed(active, context);
     }
@@ -298,7 +299,7 @@
   }
 
   /** Resumes or retries a draft after a failed attempt, backs off, or ends the draft. */
-  void failed(
+  void attemptFailed(
       ActiveRequest active, Attempt attempt, Moment moment, String detail, EventContext context) {
     if (RunStates.after(moment) != RunState.NOT_RUN) {
       active.mayHaveStarted = true;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RatingSampler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RatingSampler.java
@@ -50,7 +50,7 @@
   }
 
   /** Records the rating of a delivered answer; ignores ratings that were not requested. */
-  void rated(String attemptId, @Nullable Double score, EventContext context) {
+  void ratingReceived(String attemptId, @Nullable Double score, EventContext context) {
     AttemptOutcome outcome = pendingRatings.remove(attemptId);
     if (outcome != null && score != null) {
       quality.record(AttemptOutcomes.ratedLater(outcome, score), context.now());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCompleter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCompleter.java
@@ -136,7 +136,7 @@
    * prevents duplicates. A lookup is refused immediately instead, since its caller may resend it
    * and should not wait.
    */
-  void billed(ActiveRequest active, boolean durable, EventContext context) {
+  void billRecorded(ActiveRequest active, boolean durable, EventContext context) {
     if (active.phase != ActiveRequest.Phase.BILL) {
       return;
     }
@@ -240,7 +240,7 @@
       active.callerGone = true;
       return;
     }
-    abandonClaim(active);
+    trackUndecidedClaim(active);
     fail(active, error, context);
   }
 
@@ -268,7 +268,7 @@
     if (ledgerOnly || mustTrackOutcome(active)) {
       return;
     }
-    abandonClaim(active);
+    trackUndecidedClaim(active);
     Bill used = active.request.kind().isDraft() ? usageBill(active) : null;
     complete(
         active, null, new ClaimOutcome.NotRun("the caller left before it was sent"), used, context);
@@ -307,7 +307,7 @@
     return new Bill(active.id(), active.team, active.key(), model, name, active.costMicros, lookup);
   }
 
-  private void abandonClaim(ActiveRequest active) {
+  private void trackUndecidedClaim(ActiveRequest active) {
     if (active.phase == ActiveRequest.Phase.CLAIM) {
       undecidedClaims.put(active.id(), active);
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestIntake.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestIntake.java
@@ -64,7 +64,7 @@
           request, RoutingError.notRun(ErrorKind.UNAUTHORIZED, message), context);
       return;
     }
-    validate(request, team.get(), context);
+    accept(request, team.get(), context);
   }
 
   private @Nullable RoutingError acceptanceError(CallerRequest request, EventContext context) {
@@ -91,7 +91,7 @@
     return null;
   }
 
-  private void validate(CallerRequest request, Team team, EventContext context) {
+  private void accept(CallerRequest request, Team team, EventContext context) {
     Configuration current = collaborators.configuration().current();
     RoutingError error =
         request.kind().isDraft()
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestPart.java
@@ -147,7 +147,7 @@
     } else if (event instanceof LedgerEvent.Billed billed) {
       ActiveRequest active = requests.find(billed.requestId());
       if (active != null) {
-        completer.billed(active, billed.durable(), context);
+        completer.billRecorded(active, billed.durable(), context);
       }
     }
   }
@@ -175,21 +175,21 @@
     } else if (event instanceof UpstreamEvent.DraftFinished finished) {
       AttemptMatch found = findAttempt(finished.attemptId(), finished.echoedRequestId(), context);
       if (found != null) {
-        drafts.finished(found.active, found.attempt, finished, context);
+        drafts.draftFinished(found.active, found.attempt, finished, context);
       }
     } else if (event instanceof UpstreamEvent.ServiceAnswered answered) {
       AttemptMatch found = findAttempt(answered.attemptId(), answered.echoedRequestId(), context);
       if (found != null) {
-        calls.answered(found.active, found.attempt, answered, context);
+        calls.answerReceived(found.active, found.attempt, answered, context);
       }
     } else if (event instanceof UpstreamEvent.AttemptFailed failed) {
-      attemptFailed(failed, context);
+      onAttemptFailed(failed, context);
     } else if (event instanceof UpstreamEvent.UpstreamProbed probed) {
       crashGuard.probed(probed, context);
     } else if (event instanceof UpstreamEvent.Rated rated) {
-      rated(rated.requestId(), rated.attemptId(), rated.score(), context);
+      onRating(rated.requestId(), rated.attemptId(), rated.score(), context);
     } else if (event instanceof UpstreamEvent.RatingMissing missing) {
-      rated(missing.requestId(), missing.attemptId(), null, context);
+      onRating(missing.requestId(), missing.attemptId(), null, context);
     }
   }
 
@@ -214,13 +214,14 @@
     if (echoed != null && !echoed.equals(active.id())) {
       context.count("answers_crossed", attempt.upstream);
       attempts.cancel(active, attempt, false, context);
-      failed(active, attempt, Moment.ANSWER_BEGUN, "the answer names another request", context);
+      handleFailure(
+          active, attempt, Moment.ANSWER_BEGUN, "the answer names another request", context);
       return null;
     }
     return new AttemptMatch(active, attempt);
   }
 
-  private void attemptFailed(UpstreamEvent.AttemptFailed event, EventContext context) {
+  private void onAttemptFailed(UpstreamEvent.AttemptFailed event, EventContext context) {
     ActiveRequest active = requests.findByAttempt(event.attemptId());
     if (active == null) {
       context.count("failures_late", event.moment().name());
@@ -228,28 +229,28 @@
     }
     Attempt attempt = active.running.get(event.attemptId());
     attempts.end(active, attempt, false, context);
-    failed(active, attempt, event.moment(), event.detail(), context);
+    handleFailure(active, attempt, event.moment(), event.detail(), context);
   }
 
-  private void failed(
+  private void handleFailure(
       ActiveRequest active, Attempt attempt, Moment moment, String detail, EventContext context) {
     context.timeline("attempt.failed", active, attempt, moment + ": " + detail);
     context.count("attempts_failed", moment.name());
     crashGuard.attemptLost(active, attempt, moment, context);
     if (active.request.kind().isDraft()) {
-      drafts.failed(active, attempt, moment, detail, context);
+      drafts.attemptFailed(active, attempt, moment, detail, context);
     } else {
-      calls.failed(active, moment, detail, context);
+      calls.attemptFailed(active, moment, detail, context);
     }
   }
 
-  private void rated(
+  private void onRating(
       String requestId, String attemptId, @Nullable Double score, EventContext context) {
     ActiveRequest active = requests.find(requestId);
     if (active != null) {
-      drafts.rated(active, attemptId, score, context);
+      drafts.ratingReceived(active, attemptId, score, context);
     }
-    sampler.rated(attemptId, score, context);
+    sampler.ratingReceived(attemptId, score, context);
   }
 
   private void onLifecycleEvent(LifecycleEvent event, EventContext context) {
@@ -276,7 +277,7 @@
 
   private void check(ActiveRequest active, EventContext context) {
     if (!context.now().isBefore(active.effectiveDeadline())) {
-      deadline(active, context);
+      onDeadline(active, context);
     }
     if (requests.find(active.id()) != active) {
       return;
@@ -293,7 +294,7 @@
     }
   }
 
-  private void deadline(ActiveRequest active, EventContext context) {
+  private void onDeadline(ActiveRequest active, EventContext context) {
     boolean delivered =
         active.request.kind().isDraft() && drafts.deliverBestAtDeadline(active, context);
     if (!delivered && !context.now().isBefore(active.request.deadline())) {
@@ -331,7 +332,7 @@
   private void checkRating(ActiveRequest active, EventContext context) {
     HeldAnswer held = active.heldAnswer;
     if (held != null && isPhaseOver(active, context)) {
-      drafts.rated(active, held.attemptId(), null, context);
+      drafts.ratingReceived(active, held.attemptId(), null, context);
     }
   }
 
@@ -343,7 +344,7 @@
       } else if (active.running.containsKey(attempt.id)) {
         attempts.cancel(active, attempt, false, context);
         Moment moment = attempt.tokens > 0 ? Moment.ANSWER_BEGUN : Moment.WRITTEN;
-        failed(active, attempt, moment, "the upstream was silent for too long", context);
+        handleFailure(active, attempt, moment, "the upstream was silent for too long", context);
       }
     }
     if (requests.find(active.id()) == active) {
@@ -353,13 +354,13 @@
 
   /** Raises the end of the daemon once it is stopping, unlisted, idle and settled in the ledger. */
   private void endWhenIdle(EventContext context) {
-    boolean done =
+    boolean canEnd =
         stopping
             && !ended
             && requests.isIdle()
             && collaborators.ledger().isSettled()
             && !collaborators.listing().acceptsNewWork(context.now());
-    if (done) {
+    if (canEnd) {
       ended = true;
       context.output().raise(new LifecycleEvent.Ending());
     }
