--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CallTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CallTest.java
@@ -25,7 +25,7 @@
 import org.skylarkfork.core.request.RunState;
 import org.testng.annotations.Test;
 
-/** Calls to plain services: at most once for what may not be repeated, in time for the rest. */
+/** Tests of calls to services: at most once if not idempotent, with retries and hedges if so. */
 public class CallTest {
 
   private static final Set<Moment> NOT_STARTED =
@@ -41,8 +41,9 @@
 
   @Test
   public void retriesNonIdempotentCallOnlyIfItCannotHaveStarted() {
-    // A certificate is issued and the attempt fails. Where a byte may have reached the service, a
-    // second attempt could issue it twice: the caller hears "unknown" and the record says so too.
+    // An attempt to issue a certificate fails. If a byte may have reached the service, a retry
+    // could
+    // issue the certificate twice, so the refusal and the recorded outcome must say "unknown".
     for (Moment moment : Moment.values()) {
       RequestFixture fixture = new RequestFixture();
       fixture.send("r", RequestFixture.call("POST", "k"));
@@ -63,8 +64,9 @@
 
   @Test
   public void recordsOutcomeAndBillBeforeAnswerAndReplaysAnswerToResends() {
-    // The caller loses its answer and sends the call again with the same key. It gets the recorded
-    // answer: the service ran once, the bill is one.
+    // A caller that lost its answer resends the call with the same key and gets the recorded
+    // answer.
+    // The service must have run once, with one bill.
     RequestFixture fixture = new RequestFixture();
     fixture.send("r", RequestFixture.call("POST", "k"));
     fixture.settleLedger();
@@ -85,9 +87,8 @@
 
   @Test
   public void doesNotReplayRecordedAnswerWithoutBody() {
-    // The caller resends a call whose answer was over the bound for recorded bodies. It is told
-    // that
-    // the call ran, not given an empty answer with status 201.
+    // The answer of the first call exceeded the size limit for recorded bodies. The resend must be
+    // refused with "ran", instead of getting an empty answer with status 201.
     RequestFixture fixture = new RequestFixture();
     AnswerFacts facts = new AnswerFacts("o", null, null, "s", 1, 50, null, null);
     fixture.ledger.owners.put("jury/k", "request of another entry");
@@ -102,8 +103,9 @@
 
   @Test
   public void doesNotRunResendWhileFirstCallIsRunningOrUnknown() {
-    // The first entry's call is running, or was lost with its entry. A resend through this entry
-    // finds the claim and is told so; it is not sent.
+    // The call is running at another entry, or was lost with that entry. A resend through this
+    // entry
+    // finds the claim and must be refused without a dispatch.
     RequestFixture fixture = new RequestFixture();
     fixture.ledger.owners.put("jury/k", "request of another entry");
     fixture.send("r", RequestFixture.call("POST", "k"));
@@ -126,7 +128,7 @@
   @Test
   public void recordsOutcomeOfClaimedCallAfterCallerIsGone() {
     // The caller leaves, or its deadline passes, while the service issues the certificate. The
-    // attempt is not cut off: its outcome is recorded, so that a resend gets the answer.
+    // attempt must not be cancelled: its outcome is recorded, so that a resend gets the answer.
     for (boolean leaves : new boolean[] {true, false}) {
       RequestFixture fixture = new RequestFixture();
       RequestFixture.RequestOptions options = RequestFixture.call("POST", "k");
@@ -179,9 +181,9 @@
 
   @Test
   public void refusesLookupWhoseBillIsNotDurable() {
-    // The caller is told at once that its lookup ran and may be sent again. The entry is cut off:
-    // neither a backup nor the group takes the bill. An answer sent all the same would never be
-    // billed if the entry crashed before the cut ended.
+    // The entry is partitioned, so neither a backup nor the group accepts the bill. If the answer
+    // were sent anyway and the entry crashed before the partition healed, it would never be billed.
+    // The caller is refused immediately with "ran" and may resend the lookup.
     RequestFixture fixture = new RequestFixture();
     fixture.ledger.reachable = false;
     fixture.send("r", RequestFixture.call("GET", null));
@@ -195,9 +197,10 @@
 
   @Test
   public void hedgesSlowLookupsWithinBudget() {
-    // Most lookups take 10 ms, then one server hangs. Its lookups get a second attempt after the
-    // measured percentile; the first answer wins and the other attempt is cancelled. The budget
-    // keeps a service that is slow as a whole from being asked twice for everything.
+    // Most lookups take 10 ms, then one server hangs. Its lookups are hedged after the measured
+    // percentile; the first answer wins and the other attempt is cancelled. The budget prevents
+    // that
+    // every lookup of a uniformly slow service is sent twice.
     RequestFixture fixture = new RequestFixture();
     for (int request = 0; request < 60; request++) {
       fixture.send("w" + request, RequestFixture.call("GET", null));
@@ -222,8 +225,8 @@
 
   @Test
   public void backsOffForFreeUpstreamAndRefusesBeforeDeadline() {
-    // All servers are full. The call waits a few pauses, then the caller hears "not-run" with the
-    // time to come back, long before its deadline.
+    // All servers are full. After a few backoffs the call must be refused as "not-run" with a retry
+    // time, long before its deadline.
     RequestFixture fixture = new RequestFixture();
     fixture.send("r", RequestFixture.call("GET", null));
     for (int round = 0; round < 40 && fixture.finalEffectCount("r") == 0; round++) {
@@ -240,8 +243,8 @@
 
   @Test
   public void backsOffInsteadOfFailingWhenRefusedWithoutBudget() {
-    // Some servers refuse everything and the retry budget is used up. The call was not started, so
-    // it waits a pause and goes to a server that has room; its caller sees only the answer.
+    // Some servers refuse everything and the retry budget is empty. The call was not started, so it
+    // must back off and then succeed on a server that has capacity, without a refusal.
     RequestFixture fixture =
         new RequestFixture(RequestFixture.settings(0, 0, 0), new OpenAdmission(), 1);
     fixture.send("r", RequestFixture.call("GET", null));
@@ -267,8 +270,9 @@
 
   @Test
   public void stopsOnlyAfterEntryListExpiredAndLastAnswerWasDelivered() {
-    // A planned stop cuts off no request: callers that hold an older entry list are still served,
-    // running work ends, and only then does the process.
+    // A planned stop must not interrupt requests: callers with an older entry list are still
+    // served,
+    // and the process ends only after running requests have ended.
     RequestFixture fixture = new RequestFixture();
     fixture.apply(new LifecycleEvent.StopRequested());
     fixture.send("r", RequestFixture.call("GET", null));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftSimulation.java
@@ -56,13 +56,13 @@
 import org.skylarkfork.core.testing.MiniNetwork;
 import org.skylarkfork.core.upstream.Announcement;
 
-/** Three voters, four entries and engines in virtual time, with drafts that end their engines. */
+/** Simulates three voters, four entries and engines in virtual time, with crashing drafts. */
 final class CrashingDraftSimulation {
 
-  /** Engines that end under a draft until it is known what it does. */
+  /** Number of engines that crash under a draft before the draft is quarantined. */
   static final int CRASHES_BEFORE_QUARANTINE = 3;
 
-  /** Time in which all entries in touch can know it. */
+  /** Time in which a quarantine reaches all connected entries. */
   private static final Duration PROPAGATION_TIME = Duration.ofSeconds(3);
 
   private static final GroupId GROUP = GroupId.CONFIGURATION;
@@ -76,20 +76,20 @@
   final MiniNetwork network;
   final UniformRandomProvider random;
 
-  /** Engines that ended under each deadly prompt. */
+  /** Times at which engines crashed, by crashing prompt. */
   final Map<String, List<Instant>> crashesByPrompt = new LinkedHashMap<>();
 
-  /** Sends of deadly prompts later than all entries could know. */
+  /** Dispatches of crashing prompts after the quarantine had time to reach all entries. */
   int lateSends;
 
   int goodAnswered;
   final Map<ErrorKind, Integer> goodRefused = new HashMap<>();
   final Map<ErrorKind, Integer> crashingRefused = new HashMap<>();
 
-  /** Good drafts that were taken for deadly ones though they lost fewer engines. */
+  /** Good drafts that were quarantined although fewer engines were lost under them. */
   int wronglyQuarantined;
 
-  /** Refusals that said "not run" of a request that an engine had begun. */
+  /** Refusals as "not run" of requests that an engine had started. */
   int falseNotRun;
 
   private final Map<String, ConsensusPart> groups = new HashMap<>();
@@ -209,7 +209,7 @@
         seed);
   }
 
-  /** Lets time pass. */
+  /** Advances the simulation by a duration. */
   void run(Duration time) {
     Instant end = network.now().plus(time);
     while (network.now().isBefore(end)) {
@@ -234,13 +234,13 @@
     scheduled.add(new ScheduledAction(network.now().plusMillis(millis), action));
   }
 
-  /** Sends good drafts, each another one, from now on. */
+  /** Keeps sending distinct good drafts, one per {@code pauseMillis}. */
   void sendGoodDrafts(int pauseMillis) {
     sendDraft("good-" + lastRequest);
     schedule(pauseMillis, () -> sendGoodDrafts(pauseMillis));
   }
 
-  /** Sends one and the same draft that ends its engines, to any entry, from now on. */
+  /** Keeps sending the same crashing draft to random entries, one per {@code pauseMillis}. */
   void sendCrashingDrafts(String name, int pauseMillis) {
     sendDraft(CRASHING + name);
     schedule(pauseMillis, () -> sendCrashingDrafts(name, pauseMillis));
@@ -337,7 +337,7 @@
     lateSends += known ? 1 : 0;
   }
 
-  /** An engine ends under an attempt, if that still runs, with all that it runs. */
+  /** Crashes an engine under an attempt if the attempt still runs; all its attempts are lost. */
   private void crashEngine(String engine, String attemptKey) {
     Attempt attempt = running.get(attemptKey);
     if (attempt == null || !engines.contains(engine)) {
@@ -362,7 +362,7 @@
     schedule(1000 + random.nextInt(2000), this::startEngine);
   }
 
-  /** Ends a share of the engines by themselves. */
+  /** Stops a random share of the engines, independent of the drafts that run on them. */
   void stopEngines(double share) {
     for (String engine : List.copyOf(engines)) {
       if (random.nextDouble() < share) {
@@ -396,7 +396,7 @@
     fixtures.values().forEach(fixture -> fixture.addEngine(id));
   }
 
-  /** Returns the voter that leads, or the first one. */
+  /** Returns the voter that is the leader, or the first voter if there is none. */
   String leader() {
     return voters.stream()
         .filter(network::isUp)
@@ -422,7 +422,7 @@
     public void ended(String upstream, CallerRequest request, boolean healthy, Instant at) {}
   }
 
-  /** Keeps snapshots in memory under their number. */
+  /** Stores snapshots in memory and encodes each as its index. */
   private final class MemoryCodec implements GroupCodec {
 
     @Override
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftTest.java
@@ -10,7 +10,7 @@
 import org.skylarkfork.core.error.ErrorKind;
 import org.testng.annotations.Test;
 
-/** Tests with drafts that end each engine which runs them, sent to several entries. */
+/** Tests with drafts that crash each engine that runs them and are sent to several entries. */
 public final class CrashingDraftTest {
 
   private static final String SEEDS_PROPERTY = "skylarkfork.drafts.seeds";
@@ -18,7 +18,7 @@
   private static final int DEFAULT_SEEDS = 12;
   private static final int ENGINES = 9;
 
-  /** Sends that may still reach engines once all entries in touch can know. */
+  /** Maximum dispatches to engines after the quarantine had time to reach all connected entries. */
   private static final int MAX_LATE_SENDS = 3;
 
   private static CrashingDraftSimulation startSimulation(long seed) {
@@ -30,12 +30,12 @@
 
   private static void check(CrashingDraftSimulation simulation) {
     assertTrue(simulation.lateSends <= MAX_LATE_SENDS, simulation.lateSends + " late sends");
-    assertEquals(simulation.falseNotRun, 0, "refusals that say not run of what has run");
+    assertEquals(simulation.falseNotRun, 0, "refusals as not run of requests that have run");
     assertEquals(simulation.wronglyQuarantined, 0, simulation.goodRefused.toString());
     assertTrue(simulation.goodAnswered > 100, simulation.goodAnswered + " good drafts answered");
   }
 
-  /** Guards against engines that end for good because each entry begins to count anew. */
+  /** Guards against unlimited crashes because each entry counts them separately. */
   @Test
   public void countsCrashesOverAllEntries() {
     CrashingDraftSimulation simulation = startSimulation(1);
@@ -44,10 +44,10 @@
     check(simulation);
     assertTrue(simulation.crashingRefused.getOrDefault(ErrorKind.QUARANTINED, 0) > 20);
     int crashes = simulation.crashesByPrompt.values().iterator().next().size();
-    assertTrue(crashes >= CrashingDraftSimulation.CRASHES_BEFORE_QUARANTINE, crashes + " ends");
+    assertTrue(crashes >= CrashingDraftSimulation.CRASHES_BEFORE_QUARANTINE, crashes + " crashes");
   }
 
-  /** Guards against a draft that is unknown again once all daemons were killed. */
+  /** Guards against a quarantine that is lost after all daemons were killed. */
   @Test
   public void quarantineSurvivesRestartOfAllDaemons() {
     CrashingDraftSimulation simulation = startSimulation(2);
@@ -64,7 +64,7 @@
     check(simulation);
   }
 
-  /** Guards against good drafts that are refused because engines end by themselves. */
+  /** Guards against a quarantine of good drafts because engines stop by themselves. */
   @Test
   public void servesGoodDraftsWhileEnginesStopByThemselves() {
     CrashingDraftSimulation simulation = startSimulation(3);
@@ -78,7 +78,9 @@
         simulation.goodRefused.toString());
   }
 
-  /** Guards against a count that is lost with the leader, with an entry or in a freeze. */
+  /**
+   * Guards against a crash count that is lost with the leader, with an entry or during a freeze.
+   */
   @Test
   public void boundsCrashesInRandomRuns() {
     long first = Long.getLong(FIRST_SEED_PROPERTY, 1);
@@ -95,7 +97,12 @@
       }
     }
     System.out.println(
-        seeds + " seeds, " + crashes + " engines ended under drafts, " + refused + " good refused");
+        seeds
+            + " seeds, "
+            + crashes
+            + " engines crashed under drafts, "
+            + refused
+            + " good refused");
   }
 
   private static CrashingDraftSimulation randomRun(long seed) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/DraftTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/DraftTest.java
@@ -21,7 +21,7 @@
 import org.skylarkfork.core.session.SessionPins;
 import org.testng.annotations.Test;
 
-/** Drafts on engines that fail in every way. */
+/** Tests of drafts on engines: failures, resumed streams, escalations, sessions and bills. */
 public class DraftTest {
 
   private static RequestFixture cascade() {
@@ -48,8 +48,8 @@
 
   @Test
   public void refusesRequestsThatMayNotRun() {
-    // The caller sees a typed refusal that says not-run. The checks come before any attempt, so no
-    // upstream work is spent on it.
+    // The caller gets a typed refusal with run state "not-run". The checks must come before any
+    // attempt, so that no upstream work is wasted.
     RequestFixture.RequestOptions stranger = RequestFixture.chat();
     stranger.keyHash = "other";
     RequestFixture.RequestOptions unknown = RequestFixture.chat();
@@ -81,8 +81,8 @@
 
   @Test
   public void resumesCutStreamFromItsLastToken() {
-    // The caller sees one gapless stream. The engine's connection is cut after three tokens; the
-    // rest is asked of another engine of the same version, which repeats one token.
+    // The engine's connection breaks after three tokens. The rest is requested from another engine
+    // of the same version, which repeats one token. The caller must get a stream without gaps.
     RequestFixture fixture = new RequestFixture();
     fixture.send("r", RequestFixture.stream());
     fixture.tokens("r.1", 0, 3);
@@ -107,8 +107,9 @@
 
   @Test
   public void breaksStreamThatCannotBeResumed() {
-    // The caller sees an explicit error in place of the final frame, never an end as if complete:
-    // every engine cuts the stream until the attempts are used up.
+    // Every engine breaks the stream until the attempts are used up. The caller must get an
+    // explicit
+    // error in place of the final frame, so that the answer doesn't look complete.
     RequestFixture fixture = new RequestFixture();
     fixture.send("r", RequestFixture.stream());
     fixture.tokens("r.1", 0, 1);
@@ -124,8 +125,8 @@
 
   @Test
   public void resumesAnswerWithMissingTokens() {
-    // Without the check the caller would miss tokens in the middle or at the end of an answer that
-    // looks whole. Both are found by the engine's own count, and the rest is asked for again.
+    // Tokens are lost in the middle and at the end of an answer that would look complete. Both gaps
+    // are detected from the engine's offsets and counts, and the rest is requested again.
     RequestFixture fixture = new RequestFixture();
     fixture.send("r", RequestFixture.stream());
     fixture.tokens("r.1", 0, 1);
@@ -142,8 +143,8 @@
 
   @Test
   public void dropsLateAndCrossedAnswers() {
-    // Another caller's tokens come on this request's connection, and later tokens of an attempt
-    // that was given up. Neither reaches the caller; the connection is not believed again.
+    // Another caller's tokens arrive on the connection of this request, followed by tokens of the
+    // cancelled attempt. Neither may reach the caller.
     RequestFixture fixture = new RequestFixture();
     fixture.send("r", RequestFixture.stream());
     fixture.apply(new UpstreamEvent.TokensArrived("r.1", "other", 0, 1, "not yours"));
@@ -175,8 +176,8 @@
 
   @Test
   public void backsOffWhileVersionHasNoEngine() {
-    // The only engine of a version restarts. The request waits a few pauses for it; if none comes
-    // back, the caller hears "not-run" long before its deadline.
+    // The only engine of a version restarts. The request backs off a few times; if no engine
+    // returns, the request must be refused as "not-run" long before its deadline.
     RequestFixture fixture = new RequestFixture();
     List<Plan.Step> steps = fixture.steps;
     fixture.steps = List.of();
@@ -208,8 +209,8 @@
 
   @Test
   public void boundsRetriesOverAllRequests() {
-    // A burst meets engines that all fail. Were each request retried on its own, the load would be
-    // multiplied; the common budget lets a tenth of them, and the reserve, be tried again.
+    // All engines fail during a burst. Independent retries of each request would multiply the load;
+    // the shared budget allows retries for a tenth of the requests, plus the reserve.
     RequestFixture fixture =
         new RequestFixture(RequestFixture.settings(0.1, 5, 0), new OpenAdmission(), 1);
     for (int request = 0; request < 50; request++) {
@@ -245,8 +246,8 @@
 
   @Test
   public void decidesByEstimateWithoutRating() {
-    // The rating service is silent. An answer of a version that is known to be good is given out;
-    // one of a doubtful version costs a further step.
+    // The rating service doesn't answer. An answer of a version with a high estimate is delivered;
+    // an answer of a version with a low estimate leads to the next step.
     for (double chance : new double[] {0.9, 0.3}) {
       RequestFixture fixture = cascade();
       fixture.estimatedQuality = chance;
@@ -276,8 +277,8 @@
 
   @Test
   public void replansWhenVersionIsWithdrawn() {
-    // An operator withdraws the next step's version while the first step's answer is rated. No
-    // attempt goes to it; the caller gets the held answer.
+    // An operator withdraws the version of the next step while the first answer is being rated. The
+    // withdrawn version must get no attempt, and the caller gets the held answer.
     RequestFixture fixture = cascade();
     fixture.send("r", RequestFixture.chat());
     fixture.tokens("r.1", 0, 2);
@@ -298,7 +299,7 @@
     RequestFixture.RequestOptions options = RequestFixture.chat();
     options.session = "s";
     fixture.send("r", options);
-    assertTrue(fixture.dispatchedAttempts().isEmpty(), "the owners are asked first");
+    assertTrue(fixture.dispatchedAttempts().isEmpty(), "the session owners are asked first");
     fixture.apply(new SessionEvent.PinsResolved("r"));
     assertEquals(fixture.lastEffect(UpstreamEffect.DispatchDraft.class).version(), old);
     fixture.configuration = RequestFixture.configuration(2, List.of(old));
@@ -347,8 +348,8 @@
 
   @Test
   public void retriesBillUntilDurable() {
-    // The quorum is away when the answer is whole. An answer sent now could be lost to the
-    // statement; the last frame waits, and goes out once the bill is safe.
+    // The quorum is unavailable when the answer is complete. If the answer were sent now, its bill
+    // could be missing from the statement, so the final frame must wait for the durable bill.
     RequestFixture fixture = new RequestFixture();
     fixture.ledger.reachable = false;
     fixture.send("r", RequestFixture.chat());
@@ -411,9 +412,9 @@
 
   @Test
   public void doesNotKeepRetryingCrashingDraft() {
-    // A caller sends the same draft again and again, and each engine that begins to run it ends.
-    // Three engines later this is known; still each request is sent to as many engines as one
-    // request may be, and the callers of all other drafts there lose their answers.
+    // A caller resends the same draft, and each engine that starts to run it crashes, which also
+    // loses the answers of all other drafts on that engine. After three crashes the draft must be
+    // quarantined, instead of each resend reaching as many engines as it may have attempts.
     RequestFixture fixture = new RequestFixture();
     int engines = fixture.upstreams.size();
     for (int request = 1; request <= 10; request++) {
@@ -429,7 +430,7 @@
       }
     }
     int sends = fixture.effectsOf(UpstreamEffect.DispatchDraft.class).size();
-    assertTrue(sends <= 3 + 3, sends + " engines ended under one content");
+    assertTrue(sends <= 3 + 3, sends + " engines crashed under one content");
   }
 
   private static String newestAttempt(RequestFixture fixture) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/FakeLedger.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/FakeLedger.java
@@ -14,7 +14,7 @@
 import org.skylarkfork.core.ledger.Ledger;
 import org.skylarkfork.core.request.CallerRequest;
 
-/** A ledger in memory whose answers wait until the test takes them. */
+/** An in-memory ledger whose events are queued until the test delivers them. */
 final class FakeLedger implements Ledger {
 
   final Deque<LedgerEvent> pendingEvents = new ArrayDeque<>();
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/QuarantinedDraftTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/QuarantinedDraftTest.java
@@ -23,13 +23,13 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Each way by which one content could reach a further upstream after it was quarantined. */
+/** Tests of each path on which quarantined content could reach another upstream. */
 public final class QuarantinedDraftTest {
 
   private RequestFixture fixture = new RequestFixture();
   private int engines = 3;
 
-  /** Each test begins anew. */
+  /** Creates a new fixture for each test. */
   @BeforeMethod
   public void setUp() {
     fixture = new RequestFixture();
@@ -63,7 +63,7 @@
     return attempts.get(attempts.size() - 1);
   }
 
-  /** Ends the engine of an attempt under it, while another one is started. */
+  /** Crashes the engine of an attempt and starts another engine. */
   private void crashEngineOf(String attempt) {
     UpstreamEffect.DispatchDraft sent = fixture.lastEffect(UpstreamEffect.DispatchDraft.class);
     fixture.upstreams.remove(sent.upstream());
@@ -77,7 +77,7 @@
     return refusals.get(refusals.size() - 1).error();
   }
 
-  /** Guards against a caller who is told to come back with what nobody will run. */
+  /** Guards against a retry time in the refusal of a request that stays quarantined. */
   @Test
   public void refusesNewRequestAsNotRunWithoutRetryTime() {
     fixture.send("r1", RequestFixture.stream());
@@ -91,7 +91,7 @@
     assertEquals(sends(), 1);
   }
 
-  /** Guards against a retry, and against a refusal that says not run of what has begun. */
+  /** Guards against a retry, and against a refusal as not run although an attempt started. */
   @Test
   public void doesNotRetry() {
     fixture.send("r1", RequestFixture.chat());
@@ -102,7 +102,7 @@
     assertEquals(fixture.dispatchedAttempts(), List.of("r1.1"));
   }
 
-  /** Guards against a resumed stream: its body differs, but it is the same request. */
+  /** Guards against a resume: its body differs from the first attempt's, but not the request. */
   @Test
   public void doesNotResumeStream() {
     fixture.send("r1", RequestFixture.stream());
@@ -113,7 +113,7 @@
     assertEquals(fixture.effectsOf(CallerEffect.BreakStream.class).size(), 1);
   }
 
-  /** Guards against a larger model that is asked for what has ended the smaller one's engines. */
+  /** Guards against an escalation of a request that crashed the engines of the smaller model. */
   @Test
   public void doesNotEscalateAndCountsCrashesOfBothModels() {
     fixture.steps =
@@ -127,7 +127,7 @@
     assertEquals(fixture.configuration.quarantined().size(), 1, "" + fixture.dispatchedAttempts());
   }
 
-  /** Guards against an operator's own order that is taken for the doing of a draft. */
+  /** Guards against counting a shutdown that an operator ordered as a crash caused by a draft. */
   @Test
   public void doesNotCountLeavingEngines() {
     for (int request = 1; request <= 4; request++) {
@@ -160,7 +160,7 @@
         before.cacheEvents());
   }
 
-  /** Guards against a cut connection that is taken for the end of an engine. */
+  /** Guards against counting a broken connection as a crash of the engine. */
   @Test
   public void doesNotCountReachableEngines() {
     for (int request = 1; request <= 5; request++) {
@@ -172,18 +172,18 @@
     assertEquals(fixture.configuration.quarantined(), List.of());
   }
 
-  /** Guards against a draft that stays refused though its engines were mended. */
+  /** Guards against a draft that stays refused after its engines were fixed. */
   @Test
   public void liftedDraftRunsAgainAndOneMoreCrashQuarantinesIt() {
     fixture.send("r1", RequestFixture.chat());
     while (fixture.configuration.quarantined().isEmpty()) {
       crashEngineOf(newestAttempt());
-      assertTrue(sends() < 8, "found after three ends");
+      assertTrue(sends() < 8, "quarantined after three crashes");
     }
     final RequestKey key = fixture.configuration.quarantined().get(0);
     fixture.advance(Duration.ofSeconds(1));
     fixture.advance(Duration.ofMinutes(10));
-    assertEquals(fixture.configuration.quarantined(), List.of(), "lifted by itself");
+    assertEquals(fixture.configuration.quarantined(), List.of(), "lifted automatically");
     fixture.advance(Duration.ofSeconds(1));
     fixture.send("r9", RequestFixture.chat());
     assertEquals(newestAttempt(), "r9.1");
@@ -191,7 +191,9 @@
     assertEquals(fixture.configuration.quarantined(), List.of(key));
   }
 
-  /** Guards against one team whose draft has another team's refused. */
+  /**
+   * Guards against a quarantine of one team's draft that affects the same draft of another team.
+   */
   @Test
   public void quarantineAppliesToOneTeam() {
     fixture.send("r1", RequestFixture.chat());
@@ -201,7 +203,7 @@
     assertEquals(newestAttempt(), "r2.1");
   }
 
-  /** Guards against a call that is sent to a second service process by its hedge. */
+  /** Guards against a quarantined call that is retried on a second service process. */
   @Test
   public void doesNotRetryQuarantinedCall() {
     fixture.send("c1", RequestFixture.call("GET", null));
@@ -214,7 +216,7 @@
     assertEquals(fixture.dispatchedAttempts(), List.of("c1.1"));
   }
 
-  /** Guards against calls that change something and end each process of their service. */
+  /** Guards against non-idempotent calls that crash each process of their service. */
   @Test
   public void quarantinesCrashingNonIdempotentCallWithoutRetries() {
     for (int call = 1; call <= 3; call++) {
@@ -233,7 +235,7 @@
     assertEquals(error.runState(), RunState.NOT_RUN);
   }
 
-  /** Guards against a probe's word for an attempt that nobody knows any more. */
+  /** Guards against a failure on the probe result of an unknown attempt. */
   @Test
   public void ignoresLateProbeResult() {
     fixture.send("r1", RequestFixture.chat());
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RandomFaultsTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RandomFaultsTest.java
@@ -42,9 +42,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/**
- * Long runs in which everything fails at any moment, with what callers and services saw checked.
- */
+/** Tests request processing with random faults and checks what callers and services observe. */
 public class RandomFaultsTest {
 
   private static final int STEPS = 6000;
@@ -62,9 +60,11 @@
 
   @Test(dataProvider = "seeds")
   public void keepsAllPromises(long seed) {
-    // Callers see one whole answer of their own, or one true refusal, or leave. Upstreams fail at
-    // each moment, answer late, doubled, crossed or cut; the ledger is away at times; versions are
-    // withdrawn and restored. What the services ran is kept apart and compared at the end.
+    // Each caller gets one complete answer of its own, gets one correct refusal, or leaves.
+    // Upstreams
+    // fail at each moment and give late, duplicate, crossed or truncated answers; the ledger is
+    // unavailable at times; versions are withdrawn and restored. The runs of the services are
+    // tracked separately and compared at the end.
     Simulation simulation = new Simulation(seed);
     for (int step = 0; step < STEPS; step++) {
       simulation.step();
@@ -97,7 +97,7 @@
     }
   }
 
-  /** An attempt as its upstream sees it. */
+  /** An attempt from the view of its upstream. */
   private static final class DispatchedAttempt {
     final String id;
     final String request;
@@ -115,7 +115,7 @@
     }
   }
 
-  /** An admission that lets some requests wait. */
+  /** An admission that queues some requests at random. */
   private static final class WaitingAdmission implements Admission {
     final UniformRandomProvider random;
     final Set<String> waiting = new HashSet<>();
@@ -135,7 +135,7 @@
     @Override
     public void release(String requestId, long tokens, Instant now) {
       boolean known = waiting.remove(requestId) || running.remove(requestId);
-      assertTrue(known, "each admission is given back once");
+      assertTrue(known, "each admission is released once");
     }
   }
 
@@ -235,7 +235,7 @@
       if (!notStarted) {
         mayHaveRun(attempt);
       }
-      // An upstream that gave tokens can't say that it never started.
+      // An upstream that sent tokens can't report that it did not start.
       if (notStarted && mayHaveRun.contains(attempt.id)) {
         return;
       }
@@ -265,7 +265,7 @@
         attempt.offset = Math.max(attempt.offset, offset + 1);
         return;
       }
-      // The engine counts all that it gave, also what was lost on the way.
+      // The engine counts all tokens that it sent, including those lost in transit.
       int counted = (int) (attempt.offset - attempt.start);
       fixture.apply(
           new UpstreamEvent.DraftFinished(attempt.id, echoed, "stop", new Usage(10, counted, 0)));
@@ -366,7 +366,7 @@
       if (!RequestFixture.isFinal(effect)) {
         return;
       }
-      assertEquals(finalEffects.merge(id, 1, Integer::sum), 1, "one end for " + id);
+      assertEquals(finalEffects.merge(id, 1, Integer::sum), 1, "one final frame for " + id);
       assertFalse(left.contains(id), "nothing is sent to a caller that left");
       if (effect instanceof CallerEffect.Refuse refuse) {
         checkRefusal(id, refuse.error());
@@ -390,16 +390,18 @@
         assertEquals(draft.text(), text(id, 0, ANSWER_TOKENS));
       } else if (effect instanceof CallerEffect.SendServiceAnswer answer) {
         boolean recorded = answer.facts().notice() != null;
-        assertTrue(recorded || answer.body().text().equals(id), "own answer for " + id);
+        assertTrue(
+            recorded || answer.body().text().equals(id), "answer of the right request for " + id);
       }
       CallerRequest request = requests.get(id);
       if (request != null && (request.kind().isDraft() || request.method().equals("POST"))) {
         String key = request.idempotencyKey() == null ? id : request.idempotencyKey();
-        assertTrue(fixture.ledger.bills.containsKey("jury/" + key), "billed before the end");
+        assertTrue(
+            fixture.ledger.bills.containsKey("jury/" + key), "billed before the final frame");
       }
     }
 
-    /** Lets everything come to its end without further faults. */
+    /** Runs until all requests have ended, without further faults. */
     void finish() {
       fixture.ledger.reachable = true;
       for (int round = 0; round < 3000 && fixture.part.activeRequests() > 0; round++) {
@@ -418,7 +420,7 @@
       fixture.inFlight.forEach((upstream, count) -> assertEquals(count.intValue(), 0, upstream));
       for (int request = 0; request < requestCount; request++) {
         boolean ended = finalEffects.containsKey("r" + request) || left.contains("r" + request);
-        assertTrue(ended, "r" + request + " has an end");
+        assertTrue(ended, "r" + request + " has ended");
       }
       for (String attempt : mayHaveRun) {
         CallerRequest request = requests.get(attempts.get(attempt).request);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RequestFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RequestFixture.java
@@ -52,7 +52,7 @@
 import org.skylarkfork.core.upstream.UpstreamDirectory;
 import org.skylarkfork.core.upstream.UpstreamKind;
 
-/** The request part between hand-made fakes, with a clock that the test moves. */
+/** A request part with fake collaborators and a clock that the test advances. */
 final class RequestFixture
     implements ConfigurationView,
         RuleBook,
@@ -190,12 +190,12 @@
         List.of());
   }
 
-  /** Starts an engine under a new id. */
+  /** Adds an engine under the given id. */
   void addEngine(String id) {
     upstreams.put(id, announcement(id, UpstreamKind.ENGINE));
   }
 
-  /** What a request of a test differs in. */
+  /** Options of a test request. */
   static final class RequestOptions {
     RequestKind kind = RequestKind.CHAT;
     String model = CallerRequest.AUTO;
@@ -264,7 +264,7 @@
     return newEffects;
   }
 
-  /** Accepts proposed quarantines at once, as the group of the configuration does. */
+  /** Applies proposed quarantine changes immediately, in place of the configuration group. */
   private void applyQuarantineChange(Event event, Instant at, Output output) {
     if (event instanceof ConfigurationEvent.ChangeProposed proposed) {
       List<RequestKey> keys = new ArrayList<>(configuration.quarantined());
@@ -294,7 +294,7 @@
         keys);
   }
 
-  /** Hands out all that the ledger has to say. */
+  /** Delivers all queued events of the ledger. */
   List<Effect> settleLedger() {
     List<Effect> newEffects = new ArrayList<>();
     while (!ledger.pendingEvents.isEmpty()) {
@@ -313,7 +313,7 @@
     return apply(new UpstreamEvent.TokensArrived(attempt, id, offset, count, text(offset, count)));
   }
 
-  /** The text that every engine gives, so that a mixed-up answer shows. */
+  /** Returns the text of each token from its offset, so that misplaced tokens are detected. */
   static String text(long offset, int count) {
     StringBuilder text = new StringBuilder();
     for (long token = offset; token < offset + count; token++) {
@@ -475,7 +475,7 @@
     outcomes.add(outcome);
   }
 
-  /** Pins in memory. */
+  /** In-memory session pins. */
   static final class FakePins implements SessionPins {
     final Map<String, ModelVersion> pins = new HashMap<>();
     Lookup lookup = Lookup.KNOWN;
