--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
@@ -196,8 +196,8 @@
       ServiceDefinition service,
       EventContext context) {
     long timeoutMillis = timeoutMillis(active, service, context.now());
-    Duration watchdog = Duration.ofMillis(timeoutMillis).plus(settings.watchdogGrace());
-    Attempt attempt = attempts.begin(active, upstream, null, watchdog, context);
+    Duration watchdogTimeout = Duration.ofMillis(timeoutMillis).plus(settings.watchdogGrace());
+    Attempt attempt = attempts.begin(active, upstream, null, watchdogTimeout, context);
     active.triedUpstreams.add(upstream.id());
     context.effect(
         new UpstreamEffect.DispatchCall(
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftExecutor.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftExecutor.java
@@ -149,11 +149,11 @@
     Duration versionTimeout = firstTokenTimeouts.timeout(version);
     Duration firstTokenTimeout =
         remaining.compareTo(versionTimeout) < 0 ? remaining : versionTimeout;
-    Duration watchdog = firstTokenTimeout.plus(settings.watchdogGrace());
+    Duration watchdogTimeout = firstTokenTimeout.plus(settings.watchdogGrace());
     if (active.attempts == 0) {
       active.sampled = delivery.drawSample(version);
     }
-    Attempt attempt = attempts.begin(active, upstream, version, watchdog, context);
+    Attempt attempt = attempts.begin(active, upstream, version, watchdogTimeout, context);
     attempt.resumeOffset = active.answer.tokens();
     active.triedUpstreams.add(upstream.id());
     context.effect(
@@ -176,12 +176,12 @@
       UpstreamEvent.TokensArrived event,
       EventContext context) {
     attempt.lastProgressAt = context.now();
-    AnswerBuffer.ChunkPosition fit = active.answer.classify(event.offset(), event.tokens());
-    if (fit == AnswerBuffer.ChunkPosition.DUPLICATE) {
+    AnswerBuffer.ChunkPosition position = active.answer.classify(event.offset(), event.tokens());
+    if (position == AnswerBuffer.ChunkPosition.DUPLICATE) {
       context.count("tokens_duplicate", "");
       return;
     }
-    if (fit == AnswerBuffer.ChunkPosition.GAP) {
+    if (position == AnswerBuffer.ChunkPosition.GAP) {
       context.count("answers_with_gap", "");
       abortAttempt(active, attempt, "tokens are missing from the answer", context);
       return;
