--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
@@ -178,7 +178,9 @@
       send(active, upstream.get(), service.get(), context);
     } else if (!retryPolicy.backOff(active, context.now())) {
       completer.fail(
-          active, retryPolicy.failure(active, "all of its upstreams are busy or out"), context);
+          active,
+          retryPolicy.failure(active, "all of its upstreams are busy or unavailable"),
+          context);
     }
   }
 
