--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RandomFaultsTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RandomFaultsTest.java
@@ -170,7 +170,7 @@
       if (choice < 4) {
         sendRequest();
       } else if (choice < 70) {
-        onUpstreamTurn();
+        sendUpstreamEvent();
       } else if (choice < 82) {
         deliverLedgerEvent();
       } else if (choice < 87) {
@@ -207,7 +207,7 @@
       fixture.send("r" + requestCount++, options);
     }
 
-    private void onUpstreamTurn() {
+    private void sendUpstreamEvent() {
       List<DispatchedAttempt> dispatched = new ArrayList<>(attempts.values());
       if (dispatched.isEmpty()) {
         return;
