--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailures.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -11,7 +11,7 @@
 import org.skylarkfork.core.message.RelayMessage.AttemptProgress;
 
 /** Goes on after attempts that failed, were not run, or keep their callers waiting. */
-final class AttemptFailures {
+final class AttemptFailureHandler {
 
   private static final int WRONG_RUN = 421;
 
@@ -25,18 +25,18 @@
 
   private final AttemptSender sender;
   private final AttemptStarter starter;
-  private final RequestEndings endings;
+  private final RequestCompleter endings;
   private final VersionLedger counts;
-  private final Patience patience;
+  private final FirstByteTimeout patience;
   private final CrashWatch crashes;
   private final RequestTrace trace;
 
-  AttemptFailures(
+  AttemptFailureHandler(
       AttemptSender sender,
       AttemptStarter starter,
-      RequestEndings endings,
+      RequestCompleter endings,
       VersionLedger counts,
-      Patience patience,
+      FirstByteTimeout patience,
       CrashWatch crashes,
       RequestTrace trace) {
     this.sender = sender;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/HeldRequests.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PendingRequests.java
@@ -14,7 +14,7 @@
  * <p>An entry that has just started, or a core that elects, is ready again within a second; a
  * caller that is refused instead comes back once at most and finds the same.
  */
-final class HeldRequests {
+final class PendingRequests {
 
   /**
    * Longest wait at an entry that has just started. After a crash of everything the entries are up
@@ -32,7 +32,7 @@
   /** Most requests that wait; a body of 10 kB each takes 5 MB. */
   private static final int MOST = 512;
 
-  private final Map<Long, HeldRequest> waiting = new LinkedHashMap<>();
+  private final Map<Long, PendingRequest> waiting = new LinkedHashMap<>();
 
   /**
    * Keeps a request; returns whether there was room.
@@ -46,7 +46,7 @@
       return false;
     }
     Instant until = now.plus(longest(request, starting));
-    waiting.put(request.number(), new HeldRequest(request, now, until));
+    waiting.put(request.number(), new PendingRequest(request, now, until));
     return true;
   }
 
@@ -61,9 +61,9 @@
    * @param servable tells whether a request can be decided on now
    * @param now the present time
    */
-  List<HeldRequest> release(Predicate<RelayRequest> servable, Instant now) {
-    List<HeldRequest> released = new ArrayList<>();
-    for (HeldRequest held : waiting.values()) {
+  List<PendingRequest> release(Predicate<RelayRequest> servable, Instant now) {
+    List<PendingRequest> released = new ArrayList<>();
+    for (PendingRequest held : waiting.values()) {
       boolean tooLong = !now.isBefore(held.until());
       if (tooLong || servable.test(held.request())) {
         released.add(held);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -18,7 +18,7 @@
  *
  * <p>A request goes through {@link RequestIntake}, {@link AttemptStarter} and {@link AttemptSender}
  * to an upstream. Its answer comes back here and is passed on, asked again of a larger model, or
- * handed to {@link AttemptFailures}; {@link RequestEndings} ends it.
+ * handed to {@link AttemptFailureHandler}; {@link RequestCompleter} ends it.
  *
  * <p>A request that must not run twice is sent to a second upstream only after the first has
  * certainly not run it: nothing was sent, or the upstream said so. An entry is the only place that
@@ -34,9 +34,9 @@
 
   private final ModelPolicy models;
   private final VersionLedger counts;
-  private final StopPlan stopPlan;
+  private final ShutdownPolicy stopPlan;
   private final RequestTrace trace;
-  private final Patience patience = new Patience();
+  private final FirstByteTimeout patience = new FirstByteTimeout();
   private final SentPrompts prompts = new SentPrompts();
   private final ActiveRelays active = new ActiveRelays();
   private final CrashWatch crashes;
@@ -45,8 +45,8 @@
   private final SchedulerClient schedulers;
   private final AttemptSender sender;
   private final AttemptStarter starter;
-  private final AttemptFailures failures;
-  private final RequestEndings endings;
+  private final AttemptFailureHandler failures;
+  private final RequestCompleter endings;
 
   /**
    * Makes the part.
@@ -80,7 +80,7 @@
         new VersionRule(entry, settings.canaryShare()),
         new RetryBudget(settings.retryRatio()),
         counts,
-        new StopPlan(settings.grace()),
+        new ShutdownPolicy(settings.grace()),
         seed);
   }
 
@@ -93,7 +93,7 @@
       VersionRule versions,
       RetryBudget budget,
       VersionLedger counts,
-      StopPlan stopPlan,
+      ShutdownPolicy stopPlan,
       long seed) {
     this.models = models;
     this.counts = counts;
@@ -102,9 +102,10 @@
     this.crashes = new CrashWatch(new LeaderAsJudge(view), "relay_upstreams_ended");
     this.schedulers = new SchedulerClient(view);
     this.sender = new AttemptSender(view, zone, picker, schedulers, versions, prompts, trace);
-    this.endings = new RequestEndings(active, sender, answerTimes, trace);
+    this.endings = new RequestCompleter(active, sender, answerTimes, trace);
     this.starter = new AttemptStarter(sender, endings, budget);
-    this.failures = new AttemptFailures(sender, starter, endings, counts, patience, crashes, trace);
+    this.failures =
+        new AttemptFailureHandler(sender, starter, endings, counts, patience, crashes, trace);
     RequestAdmission admission = new RequestAdmission(view, stopPlan);
     this.intake = new RequestIntake(view, admission, models, endings, seed);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
@@ -14,15 +14,15 @@
   private final RelayView view;
   private final RequestAdmission admission;
   private final ModelPolicy models;
-  private final RequestEndings endings;
+  private final RequestCompleter endings;
   private final UniformRandomProvider random;
-  private final HeldRequests held = new HeldRequests();
+  private final PendingRequests held = new PendingRequests();
 
   RequestIntake(
       RelayView view,
       RequestAdmission admission,
       ModelPolicy models,
-      RequestEndings endings,
+      RequestCompleter endings,
       long seed) {
     this.view = view;
     this.admission = admission;
@@ -42,7 +42,7 @@
   /** Returns the work of requests that need not wait any longer; others may be refused. */
   List<ActiveRelay> released(Instant now, Output output) {
     List<ActiveRelay> released = new ArrayList<>();
-    for (HeldRequest waited :
+    for (PendingRequest waited :
         held.release(request -> admission.refusal(request, now) != Refusal.NOT_SERVING, now)) {
       Refusal refusal = admission.refusal(waited.request(), now);
       ActiveRelay relay = taken(waited.request(), refusal, waited.arrivedAt(), now, output);
