--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdates.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdates.java
@@ -27,7 +27,7 @@
   private final ConsensusPart consensus;
   private final UpstreamRegistry upstreams;
   private final EntryRegistry entries;
-  private final RelayTimes times;
+  private final RelayTimings times;
   private final Map<String, EntryPoll> unproven = new HashMap<>();
   private final Map<String, Instant> unprovenSince = new HashMap<>();
   private long term;
@@ -38,7 +38,7 @@
       ConsensusPart consensus,
       UpstreamRegistry upstreams,
       EntryRegistry entries,
-      RelayTimes times) {
+      RelayTimings times) {
     this.machine = machine;
     this.consensus = consensus;
     this.upstreams = upstreams;
@@ -138,7 +138,7 @@
     EntryPoll known = entries.poll(entry);
     RelayConfiguration newest = machine.configuration();
     boolean sharedKnown = known.stateIndex() >= stateIndex;
-    boolean settled = leadsSince.plus(times.settling()).isBefore(now);
+    boolean settled = leadsSince.plus(times.settlingTime()).isBefore(now);
     output.effect(
         new SendToPeer(
             entry,
@@ -168,7 +168,7 @@
    * would take callers from the others, so for a while only an entry without any list gets it.
    */
   private @Nullable Neighbourhood neighbourhood(String entry, EntryPoll known, Instant now) {
-    boolean early = now.isBefore(leadsSince.plus(times.backgroundPoll()));
+    boolean early = now.isBefore(leadsSince.plus(times.backgroundPollInterval()));
     if (early && known.neighbourhoodVersion() != 0) {
       return null;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -35,7 +35,7 @@
   private static final Duration LEADERLESS = Duration.ofMillis(500);
 
   private final EntryIdentity self;
-  private final RelayTimes times;
+  private final RelayTimings times;
   private final VersionLedger counts;
   private List<String> seeds;
   private List<String> controlNodes = List.of();
@@ -64,12 +64,12 @@
    * @param counts what this entry saw of each version
    */
   public RelayEntryPart(
-      EntryIdentity self, List<String> seeds, RelayTimes times, VersionLedger counts) {
+      EntryIdentity self, List<String> seeds, RelayTimings times, VersionLedger counts) {
     this.self = self;
     this.seeds = List.copyOf(seeds);
     this.times = times;
     this.counts = counts;
-    this.lag = new TickLag(times.tick());
+    this.lag = new TickLag(times.tickInterval());
   }
 
   /** Returns the name that tells this entry from all others. */
@@ -89,7 +89,7 @@
 
   @Override
   public boolean proven(Instant now) {
-    return now.isBefore(provenAt.plus(times.lease()));
+    return now.isBefore(provenAt.plus(times.leaseDuration()));
   }
 
   @Override
@@ -220,7 +220,7 @@
       wasProven = false;
       log(true, "event=lease_lost configuration=" + table.configuration().version(), output);
     }
-    if (leader != null && now.isAfter(leaderHeard.plus(times.poll().multipliedBy(3)))) {
+    if (leader != null && now.isAfter(leaderHeard.plus(times.pollInterval().multipliedBy(3)))) {
       log(true, "event=leader_lost node=" + leader, output);
       leader = null;
     }
@@ -236,7 +236,7 @@
     if (leader == null) {
       return LEADERLESS;
     }
-    return node.equals(leader) ? times.poll() : times.backgroundPoll();
+    return node.equals(leader) ? times.pollInterval() : times.backgroundPollInterval();
   }
 
   private Set<String> targets() {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayTimes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayTimings.java
@@ -5,27 +5,27 @@
 /**
  * Times that the relay's daemons keep.
  *
- * @param tick time between two ticks of the runtime
- * @param poll time between two polls of an entry to the leader
- * @param backgroundPoll time between two polls to each other control VM, which only learns from
- *     them that the entry lives
- * @param lease time for which an entry takes keyed requests after a proof that its configuration is
- *     the newest; shorter than the time in which a removed key must be dead
- * @param entrySilence time without a poll after which callers aren't sent to an entry
- * @param upstreamSilence time without a heartbeat after which an upstream is used last
- * @param upstreamForgotten time without a heartbeat after which an upstream is forgotten
- * @param settling time that a new leader waits until its directory counts as whole; longer than the
- *     time between two heartbeats
+ * @param tickInterval time between two ticks of the runtime
+ * @param pollInterval time between two polls of an entry to the leader
+ * @param backgroundPollInterval time between two polls to each other control VM, which only learns
+ *     from them that the entry lives
+ * @param leaseDuration time for which an entry takes keyed requests after a proof that its
+ *     configuration is the newest; shorter than the time in which a removed key must be dead
+ * @param entryTimeout time without a poll after which callers aren't sent to an entry
+ * @param upstreamTimeout time without a heartbeat after which an upstream is used last
+ * @param upstreamExpiry time without a heartbeat after which an upstream is forgotten
+ * @param settlingTime time that a new leader waits until its directory counts as whole; longer than
+ *     the time between two heartbeats
  */
-public record RelayTimes(
-    Duration tick,
-    Duration poll,
-    Duration backgroundPoll,
-    Duration lease,
-    Duration entrySilence,
-    Duration upstreamSilence,
-    Duration upstreamForgotten,
-    Duration settling) {
+public record RelayTimings(
+    Duration tickInterval,
+    Duration pollInterval,
+    Duration backgroundPollInterval,
+    Duration leaseDuration,
+    Duration entryTimeout,
+    Duration upstreamTimeout,
+    Duration upstreamExpiry,
+    Duration settlingTime) {
 
   /** Ticks of control VMs: a change is told to entries with the next one. */
   private static final Duration VOTER_TICK = Duration.ofMillis(25);
@@ -47,8 +47,8 @@
    *     lease takes 94 in 100 of it, the rest is for the drift of clocks and the way to an upstream
    * @param heartbeat time between two heartbeats of an upstream
    */
-  public static RelayTimes of(Duration keyBound, Duration heartbeat) {
-    return new RelayTimes(
+  public static RelayTimings of(Duration keyBound, Duration heartbeat) {
+    return new RelayTimings(
         VOTER_TICK,
         Duration.ofMillis(500),
         Duration.ofMillis(1000),
@@ -60,15 +60,15 @@
   }
 
   /** Returns the times of a daemon that is an entry and no control VM. */
-  public RelayTimes ofEntry() {
-    return new RelayTimes(
+  public RelayTimings forEntry() {
+    return new RelayTimings(
         ENTRY_TICK,
-        poll,
-        backgroundPoll,
-        lease,
-        entrySilence,
-        upstreamSilence,
-        upstreamForgotten,
-        settling);
+        pollInterval,
+        backgroundPollInterval,
+        leaseDuration,
+        entryTimeout,
+        upstreamTimeout,
+        upstreamExpiry,
+        settlingTime);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
@@ -24,14 +24,14 @@
    */
   private static final Duration COLD_STEP = Duration.ofMillis(300);
 
-  private final RelayTimes times;
+  private final RelayTimings times;
   private final Map<String, Entry> byId = new LinkedHashMap<>();
   private final Map<String, String> idByAddress = new HashMap<>();
   private final Map<String, UpstreamRun> superseded = new HashMap<>();
   private final Map<String, Instant> zoneColdUntil = new HashMap<>();
   private long sequence;
 
-  UpstreamRegistry(RelayTimes times) {
+  UpstreamRegistry(RelayTimings times) {
     this.times = times;
   }
 
@@ -182,11 +182,11 @@
     Iterator<Entry> entries = byId.values().iterator();
     while (entries.hasNext()) {
       Entry entry = entries.next();
-      if (now.isAfter(entry.lastHeard.plus(times.upstreamForgotten()))) {
+      if (now.isAfter(entry.lastHeard.plus(times.upstreamExpiry()))) {
         idByAddress.remove(entry.instance().address(), entry.instance().id());
         entries.remove();
       } else if (entry.condition == UpstreamCondition.READY
-          && now.isAfter(entry.lastHeard.plus(times.upstreamSilence()))) {
+          && now.isAfter(entry.lastHeard.plus(times.upstreamTimeout()))) {
         entry.condition = UpstreamCondition.SILENT;
         entry.changedAt = ++sequence;
       }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -41,7 +41,7 @@
 import org.skylarkfork.core.relay.RelayMachine;
 import org.skylarkfork.core.relay.RelayRequestPart;
 import org.skylarkfork.core.relay.RelayRequestSettings;
-import org.skylarkfork.core.relay.RelayTimes;
+import org.skylarkfork.core.relay.RelayTimings;
 import org.skylarkfork.core.relay.RollOutSettings;
 import org.skylarkfork.core.relay.SchedulerPart;
 import org.skylarkfork.core.relay.VersionLedger;
@@ -177,7 +177,7 @@
       addEntry(parts, settings.caller());
     }
     openMetrics();
-    loop.start(new Reducer(parts), times().tick(), this::afterTick);
+    loop.start(new Reducer(parts), times().tickInterval(), this::afterTick);
     if (storage != null) {
       storage.recover(GroupId.RELAY);
     }
@@ -231,9 +231,9 @@
     }
   }
 
-  private RelayTimes times() {
-    RelayTimes times = RelayTimes.of(settings.keyBound(), settings.heartbeat());
-    return settings.dataFolder() == null ? times.ofEntry() : times;
+  private RelayTimings times() {
+    RelayTimings times = RelayTimings.of(settings.keyBound(), settings.heartbeat());
+    return settings.dataFolder() == null ? times.forEntry() : times;
   }
 
   private void afterTick() {
