--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelay.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelay.java
@@ -27,25 +27,25 @@
   final Set<String> refusedBy = new HashSet<>();
 
   /** Place of the model that is asked, or -1 if the caller named it. */
-  int model = -1;
+  int modelIndex = -1;
 
   /** Number of the newest attempt, 0 before the first. */
   int attempt;
 
   /** Attempts that reached an upstream or may have. */
-  int sent;
+  int sentAttempts;
 
   /** Attempts that failed before anything was sent. */
-  int unsent;
+  int unsentAttempts;
 
   /** Whether it was taken from a silent upstream once, which is done once only. */
-  boolean movedOn;
+  boolean failedOver;
 
   /** Whether an upstream may have run the request. */
   boolean mayHaveRun;
 
   /** Whether the caller has been given the beginning of an answer. */
-  boolean passing;
+  boolean forwarding;
 
   /** Where the newest attempt is under way, or null. */
   @Nullable Placement placement;
@@ -54,10 +54,10 @@
   @Nullable SchedulerGrant grant;
 
   /** Number of the question to a scheduler that is open, or 0. */
-  long question;
+  long placementQuery;
 
   /** Reading that the newest attempt still waits for, in milliseconds of its upstream. */
-  double waitingMillis;
+  double pendingWorkMillis;
 
   Instant sentAt = Instant.EPOCH;
 
@@ -95,7 +95,7 @@
 
   /** Returns the name of the model that is asked, or null if there is none. */
   @Nullable String modelName() {
-    return model < 0 ? request.model() : route.models().get(model);
+    return modelIndex < 0 ? request.model() : route.models().get(modelIndex);
   }
 
   boolean streams() {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -81,16 +81,16 @@
     counts.failed(track.instance());
     trace.attemptEnded("upstream_failed", relay, "status=" + began.status(), now, output);
     boolean again =
-        relay.route.repeatable()
+        relay.route.retryable()
             && sender.place(relay, now) != null
             && starter.mayRepeat(relay, now);
     if (again) {
       sender.drop(relay, output);
       starter.next(relay, now, output);
-    } else if (relay.passing) {
+    } else if (relay.forwarding) {
       endings.breakOff(relay, now, output);
     }
-    return again || relay.passing;
+    return again || relay.forwarding;
   }
 
   /** Goes on after an attempt that failed on its way. */
@@ -108,7 +108,7 @@
       relay.mayHaveRun = true;
       crashes.lost(watched(track.instance()), relay.key, relay.sentAt, now, output);
     }
-    if (failed.failure().blamesVersion()) {
+    if (failed.failure().countsAgainstVersion()) {
       counts.failed(track.instance());
     }
     noteLastEvent(relay, failed.lastEventId());
@@ -131,11 +131,11 @@
    * upstreams had just crashed.
    */
   private void tryElsewhere(ActiveRelay relay, Instant now, Output output) {
-    relay.sent--;
-    relay.unsent++;
-    if (relay.unsent <= MAX_UNSENT && now.isBefore(relay.deadline)) {
+    relay.sentAttempts--;
+    relay.unsentAttempts++;
+    if (relay.unsentAttempts <= MAX_UNSENT && now.isBefore(relay.deadline)) {
       starter.next(relay, now, output);
-    } else if (relay.passing) {
+    } else if (relay.forwarding) {
       endings.breakOff(relay, now, output);
     } else {
       Refusal refusal = relay.mayHaveRun ? Refusal.OUTCOME_UNKNOWN : Refusal.NO_UPSTREAM;
@@ -152,7 +152,7 @@
    */
   void silent(ActiveRelay relay, RelayEvent.AnswerSilent silent, Instant now, Output output) {
     noteLastEvent(relay, silent.lastEventId());
-    if (!relay.passing) {
+    if (!relay.forwarding) {
       return;
     }
     double pause = relay.route.pauseMillis();
@@ -170,8 +170,8 @@
   /** Looks whether an upstream keeps a request waiting for longer than is usual. */
   void lookAtWait(ActiveRelay relay, Instant now, Output output) {
     double waited = Duration.between(relay.sentAt, now).toMillis();
-    boolean waits = !relay.passing && relay.question == 0;
-    if (waits && patience.exhausted(relay.route, relay.model, waited)) {
+    boolean waits = !relay.forwarding && relay.placementQuery == 0;
+    if (waits && patience.exhausted(relay.route, relay.modelIndex, waited)) {
       moveOn(relay, Double.MAX_VALUE, "silent", now, output);
     }
   }
@@ -185,8 +185,8 @@
   private void moveOn(
       ActiveRelay relay, double longestMillis, String why, Instant now, Output output) {
     UpstreamTrack silent = relay.upstream();
-    boolean possible = !relay.movedOn && silent != null && relay.route.repeatable();
-    if (!possible || relay.sent >= relay.route.maxAttempts()) {
+    boolean possible = !relay.failedOver && silent != null && relay.route.retryable();
+    if (!possible || relay.sentAttempts >= relay.route.maxAttempts()) {
       return;
     }
     Placement next = sender.placeElsewhere(relay, now);
@@ -194,7 +194,7 @@
     if (!timely || !starter.mayRepeat(relay, now)) {
       return;
     }
-    relay.movedOn = true;
+    relay.failedOver = true;
     sender.failed(relay, AttemptProgress.SILENT, now, output);
     noteWait(relay, silent, now);
     trace.attemptEnded(why, relay, "after_event=" + relay.lastEventId, now, output);
@@ -218,9 +218,9 @@
    * that were given up had a good version rolled back.
    */
   private void noteWait(ActiveRelay relay, UpstreamTrack silent, Instant now) {
-    if (!relay.passing) {
+    if (!relay.forwarding) {
       long waited = Duration.between(relay.sentAt, now).toMillis();
-      patience.waited(relay.route, relay.model, waited);
+      patience.waited(relay.route, relay.modelIndex, waited);
       counts.answered(silent.instance(), waited);
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
@@ -57,7 +57,7 @@
    */
   @Nullable Placement place(ActiveRelay relay, Instant now) {
     Placement fresh = pick(relay, relay.modelName(), relay.tried, now);
-    boolean mayReturn = fresh == null && relay.route.repeatable() && !relay.passing;
+    boolean mayReturn = fresh == null && relay.route.retryable() && !relay.forwarding;
     return mayReturn ? pick(relay, relay.modelName(), relay.refusedBy, now) : fresh;
   }
 
@@ -165,11 +165,11 @@
       Instant now,
       Output output) {
     relay.attempt++;
-    relay.sent++;
+    relay.sentAttempts++;
     relay.placement = placement;
     relay.grant = grant;
     relay.sentAt = now;
-    relay.waitingMillis = placement.workMillis();
+    relay.pendingWorkMillis = placement.workMillis();
     UpstreamTrack track = placement.track();
     track.sent(placement.workMillis(), now);
     if (grant == null) {
@@ -194,14 +194,14 @@
         placement.track().instance(),
         Math.max(1, connections),
         team == null ? null : team.name(),
-        relay.model < 0 ? null : relay.modelName(),
+        relay.modelIndex < 0 ? null : relay.modelName(),
         relay.service.engine() == null ? null : Urgency.of(relay, placement),
         left,
         relay.streams(),
         relay.lastEventId,
-        relay.passing,
+        relay.forwarding,
         relay.route.kind() == RouteKind.NON_IDEMPOTENT,
-        relay.route.repeatable() ? (int) (relay.route.pauseMillis() * SILENCE_SHARE) : 0);
+        relay.route.retryable() ? (int) (relay.route.pauseMillis() * SILENCE_SHARE) : 0);
   }
 
   /** Takes note of the first byte of the answer to the attempt that is under way. */
@@ -210,8 +210,8 @@
     if (placement == null) {
       return;
     }
-    placement.track().begun(relay.waitingMillis);
-    relay.waitingMillis = 0;
+    placement.track().begun(relay.pendingWorkMillis);
+    relay.pendingWorkMillis = 0;
     double millis = Duration.between(relay.sentAt, now).toMillis();
     picker.answered(relay.service, relay.modelName(), placement, millis, now);
     if (relay.grant != null) {
@@ -258,10 +258,10 @@
     relay.grant = null;
     UpstreamTrack track = relay.upstream();
     if (track != null) {
-      track.ended(relay.waitingMillis);
+      track.ended(relay.pendingWorkMillis);
       relay.tried.add(track.instance().id());
       relay.placement = null;
-      relay.waitingMillis = 0;
+      relay.pendingWorkMillis = 0;
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
@@ -93,7 +93,7 @@
    * upstream with each attempt that is left to it, and those that its answer's model asks for.
    */
   private void quarantined(ActiveRelay relay, Instant now, Output output) {
-    if (relay.passing) {
+    if (relay.forwarding) {
       endings.breakOff(relay, now, output);
     } else {
       endings.giveUp(relay, Refusal.QUARANTINED, now, output);
@@ -104,7 +104,7 @@
     if (leftMillis(relay, now) <= 0) {
       Refusal late = relay.mayHaveRun ? Refusal.TIME_OUT : Refusal.TOO_LATE;
       endings.giveUp(relay, late, now, output);
-    } else if (relay.passing) {
+    } else if (relay.forwarding) {
       endings.breakOff(relay, now, output);
     } else if (relay.mayHaveRun) {
       endings.giveUp(relay, Refusal.OUTCOME_UNKNOWN, now, output);
@@ -127,12 +127,12 @@
 
   /** Starts one more attempt if the route and the budget allow it, else ends the request. */
   void again(ActiveRelay relay, Instant now, Output output) {
-    boolean safe = !relay.mayHaveRun || relay.route.repeatable();
+    boolean safe = !relay.mayHaveRun || relay.route.retryable();
     if (sender.isQuarantined(relay)) {
       quarantined(relay, now, output);
     } else if (safe && mayRepeat(relay, now)) {
       next(relay, now, output);
-    } else if (relay.passing) {
+    } else if (relay.forwarding) {
       endings.breakOff(relay, now, output);
     } else {
       endings.giveUp(relay, untaken(relay), now, output);
@@ -142,7 +142,7 @@
   /** Decides whether one more attempt is allowed, and counts it if so. */
   boolean mayRepeat(ActiveRelay relay, Instant now) {
     return !sender.isQuarantined(relay)
-        && relay.sent < relay.route.maxAttempts()
+        && relay.sentAttempts < relay.route.maxAttempts()
         && now.isBefore(relay.deadline)
         && budget.repeat(relay.service.name(), now);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ConfidenceCascade.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ConfidenceCascade.java
@@ -94,7 +94,7 @@
    * it began long answers that broke off at their callers' deadline, in place of ones at hand.
    */
   private boolean ends(ActiveRelay relay, double firstByteMillis, double leftMillis) {
-    int larger = larger(relay.route, relay.model);
+    int larger = larger(relay.route, relay.modelIndex);
     double whole = times.millis(relay, relay.route.models().get(larger), deviations(relay));
     return whole > 0
         ? firstByteMillis + whole < leftMillis * WHOLE_SHARE
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -118,7 +118,7 @@
   }
 
   @Override
-  public @Nullable String usualVersion(String service) {
+  public @Nullable String stableVersion(String service) {
     return directory.usualVersion(service);
   }
 
@@ -163,7 +163,7 @@
   }
 
   /** Returns how many upstreams name a rate limit, as far as this entry knows. */
-  public int limitedUpstreams() {
+  public int limitedUpstreamCount() {
     return (int) directory.tracks().stream().filter(track -> track.rateLimit().isBounded()).count();
   }
 
@@ -173,7 +173,7 @@
   }
 
   /** Returns the availability zones whose upstreams get nothing. */
-  public Set<String> evacuated() {
+  public Set<String> evacuatedZones() {
     return directory.evacuated();
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -116,7 +116,7 @@
   }
 
   /** Returns how many requests are under way. */
-  public int underWay() {
+  public int activeRequestCount() {
     return active.count();
   }
 
@@ -188,7 +188,7 @@
     long millis = Duration.between(relay.sentAt, now).toMillis();
     track.answered(now);
     sender.answered(relay, now, output);
-    patience.waited(relay.route, relay.model, millis);
+    patience.waited(relay.route, relay.modelIndex, millis);
     boolean failed = began.status() >= FIRST_SERVER_ERROR;
     if (failed && failures.serverFailed(relay, track, began, now, output)) {
       return;
@@ -198,14 +198,14 @@
       track.succeeded();
       counts.answered(track.instance(), millis);
     }
-    if (relay.passing || failed || relay.model < 0 || !askLarger(relay, now, output)) {
+    if (relay.forwarding || failed || relay.modelIndex < 0 || !askLarger(relay, now, output)) {
       pass(relay, track, output);
     }
   }
 
   /** Asks a larger model in place of the answer that has begun; returns whether it does. */
   private boolean askLarger(ActiveRelay relay, Instant now, Output output) {
-    int larger = models.larger(relay.route, relay.model);
+    int larger = models.larger(relay.route, relay.modelIndex);
     if (larger < 0 || !models.doubts(relay)) {
       return false;
     }
@@ -230,7 +230,7 @@
     }
     trace.larger(relay, larger, placement, now, output);
     sender.drop(relay, output);
-    relay.model = larger;
+    relay.modelIndex = larger;
     sender.send(relay, placement, grant, now, output);
     return true;
   }
@@ -242,7 +242,7 @@
       return;
     }
     ActiveRelay relay = placed.relay();
-    int larger = models.larger(relay.route, relay.model);
+    int larger = models.larger(relay.route, relay.modelIndex);
     Placement chosen = placed.placement();
     Placement placement = chosen == null ? sender.placeLarger(relay, larger, now) : chosen;
     UpstreamTrack track = relay.upstream();
@@ -254,8 +254,8 @@
   }
 
   private static void pass(ActiveRelay relay, UpstreamTrack track, Output output) {
-    if (!relay.passing) {
-      relay.passing = true;
+    if (!relay.forwarding) {
+      relay.forwarding = true;
       relay.version = track.instance().version();
     }
     output.effect(new RelayEffect.PassAnswer(relay.request.number(), relay.attempt));
@@ -268,8 +268,8 @@
     for (ActiveRelay relay : active.all()) {
       if (now.isBefore(relay.deadline)) {
         failures.lookAtWait(relay, now, output);
-      } else if (!relay.passing) {
-        Refusal refusal = relay.sent > 0 ? Refusal.TIME_OUT : Refusal.TOO_LATE;
+      } else if (!relay.forwarding) {
+        Refusal refusal = relay.sentAttempts > 0 ? Refusal.TIME_OUT : Refusal.TOO_LATE;
         endings.giveUp(relay, refusal, now, output);
       } else if (now.isAfter(relay.deadline.plus(OVERRUN))) {
         endings.breakOff(relay, now, output);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestCompleter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestCompleter.java
@@ -61,7 +61,7 @@
         "why="
             + refusal
             + " attempts="
-            + relay.sent
+            + relay.sentAttempts
             + " may_have_run="
             + relay.mayHaveRun
             + " retry_after_ms="
@@ -76,7 +76,7 @@
     sender.drop(relay, output);
     active.remove(relay);
     output.effect(new RelayEffect.BreakOff(relay.request.number()));
-    String facts = "attempts=" + relay.sent + " after_event=" + relay.lastEventId;
+    String facts = "attempts=" + relay.sentAttempts + " after_event=" + relay.lastEventId;
     trace.ended("broken_off", relay, facts, now, output);
   }
 
@@ -87,7 +87,12 @@
     active.remove(relay);
     output.effect(new RelayEffect.Forget(relay.request.number()));
     String facts =
-        "attempts=" + relay.sent + " model=" + relay.model + " confidence=" + relay.confidence;
+        "attempts="
+            + relay.sentAttempts
+            + " model="
+            + relay.modelIndex
+            + " confidence="
+            + relay.confidence;
     trace.ended("done", relay, facts, now, output);
   }
 
@@ -97,11 +102,11 @@
     sender.drop(relay, output);
     active.remove(relay);
     output.effect(new RelayEffect.Forget(relay.request.number()));
-    trace.ended("caller_left", relay, "attempts=" + relay.sent, now, output);
+    trace.ended("caller_left", relay, "attempts=" + relay.sentAttempts, now, output);
   }
 
   private void noteAnswer(ActiveRelay relay, boolean whole, Instant now) {
-    if (relay.passing && relay.streams()) {
+    if (relay.forwarding && relay.streams()) {
       answerTimes.ended(relay, Duration.between(relay.answeredAt, now).toMillis(), whole);
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestTrace.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestTrace.java
@@ -53,7 +53,7 @@
             + " scheduler="
             + (relay.grant == null ? "-" : relay.grant.scheduler())
             + " model="
-            + relay.model
+            + relay.modelIndex
             + " team="
             + (relay.team == null ? "-" : relay.team.name())
             + " after_event="
@@ -76,7 +76,7 @@
             + " status="
             + status
             + " model="
-            + relay.model
+            + relay.modelIndex
             + " confidence="
             + relay.confidence
             + " first_byte_ms="
@@ -111,7 +111,7 @@
     output.effect(new TraceEffect.Count("relay_larger_models", relay.route.name(), 1));
     String facts =
         "from="
-            + relay.model
+            + relay.modelIndex
             + " to="
             + model
             + " confidence="
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
@@ -92,7 +92,7 @@
       String scheduler = schedulers.get(group);
       if (!now.isBefore(pausedUntil.getOrDefault(scheduler, Instant.EPOCH))) {
         number = Math.max(number + 1, now.toEpochMilli() * NUMBERS_A_MILLI);
-        relay.question = number;
+        relay.placementQuery = number;
         asked.put(number, new Asked(relay, scheduler, chain, now, larger));
         output.effect(new SendToPeer(scheduler, message(relay, query, chain, group, now)));
         return true;
@@ -175,7 +175,7 @@
    */
   @Nullable Placed answered(String from, PlacementAnswer answer, Output output) {
     Asked one = asked.remove(answer.number());
-    boolean expected = one != null && one.relay.question == answer.number();
+    boolean expected = one != null && one.relay.placementQuery == answer.number();
     String upstream = answer.upstream();
     UpstreamTrack track = expected && upstream != null ? find(one.relay, upstream) : null;
     if (upstream != null && track == null) {
@@ -184,7 +184,7 @@
     if (!expected) {
       return null;
     }
-    one.relay.question = 0;
+    one.relay.placementQuery = 0;
     if (track == null) {
       return new Placed(one.relay, one.larger, null, null);
     }
@@ -219,8 +219,8 @@
       }
       asked.remove(open.getKey());
       pause(one.scheduler, now, output);
-      if (one.relay.question == open.getKey()) {
-        one.relay.question = 0;
+      if (one.relay.placementQuery == open.getKey()) {
+        one.relay.placementQuery = 0;
         overdue.add(new Placed(one.relay, one.larger, null, null));
       }
     }
@@ -237,9 +237,9 @@
 
   /** Forgets the question of a request that needs no answer any more. */
   void forget(ActiveRelay relay) {
-    if (relay.question != 0) {
-      asked.remove(relay.question);
-      relay.question = 0;
+    if (relay.placementQuery != 0) {
+      asked.remove(relay.placementQuery);
+      relay.placementQuery = 0;
     }
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConfidenceCascadeTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConfidenceCascadeTest.java
@@ -56,14 +56,14 @@
             null,
             RelayFixture.START,
             deadline);
-    relay.model = 0;
+    relay.modelIndex = 0;
     return relay;
   }
 
   /** Lets the largest model's answers of ten tokens take some time, as often as counts. */
   private void learn(double millis, boolean whole) {
     ActiveRelay ended = relay(RelayFixture.START.plusSeconds(20));
-    ended.model = 2;
+    ended.modelIndex = 2;
     for (int answer = 0; answer < 20; answer++) {
       times.ended(ended, millis, whole);
     }
