--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelay.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelay.java
@@ -15,16 +15,16 @@
   final @Nullable RelayTeam team;
 
   /** What it has in common with the same request sent again. */
-  final RequestKey key;
+  final RequestKey requestKey;
 
   final Instant arrivedAt;
   final Instant deadline;
 
   /** Upstreams that had the request. */
-  final Set<String> tried = new HashSet<>();
+  final Set<String> triedUpstreams = new HashSet<>();
 
   /** Upstreams that did not take the request or could not be reached. */
-  final Set<String> refusedBy = new HashSet<>();
+  final Set<String> refusingUpstreams = new HashSet<>();
 
   /** Place of the model that is asked, or -1 if the caller named it. */
   int modelIndex = -1;
@@ -81,7 +81,7 @@
     this.route = route;
     this.service = service;
     this.team = team;
-    this.key = request.keyOf(team);
+    this.requestKey = request.keyOf(team);
     this.arrivedAt = arrivedAt;
     this.deadline = deadline;
     this.lastEventId = request.lastEventId();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -13,57 +13,57 @@
 /** Goes on after attempts that failed, were not run, or keep their callers waiting. */
 final class AttemptFailureHandler {
 
-  private static final int WRONG_RUN = 421;
+  private static final int MISDIRECTED_REQUEST = 421;
 
   /** Upstreams to which no connection can be made that are tried for one request. */
-  private static final int MAX_UNSENT = 4;
+  private static final int MAX_UNSENT_ATTEMPTS = 4;
 
   /**
    * Silence, in pauses that are on time, from which on a stream is moved though it will be late.
    */
-  private static final double SURELY_SILENT_PAUSES = 1.75;
+  private static final double CERTAIN_SILENCE_PAUSES = 1.75;
 
   private final AttemptSender sender;
   private final AttemptStarter starter;
-  private final RequestCompleter endings;
+  private final RequestCompleter completer;
   private final VersionLedger counts;
-  private final FirstByteTimeout patience;
+  private final FirstByteTimeout firstByteTimeout;
   private final CrashWatch crashes;
   private final RequestTrace trace;
 
   AttemptFailureHandler(
       AttemptSender sender,
       AttemptStarter starter,
-      RequestCompleter endings,
+      RequestCompleter completer,
       VersionLedger counts,
-      FirstByteTimeout patience,
+      FirstByteTimeout firstByteTimeout,
       CrashWatch crashes,
       RequestTrace trace) {
     this.sender = sender;
     this.starter = starter;
-    this.endings = endings;
+    this.completer = completer;
     this.counts = counts;
-    this.patience = patience;
+    this.firstByteTimeout = firstByteTimeout;
     this.crashes = crashes;
     this.trace = trace;
   }
 
   /** Goes on after an upstream that said that it has not run the request. */
-  void notRun(
+  void onNotRun(
       ActiveRelay relay,
       UpstreamTrack track,
       RelayEvent.AnswerBegan began,
       Instant now,
       Output output) {
-    if (began.status() == WRONG_RUN) {
+    if (began.status() == MISDIRECTED_REQUEST) {
       track.answeredByOther();
     } else {
-      sender.failed(relay, AttemptProgress.FAILED, now, output);
+      sender.recordFailure(relay, AttemptProgress.FAILED, now, output);
     }
-    relay.refusedBy.add(track.instance().id());
+    relay.refusingUpstreams.add(track.instance().id());
     trace.attemptEnded("not_run", relay, "status=" + began.status(), now, output);
-    sender.drop(relay, output);
-    starter.again(relay, now, output);
+    sender.cancelAttempt(relay, output);
+    starter.retryOrEnd(relay, now, output);
   }
 
   /**
@@ -71,30 +71,31 @@
    *
    * @return whether the request went on or ended; if not, the failure is to be passed on
    */
-  boolean serverFailed(
+  boolean onServerError(
       ActiveRelay relay,
       UpstreamTrack track,
       RelayEvent.AnswerBegan began,
       Instant now,
       Output output) {
-    sender.failed(relay, AttemptProgress.FAILED, now, output);
+    sender.recordFailure(relay, AttemptProgress.FAILED, now, output);
     counts.failed(track.instance());
     trace.attemptEnded("upstream_failed", relay, "status=" + began.status(), now, output);
-    boolean again =
+    boolean retried =
         relay.route.retryable()
             && sender.place(relay, now) != null
-            && starter.mayRepeat(relay, now);
-    if (again) {
-      sender.drop(relay, output);
-      starter.next(relay, now, output);
+            && starter.acquireRetry(relay, now);
+    if (retried) {
+      sender.cancelAttempt(relay, output);
+      starter.startNext(relay, now, output);
     } else if (relay.forwarding) {
-      endings.breakOff(relay, now, output);
+      completer.abortAnswer(relay, now, output);
     }
-    return again || relay.forwarding;
+    return retried || relay.forwarding;
   }
 
   /** Goes on after an attempt that failed on its way. */
-  void failed(ActiveRelay relay, RelayEvent.AttemptFailed failed, Instant now, Output output) {
+  void onAttemptFailed(
+      ActiveRelay relay, RelayEvent.AttemptFailed failed, Instant now, Output output) {
     UpstreamTrack track = relay.upstream();
     if (track == null) {
       return;
@@ -102,24 +103,24 @@
     boolean unsent = failed.failure() == AttemptFailure.NOT_SENT;
     if (failed.failure() != AttemptFailure.STALE_CONNECTION) {
       AttemptProgress how = unsent ? AttemptProgress.UNREACHABLE : AttemptProgress.FAILED;
-      sender.failed(relay, how, now, output);
+      sender.recordFailure(relay, how, now, output);
     }
     if (failed.failure().mayHaveRun()) {
       relay.mayHaveRun = true;
-      crashes.lost(watched(track.instance()), relay.key, relay.sentAt, now, output);
+      crashes.lost(suspected(track.instance()), relay.requestKey, relay.sentAt, now, output);
     }
     if (failed.failure().countsAgainstVersion()) {
       counts.failed(track.instance());
     }
-    noteLastEvent(relay, failed.lastEventId());
+    updateLastEventId(relay, failed.lastEventId());
     String facts = "how=" + failed.failure() + " after_event=" + relay.lastEventId;
     trace.attemptEnded("attempt_failed", relay, facts, now, output);
-    sender.release(relay, output);
+    sender.releaseAttempt(relay, output);
     if (unsent) {
-      relay.refusedBy.add(track.instance().id());
-      tryElsewhere(relay, now, output);
+      relay.refusingUpstreams.add(track.instance().id());
+      onUnreachable(relay, now, output);
     } else {
-      starter.again(relay, now, output);
+      starter.retryOrEnd(relay, now, output);
     }
   }
 
@@ -130,16 +131,16 @@
    * budget count it. Counted, a route with two attempts ended in an error after 58 ms because two
    * upstreams had just crashed.
    */
-  private void tryElsewhere(ActiveRelay relay, Instant now, Output output) {
+  private void onUnreachable(ActiveRelay relay, Instant now, Output output) {
     relay.sentAttempts--;
     relay.unsentAttempts++;
-    if (relay.unsentAttempts <= MAX_UNSENT && now.isBefore(relay.deadline)) {
-      starter.next(relay, now, output);
+    if (relay.unsentAttempts <= MAX_UNSENT_ATTEMPTS && now.isBefore(relay.deadline)) {
+      starter.startNext(relay, now, output);
     } else if (relay.forwarding) {
-      endings.breakOff(relay, now, output);
+      completer.abortAnswer(relay, now, output);
     } else {
       Refusal refusal = relay.mayHaveRun ? Refusal.OUTCOME_UNKNOWN : Refusal.NO_UPSTREAM;
-      endings.giveUp(relay, refusal, now, output);
+      completer.endWithRefusal(relay, refusal, now, output);
     }
   }
 
@@ -150,29 +151,31 @@
    * silent for as long, and its prompt would have to be read again. Later in any case, since an
    * upstream that is cut off without a reset never goes on.
    */
-  void silent(ActiveRelay relay, RelayEvent.AnswerSilent silent, Instant now, Output output) {
-    noteLastEvent(relay, silent.lastEventId());
+  void onSilentStream(
+      ActiveRelay relay, RelayEvent.AnswerSilent silent, Instant now, Output output) {
+    updateLastEventId(relay, silent.lastEventId());
     if (!relay.forwarding) {
       return;
     }
     double pause = relay.route.pauseMillis();
-    boolean surely = silent.silentMillis() >= SURELY_SILENT_PAUSES * pause;
-    double longest = surely ? Double.MAX_VALUE : pause - silent.silentMillis();
-    moveOn(relay, longest, "silent_stream", now, output);
+    boolean certainlySilent = silent.silentMillis() >= CERTAIN_SILENCE_PAUSES * pause;
+    double longest = certainlySilent ? Double.MAX_VALUE : pause - silent.silentMillis();
+    failOver(relay, longest, "silent_stream", now, output);
   }
 
-  private static void noteLastEvent(ActiveRelay relay, @Nullable String lastEventId) {
+  private static void updateLastEventId(ActiveRelay relay, @Nullable String lastEventId) {
     if (lastEventId != null) {
       relay.lastEventId = lastEventId;
     }
   }
 
   /** Looks whether an upstream keeps a request waiting for longer than is usual. */
-  void lookAtWait(ActiveRelay relay, Instant now, Output output) {
-    double waited = Duration.between(relay.sentAt, now).toMillis();
-    boolean waits = !relay.forwarding && relay.placementQuery == 0;
-    if (waits && patience.exhausted(relay.route, relay.modelIndex, waited)) {
-      moveOn(relay, Double.MAX_VALUE, "silent", now, output);
+  void checkFirstByteTimeout(ActiveRelay relay, Instant now, Output output) {
+    double waitedMillis = Duration.between(relay.sentAt, now).toMillis();
+    boolean awaitsFirstByte = !relay.forwarding && relay.placementQuery == 0;
+    if (awaitsFirstByte
+        && firstByteTimeout.isExceeded(relay.route, relay.modelIndex, waitedMillis)) {
+      failOver(relay, Double.MAX_VALUE, "silent", now, output);
     }
   }
 
@@ -182,28 +185,28 @@
    * <p>The attempt is dropped first, so that the two never work on it at once; that needs another
    * upstream and room in the budget, or the caller would lose an answer that may still come.
    */
-  private void moveOn(
+  private void failOver(
       ActiveRelay relay, double longestMillis, String why, Instant now, Output output) {
     UpstreamTrack silent = relay.upstream();
     boolean possible = !relay.failedOver && silent != null && relay.route.retryable();
     if (!possible || relay.sentAttempts >= relay.route.maxAttempts()) {
       return;
     }
-    Placement next = sender.placeElsewhere(relay, now);
-    boolean timely = next != null && next.firstByteMillis() <= longestMillis;
-    if (!timely || !starter.mayRepeat(relay, now)) {
+    Placement next = sender.placeFailover(relay, now);
+    boolean withinLimit = next != null && next.firstByteMillis() <= longestMillis;
+    if (!withinLimit || !starter.acquireRetry(relay, now)) {
       return;
     }
     relay.failedOver = true;
-    sender.failed(relay, AttemptProgress.SILENT, now, output);
-    noteWait(relay, silent, now);
+    sender.recordFailure(relay, AttemptProgress.SILENT, now, output);
+    recordAbandonedWait(relay, silent, now);
     trace.attemptEnded(why, relay, "after_event=" + relay.lastEventId, now, output);
-    sender.drop(relay, output);
-    crashes.lost(watched(silent.instance()), relay.key, relay.sentAt, now, output);
-    starter.next(relay, now, output);
+    sender.cancelAttempt(relay, output);
+    crashes.lost(suspected(silent.instance()), relay.requestKey, relay.sentAt, now, output);
+    starter.startNext(relay, now, output);
   }
 
-  private static WatchedUpstream watched(UpstreamInstance instance) {
+  private static WatchedUpstream suspected(UpstreamInstance instance) {
     return new WatchedUpstream(
         instance.run(),
         instance.service(),
@@ -217,11 +220,11 @@
    * <p>A new version has read no prompts yet and is slow at first. Counted as failures, the waits
    * that were given up had a good version rolled back.
    */
-  private void noteWait(ActiveRelay relay, UpstreamTrack silent, Instant now) {
+  private void recordAbandonedWait(ActiveRelay relay, UpstreamTrack silent, Instant now) {
     if (!relay.forwarding) {
-      long waited = Duration.between(relay.sentAt, now).toMillis();
-      patience.waited(relay.route, relay.modelIndex, waited);
-      counts.answered(silent.instance(), waited);
+      long waitedMillis = Duration.between(relay.sentAt, now).toMillis();
+      firstByteTimeout.record(relay.route, relay.modelIndex, waitedMillis);
+      counts.answered(silent.instance(), waitedMillis);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
@@ -18,10 +18,10 @@
    * Share of the longest pause that is on time after which a silent stream goes on elsewhere; the
    * rest is for the other upstream to begin.
    */
-  private static final double SILENCE_SHARE = 0.6;
+  private static final double SILENCE_FRACTION = 0.6;
 
   /** Connections of all entries together stay below the upstream's bound by this share. */
-  private static final double CONNECTION_SHARE = 0.8;
+  private static final double CONNECTION_FRACTION = 0.8;
 
   private final RelayView view;
   private final String zone;
@@ -56,14 +56,14 @@
    * asked again, its first failure was the caller's.
    */
   @Nullable Placement place(ActiveRelay relay, Instant now) {
-    Placement fresh = pick(relay, relay.modelName(), relay.tried, now);
+    Placement fresh = pick(relay, relay.modelName(), relay.triedUpstreams, now);
     boolean mayReturn = fresh == null && relay.route.retryable() && !relay.forwarding;
-    return mayReturn ? pick(relay, relay.modelName(), relay.refusedBy, now) : fresh;
+    return mayReturn ? pick(relay, relay.modelName(), relay.refusingUpstreams, now) : fresh;
   }
 
   /** Returns whether a request ends the upstreams that run it, as all entries know. */
   boolean isQuarantined(ActiveRelay relay) {
-    return view.isQuarantined(relay.key);
+    return view.isQuarantined(relay.requestKey);
   }
 
   /** Returns whether upstreams of a request's service are kept from it by an evacuation alone. */
@@ -77,25 +77,25 @@
    * Returns when an upstream takes a request that none takes now, or zero if that isn't a matter of
    * rate limits.
    */
-  Duration untilTaken(ActiveRelay relay, Instant now) {
-    return picker.untilTaken(query(relay, relay.modelName(), relay.tried), now);
+  Duration retryDelay(ActiveRelay relay, Instant now) {
+    return picker.untilTaken(query(relay, relay.modelName(), relay.triedUpstreams), now);
   }
 
   /** Returns where an attempt with another of the route's models would go, or null. */
-  @Nullable Placement placeLarger(ActiveRelay relay, int model, Instant now) {
-    return pick(relay, relay.route.models().get(model), triedAndPresent(relay), now);
+  @Nullable Placement placeEscalation(ActiveRelay relay, int model, Instant now) {
+    return pick(relay, relay.route.models().get(model), triedAndCurrent(relay), now);
   }
 
   /** Returns where an attempt would go in place of the one that is under way, or null. */
-  @Nullable Placement placeElsewhere(ActiveRelay relay, Instant now) {
-    return pick(relay, relay.modelName(), triedAndPresent(relay), now);
+  @Nullable Placement placeFailover(ActiveRelay relay, Instant now) {
+    return pick(relay, relay.modelName(), triedAndCurrent(relay), now);
   }
 
-  private static Set<String> triedAndPresent(ActiveRelay relay) {
-    Set<String> excluded = new HashSet<>(relay.tried);
-    UpstreamTrack present = relay.upstream();
-    if (present != null) {
-      excluded.add(present.instance().id());
+  private static Set<String> triedAndCurrent(ActiveRelay relay) {
+    Set<String> excluded = new HashSet<>(relay.triedUpstreams);
+    UpstreamTrack current = relay.upstream();
+    if (current != null) {
+      excluded.add(current.instance().id());
     }
     return excluded;
   }
@@ -112,13 +112,13 @@
     return new PlacementQuery(
         relay.service,
         model,
-        chain(relay, model),
+        prefixes(relay, model),
         relay.route.objectiveMillis(),
         zone,
         upstream -> allowed.allows(upstream.version()) && !excluded.contains(upstream.id()));
   }
 
-  private static @Nullable PromptChain chain(ActiveRelay relay, @Nullable String model) {
+  private static @Nullable PromptChain prefixes(ActiveRelay relay, @Nullable String model) {
     if (relay.service.engine() == null || model == null) {
       return null;
     }
@@ -126,19 +126,19 @@
   }
 
   /** Asks a scheduler where the next attempt goes; returns whether there was one to ask. */
-  boolean askScheduler(ActiveRelay relay, Instant now, Output output) {
-    PlacementQuery query = query(relay, relay.modelName(), relay.tried);
+  boolean queryScheduler(ActiveRelay relay, Instant now, Output output) {
+    PlacementQuery query = query(relay, relay.modelName(), relay.triedUpstreams);
     return schedulers.ask(relay, query, false, now, output);
   }
 
   /** Asks a scheduler where a larger model would answer; returns whether there was one to ask. */
-  boolean askSchedulerForLarger(ActiveRelay relay, int model, Instant now, Output output) {
-    PlacementQuery query = query(relay, relay.route.models().get(model), triedAndPresent(relay));
+  boolean querySchedulerForEscalation(ActiveRelay relay, int model, Instant now, Output output) {
+    PlacementQuery query = query(relay, relay.route.models().get(model), triedAndCurrent(relay));
     return schedulers.ask(relay, query, true, now, output);
   }
 
   /** Gives a place back that a scheduler has given and that isn't used. */
-  void giveBack(@Nullable SchedulerGrant grant, Output output) {
+  void releaseGrant(@Nullable SchedulerGrant grant, Output output) {
     if (grant != null) {
       schedulers.tell(grant, AttemptProgress.ENDED, 0, output);
     }
@@ -175,37 +175,37 @@
     if (grant == null) {
       picker.sent(relay.service, placement, now);
     }
-    PromptChain chain = placement.chain();
-    if (chain != null) {
-      track.kept().sent(chain, (double) placement.newTokens() * view.entries());
-      prompts.sent(track.instance().id(), chain, now);
+    PromptChain prefixes = placement.chain();
+    if (prefixes != null) {
+      track.kept().sent(prefixes, (double) placement.newTokens() * view.entries());
+      prompts.sent(track.instance().id(), prefixes, now);
     }
-    long left = Duration.between(now, relay.deadline).toMillis();
+    long remainingMillis = Duration.between(now, relay.deadline).toMillis();
     output.effect(
         new RelayEffect.SendAttempt(
-            relay.request.number(), relay.attempt, target(relay, placement, left)));
+            relay.request.number(), relay.attempt, target(relay, placement, remainingMillis)));
     trace.sent(relay, placement, now, output);
   }
 
-  private AttemptTarget target(ActiveRelay relay, Placement placement, long left) {
+  private AttemptTarget target(ActiveRelay relay, Placement placement, long remainingMillis) {
     RelayTeam team = relay.team;
-    int connections = (int) (relay.service.maxConnections() * CONNECTION_SHARE / view.entries());
+    int connections = (int) (relay.service.maxConnections() * CONNECTION_FRACTION / view.entries());
     return new AttemptTarget(
         placement.track().instance(),
         Math.max(1, connections),
         team == null ? null : team.name(),
         relay.modelIndex < 0 ? null : relay.modelName(),
         relay.service.engine() == null ? null : Urgency.of(relay, placement),
-        left,
+        remainingMillis,
         relay.streams(),
         relay.lastEventId,
         relay.forwarding,
         relay.route.kind() == RouteKind.NON_IDEMPOTENT,
-        relay.route.retryable() ? (int) (relay.route.pauseMillis() * SILENCE_SHARE) : 0);
+        relay.route.retryable() ? (int) (relay.route.pauseMillis() * SILENCE_FRACTION) : 0);
   }
 
   /** Takes note of the first byte of the answer to the attempt that is under way. */
-  void answered(ActiveRelay relay, Instant now, Output output) {
+  void recordFirstByte(ActiveRelay relay, Instant now, Output output) {
     Placement placement = relay.placement;
     if (placement == null) {
       return;
@@ -224,42 +224,42 @@
    * Takes note that the upstream of the attempt that is under way failed it.
    *
    * @param relay the request
-   * @param how what the upstream did
+   * @param progress what the upstream did
    * @param now the present time
    * @param output takes what is to be done
    */
-  void failed(ActiveRelay relay, AttemptProgress how, Instant now, Output output) {
+  void recordFailure(ActiveRelay relay, AttemptProgress progress, Instant now, Output output) {
     UpstreamTrack track = relay.upstream();
     if (track == null) {
       return;
     }
     boolean gone =
-        how == AttemptProgress.UNREACHABLE
-            || how == AttemptProgress.SILENT && track.silentSince(relay.sentAt);
+        progress == AttemptProgress.UNREACHABLE
+            || progress == AttemptProgress.SILENT && track.silentSince(relay.sentAt);
     track.failed(gone, now);
     if (relay.grant != null) {
-      schedulers.tell(relay.grant, how, 0, track.rate().toTell(now), output);
+      schedulers.tell(relay.grant, progress, 0, track.rate().toTell(now), output);
       relay.grant = null;
     }
   }
 
   /** Ends the attempt that is under way, if there is one, so that its upstream stops. */
-  void drop(ActiveRelay relay, Output output) {
+  void cancelAttempt(ActiveRelay relay, Output output) {
     if (relay.placement != null) {
       output.effect(new RelayEffect.DropAttempt(relay.request.number(), relay.attempt));
     }
-    release(relay, output);
+    releaseAttempt(relay, output);
   }
 
   /** Takes note that the attempt that was under way is over, and any question with it. */
-  void release(ActiveRelay relay, Output output) {
+  void releaseAttempt(ActiveRelay relay, Output output) {
     schedulers.forget(relay);
-    giveBack(relay.grant, output);
+    releaseGrant(relay.grant, output);
     relay.grant = null;
     UpstreamTrack track = relay.upstream();
     if (track != null) {
       track.ended(relay.pendingWorkMillis);
-      relay.tried.add(track.instance().id());
+      relay.triedUpstreams.add(track.instance().id());
       relay.placement = null;
       relay.pendingWorkMillis = 0;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
@@ -15,26 +15,26 @@
   private static final long EVACUATED_RETRY_MILLIS = 1000;
 
   /** When to come back at the latest where upstreams take little, in milliseconds. */
-  private static final long LONGEST_RETRY_MILLIS = 10_000;
+  private static final long MAX_RETRY_MILLIS = 10_000;
 
   private final AttemptSender sender;
-  private final RequestCompleter endings;
+  private final RequestCompleter completer;
   private final RetryBudget budget;
 
-  AttemptStarter(AttemptSender sender, RequestCompleter endings, RetryBudget budget) {
+  AttemptStarter(AttemptSender sender, RequestCompleter completer, RetryBudget budget) {
     this.sender = sender;
-    this.endings = endings;
+    this.completer = completer;
     this.budget = budget;
   }
 
   /** Starts the first attempt of a request. */
-  void first(ActiveRelay relay, Instant now, Output output) {
-    budget.requested(relay.service.name(), now);
-    next(relay, now, output);
+  void startFirst(ActiveRelay relay, Instant now, Output output) {
+    budget.recordRequest(relay.service.name(), now);
+    startNext(relay, now, output);
   }
 
   /** Goes on with a request whose scheduler has answered, or kept silent. */
-  void placed(SchedulerClient.Placed placed, Instant now, Output output) {
+  void onPlacement(SchedulerClient.Placed placed, Instant now, Output output) {
     ActiveRelay relay = placed.relay();
     Placement chosen = placed.placement();
     Placement placement = chosen == null ? sender.place(relay, now) : chosen;
@@ -42,13 +42,13 @@
   }
 
   /** Starts an attempt that is allowed. */
-  void next(ActiveRelay relay, Instant now, Output output) {
+  void startNext(ActiveRelay relay, Instant now, Output output) {
     if (sender.isQuarantined(relay)) {
-      quarantined(relay, now, output);
+      endQuarantined(relay, now, output);
       return;
     }
-    boolean inTime = leftMillis(relay, now) > 0;
-    if (inTime && sender.askScheduler(relay, now, output)) {
+    boolean inTime = remainingMillis(relay, now) > 0;
+    if (inTime && sender.queryScheduler(relay, now, output)) {
       return;
     }
     send(relay, inTime ? sender.place(relay, now) : null, null, now, output);
@@ -62,15 +62,15 @@
       Instant now,
       Output output) {
     if (sender.isQuarantined(relay)) {
-      sender.giveBack(grant, output);
-      quarantined(relay, now, output);
-    } else if (placement == null || leftMillis(relay, now) <= 0) {
-      sender.giveBack(grant, output);
-      untakenOrLate(relay, now, output);
-    } else if (isInVain(relay, placement, now)) {
-      sender.giveBack(grant, output);
-      long drained = (long) placement.waitMillis();
-      endings.giveUp(relay, Refusal.OVERLOADED, drained, now, output);
+      sender.releaseGrant(grant, output);
+      endQuarantined(relay, now, output);
+    } else if (placement == null || remainingMillis(relay, now) <= 0) {
+      sender.releaseGrant(grant, output);
+      endUnplaced(relay, now, output);
+    } else if (wouldMissDeadline(relay, placement, now)) {
+      sender.releaseGrant(grant, output);
+      long retryAfterMillis = (long) placement.waitMillis();
+      completer.endWithRefusal(relay, Refusal.OVERLOADED, retryAfterMillis, now, output);
     } else {
       sender.send(relay, placement, grant, now, output);
     }
@@ -82,8 +82,8 @@
    * <p>Sent nevertheless, it would take the upstream's time from requests that can be answered, and
    * its caller would learn nothing until its deadline.
    */
-  private static boolean isInVain(ActiveRelay relay, Placement placement, Instant now) {
-    return relay.attempt == 0 && placement.waitMillis() > leftMillis(relay, now);
+  private static boolean wouldMissDeadline(ActiveRelay relay, Placement placement, Instant now) {
+    return relay.attempt == 0 && placement.waitMillis() > remainingMillis(relay, now);
   }
 
   /**
@@ -92,66 +92,66 @@
    * <p>Looked at on arrival only, a request that was let in a moment before would still end an
    * upstream with each attempt that is left to it, and those that its answer's model asks for.
    */
-  private void quarantined(ActiveRelay relay, Instant now, Output output) {
+  private void endQuarantined(ActiveRelay relay, Instant now, Output output) {
     if (relay.forwarding) {
-      endings.breakOff(relay, now, output);
+      completer.abortAnswer(relay, now, output);
     } else {
-      endings.giveUp(relay, Refusal.QUARANTINED, now, output);
+      completer.endWithRefusal(relay, Refusal.QUARANTINED, now, output);
     }
   }
 
-  private void untakenOrLate(ActiveRelay relay, Instant now, Output output) {
-    if (leftMillis(relay, now) <= 0) {
+  private void endUnplaced(ActiveRelay relay, Instant now, Output output) {
+    if (remainingMillis(relay, now) <= 0) {
       Refusal late = relay.mayHaveRun ? Refusal.TIME_OUT : Refusal.TOO_LATE;
-      endings.giveUp(relay, late, now, output);
+      completer.endWithRefusal(relay, late, now, output);
     } else if (relay.forwarding) {
-      endings.breakOff(relay, now, output);
+      completer.abortAnswer(relay, now, output);
     } else if (relay.mayHaveRun) {
-      endings.giveUp(relay, Refusal.OUTCOME_UNKNOWN, now, output);
+      completer.endWithRefusal(relay, Refusal.OUTCOME_UNKNOWN, now, output);
     } else if (sender.isEvacuated(relay)) {
-      endings.giveUp(relay, Refusal.NO_UPSTREAM, EVACUATED_RETRY_MILLIS, now, output);
+      completer.endWithRefusal(relay, Refusal.NO_UPSTREAM, EVACUATED_RETRY_MILLIS, now, output);
     } else {
-      limitedOrNone(relay, now, output);
+      endWithoutUpstream(relay, now, output);
     }
   }
 
-  private void limitedOrNone(ActiveRelay relay, Instant now, Output output) {
-    long waitMillis = sender.untilTaken(relay, now).toMillis();
+  private void endWithoutUpstream(ActiveRelay relay, Instant now, Output output) {
+    long waitMillis = sender.retryDelay(relay, now).toMillis();
     if (waitMillis > 0) {
-      long retryMillis = Math.min(waitMillis, LONGEST_RETRY_MILLIS);
-      endings.giveUp(relay, Refusal.NO_UPSTREAM, retryMillis, now, output);
+      long retryMillis = Math.min(waitMillis, MAX_RETRY_MILLIS);
+      completer.endWithRefusal(relay, Refusal.NO_UPSTREAM, retryMillis, now, output);
     } else {
-      endings.giveUp(relay, Refusal.NO_UPSTREAM, now, output);
+      completer.endWithRefusal(relay, Refusal.NO_UPSTREAM, now, output);
     }
   }
 
   /** Starts one more attempt if the route and the budget allow it, else ends the request. */
-  void again(ActiveRelay relay, Instant now, Output output) {
-    boolean safe = !relay.mayHaveRun || relay.route.retryable();
+  void retryOrEnd(ActiveRelay relay, Instant now, Output output) {
+    boolean retrySafe = !relay.mayHaveRun || relay.route.retryable();
     if (sender.isQuarantined(relay)) {
-      quarantined(relay, now, output);
-    } else if (safe && mayRepeat(relay, now)) {
-      next(relay, now, output);
+      endQuarantined(relay, now, output);
+    } else if (retrySafe && acquireRetry(relay, now)) {
+      startNext(relay, now, output);
     } else if (relay.forwarding) {
-      endings.breakOff(relay, now, output);
+      completer.abortAnswer(relay, now, output);
     } else {
-      endings.giveUp(relay, untaken(relay), now, output);
+      completer.endWithRefusal(relay, failureRefusal(relay), now, output);
     }
   }
 
   /** Decides whether one more attempt is allowed, and counts it if so. */
-  boolean mayRepeat(ActiveRelay relay, Instant now) {
+  boolean acquireRetry(ActiveRelay relay, Instant now) {
     return !sender.isQuarantined(relay)
         && relay.sentAttempts < relay.route.maxAttempts()
         && now.isBefore(relay.deadline)
-        && budget.repeat(relay.service.name(), now);
+        && budget.tryAcquire(relay.service.name(), now);
   }
 
-  private static Refusal untaken(ActiveRelay relay) {
+  private static Refusal failureRefusal(ActiveRelay relay) {
     return relay.mayHaveRun ? Refusal.OUTCOME_UNKNOWN : Refusal.NO_UPSTREAM;
   }
 
-  private static long leftMillis(ActiveRelay relay, Instant now) {
+  private static long remainingMillis(ActiveRelay relay, Instant now) {
     return Duration.between(now, relay.deadline).toMillis();
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/FirstByteTimeout.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/FirstByteTimeout.java
@@ -15,45 +15,46 @@
 final class FirstByteTimeout {
 
   /** Weight of the newest time in the mean and in the deviation, as in RFC 6298. */
-  private static final double MEAN_LEARNING = 0.125;
+  private static final double MEAN_GAIN = 0.125;
 
-  private static final double DEVIATION_LEARNING = 0.25;
+  private static final double DEVIATION_GAIN = 0.25;
 
   /** Deviations beyond the mean; RFC 6298 takes 4, an engine's times have a longer tail. */
-  private static final double DEVIATIONS = 6;
+  private static final double DEVIATION_FACTOR = 6;
 
   /** Least patience in means, since even times deviate as soon as load comes. */
-  private static final double LEAST_MEANS = 2;
+  private static final double MIN_MEAN_FACTOR = 2;
 
   /** Answers from which on the times count as known. */
-  private static final int LEAST_ANSWERS = 8;
+  private static final int MIN_SAMPLES = 8;
 
   /** Least patience as a share of the route's objective. */
-  private static final double LEAST_SHARE = 0.3;
+  private static final double MIN_OBJECTIVE_SHARE = 0.3;
 
-  private final Map<String, Times> byRoute = new HashMap<>();
+  private final Map<String, Estimate> byRoute = new HashMap<>();
 
   /** Takes note of a time to the first byte, or of one that was not waited out. */
-  void waited(RelayRoute route, int model, double millis) {
-    byRoute.computeIfAbsent(key(route, model), missing -> new Times()).add(millis);
+  void record(RelayRoute route, int model, double millis) {
+    byRoute.computeIfAbsent(key(route, model), missing -> new Estimate()).add(millis);
   }
 
   /** Returns whether an attempt has waited longer than is usual for its route and model. */
-  boolean exhausted(RelayRoute route, int model, double millis) {
-    Times times = byRoute.get(key(route, model));
-    if (times == null || times.answers < LEAST_ANSWERS) {
+  boolean isExceeded(RelayRoute route, int model, double millis) {
+    Estimate estimate = byRoute.get(key(route, model));
+    if (estimate == null || estimate.answers < MIN_SAMPLES) {
       return false;
     }
-    double usual = times.mean + DEVIATIONS * times.deviation;
-    double least = Math.max(LEAST_MEANS * times.mean, LEAST_SHARE * route.objectiveMillis());
-    return millis > Math.max(usual, least);
+    double expected = estimate.mean + DEVIATION_FACTOR * estimate.deviation;
+    double minimum =
+        Math.max(MIN_MEAN_FACTOR * estimate.mean, MIN_OBJECTIVE_SHARE * route.objectiveMillis());
+    return millis > Math.max(expected, minimum);
   }
 
   private static String key(RelayRoute route, int model) {
     return route.name() + '/' + model;
   }
 
-  private static final class Times {
+  private static final class Estimate {
     private int answers;
     private double mean;
     private double deviation;
@@ -63,8 +64,8 @@
         mean = millis;
         deviation = millis / 2;
       } else {
-        deviation += DEVIATION_LEARNING * (Math.abs(millis - mean) - deviation);
-        mean += MEAN_LEARNING * (millis - mean);
+        deviation += DEVIATION_GAIN * (Math.abs(millis - mean) - deviation);
+        mean += MEAN_GAIN * (millis - mean);
       }
       answers++;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PendingRequest.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PendingRequest.java
@@ -7,6 +7,6 @@
  *
  * @param request the request
  * @param arrivedAt when it came
- * @param until when it waits no longer
+ * @param expiresAt when it waits no longer
  */
-record PendingRequest(RelayRequest request, Instant arrivedAt, Instant until) {}
+record PendingRequest(RelayRequest request, Instant arrivedAt, Instant expiresAt) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PendingRequests.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PendingRequests.java
@@ -21,18 +21,18 @@
    * 1.2 s before they may serve; an engine answers in 0.2 s, so that a stream that waited this long
    * is still in time, and every other entry is as far.
    */
-  private static final Duration STARTING = Duration.ofMillis(1500);
+  private static final Duration STARTUP_WAIT = Duration.ofMillis(1500);
 
   /** Longest wait at an entry that served before. It may be cut off, and others may serve. */
-  private static final Duration CUT_OFF = Duration.ofMillis(900);
+  private static final Duration DISCONNECTED_WAIT = Duration.ofMillis(900);
 
   /** Share of a caller's time that its request waits here at the most; the rest is for the work. */
-  private static final double LONGEST_SHARE = 0.8;
+  private static final double MAX_WAIT_SHARE = 0.8;
 
   /** Most requests that wait; a body of 10 kB each takes 5 MB. */
-  private static final int MOST = 512;
+  private static final int MAX_REQUESTS = 512;
 
-  private final Map<Long, PendingRequest> waiting = new LinkedHashMap<>();
+  private final Map<Long, PendingRequest> byNumber = new LinkedHashMap<>();
 
   /**
    * Keeps a request; returns whether there was room.
@@ -41,18 +41,18 @@
    * @param starting whether the entry has not served since its start
    * @param now the present time
    */
-  boolean hold(RelayRequest request, boolean starting, Instant now) {
-    if (waiting.size() >= MOST) {
+  boolean add(RelayRequest request, boolean starting, Instant now) {
+    if (byNumber.size() >= MAX_REQUESTS) {
       return false;
     }
-    Instant until = now.plus(longest(request, starting));
-    waiting.put(request.number(), new PendingRequest(request, now, until));
+    Instant until = now.plus(maxWait(request, starting));
+    byNumber.put(request.number(), new PendingRequest(request, now, until));
     return true;
   }
 
   /** Forgets a request; returns whether it waited here. */
-  boolean forget(long number) {
-    return waiting.remove(number) != null;
+  boolean remove(long number) {
+    return byNumber.remove(number) != null;
   }
 
   /**
@@ -63,20 +63,20 @@
    */
   List<PendingRequest> release(Predicate<RelayRequest> servable, Instant now) {
     List<PendingRequest> released = new ArrayList<>();
-    for (PendingRequest held : waiting.values()) {
-      boolean tooLong = !now.isBefore(held.until());
-      if (tooLong || servable.test(held.request())) {
-        released.add(held);
+    for (PendingRequest pending : byNumber.values()) {
+      boolean expired = !now.isBefore(pending.expiresAt());
+      if (expired || servable.test(pending.request())) {
+        released.add(pending);
       }
     }
-    released.forEach(held -> waiting.remove(held.request().number()));
+    released.forEach(pending -> byNumber.remove(pending.request().number()));
     return released;
   }
 
-  private static Duration longest(RelayRequest request, boolean starting) {
-    Duration usual = starting ? STARTING : CUT_OFF;
-    long callerMillis = (long) (request.waitMillis() * LONGEST_SHARE);
-    boolean shorter = callerMillis > 0 && callerMillis < usual.toMillis();
-    return shorter ? Duration.ofMillis(callerMillis) : usual;
+  private static Duration maxWait(RelayRequest request, boolean starting) {
+    Duration limit = starting ? STARTUP_WAIT : DISCONNECTED_WAIT;
+    long callerMillis = (long) (request.waitMillis() * MAX_WAIT_SHARE);
+    boolean shorter = callerMillis > 0 && callerMillis < limit.toMillis();
+    return shorter ? Duration.ofMillis(callerMillis) : limit;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -32,15 +32,15 @@
    * there for the election's end, so that more only replace what a connection has lost; with 250
    * ms, 91 entries kept each control VM busy with 364 polls a second while it was to vote.
    */
-  private static final Duration LEADERLESS = Duration.ofMillis(500);
+  private static final Duration LEADERLESS_POLL_INTERVAL = Duration.ofMillis(500);
 
   private final EntryIdentity self;
-  private final RelayTimings times;
+  private final RelayTimings timings;
   private final VersionLedger counts;
   private List<String> seeds;
   private List<String> controlNodes = List.of();
   private @Nullable String leader;
-  private Instant leaderHeard = Instant.EPOCH;
+  private Instant leaderUpdatedAt = Instant.EPOCH;
   private final Map<String, Instant> polledAt = new HashMap<>();
   private RouteTable table = new RouteTable(RelayConfiguration.NONE);
   private Instant provenAt = Instant.EPOCH;
@@ -60,16 +60,16 @@
    *
    * @param self this entry as the control VMs are to see it
    * @param seeds peer names of control VMs to begin with
-   * @param times when to do what
+   * @param timings when to do what
    * @param counts what this entry saw of each version
    */
   public RelayEntryPart(
-      EntryIdentity self, List<String> seeds, RelayTimings times, VersionLedger counts) {
+      EntryIdentity self, List<String> seeds, RelayTimings timings, VersionLedger counts) {
     this.self = self;
     this.seeds = List.copyOf(seeds);
-    this.times = times;
+    this.timings = timings;
     this.counts = counts;
-    this.lag = new TickLag(times.tickInterval());
+    this.lag = new TickLag(timings.tickInterval());
   }
 
   /** Returns the name that tells this entry from all others. */
@@ -89,7 +89,7 @@
 
   @Override
   public boolean proven(Instant now) {
-    return now.isBefore(provenAt.plus(times.leaseDuration()));
+    return now.isBefore(provenAt.plus(timings.leaseDuration()));
   }
 
   @Override
@@ -206,7 +206,7 @@
       seeds = changed.nodes();
     } else if (event instanceof LifecycleEvent.StopRequested) {
       stopping = true;
-      targets().forEach(node -> poll(node, now, output));
+      pollTargets().forEach(node -> poll(node, now, output));
     }
   }
 
@@ -220,26 +220,27 @@
       wasProven = false;
       log(true, "event=lease_lost configuration=" + table.configuration().version(), output);
     }
-    if (leader != null && now.isAfter(leaderHeard.plus(times.pollInterval().multipliedBy(3)))) {
+    if (leader != null
+        && now.isAfter(leaderUpdatedAt.plus(timings.pollInterval().multipliedBy(3)))) {
       log(true, "event=leader_lost node=" + leader, output);
       leader = null;
     }
-    for (String node : targets()) {
-      Duration wait = waitFor(node);
+    for (String node : pollTargets()) {
+      Duration wait = pollInterval(node);
       if (!now.isBefore(polledAt.getOrDefault(node, Instant.EPOCH).plus(wait))) {
         poll(node, now, output);
       }
     }
   }
 
-  private Duration waitFor(String node) {
+  private Duration pollInterval(String node) {
     if (leader == null) {
-      return LEADERLESS;
+      return LEADERLESS_POLL_INTERVAL;
     }
-    return node.equals(leader) ? times.pollInterval() : times.backgroundPollInterval();
+    return node.equals(leader) ? timings.pollInterval() : timings.backgroundPollInterval();
   }
 
-  private Set<String> targets() {
+  private Set<String> pollTargets() {
     if (leader != null && !controlNodes.isEmpty()) {
       return new LinkedHashSet<>(controlNodes);
     }
@@ -277,17 +278,18 @@
         log(false, "event=leader_found node=" + from, output);
       }
       leader = from;
-      leaderHeard = now;
+      leaderUpdatedAt = now;
     }
-    take(update.configuration(), output);
-    takeShared(update, now, output);
+    applyConfiguration(update.configuration(), output);
+    applySharedState(update, now, output);
     directory.take(update.directory(), now, output);
     if (!update.controlNodes().isEmpty()) {
-      controlNodes = proof == null ? joined(update.controlNodes()) : update.controlNodes();
+      controlNodes =
+          proof == null ? mergedControlNodes(update.controlNodes()) : update.controlNodes();
     }
-    Neighbourhood told = update.neighbourhood();
-    if (told != null) {
-      neighbourhood = told;
+    Neighbourhood newNeighbourhood = update.neighbourhood();
+    if (newNeighbourhood != null) {
+      neighbourhood = newNeighbourhood;
     }
     // Entries that are cut off from the leader still hold their connections, so the count that
     // divides an upstream's connections never falls.
@@ -302,13 +304,13 @@
   }
 
   /** Adds control VMs that one who doesn't lead has named; its list may be an old one. */
-  private List<String> joined(List<String> named) {
+  private List<String> mergedControlNodes(List<String> named) {
     Set<String> all = new LinkedHashSet<>(controlNodes);
     all.addAll(named);
     return List.copyOf(all);
   }
 
-  private void take(@Nullable RelayConfiguration newer, Output output) {
+  private void applyConfiguration(@Nullable RelayConfiguration newer, Output output) {
     if (newer != null && newer.version() > table.configuration().version()) {
       log(
           false,
@@ -321,7 +323,7 @@
     }
   }
 
-  private void takeShared(EntryUpdate update, Instant now, Output output) {
+  private void applySharedState(EntryUpdate update, Instant now, Output output) {
     SharedState shared = update.shared();
     if (shared == null || update.stateIndex() <= stateIndex) {
       return;
@@ -333,12 +335,12 @@
         directory.usualVersion(rollOut.service(), rollOut.target());
       }
     }
-    takeEvacuated(Set.copyOf(shared.evacuated()), now, output);
-    takeQuarantined(Set.copyOf(shared.quarantined()), now, output);
+    applyEvacuatedZones(Set.copyOf(shared.evacuated()), now, output);
+    applyQuarantine(Set.copyOf(shared.quarantined()), now, output);
     directory.leaving(shared.leaving(), stateIndex, output);
   }
 
-  private void takeEvacuated(Set<String> zones, Instant now, Output output) {
+  private void applyEvacuatedZones(Set<String> zones, Instant now, Output output) {
     Set<String> before = directory.evacuated();
     if (zones.equals(before)) {
       return;
@@ -357,7 +359,7 @@
     directory.evacuated(zones);
   }
 
-  private void takeQuarantined(Set<RequestKey> requests, Instant now, Output output) {
+  private void applyQuarantine(Set<RequestKey> requests, Instant now, Output output) {
     if (requests.equals(quarantined)) {
       return;
     }
@@ -366,9 +368,9 @@
         "event=requests_quarantined count="
             + requests.size()
             + " added="
-            + without(requests, quarantined)
+            + difference(requests, quarantined)
             + " lifted="
-            + without(quarantined, requests)
+            + difference(quarantined, requests)
             + " index="
             + stateIndex
             + " proof_age_ms="
@@ -377,7 +379,7 @@
     quarantined = requests;
   }
 
-  private static List<RequestKey> without(Set<RequestKey> requests, Set<RequestKey> others) {
+  private static List<RequestKey> difference(Set<RequestKey> requests, Set<RequestKey> others) {
     return requests.stream().filter(key -> !others.contains(key)).toList();
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -27,16 +27,16 @@
 public final class RelayRequestPart implements Part {
 
   private static final int FIRST_SERVER_ERROR = 500;
-  private static final int WRONG_RUN = 421;
+  private static final int MISDIRECTED_REQUEST = 421;
 
   /** Time by which an answer under way may overrun before it is broken off. */
-  private static final Duration OVERRUN = Duration.ofMillis(60);
+  private static final Duration MAX_OVERRUN = Duration.ofMillis(60);
 
   private final ModelPolicy models;
   private final VersionLedger counts;
-  private final ShutdownPolicy stopPlan;
+  private final ShutdownPolicy shutdownPolicy;
   private final RequestTrace trace;
-  private final FirstByteTimeout patience = new FirstByteTimeout();
+  private final FirstByteTimeout firstByteTimeout = new FirstByteTimeout();
   private final SentPrompts prompts = new SentPrompts();
   private final ActiveRelays active = new ActiveRelays();
   private final CrashWatch crashes;
@@ -46,7 +46,7 @@
   private final AttemptSender sender;
   private final AttemptStarter starter;
   private final AttemptFailureHandler failures;
-  private final RequestCompleter endings;
+  private final RequestCompleter completer;
 
   /**
    * Makes the part.
@@ -93,21 +93,22 @@
       VersionRule versions,
       RetryBudget budget,
       VersionLedger counts,
-      ShutdownPolicy stopPlan,
+      ShutdownPolicy shutdownPolicy,
       long seed) {
     this.models = models;
     this.counts = counts;
-    this.stopPlan = stopPlan;
+    this.shutdownPolicy = shutdownPolicy;
     this.trace = new RequestTrace(view);
     this.crashes = new CrashWatch(new LeaderAsJudge(view), "relay_upstreams_ended");
     this.schedulers = new SchedulerClient(view);
     this.sender = new AttemptSender(view, zone, picker, schedulers, versions, prompts, trace);
-    this.endings = new RequestCompleter(active, sender, answerTimes, trace);
-    this.starter = new AttemptStarter(sender, endings, budget);
+    this.completer = new RequestCompleter(active, sender, answerTimes, trace);
+    this.starter = new AttemptStarter(sender, completer, budget);
     this.failures =
-        new AttemptFailureHandler(sender, starter, endings, counts, patience, crashes, trace);
-    RequestAdmission admission = new RequestAdmission(view, stopPlan);
-    this.intake = new RequestIntake(view, admission, models, endings, seed);
+        new AttemptFailureHandler(
+            sender, starter, completer, counts, firstByteTimeout, crashes, trace);
+    RequestAdmission admission = new RequestAdmission(view, shutdownPolicy);
+    this.intake = new RequestIntake(view, admission, models, completer, seed);
   }
 
   /** Returns what of this entry's prompts other entries are to be told. */
@@ -125,15 +126,15 @@
     if (event instanceof LifecycleEvent.Tick) {
       tick(now, output);
     } else if (event instanceof LifecycleEvent.StopRequested) {
-      stopPlan.stop(now);
+      shutdownPolicy.stop(now);
     } else if (event instanceof PeerEvent.MessageReceived received
         && received.message() instanceof PlacementAnswer answer) {
       SchedulerClient.Placed placed = schedulers.answered(received.node(), answer, output);
       if (placed != null) {
-        placed(placed, now, output);
+        onPlacement(placed, now, output);
       }
     } else if (event instanceof RelayEvent.RequestArrived arrived) {
-      begin(intake.arrived(arrived.request(), now, output), now, output);
+      start(intake.onArrival(arrived.request(), now, output), now, output);
     } else if (event instanceof RelayEvent.CallerLeft left) {
       callerLeft(left.request(), now, output);
     } else if (event instanceof RelayEvent.AnswerBegan began) {
@@ -144,28 +145,28 @@
     } else if (event instanceof RelayEvent.AttemptFailed failed) {
       ActiveRelay relay = active.find(failed.request(), failed.attempt());
       if (relay != null) {
-        failures.failed(relay, failed, now, output);
+        failures.onAttemptFailed(relay, failed, now, output);
       }
     } else if (event instanceof RelayEvent.UpstreamProbed probed) {
       crashes.probed(probed.upstream(), probed.reachable(), now, output);
     } else if (event instanceof RelayEvent.AnswerSilent silent) {
       ActiveRelay relay = active.find(silent.request(), silent.attempt());
       if (relay != null) {
-        failures.silent(relay, silent, now, output);
+        failures.onSilentStream(relay, silent, now, output);
       }
     } else if (event instanceof RelayEvent.AnswerEnded ended) {
       ActiveRelay relay = active.find(ended.request(), ended.attempt());
       if (relay != null) {
-        crashes.served(relay.key, output);
-        endings.done(relay, now, output);
+        crashes.served(relay.requestKey, output);
+        completer.complete(relay, now, output);
       }
     }
   }
 
-  private void begin(@Nullable ActiveRelay relay, Instant now, Output output) {
+  private void start(@Nullable ActiveRelay relay, Instant now, Output output) {
     if (relay != null) {
       active.add(relay);
-      starter.first(relay, now, output);
+      starter.startFirst(relay, now, output);
     }
   }
 
@@ -175,11 +176,11 @@
     if (track == null) {
       return;
     }
-    if (began.status() != WRONG_RUN) {
+    if (began.status() != MISDIRECTED_REQUEST) {
       rateLimits.heard(track, began, relay.request.id(), now, output);
     }
-    if (began.notRun() || began.status() == WRONG_RUN) {
-      failures.notRun(relay, track, began, now, output);
+    if (began.notRun() || began.status() == MISDIRECTED_REQUEST) {
+      failures.onNotRun(relay, track, began, now, output);
       return;
     }
     relay.mayHaveRun = true;
@@ -187,10 +188,10 @@
     relay.answeredAt = now;
     long millis = Duration.between(relay.sentAt, now).toMillis();
     track.answered(now);
-    sender.answered(relay, now, output);
-    patience.waited(relay.route, relay.modelIndex, millis);
+    sender.recordFirstByte(relay, now, output);
+    firstByteTimeout.record(relay.route, relay.modelIndex, millis);
     boolean failed = began.status() >= FIRST_SERVER_ERROR;
-    if (failed && failures.serverFailed(relay, track, began, now, output)) {
+    if (failed && failures.onServerError(relay, track, began, now, output)) {
       return;
     }
     if (!failed) {
@@ -198,62 +199,62 @@
       track.succeeded();
       counts.answered(track.instance(), millis);
     }
-    if (relay.forwarding || failed || relay.modelIndex < 0 || !askLarger(relay, now, output)) {
-      pass(relay, track, output);
+    if (relay.forwarding || failed || relay.modelIndex < 0 || !escalate(relay, now, output)) {
+      forwardAnswer(relay, track, output);
     }
   }
 
   /** Asks a larger model in place of the answer that has begun; returns whether it does. */
-  private boolean askLarger(ActiveRelay relay, Instant now, Output output) {
+  private boolean escalate(ActiveRelay relay, Instant now, Output output) {
     int larger = models.larger(relay.route, relay.modelIndex);
     if (larger < 0 || !models.doubts(relay)) {
       return false;
     }
-    if (sender.askSchedulerForLarger(relay, larger, now, output)) {
+    if (sender.querySchedulerForEscalation(relay, larger, now, output)) {
       return true;
     }
-    Placement placement = sender.placeLarger(relay, larger, now);
-    return placement != null && askLarger(relay, larger, placement, null, now, output);
+    Placement placement = sender.placeEscalation(relay, larger, now);
+    return placement != null && escalate(relay, larger, placement, null, now, output);
   }
 
   /** Asks a larger model where it is placed, if that is still wanted; returns whether it is. */
-  private boolean askLarger(
+  private boolean escalate(
       ActiveRelay relay,
       int larger,
       Placement placement,
       @Nullable SchedulerGrant grant,
       Instant now,
       Output output) {
-    if (!models.asks(relay, placement, now) || !starter.mayRepeat(relay, now)) {
-      sender.giveBack(grant, output);
+    if (!models.asks(relay, placement, now) || !starter.acquireRetry(relay, now)) {
+      sender.releaseGrant(grant, output);
       return false;
     }
-    trace.larger(relay, larger, placement, now, output);
-    sender.drop(relay, output);
+    trace.escalated(relay, larger, placement, now, output);
+    sender.cancelAttempt(relay, output);
     relay.modelIndex = larger;
     sender.send(relay, placement, grant, now, output);
     return true;
   }
 
   /** Goes on with a request whose scheduler has answered, or kept silent. */
-  private void placed(SchedulerClient.Placed placed, Instant now, Output output) {
+  private void onPlacement(SchedulerClient.Placed placed, Instant now, Output output) {
     if (!placed.larger()) {
-      starter.placed(placed, now, output);
+      starter.onPlacement(placed, now, output);
       return;
     }
     ActiveRelay relay = placed.relay();
     int larger = models.larger(relay.route, relay.modelIndex);
     Placement chosen = placed.placement();
-    Placement placement = chosen == null ? sender.placeLarger(relay, larger, now) : chosen;
+    Placement placement = chosen == null ? sender.placeEscalation(relay, larger, now) : chosen;
     UpstreamTrack track = relay.upstream();
     boolean asked =
-        placement != null && askLarger(relay, larger, placement, placed.grant(), now, output);
+        placement != null && escalate(relay, larger, placement, placed.grant(), now, output);
     if (!asked && track != null) {
-      pass(relay, track, output);
+      forwardAnswer(relay, track, output);
     }
   }
 
-  private static void pass(ActiveRelay relay, UpstreamTrack track, Output output) {
+  private static void forwardAnswer(ActiveRelay relay, UpstreamTrack track, Output output) {
     if (!relay.forwarding) {
       relay.forwarding = true;
       relay.version = track.instance().version();
@@ -263,27 +264,27 @@
 
   private void tick(Instant now, Output output) {
     crashes.tick(now, output);
-    intake.released(now, output).forEach(relay -> begin(relay, now, output));
-    schedulers.overdue(now, output).forEach(placed -> placed(placed, now, output));
+    intake.releasePending(now, output).forEach(relay -> start(relay, now, output));
+    schedulers.overdue(now, output).forEach(placed -> onPlacement(placed, now, output));
     for (ActiveRelay relay : active.all()) {
       if (now.isBefore(relay.deadline)) {
-        failures.lookAtWait(relay, now, output);
+        failures.checkFirstByteTimeout(relay, now, output);
       } else if (!relay.forwarding) {
         Refusal refusal = relay.sentAttempts > 0 ? Refusal.TIME_OUT : Refusal.TOO_LATE;
-        endings.giveUp(relay, refusal, now, output);
-      } else if (now.isAfter(relay.deadline.plus(OVERRUN))) {
-        endings.breakOff(relay, now, output);
+        completer.endWithRefusal(relay, refusal, now, output);
+      } else if (now.isAfter(relay.deadline.plus(MAX_OVERRUN))) {
+        completer.abortAnswer(relay, now, output);
       }
     }
   }
 
   private void callerLeft(long request, Instant now, Output output) {
-    if (intake.forget(request)) {
+    if (intake.removePending(request)) {
       output.effect(new RelayEffect.Forget(request));
     }
     ActiveRelay relay = active.find(request);
     if (relay != null) {
-      endings.callerLeft(relay, now, output);
+      completer.callerLeft(relay, now, output);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestAdmission.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestAdmission.java
@@ -7,11 +7,11 @@
 final class RequestAdmission {
 
   private final RelayView view;
-  private final ShutdownPolicy stopPlan;
+  private final ShutdownPolicy shutdownPolicy;
 
-  RequestAdmission(RelayView view, ShutdownPolicy stopPlan) {
+  RequestAdmission(RelayView view, ShutdownPolicy shutdownPolicy) {
     this.view = view;
-    this.stopPlan = stopPlan;
+    this.shutdownPolicy = shutdownPolicy;
   }
 
   /**
@@ -30,23 +30,23 @@
     if (route == null) {
       return proven ? Refusal.NO_ROUTE : Refusal.NOT_SERVING;
     }
-    if (!stopPlan.takes(route, now)) {
+    if (!shutdownPolicy.accepts(route, now)) {
       return Refusal.STOPPING;
     }
     if (!view.settled() && !hasUpstream(route)) {
       return Refusal.NOT_SERVING;
     }
     if (route.isPublic() || !table.requiresKeys()) {
-      return quarantined(null, request);
+      return quarantineRefusal(null, request);
     }
     if (!proven) {
       return Refusal.NOT_SERVING;
     }
     RelayTeam team = table.team(request.key());
-    return team == null ? Refusal.UNKNOWN_KEY : quarantined(team, request);
+    return team == null ? Refusal.UNKNOWN_KEY : quarantineRefusal(team, request);
   }
 
-  private @Nullable Refusal quarantined(@Nullable RelayTeam team, RelayRequest request) {
+  private @Nullable Refusal quarantineRefusal(@Nullable RelayTeam team, RelayRequest request) {
     return view.isQuarantined(request.keyOf(team)) ? Refusal.QUARANTINED : null;
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestCompleter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestCompleter.java
@@ -37,8 +37,8 @@
   }
 
   /** Ends a request of whose answer the caller has got nothing. */
-  void giveUp(ActiveRelay relay, Refusal refusal, Instant now, Output output) {
-    giveUp(relay, refusal, retryAfter(refusal), now, output);
+  void endWithRefusal(ActiveRelay relay, Refusal refusal, Instant now, Output output) {
+    endWithRefusal(relay, refusal, retryAfter(refusal), now, output);
   }
 
   /**
@@ -50,9 +50,9 @@
    * @param now the present time
    * @param output takes what is to be done
    */
-  void giveUp(
+  void endWithRefusal(
       ActiveRelay relay, Refusal refusal, long retryAfterMillis, Instant now, Output output) {
-    sender.drop(relay, output);
+    sender.cancelAttempt(relay, output);
     active.remove(relay);
     output.effect(new RelayEffect.Refuse(relay.request.number(), refusal, retryAfterMillis));
     trace.ended(
@@ -71,9 +71,9 @@
   }
 
   /** Ends a request whose answer was begun and goes on nowhere. */
-  void breakOff(ActiveRelay relay, Instant now, Output output) {
-    noteAnswer(relay, false, now);
-    sender.drop(relay, output);
+  void abortAnswer(ActiveRelay relay, Instant now, Output output) {
+    recordAnswerTime(relay, false, now);
+    sender.cancelAttempt(relay, output);
     active.remove(relay);
     output.effect(new RelayEffect.BreakOff(relay.request.number()));
     String facts = "attempts=" + relay.sentAttempts + " after_event=" + relay.lastEventId;
@@ -81,9 +81,9 @@
   }
 
   /** Ends a request whose answer was passed on whole. */
-  void done(ActiveRelay relay, Instant now, Output output) {
-    noteAnswer(relay, true, now);
-    sender.release(relay, output);
+  void complete(ActiveRelay relay, Instant now, Output output) {
+    recordAnswerTime(relay, true, now);
+    sender.releaseAttempt(relay, output);
     active.remove(relay);
     output.effect(new RelayEffect.Forget(relay.request.number()));
     String facts =
@@ -98,14 +98,14 @@
 
   /** Ends a request whose caller is gone. */
   void callerLeft(ActiveRelay relay, Instant now, Output output) {
-    noteAnswer(relay, false, now);
-    sender.drop(relay, output);
+    recordAnswerTime(relay, false, now);
+    sender.cancelAttempt(relay, output);
     active.remove(relay);
     output.effect(new RelayEffect.Forget(relay.request.number()));
     trace.ended("caller_left", relay, "attempts=" + relay.sentAttempts, now, output);
   }
 
-  private void noteAnswer(ActiveRelay relay, boolean whole, Instant now) {
+  private void recordAnswerTime(ActiveRelay relay, boolean whole, Instant now) {
     if (relay.forwarding && relay.streams()) {
       answerTimes.ended(relay, Duration.between(relay.answeredAt, now).toMillis(), whole);
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
@@ -14,38 +14,39 @@
   private final RelayView view;
   private final RequestAdmission admission;
   private final ModelPolicy models;
-  private final RequestCompleter endings;
+  private final RequestCompleter completer;
   private final UniformRandomProvider random;
-  private final PendingRequests held = new PendingRequests();
+  private final PendingRequests pending = new PendingRequests();
 
   RequestIntake(
       RelayView view,
       RequestAdmission admission,
       ModelPolicy models,
-      RequestCompleter endings,
+      RequestCompleter completer,
       long seed) {
     this.view = view;
     this.admission = admission;
     this.models = models;
-    this.endings = endings;
+    this.completer = completer;
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
   }
 
   /** Returns the work that a request means now, or null if it waits or was refused. */
-  @Nullable ActiveRelay arrived(RelayRequest request, Instant now, Output output) {
+  @Nullable ActiveRelay onArrival(RelayRequest request, Instant now, Output output) {
     Refusal refusal = admission.refusal(request, now);
     boolean starting = !view.configured() || !view.settled();
-    boolean waits = refusal == Refusal.NOT_SERVING && held.hold(request, starting, now);
-    return waits ? null : taken(request, refusal, now, now, output);
+    boolean waits = refusal == Refusal.NOT_SERVING && pending.add(request, starting, now);
+    return waits ? null : admit(request, refusal, now, now, output);
   }
 
   /** Returns the work of requests that need not wait any longer; others may be refused. */
-  List<ActiveRelay> released(Instant now, Output output) {
+  List<ActiveRelay> releasePending(Instant now, Output output) {
     List<ActiveRelay> released = new ArrayList<>();
-    for (PendingRequest waited :
-        held.release(request -> admission.refusal(request, now) != Refusal.NOT_SERVING, now)) {
-      Refusal refusal = admission.refusal(waited.request(), now);
-      ActiveRelay relay = taken(waited.request(), refusal, waited.arrivedAt(), now, output);
+    for (PendingRequest pendingRequest :
+        pending.release(request -> admission.refusal(request, now) != Refusal.NOT_SERVING, now)) {
+      Refusal refusal = admission.refusal(pendingRequest.request(), now);
+      ActiveRelay relay =
+          admit(pendingRequest.request(), refusal, pendingRequest.arrivedAt(), now, output);
       if (relay != null) {
         released.add(relay);
       }
@@ -54,18 +55,18 @@
   }
 
   /** Forgets a request that waits; returns whether it did. */
-  boolean forget(long request) {
-    return held.forget(request);
+  boolean removePending(long request) {
+    return pending.remove(request);
   }
 
-  private @Nullable ActiveRelay taken(
+  private @Nullable ActiveRelay admit(
       RelayRequest request,
       @Nullable Refusal refusal,
       Instant arrivedAt,
       Instant now,
       Output output) {
     if (refusal != null) {
-      endings.refuse(request, refusal, now, output);
+      completer.refuse(request, refusal, now, output);
       return null;
     }
     RouteTable table = view.table();
@@ -78,7 +79,7 @@
             ? Math.min(request.waitMillis(), route.timeoutMillis())
             : route.timeoutMillis();
     RelayTeam team = route.isPublic() ? null : table.team(request.key());
-    RelayService service = service(table, route);
+    RelayService service = selectService(table, route);
     ActiveRelay relay =
         new ActiveRelay(request, route, service, team, arrivedAt, arrivedAt.plusMillis(wait));
     if (!route.models().isEmpty()) {
@@ -87,15 +88,15 @@
     return relay;
   }
 
-  private RelayService service(RouteTable table, RelayRoute route) {
+  private RelayService selectService(RouteTable table, RelayRoute route) {
     // Two large weights add up beyond an int; each entry that drew from that would halt in its
     // turn.
-    long total = route.services().stream().mapToLong(WeightedService::weight).sum();
-    long drawn = random.nextLong(total);
+    long totalWeight = route.services().stream().mapToLong(WeightedService::weight).sum();
+    long remainingWeight = random.nextLong(totalWeight);
     for (WeightedService target : route.services()) {
-      drawn -= target.weight();
+      remainingWeight -= target.weight();
       RelayService service = table.service(target.service());
-      if (drawn < 0 && service != null) {
+      if (remainingWeight < 0 && service != null) {
         return service;
       }
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestTrace.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestTrace.java
@@ -29,7 +29,7 @@
         "attempt="
             + relay.attempt
             + " content="
-            + relay.key
+            + relay.requestKey
             + " upstream="
             + track.instance().id()
             + " upstream_version="
@@ -63,7 +63,7 @@
     if (track.rateLimit().isBounded()) {
       output.effect(new TraceEffect.Count("relay_limited_sends", relay.service.name(), 1));
     }
-    line(false, "sent", relay, facts, now, output);
+    log(false, "sent", relay, facts, now, output);
   }
 
   void answered(ActiveRelay relay, int status, Instant now, Output output) {
@@ -83,7 +83,7 @@
             + millis
             + " expected_ms="
             + (placement == null ? -1 : Math.round(placement.firstByteMillis()));
-    line(false, "answered", relay, facts, now, output);
+    log(false, "answered", relay, facts, now, output);
     output.effect(
         new TraceEffect.Observe("relay_first_byte_seconds", relay.route.kind().name(), seconds));
     output.effect(new TraceEffect.Count("relay_answers", String.valueOf(status), 1));
@@ -98,16 +98,16 @@
         "attempt="
             + relay.attempt
             + " content="
-            + relay.key
+            + relay.requestKey
             + " upstream="
             + upstream
             + " "
             + facts;
-    line(true, event, relay, all, now, output);
+    log(true, event, relay, all, now, output);
   }
 
   /** Tells that a larger model is asked in place of an answer. */
-  void larger(ActiveRelay relay, int model, Placement placement, Instant now, Output output) {
+  void escalated(ActiveRelay relay, int model, Placement placement, Instant now, Output output) {
     output.effect(new TraceEffect.Count("relay_larger_models", relay.route.name(), 1));
     String facts =
         "from="
@@ -120,7 +120,7 @@
             + Math.round(placement.waitMillis())
             + " first_byte_ms="
             + Math.round(placement.firstByteMillis());
-    line(false, "larger_model", relay, facts, now, output);
+    log(false, "larger_model", relay, facts, now, output);
   }
 
   /** Tells how a request ended. */
@@ -129,7 +129,7 @@
     output.effect(new TraceEffect.Count("relay_requests", outcome, 1));
     output.effect(
         new TraceEffect.Observe("relay_request_seconds", relay.route.kind().name(), seconds));
-    line(!outcome.equals("done"), outcome, relay, facts, now, output);
+    log(!outcome.equals("done"), outcome, relay, facts, now, output);
   }
 
   /** Tells of a request that was refused before it had a route. */
@@ -144,11 +144,11 @@
             + HexFormat.of().toHexDigits(request.contentHash())
             + " host="
             + request.host()
-            + belief(now);
+            + configurationFacts(now);
     output.effect(new TraceEffect.LogLine(true, PART, line));
   }
 
-  private void line(
+  private void log(
       boolean warning, String event, ActiveRelay relay, String facts, Instant now, Output output) {
     String line =
         "event="
@@ -165,11 +165,11 @@
             + Duration.between(relay.arrivedAt, now).toMillis()
             + " left_ms="
             + Duration.between(now, relay.deadline).toMillis()
-            + belief(now);
+            + configurationFacts(now);
     output.effect(new TraceEffect.LogLine(warning, PART, line));
   }
 
-  private String belief(Instant now) {
+  private String configurationFacts(Instant now) {
     return " configuration="
         + view.table().configuration().version()
         + " proof_age_ms="
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RetryBudget.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RetryBudget.java
@@ -13,12 +13,12 @@
  */
 final class RetryBudget {
 
-  private static final int SECONDS = 10;
+  private static final int WINDOW_SECONDS = 10;
 
   /**
    * Free repeats of an entry in a window; with 63 entries far below the slack of any deployment.
    */
-  private static final int FREE = 1;
+  private static final int FREE_RETRIES = 1;
 
   private final double ratio;
   private final Map<String, Window> windows = new HashMap<>();
@@ -33,14 +33,14 @@
   }
 
   /** Counts a request that goes to a service for the first time. */
-  void requested(String service, Instant now) {
+  void recordRequest(String service, Instant now) {
     window(service, now).requests[slot(now)]++;
   }
 
   /** Counts a repeat if the budget allows it. */
-  boolean repeat(String service, Instant now) {
+  boolean tryAcquire(String service, Instant now) {
     Window window = window(service, now);
-    if (sum(window.repeats) + 1 > ratio * sum(window.requests) + FREE) {
+    if (sum(window.repeats) + 1 > ratio * sum(window.requests) + FREE_RETRIES) {
       return false;
     }
     window.repeats[slot(now)]++;
@@ -54,7 +54,7 @@
   }
 
   private static int slot(Instant now) {
-    return (int) Math.floorMod(now.getEpochSecond(), (long) SECONDS);
+    return (int) Math.floorMod(now.getEpochSecond(), (long) WINDOW_SECONDS);
   }
 
   private static int sum(int[] counts) {
@@ -66,14 +66,14 @@
   }
 
   private static final class Window {
-    private final int[] requests = new int[SECONDS];
-    private final int[] repeats = new int[SECONDS];
+    private final int[] requests = new int[WINDOW_SECONDS];
+    private final int[] repeats = new int[WINDOW_SECONDS];
     private long second;
 
     private void moveTo(long newest) {
-      long from = Math.max(second + 1, newest - SECONDS + 1);
+      long from = Math.max(second + 1, newest - WINDOW_SECONDS + 1);
       for (long passed = from; passed <= newest; passed++) {
-        int slot = (int) Math.floorMod(passed, (long) SECONDS);
+        int slot = (int) Math.floorMod(passed, (long) WINDOW_SECONDS);
         requests[slot] = 0;
         repeats[slot] = 0;
       }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ShutdownPolicy.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ShutdownPolicy.java
@@ -17,7 +17,7 @@
   private static final Duration MARGIN = Duration.ofMillis(600);
 
   /** Longest time of nearly all streams, resumed ones included; measured at 1 to 4 s. */
-  private static final Duration LONGEST_STREAM = Duration.ofMillis(4500);
+  private static final Duration MAX_STREAM_DURATION = Duration.ofMillis(4500);
 
   private final Duration grace;
   private @Nullable Instant stoppingSince;
@@ -33,14 +33,15 @@
   }
 
   /** Returns whether a request of the route can certainly be answered before the end. */
-  boolean takes(RelayRoute route, Instant now) {
+  boolean accepts(RelayRoute route, Instant now) {
     Instant since = stoppingSince;
     if (since == null) {
       return true;
     }
     Duration timeout = Duration.ofMillis(route.timeoutMillis());
     boolean stream = route.kind() == RouteKind.STREAMING;
-    Duration longest = stream && timeout.compareTo(LONGEST_STREAM) > 0 ? LONGEST_STREAM : timeout;
-    return !now.plus(longest).isAfter(since.plus(grace).minus(MARGIN));
+    Duration maxDuration =
+        stream && timeout.compareTo(MAX_STREAM_DURATION) > 0 ? MAX_STREAM_DURATION : timeout;
+    return !now.plus(maxDuration).isAfter(since.plus(grace).minus(MARGIN));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TickLag.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TickLag.java
@@ -13,16 +13,16 @@
 final class TickLag {
 
   /** Time whose ticks make most of the mean, in milliseconds. */
-  private static final double LEARNING_MILLIS = 250;
+  private static final double SMOOTHING_MILLIS = 250;
 
   /** Mean lag from which on the daemon counts as busy, in milliseconds; idle ones have about 1. */
   private static final double BUSY_MILLIS = 40;
 
   /** Mean lag below which it no longer does, in milliseconds. */
-  private static final double FREE_MILLIS = 15;
+  private static final double NOT_BUSY_MILLIS = 15;
 
   private final Duration period;
-  private final double learning;
+  private final double smoothingFactor;
   private @Nullable Instant tickedAt;
   private double lagMillis;
   private boolean busy;
@@ -34,15 +34,15 @@
    */
   TickLag(Duration period) {
     this.period = period;
-    this.learning = period.toMillis() / LEARNING_MILLIS;
+    this.smoothingFactor = period.toMillis() / SMOOTHING_MILLIS;
   }
 
   /** Takes note of a tick. */
   void tick(Instant now) {
     if (tickedAt != null) {
       double late = Duration.between(tickedAt, now).minus(period).toMillis();
-      lagMillis += learning * (late - lagMillis);
-      busy = lagMillis > (busy ? FREE_MILLIS : BUSY_MILLIS);
+      lagMillis += smoothingFactor * (late - lagMillis);
+      busy = lagMillis > (busy ? NOT_BUSY_MILLIS : BUSY_MILLIS);
     }
     tickedAt = now;
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConnectionShareTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConnectionShareTest.java
@@ -15,7 +15,7 @@
     for (int entries = 1; entries <= UPSTREAM_TAKES; entries++) {
       RelayFixture entry = new RelayFixture();
       entry.view.entries = entries;
-      int each = entry.sent(1, "/lookup/x").target().maxConnections();
+      int each = entry.send(1, "/lookup/x").target().maxConnections();
       assertTrue(each > 0, entries + " entries have " + each);
       assertTrue(entries * each <= UPSTREAM_TAKES, entries + " entries have " + each + " each");
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EvacuatedZoneTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EvacuatedZoneTest.java
@@ -30,7 +30,7 @@
     entry.view.tracks.get(0).evacuated(true);
     entry.view.tracks.get(1).evacuated(true);
     for (long number = 1; number <= 10; number++) {
-      assertEquals(entry.sent(number, "/lookup/x").target().upstream().id(), "up-3");
+      assertEquals(entry.send(number, "/lookup/x").target().upstream().id(), "up-3");
     }
     entry.view.tracks.get(2).evacuated(true);
     RelayEffect.Refuse refused = only(entry.arrives(11, "/lookup/x"), RelayEffect.Refuse.class);
@@ -41,7 +41,7 @@
   /** A stream whose upstream dies goes on elsewhere, but not in a zone that is evacuated. */
   @Test
   public void cutStreamDoesNotGoOnInAnEvacuatedZone() {
-    String first = entry.sent(1, "/stream/x").target().upstream().id();
+    String first = entry.send(1, "/stream/x").target().upstream().id();
     entry.answers(1, 1, 200, false);
     entry.view.tracks.stream()
         .filter(track -> !track.instance().id().equals(first))
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LimitedRequestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LimitedRequestTest.java
@@ -36,9 +36,9 @@
         RelayFixture.only(entry.arrives(1, "/lookup/x"), RelayEffect.Refuse.class);
     assertEquals(refuse.refusal(), Refusal.NO_UPSTREAM);
     assertEquals(refuse.retryAfterMillis(), 2000);
-    entry.pass(2000);
+    entry.advance(2000);
     for (long number = 2; number <= 4; number++) {
-      entry.sent(number, "/lookup/x");
+      entry.send(number, "/lookup/x");
     }
     RelayEffect.Refuse next =
         RelayFixture.only(entry.arrives(5, "/lookup/x"), RelayEffect.Refuse.class);
@@ -49,11 +49,11 @@
   @Test
   public void requestThatMayHaveRunIsToldNoTimeToComeBack() {
     for (long number = 100; number < 120; number++) {
-      entry.sent(number, "/lookup/x");
+      entry.send(number, "/lookup/x");
       entry.apply(new RelayEvent.CallerLeft(number));
     }
     limit(1);
-    entry.sent(1, "/lookup/x");
+    entry.send(1, "/lookup/x");
     entry.fails(1, 1, AttemptFailure.NO_ANSWER, null);
     RelayEffect.Refuse refuse =
         RelayFixture.only(entry.answers(1, 2, 503, true), RelayEffect.Refuse.class);
@@ -66,8 +66,8 @@
   public void failureWithoutLimitLiftsNone() {
     limit(0);
     entry.arrives(1, "/book/x");
-    entry.pass(2000);
-    entry.sent(2, "/book/x");
+    entry.advance(2000);
+    entry.send(2, "/book/x");
     entry.apply(new RelayEvent.AnswerBegan(2, 1, 500, false, null, RateLimit.NONE));
     long limited =
         entry.view.tracks.stream().filter(track -> track.rateLimit().isBounded()).count();
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/QuarantinedRequestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/QuarantinedRequestTest.java
@@ -22,7 +22,7 @@
   public void setUp() {
     entry = new RelayFixture();
     for (long number = 1000; number < 1020; number++) {
-      entry.sent(number, "/lookup/x");
+      entry.send(number, "/lookup/x");
       entry.apply(new RelayEvent.CallerLeft(number));
     }
   }
@@ -43,19 +43,19 @@
   public void requestIsRefusedAtItsArrival() {
     quarantine(1);
     assertRefused(entry.arrives(1, "/lookup/x"));
-    entry.sent(2, "/lookup/x");
+    entry.send(2, "/lookup/x");
   }
 
   /** The request became known while it ran; the attempts that are left to it aren't made. */
   @Test
   public void requestIsNotSentAgain() {
-    entry.sent(1, "/lookup/x");
+    entry.send(1, "/lookup/x");
     quarantine(1);
     assertRefused(entry.fails(1, 1, AttemptFailure.NO_ANSWER, null));
-    entry.sent(2, "/lookup/x");
+    entry.send(2, "/lookup/x");
     quarantine(2);
     assertRefused(entry.fails(2, 1, AttemptFailure.NOT_SENT, null));
-    entry.sent(3, "/book/x");
+    entry.send(3, "/book/x");
     quarantine(3);
     assertRefused(entry.answers(3, 1, 503, true));
   }
@@ -63,7 +63,7 @@
   /** The caller has had the beginning of a stream: it is broken off, and goes on nowhere. */
   @Test
   public void begunStreamGoesOnNowhere() {
-    entry.sent(1, "/stream/x");
+    entry.send(1, "/stream/x");
     entry.answers(1, 1, 200, false);
     quarantine(1);
     List<RelayEffect> effects = entry.fails(1, 1, AttemptFailure.BROKEN_OFF, "4");
@@ -74,7 +74,7 @@
   /** An answer is at hand that a larger model would be asked for again: it is passed on. */
   @Test
   public void largerModelIsNotAsked() {
-    entry.sent(1, "/sized/x");
+    entry.send(1, "/sized/x");
     quarantine(1);
     List<RelayEffect> effects = entry.apply(new RelayEvent.AnswerBegan(1, 1, 200, false, 0));
     only(effects, RelayEffect.PassAnswer.class);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
@@ -19,7 +19,7 @@
 final class RelayFixture {
 
   static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
-  private static final double RATIO = 0.9;
+  private static final double RETRY_RATIO = 0.9;
 
   final FakeView view = new FakeView();
   final VersionLedger counts = new VersionLedger();
@@ -42,7 +42,7 @@
                     new ConfidenceCascade(answerTimes),
                     answerTimes,
                     new VersionRule(view, 0.05),
-                    new RetryBudget(RATIO),
+                    new RetryBudget(RETRY_RATIO),
                     counts,
                     new ShutdownPolicy(Duration.ofSeconds(8)),
                     1)));
@@ -58,13 +58,13 @@
     return effects;
   }
 
-  List<RelayEffect> pass(long millis) {
+  List<RelayEffect> advance(long millis) {
     now = now.plusMillis(millis);
     return apply(new LifecycleEvent.Tick());
   }
 
   /** Sends a request and returns the attempt that it starts. */
-  RelayEffect.SendAttempt sent(long number, String path) {
+  RelayEffect.SendAttempt send(long number, String path) {
     return only(arrives(number, path), RelayEffect.SendAttempt.class);
   }
 
@@ -153,7 +153,7 @@
     boolean settled = true;
     final List<UpstreamTrack> tracks = new ArrayList<>();
     List<ServiceRollOut> rollOuts = List.of();
-    @Nullable String usual;
+    @Nullable String stableVersion;
     List<String> schedulers = List.of();
     int entries = 1;
     EntryPlace place = new EntryPlace(0, 1);
@@ -209,7 +209,7 @@
 
     @Override
     public @Nullable String stableVersion(String service) {
-      return usual;
+      return stableVersion;
     }
 
     @Override
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
@@ -27,7 +27,7 @@
 
   private void busy() {
     for (long number = 1000; number < 1020; number++) {
-      entry.sent(number, "/lookup/x");
+      entry.send(number, "/lookup/x");
       entry.apply(new RelayEvent.CallerLeft(number));
     }
   }
@@ -39,7 +39,7 @@
   @Test
   public void nonIdempotentRequestIsNotSentTwiceAfterItMayHaveRun() {
     busy();
-    entry.sent(1, "/book/x");
+    entry.send(1, "/book/x");
     List<RelayEffect> effects = entry.fails(1, 1, AttemptFailure.NO_ANSWER, null);
     assertTrue(RelayFixture.none(effects, RelayEffect.SendAttempt.class));
     RelayEffect.Refuse refuse = RelayFixture.only(effects, RelayEffect.Refuse.class);
@@ -54,7 +54,7 @@
   @Test
   public void requestThatHasNotRunGoesToAnotherUpstream() {
     busy();
-    RelayEffect.SendAttempt first = entry.sent(1, "/book/x");
+    RelayEffect.SendAttempt first = entry.send(1, "/book/x");
     List<RelayEffect> effects = entry.answers(1, 1, 503, true);
     RelayEffect.SendAttempt second = RelayFixture.only(effects, RelayEffect.SendAttempt.class);
     assertNotEquals(second.target().upstream().id(), first.target().upstream().id());
@@ -65,7 +65,7 @@
   @Test
   public void requestThatNoUpstreamTakesIsRefusedAtOnceWithTimeToComeBack() {
     busy();
-    entry.sent(1, "/book/x");
+    entry.send(1, "/book/x");
     entry.answers(1, 1, 503, true);
     entry.answers(1, 2, 503, true);
     List<RelayEffect> effects = entry.answers(1, 3, 503, true);
@@ -78,7 +78,7 @@
   @Test
   public void idempotentRequestIsSentAgainAfterFailure() {
     busy();
-    entry.sent(1, "/lookup/x");
+    entry.send(1, "/lookup/x");
     assertTrue(
         !RelayFixture.none(
             entry.fails(1, 1, AttemptFailure.NO_ANSWER, null), RelayEffect.SendAttempt.class));
@@ -93,7 +93,7 @@
   @Test
   public void brokenStreamGoesOnAtAnotherUpstream() {
     busy();
-    entry.sent(1, "/stream/x");
+    entry.send(1, "/stream/x");
     RelayFixture.only(entry.answers(1, 1, 200, false), RelayEffect.PassAnswer.class);
     List<RelayEffect> effects = entry.fails(1, 1, AttemptFailure.BROKEN_OFF, "4");
     RelayEffect.SendAttempt next = RelayFixture.only(effects, RelayEffect.SendAttempt.class);
@@ -109,7 +109,7 @@
   @Test
   public void upstreamThatCannotBeReachedIsNoAttempt() {
     busy();
-    entry.sent(1, "/book/x");
+    entry.send(1, "/book/x");
     RelayEffect.SendAttempt second =
         RelayFixture.only(
             entry.fails(1, 1, AttemptFailure.NOT_SENT, null), RelayEffect.SendAttempt.class);
@@ -126,7 +126,7 @@
    */
   @Test
   public void requestThatReachesNoUpstreamHasNotRun() {
-    entry.sent(1, "/book/x");
+    entry.send(1, "/book/x");
     entry.fails(1, 1, AttemptFailure.NOT_SENT, null);
     entry.fails(1, 2, AttemptFailure.NOT_SENT, null);
     List<RelayEffect> effects = entry.fails(1, 3, AttemptFailure.NOT_SENT, null);
@@ -137,8 +137,8 @@
 
   private void answered(int count, String path, int millis) {
     for (long number = 5000; number < 5000 + count; number++) {
-      entry.sent(number, path);
-      entry.pass(millis);
+      entry.send(number, path);
+      entry.advance(millis);
       entry.answers(number, 1, 200, false);
       entry.apply(new RelayEvent.AnswerEnded(number, 1));
     }
@@ -152,14 +152,14 @@
   public void lookupIsTakenFromUpstreamThatKeepsSilent() {
     busy();
     answered(20, "/lookup/x", 40);
-    String silent = entry.sent(1, "/lookup/x").target().upstream().id();
-    assertTrue(entry.pass(250).isEmpty(), "less than three tenths of the objective");
-    List<RelayEffect> effects = entry.pass(100);
+    String silent = entry.send(1, "/lookup/x").target().upstream().id();
+    assertTrue(entry.advance(250).isEmpty(), "less than three tenths of the objective");
+    List<RelayEffect> effects = entry.advance(100);
     assertTrue(effects.get(0) instanceof RelayEffect.DropAttempt, effects.toString());
     RelayEffect.SendAttempt next = RelayFixture.only(effects, RelayEffect.SendAttempt.class);
     assertNotEquals(next.target().upstream().id(), silent);
     assertEquals(entry.counts.all().get(0).failures(), 0, "a slow version isn't a failing one");
-    assertTrue(entry.pass(1000).isEmpty(), "only once");
+    assertTrue(entry.advance(1000).isEmpty(), "only once");
   }
 
   /**
@@ -171,7 +171,7 @@
     busy();
     entry.view.tracks.get(1).leaves();
     entry.view.tracks.get(2).leaves();
-    String only = entry.sent(1, "/lookup/x").target().upstream().id();
+    String only = entry.send(1, "/lookup/x").target().upstream().id();
     RelayEffect.SendAttempt second =
         RelayFixture.only(
             entry.fails(1, 1, AttemptFailure.NO_ANSWER, null), RelayEffect.SendAttempt.class);
@@ -188,7 +188,7 @@
     busy();
     entry.view.tracks.get(1).leaves();
     entry.view.tracks.get(2).leaves();
-    entry.sent(1, "/lookup/x");
+    entry.send(1, "/lookup/x");
     RelayEffect.Refuse refuse =
         RelayFixture.only(entry.answers(1, 1, 503, true), RelayEffect.Refuse.class);
     assertEquals(refuse.refusal(), Refusal.NO_UPSTREAM);
@@ -203,7 +203,7 @@
     busy();
     entry.view.tracks.get(1).leaves();
     entry.view.tracks.get(2).leaves();
-    entry.sent(1, "/book/x");
+    entry.send(1, "/book/x");
     RelayFixture.only(entry.answers(1, 1, 500, false), RelayEffect.PassAnswer.class);
   }
 
@@ -218,9 +218,9 @@
     entry.view.tracks.clear();
     entry.view.settled = false;
     assertTrue(entry.arrives(1, "/lookup/x").isEmpty());
-    assertTrue(entry.pass(400).isEmpty());
+    assertTrue(entry.advance(400).isEmpty());
     entry.view.tracks.addAll(known);
-    RelayFixture.only(entry.pass(100), RelayEffect.SendAttempt.class);
+    RelayFixture.only(entry.advance(100), RelayEffect.SendAttempt.class);
   }
 
   /** The caller is told at once where a service has no upstream and none is to be expected. */
@@ -257,8 +257,8 @@
   public void bookingIsNeverTakenFromSilentUpstream() {
     busy();
     answered(20, "/book/x", 40);
-    entry.sent(1, "/book/x");
-    assertTrue(entry.pass(1400).isEmpty());
+    entry.send(1, "/book/x");
+    assertTrue(entry.advance(1400).isEmpty());
   }
 
   /**
@@ -269,8 +269,8 @@
   public void patienceGrowsWithTheUsualTimes() {
     busy();
     answered(20, "/lookup/x", 700);
-    entry.sent(1, "/lookup/x");
-    assertTrue(entry.pass(800).isEmpty());
+    entry.send(1, "/lookup/x");
+    assertTrue(entry.advance(800).isEmpty());
   }
 
   /**
@@ -280,7 +280,7 @@
   @Test
   public void silentStreamGoesOnAtAnotherUpstream() {
     busy();
-    RelayEffect.SendAttempt first = entry.sent(1, "/stream/x");
+    RelayEffect.SendAttempt first = entry.send(1, "/stream/x");
     assertEquals(first.target().silenceMillis(), 480);
     entry.answers(1, 1, 200, false);
     List<RelayEffect> effects = entry.apply(new RelayEvent.AnswerSilent(1, 1, "4", 500));
@@ -300,7 +300,7 @@
     for (UpstreamTrack track : entry.view.tracks) {
       track.peers().told("entry-2", 60, 0, RelayFixture.START);
     }
-    entry.sent(1, "/stream/x");
+    entry.send(1, "/stream/x");
     entry.answers(1, 1, 200, false);
     assertTrue(entry.apply(new RelayEvent.AnswerSilent(1, 1, "4", 500)).isEmpty());
     assertTrue(entry.apply(new RelayEvent.AnswerSilent(1, 1, "4", 960)).isEmpty());
@@ -312,7 +312,7 @@
   @Test
   public void silentStreamThatCannotBeResumedGoesOn() {
     busy();
-    assertEquals(entry.sent(1, "/once/x").target().silenceMillis(), 0);
+    assertEquals(entry.send(1, "/once/x").target().silenceMillis(), 0);
     entry.answers(1, 1, 200, false);
     assertTrue(entry.apply(new RelayEvent.AnswerSilent(1, 1, "4", 500)).isEmpty());
   }
@@ -324,7 +324,7 @@
   @Test
   public void staleConnectionBlamesNobody() {
     busy();
-    String first = entry.sent(1, "/lookup/x").target().upstream().id();
+    String first = entry.send(1, "/lookup/x").target().upstream().id();
     RelayFixture.only(
         entry.fails(1, 1, AttemptFailure.STALE_CONNECTION, null), RelayEffect.SendAttempt.class);
     assertTrue(entry.counts.all().isEmpty(), entry.counts.all().toString());
@@ -340,7 +340,7 @@
   @Test
   public void brokenStreamThatCannotBeResumedIsBrokenOff() {
     busy();
-    entry.sent(1, "/once/x");
+    entry.send(1, "/once/x");
     entry.answers(1, 1, 200, false);
     List<RelayEffect> effects = entry.fails(1, 1, AttemptFailure.BROKEN_OFF, "4");
     RelayFixture.only(effects, RelayEffect.BreakOff.class);
@@ -353,9 +353,9 @@
    */
   @Test
   public void requestEndsAtTheRoutesTimeout() {
-    entry.sent(1, "/book/x");
-    assertTrue(entry.pass(1499).isEmpty());
-    List<RelayEffect> effects = entry.pass(1);
+    entry.send(1, "/book/x");
+    assertTrue(entry.advance(1499).isEmpty());
+    List<RelayEffect> effects = entry.advance(1);
     RelayFixture.only(effects, RelayEffect.DropAttempt.class);
     assertEquals(RelayFixture.only(effects, RelayEffect.Refuse.class).refusal(), Refusal.TIME_OUT);
   }
@@ -363,7 +363,7 @@
   /** The upstream's work ends when the caller leaves; what comes later is ignored. */
   @Test
   public void callerThatLeavesEndsTheAttempt() {
-    entry.sent(1, "/lookup/x");
+    entry.send(1, "/lookup/x");
     RelayFixture.only(entry.apply(new RelayEvent.CallerLeft(1)), RelayEffect.DropAttempt.class);
     assertTrue(entry.answers(1, 1, 200, false).isEmpty());
   }
@@ -387,7 +387,7 @@
     entry.view.proven = false;
     for (String path : List.of("/lookup/x", "/nowhere/")) {
       assertTrue(entry.arrives(1, path).isEmpty());
-      RelayEffect.Refuse refuse = RelayFixture.only(entry.pass(900), RelayEffect.Refuse.class);
+      RelayEffect.Refuse refuse = RelayFixture.only(entry.advance(900), RelayEffect.Refuse.class);
       assertEquals(refuse.refusal(), Refusal.NOT_SERVING);
       assertTrue(refuse.retryAfterMillis() > 0);
     }
@@ -402,9 +402,9 @@
     entry.view.proven = false;
     entry.view.settled = false;
     assertTrue(entry.arrives(1, "/lookup/x").isEmpty());
-    assertTrue(entry.pass(1400).isEmpty());
+    assertTrue(entry.advance(1400).isEmpty());
     entry.view.proven = true;
-    RelayFixture.only(entry.pass(50), RelayEffect.SendAttempt.class);
+    RelayFixture.only(entry.advance(50), RelayEffect.SendAttempt.class);
   }
 
   /** The caller is served a little later. The entry had just started when the request came. */
@@ -413,7 +413,7 @@
     entry.view.proven = false;
     assertTrue(entry.arrives(1, "/lookup/x").isEmpty());
     entry.view.proven = true;
-    RelayFixture.only(entry.pass(200), RelayEffect.SendAttempt.class);
+    RelayFixture.only(entry.advance(200), RelayEffect.SendAttempt.class);
   }
 
   /**
@@ -423,7 +423,7 @@
   @Test
   public void doubtedAnswerIsAskedOfTheLargerModel() {
     busy();
-    assertEquals(entry.sent(1, "/sized/x").target().model(), "small");
+    assertEquals(entry.send(1, "/sized/x").target().model(), "small");
     List<RelayEffect> effects = entry.apply(new RelayEvent.AnswerBegan(1, 1, 200, false, 10));
     RelayFixture.only(effects, RelayEffect.DropAttempt.class);
     assertEquals(
@@ -432,7 +432,7 @@
 
   @Test
   public void trustedAnswerOfTheSmallModelIsPassed() {
-    entry.sent(1, "/sized/x");
+    entry.send(1, "/sized/x");
     List<RelayEffect> effects = entry.apply(new RelayEvent.AnswerBegan(1, 1, 200, false, 90));
     RelayFixture.only(effects, RelayEffect.PassAnswer.class);
   }
@@ -444,9 +444,9 @@
   @Test
   public void stoppingEntryRefusesWhatItCouldNotEnd() {
     entry.apply(new LifecycleEvent.StopRequested());
-    entry.pass(5000);
-    entry.sent(1, "/stream/x");
-    entry.pass(1500);
+    entry.advance(5000);
+    entry.send(1, "/stream/x");
+    entry.advance(1500);
     for (String path : List.of("/stream/x", "/book/x")) {
       RelayEffect.Refuse refuse =
           RelayFixture.only(entry.arrives(2, path), RelayEffect.Refuse.class);
@@ -463,7 +463,7 @@
   public void repeatsStayWithinTheBudget() {
     int repeats = 0;
     for (long number = 1; number <= 100; number++) {
-      entry.sent(number, "/lookup/x");
+      entry.send(number, "/lookup/x");
       for (int attempt = 1; attempt <= 3; attempt++) {
         List<RelayEffect> effects = entry.fails(number, attempt, AttemptFailure.NO_ANSWER, null);
         repeats += RelayFixture.none(effects, RelayEffect.SendAttempt.class) ? 0 : 1;
@@ -480,18 +480,18 @@
   @Test
   public void addressOfAnotherRunIsNotUsedAgain() {
     busy();
-    String wrong = entry.sent(1, "/lookup/x").target().upstream().id();
+    String wrong = entry.send(1, "/lookup/x").target().upstream().id();
     entry.answers(1, 1, 421, false);
     Set<String> used = new HashSet<>();
     for (long number = 2; number < 40; number++) {
-      used.add(entry.sent(number, "/lookup/x").target().upstream().id());
+      used.add(entry.send(number, "/lookup/x").target().upstream().id());
     }
     assertTrue(!used.contains(wrong), wrong + " in " + used);
   }
 
   @Test
   public void teamAndPriorityOfTheTeamAreNamed() {
-    RelayEffect.SendAttempt sent = entry.sent(1, "/lookup/x");
+    RelayEffect.SendAttempt sent = entry.send(1, "/lookup/x");
     assertEquals(sent.target().team(), "team");
     assertNull(sent.target().urgency(), "a plain service knows no urgency");
   }
