--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelay.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelay.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.crash.RequestKey;
 
-/** A request that an entry works on. */
+/** A caller's request in progress at an entry, with the state of its attempts. */
 final class ActiveRelay {
 
   final RelayRequest request;
@@ -14,49 +14,52 @@
   final RelayService service;
   final @Nullable RelayTeam team;
 
-  /** What it has in common with the same request sent again. */
+  /** Identifies the request's team and content, which are the same if the caller sends it again. */
   final RequestKey requestKey;
 
   final Instant arrivedAt;
   final Instant deadline;
 
-  /** Upstreams that had the request. */
+  /** Ids of the upstreams to which the request has been sent. */
   final Set<String> triedUpstreams = new HashSet<>();
 
-  /** Upstreams that did not take the request or could not be reached. */
+  /** Ids of the upstreams that rejected the request unexecuted or were unreachable. */
   final Set<String> refusingUpstreams = new HashSet<>();
 
-  /** Place of the model that is asked, or -1 if the caller named it. */
+  /** Index of the requested model in the route's list, or -1 if the caller named the model. */
   int modelIndex = -1;
 
   /** Number of the newest attempt, 0 before the first. */
   int attempt;
 
-  /** Attempts that reached an upstream or may have. */
+  /** Number of attempts that reached, or may have reached, an upstream. */
   int sentAttempts;
 
-  /** Attempts that failed before anything was sent. */
+  /** Number of attempts that failed before anything was sent. */
   int unsentAttempts;
 
-  /** Whether it was taken from a silent upstream once, which is done once only. */
+  /** Whether the request has failed over from a silent upstream, which happens at most once. */
   boolean failedOver;
 
   /** Whether an upstream may have run the request. */
   boolean mayHaveRun;
 
-  /** Whether the caller has been given the beginning of an answer. */
+  /** Whether the entry has begun to forward an answer to the caller. */
   boolean forwarding;
 
-  /** Where the newest attempt is under way, or null. */
+  /** Placement of the attempt in progress, or null if there is none. */
   @Nullable Placement placement;
 
-  /** The scheduler that placed the newest attempt, or null if this entry did. */
+  /** Grant of the scheduler that placed the newest attempt, or null if this entry placed it. */
   @Nullable SchedulerGrant grant;
 
-  /** Number of the question to a scheduler that is open, or 0. */
+  /** Number of the outstanding placement query to a scheduler, or 0 if there is none. */
   long placementQuery;
 
-  /** Reading that the newest attempt still waits for, in milliseconds of its upstream. */
+  /**
+   * Work that the upstream still has to do before the first byte of the newest attempt's answer, in
+   * milliseconds.
+   */
   double pendingWorkMillis;
 
   Instant sentAt = Instant.EPOCH;
@@ -64,7 +67,9 @@
   /** When the newest answer began. */
   Instant answeredAt = Instant.EPOCH;
 
-  /** What the model that answers thinks of its answer, from 0 to 100, or null if unknown. */
+  /**
+   * Confidence that the answering model reports for its answer, from 0 to 100, or null if unknown.
+   */
   @Nullable Integer confidence;
 
   @Nullable String lastEventId;
@@ -87,13 +92,13 @@
     this.lastEventId = request.lastEventId();
   }
 
-  /** Returns the upstream of the attempt that is under way, or null. */
+  /** Returns the upstream of the attempt in progress, or null if there is none. */
   @Nullable UpstreamTrack upstream() {
     Placement placed = placement;
     return placed == null ? null : placed.track();
   }
 
-  /** Returns the name of the model that is asked, or null if there is none. */
+  /** Returns the name of the requested model, or null if there is none. */
   @Nullable String modelName() {
     return modelIndex < 0 ? request.model() : route.models().get(modelIndex);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelays.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelays.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** The requests that an entry works on, by their numbers. */
+/** The requests in progress at an entry, indexed by request number. */
 final class ActiveRelays {
 
   private final Map<Long, ActiveRelay> byNumber = new LinkedHashMap<>();
@@ -23,13 +23,16 @@
     return byNumber.get(number);
   }
 
-  /** Returns a request if an attempt is its newest one; what older ones did no longer matters. */
+  /**
+   * Returns the request if the attempt is its newest one, else null; events of older attempts are
+   * ignored.
+   */
   @Nullable ActiveRelay find(long number, int attempt) {
     ActiveRelay relay = byNumber.get(number);
     return relay != null && relay.attempt == attempt ? relay : null;
   }
 
-  /** Returns all, oldest first; the list stays as it is when requests end. */
+  /** Returns a copy of the list of all requests in progress, oldest first. */
   List<ActiveRelay> all() {
     return new ArrayList<>(byNumber.values());
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailure.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailure.java
@@ -2,18 +2,18 @@
 
 /** How an attempt at an upstream failed. */
 public enum AttemptFailure {
-  /** No connection could be made; nothing was sent. */
+  /** No connection could be established; nothing was sent. */
   NOT_SENT(false, false),
   /** The connection was lost after the request was sent and before an answer came. */
   NO_ANSWER(true, true),
   /**
-   * A kept connection was closed under the request before an answer came, as the upstream had
-   * already given it up; says nothing of the upstream itself.
+   * A pooled connection was closed before an answer came, because the upstream had already closed
+   * it as idle; this doesn't indicate a fault of the upstream.
    */
   STALE_CONNECTION(true, false),
-  /** The bytes that came are no answer to this request. */
+  /** The received bytes are not a valid answer to this request. */
   NOT_AN_ANSWER(true, true),
-  /** The answer broke off. */
+  /** The answer ended before it was complete. */
   BROKEN_OFF(true, true);
 
   private final boolean mayHaveRun;
@@ -29,7 +29,7 @@
     return mayHaveRun;
   }
 
-  /** Returns whether it counts against the version that the upstream runs. */
+  /** Returns whether the failure counts against the version that the upstream runs. */
   public boolean countsAgainstVersion() {
     return countsAgainstVersion;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -10,16 +10,19 @@
 import org.skylarkfork.core.event.RelayEvent;
 import org.skylarkfork.core.message.RelayMessage.AttemptProgress;
 
-/** Goes on after attempts that failed, were not run, or keep their callers waiting. */
+/**
+ * Retries, fails over or ends requests whose attempts failed, were rejected unexecuted or are slow.
+ */
 final class AttemptFailureHandler {
 
   private static final int MISDIRECTED_REQUEST = 421;
 
-  /** Upstreams to which no connection can be made that are tried for one request. */
+  /** Maximum number of unreachable upstreams that are tried for one request. */
   private static final int MAX_UNSENT_ATTEMPTS = 4;
 
   /**
-   * Silence, in pauses that are on time, from which on a stream is moved though it will be late.
+   * Length of the silence, as a multiple of the route's pause objective, after which a stream fails
+   * over even if the other upstream can't meet the objective.
    */
   private static final double CERTAIN_SILENCE_PAUSES = 1.75;
 
@@ -48,7 +51,7 @@
     this.trace = trace;
   }
 
-  /** Goes on after an upstream that said that it has not run the request. */
+  /** Handles an upstream's report that it has not run the request. */
   void onNotRun(
       ActiveRelay relay,
       UpstreamTrack track,
@@ -67,9 +70,11 @@
   }
 
   /**
-   * Goes on after an upstream's own failure, if there is another try for the request.
+   * Retries the request after an upstream answered with a server error, if another attempt is
+   * allowed.
    *
-   * @return whether the request went on or ended; if not, the failure is to be passed on
+   * @return whether the request was retried or ended; if false, the caller must receive the error
+   *     answer
    */
   boolean onServerError(
       ActiveRelay relay,
@@ -93,7 +98,7 @@
     return retried || relay.forwarding;
   }
 
-  /** Goes on after an attempt that failed on its way. */
+  /** Handles an attempt that failed before its answer was complete. */
   void onAttemptFailed(
       ActiveRelay relay, RelayEvent.AttemptFailed failed, Instant now, Output output) {
     UpstreamTrack track = relay.upstream();
@@ -125,11 +130,11 @@
   }
 
   /**
-   * Goes on after an upstream that could not be reached.
+   * Tries another upstream after one that was unreachable.
    *
-   * <p>Nothing reached an upstream, so this is no repeat: neither the route's attempts nor the
-   * budget count it. Counted, a route with two attempts ended in an error after 58 ms because two
-   * upstreams had just crashed.
+   * <p>Nothing reached an upstream, so the next attempt is not a retry and counts neither toward
+   * the route's maximum of attempts nor toward the retry budget. When it counted, a request on a
+   * route with two attempts failed after 58 ms because two upstreams had just crashed.
    */
   private void onUnreachable(ActiveRelay relay, Instant now, Output output) {
     relay.sentAttempts--;
@@ -145,11 +150,12 @@
   }
 
   /**
-   * Takes a stream that has begun from an upstream that has fallen silent.
+   * Fails a stream over whose upstream has become silent after its answer began.
    *
-   * <p>At first only where another one would go on in time for the longest pause: a busy engine is
-   * silent for as long, and its prompt would have to be read again. Later in any case, since an
-   * upstream that is cut off without a reset never goes on.
+   * <p>Initially the stream fails over only if another upstream is expected to continue it within
+   * the route's pause objective, because a busy engine can be silent for as long and the other
+   * upstream must prefill the prompt again. After a longer silence the stream fails over
+   * regardless, because an upstream that is disconnected without a TCP reset never continues.
    */
   void onSilentStream(
       ActiveRelay relay, RelayEvent.AnswerSilent silent, Instant now, Output output) {
@@ -169,7 +175,7 @@
     }
   }
 
-  /** Looks whether an upstream keeps a request waiting for longer than is usual. */
+  /** Fails a request over if its upstream has exceeded the first-byte timeout. */
   void checkFirstByteTimeout(ActiveRelay relay, Instant now, Output output) {
     double waitedMillis = Duration.between(relay.sentAt, now).toMillis();
     boolean awaitsFirstByte = !relay.forwarding && relay.placementQuery == 0;
@@ -180,10 +186,11 @@
   }
 
   /**
-   * Asks another upstream in place of a silent one, once for each request.
+   * Fails over from a silent upstream to another one, at most once per request.
    *
-   * <p>The attempt is dropped first, so that the two never work on it at once; that needs another
-   * upstream and room in the budget, or the caller would lose an answer that may still come.
+   * <p>The current attempt is cancelled first, so that two upstreams never run the request at once.
+   * It is cancelled only if another upstream is available and the retry budget allows an attempt,
+   * because otherwise the caller would lose an answer that may still come.
    */
   private void failOver(
       ActiveRelay relay, double longestMillis, String why, Instant now, Output output) {
@@ -215,10 +222,10 @@
   }
 
   /**
-   * Counts the time of an attempt that was not waited out as if the answer had begun now.
+   * Records the time spent on an abandoned attempt as if its answer had begun now.
    *
-   * <p>A new version has read no prompts yet and is slow at first. Counted as failures, the waits
-   * that were given up had a good version rolled back.
+   * <p>A new version has no cached prompt prefixes and is slow at first. When abandoned attempts
+   * counted as failures, a good version was rolled back.
    */
   private void recordAbandonedWait(ActiveRelay relay, UpstreamTrack silent, Instant now) {
     if (!relay.forwarding) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
@@ -11,16 +11,16 @@
 import org.skylarkfork.core.message.RelayMessage.AttemptProgress;
 import org.skylarkfork.core.placement.PromptChain;
 
-/** Sends attempts to upstreams, and keeps account of what is under way there. */
+/** Places and sends attempts to upstreams and tracks the attempts in progress. */
 final class AttemptSender {
 
   /**
-   * Share of the longest pause that is on time after which a silent stream goes on elsewhere; the
-   * rest is for the other upstream to begin.
+   * Fraction of the route's pause objective after which a silent stream is reported for failover;
+   * the rest is left for the other upstream to begin.
    */
   private static final double SILENCE_FRACTION = 0.6;
 
-  /** Connections of all entries together stay below the upstream's bound by this share. */
+  /** Fraction of an upstream's connection limit that all entries together may use. */
   private static final double CONNECTION_FRACTION = 0.8;
 
   private final RelayView view;
@@ -49,11 +49,11 @@
   }
 
   /**
-   * Returns where the next attempt would go, or null if no upstream can take it: to an upstream
-   * that hasn't had the request, else to one whose answer failed.
+   * Returns the placement of the next attempt, or null if no upstream accepts it. Prefers upstreams
+   * to which the request hasn't been sent yet, then those whose answers to it failed.
    *
-   * <p>Where all others have left, the last upstream of a service answers most repeats well; not
-   * asked again, its first failure was the caller's.
+   * <p>If all others have left, the last upstream of a service answers most retries successfully;
+   * without a second attempt there, its first failure would reach the caller.
    */
   @Nullable Placement place(ActiveRelay relay, Instant now) {
     Placement fresh = pick(relay, relay.modelName(), relay.triedUpstreams, now);
@@ -61,12 +61,15 @@
     return mayReturn ? pick(relay, relay.modelName(), relay.refusingUpstreams, now) : fresh;
   }
 
-  /** Returns whether a request ends the upstreams that run it, as all entries know. */
+  /** Returns whether the request is quarantined because it crashes the upstreams that run it. */
   boolean isQuarantined(ActiveRelay relay) {
     return view.isQuarantined(relay.requestKey);
   }
 
-  /** Returns whether upstreams of a request's service are kept from it by an evacuation alone. */
+  /**
+   * Returns whether no upstream of the request's service accepts new work and at least one of them
+   * is in an evacuated zone.
+   */
   boolean isEvacuated(ActiveRelay relay) {
     List<UpstreamTrack> all = view.upstreams(relay.service.name());
     return all.stream().anyMatch(track -> track.condition() == UpstreamCondition.EVACUATED)
@@ -74,19 +77,25 @@
   }
 
   /**
-   * Returns when an upstream takes a request that none takes now, or zero if that isn't a matter of
-   * rate limits.
+   * Returns the time until an upstream accepts the request that none accepts now, or zero if rate
+   * limits aren't the reason.
    */
   Duration retryDelay(ActiveRelay relay, Instant now) {
     return picker.untilTaken(query(relay, relay.modelName(), relay.triedUpstreams), now);
   }
 
-  /** Returns where an attempt with another of the route's models would go, or null. */
+  /**
+   * Returns the placement of an attempt with another of the route's models, or null if no upstream
+   * accepts it.
+   */
   @Nullable Placement placeEscalation(ActiveRelay relay, int model, Instant now) {
     return pick(relay, relay.route.models().get(model), triedAndCurrent(relay), now);
   }
 
-  /** Returns where an attempt would go in place of the one that is under way, or null. */
+  /**
+   * Returns the placement of an attempt that would replace the one in progress, or null if no other
+   * upstream accepts it.
+   */
   @Nullable Placement placeFailover(ActiveRelay relay, Instant now) {
     return pick(relay, relay.modelName(), triedAndCurrent(relay), now);
   }
@@ -125,26 +134,32 @@
     return PromptChain.of(model, relay.request.prompt(), relay.request.promptTokens());
   }
 
-  /** Asks a scheduler where the next attempt goes; returns whether there was one to ask. */
+  /**
+   * Queries a scheduler for the placement of the next attempt; returns whether a scheduler was
+   * available.
+   */
   boolean queryScheduler(ActiveRelay relay, Instant now, Output output) {
     PlacementQuery query = query(relay, relay.modelName(), relay.triedUpstreams);
     return schedulers.ask(relay, query, false, now, output);
   }
 
-  /** Asks a scheduler where a larger model would answer; returns whether there was one to ask. */
+  /**
+   * Queries a scheduler for the placement of an attempt with a larger model; returns whether a
+   * scheduler was available.
+   */
   boolean querySchedulerForEscalation(ActiveRelay relay, int model, Instant now, Output output) {
     PlacementQuery query = query(relay, relay.route.models().get(model), triedAndCurrent(relay));
     return schedulers.ask(relay, query, true, now, output);
   }
 
-  /** Gives a place back that a scheduler has given and that isn't used. */
+  /** Releases an unused grant at the scheduler that issued it; does nothing for null. */
   void releaseGrant(@Nullable SchedulerGrant grant, Output output) {
     if (grant != null) {
       schedulers.tell(grant, AttemptProgress.ENDED, 0, output);
     }
   }
 
-  /** Sends an attempt that this entry has placed itself. */
+  /** Sends an attempt that this entry placed without a scheduler. */
   void send(ActiveRelay relay, Placement placement, Instant now, Output output) {
     send(relay, placement, null, now, output);
   }
@@ -153,10 +168,10 @@
    * Sends an attempt.
    *
    * @param relay the request
-   * @param placement where it goes
-   * @param grant the scheduler that has chosen that, or null
-   * @param now the present time
-   * @param output takes what is to be done
+   * @param placement the upstream and the estimates for the attempt
+   * @param grant grant of the scheduler that chose the placement, or null if this entry chose it
+   * @param now the current time
+   * @param output receives the resulting effects
    */
   void send(
       ActiveRelay relay,
@@ -204,7 +219,7 @@
         relay.route.retryable() ? (int) (relay.route.pauseMillis() * SILENCE_FRACTION) : 0);
   }
 
-  /** Takes note of the first byte of the answer to the attempt that is under way. */
+  /** Records the first byte of the answer to the attempt in progress. */
   void recordFirstByte(ActiveRelay relay, Instant now, Output output) {
     Placement placement = relay.placement;
     if (placement == null) {
@@ -221,12 +236,12 @@
   }
 
   /**
-   * Takes note that the upstream of the attempt that is under way failed it.
+   * Records that the upstream failed the attempt in progress.
    *
    * @param relay the request
-   * @param progress what the upstream did
-   * @param now the present time
-   * @param output takes what is to be done
+   * @param progress how the attempt failed
+   * @param now the current time
+   * @param output receives the resulting effects
    */
   void recordFailure(ActiveRelay relay, AttemptProgress progress, Instant now, Output output) {
     UpstreamTrack track = relay.upstream();
@@ -243,7 +258,7 @@
     }
   }
 
-  /** Ends the attempt that is under way, if there is one, so that its upstream stops. */
+  /** Cancels the attempt in progress, if there is one, so that its upstream stops working on it. */
   void cancelAttempt(ActiveRelay relay, Output output) {
     if (relay.placement != null) {
       output.effect(new RelayEffect.DropAttempt(relay.request.number(), relay.attempt));
@@ -251,7 +266,10 @@
     releaseAttempt(relay, output);
   }
 
-  /** Takes note that the attempt that was under way is over, and any question with it. */
+  /**
+   * Releases the resources of the attempt in progress: its outstanding placement query, its grant
+   * and its share of the upstream's load.
+   */
   void releaseAttempt(ActiveRelay relay, Output output) {
     schedulers.forget(relay);
     releaseGrant(relay.grant, output);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
@@ -5,16 +5,16 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.Output;
 
-/** Starts the next attempt of a request, or ends the request if there can be none. */
+/** Starts the next attempt of a request, or ends the request if no further attempt is possible. */
 final class AttemptStarter {
 
   /**
-   * When to come back where every upstream of a service is in an evacuated zone, in milliseconds.
-   * Nobody knows when operators take a zone back; entries hear of it within half a second.
+   * Retry delay if every upstream of a service is in an evacuated zone, in milliseconds. The time
+   * at which operators restore a zone is unknown; entries learn of it within half a second.
    */
   private static final long EVACUATED_RETRY_MILLIS = 1000;
 
-  /** When to come back at the latest where upstreams take little, in milliseconds. */
+  /** Maximum retry delay if the upstreams are rate limited, in milliseconds. */
   private static final long MAX_RETRY_MILLIS = 10_000;
 
   private final AttemptSender sender;
@@ -33,7 +33,7 @@
     startNext(relay, now, output);
   }
 
-  /** Goes on with a request whose scheduler has answered, or kept silent. */
+  /** Continues a request whose placement query was answered or timed out. */
   void onPlacement(SchedulerClient.Placed placed, Instant now, Output output) {
     ActiveRelay relay = placed.relay();
     Placement chosen = placed.placement();
@@ -41,7 +41,7 @@
     send(relay, placement, placed.grant(), now, output);
   }
 
-  /** Starts an attempt that is allowed. */
+  /** Starts an attempt without checking the retry budget. */
   void startNext(ActiveRelay relay, Instant now, Output output) {
     if (sender.isQuarantined(relay)) {
       endQuarantined(relay, now, output);
@@ -54,7 +54,7 @@
     send(relay, inTime ? sender.place(relay, now) : null, null, now, output);
   }
 
-  /** Sends an attempt if that is not in vain; else ends the request and gives the place back. */
+  /** Sends an attempt if it can meet the deadline; else releases the grant and ends the request. */
   private void send(
       ActiveRelay relay,
       @Nullable Placement placement,
@@ -77,20 +77,20 @@
   }
 
   /**
-   * Returns whether a request would wait at its upstream until its caller is gone.
+   * Returns whether the request would wait at its upstream beyond its deadline.
    *
-   * <p>Sent nevertheless, it would take the upstream's time from requests that can be answered, and
-   * its caller would learn nothing until its deadline.
+   * <p>If it were sent, it would use upstream time that other requests need, and its caller would
+   * get no answer before the deadline.
    */
   private static boolean wouldMissDeadline(ActiveRelay relay, Placement placement, Instant now) {
     return relay.attempt == 0 && placement.waitMillis() > remainingMillis(relay, now);
   }
 
   /**
-   * Ends a request that became known to end upstreams while it was worked on.
+   * Ends a request that was quarantined while it was in progress.
    *
-   * <p>Looked at on arrival only, a request that was let in a moment before would still end an
-   * upstream with each attempt that is left to it, and those that its answer's model asks for.
+   * <p>If the quarantine were checked on arrival only, a request admitted shortly before would
+   * crash another upstream with each remaining attempt, including escalations to a larger model.
    */
   private void endQuarantined(ActiveRelay relay, Instant now, Output output) {
     if (relay.forwarding) {
@@ -125,7 +125,7 @@
     }
   }
 
-  /** Starts one more attempt if the route and the budget allow it, else ends the request. */
+  /** Starts another attempt if the route and the retry budget allow it, else ends the request. */
   void retryOrEnd(ActiveRelay relay, Instant now, Output output) {
     boolean retrySafe = !relay.mayHaveRun || relay.route.retryable();
     if (sender.isQuarantined(relay)) {
@@ -139,7 +139,7 @@
     }
   }
 
-  /** Decides whether one more attempt is allowed, and counts it if so. */
+  /** Returns whether another attempt is allowed, and if so charges it to the retry budget. */
   boolean acquireRetry(ActiveRelay relay, Instant now) {
     return !sender.isQuarantined(relay)
         && relay.sentAttempts < relay.route.maxAttempts()
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptTarget.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptTarget.java
@@ -3,20 +3,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Where and how an attempt is sent.
+ * The upstream and the parameters of one attempt.
  *
- * @param upstream the upstream, which must refuse the request if it is another run than named
- * @param maxConnections connections that this entry may have to it
+ * @param upstream the upstream, which must reject the request if it is a different run from this
+ *     one
+ * @param maxConnections maximum number of connections from this entry to the upstream
  * @param team name of the caller's team, or null for a request without a key
- * @param model model that is named to the upstream, or null to leave the caller's
- * @param urgency rank among requests at the upstream, 0 first; null to leave it out
- * @param leftMillis time left for the answer, in milliseconds
- * @param streams whether the answer is a series of events
- * @param lastEventId event after which the stream goes on, or null
- * @param continues whether events follow those already given to the caller
- * @param fresh whether it needs a new connection
- * @param silenceMillis time without a byte of a stream that has begun after which the entry is told
- *     of it, in milliseconds; 0 for never
+ * @param model model that the attempt requests, or null to keep the caller's
+ * @param urgency priority among the requests at the upstream, 0 being the highest; null to omit it
+ * @param leftMillis time until the request's deadline, in milliseconds
+ * @param streams whether the answer is an event stream
+ * @param lastEventId id of the event after which the stream continues, or null to begin at the
+ *     start
+ * @param continues whether the answer continues one that is already forwarded to the caller
+ * @param fresh whether the attempt requires a new connection
+ * @param silenceMillis time without a byte after which a stream that has begun is reported as
+ *     silent, in milliseconds; 0 for never
  */
 public record AttemptTarget(
     UpstreamInstance upstream,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/FirstByteTimeout.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/FirstByteTimeout.java
@@ -4,41 +4,50 @@
 import java.util.Map;
 
 /**
- * How long an entry waits for the first byte of an answer before it asks another upstream.
+ * Adaptive timeout for the first byte of an answer, after which the entry tries another upstream.
  *
- * <p>An upstream that is cut off without a reset, or that fails by silence, would otherwise keep a
- * request until its deadline. As TCP does for its retransmission timeout, the entry keeps the mean
- * of the usual times and their mean deviation, for each route and model, since these differ
- * tenfold. Under load the times grow and the patience with them, so that a busy service doesn't get
+ * <p>An upstream that is disconnected without a TCP reset, or that hangs, would otherwise hold a
+ * request until its deadline. Like TCP's retransmission timeout, the timeout is derived from a
+ * moving mean and mean deviation, kept per route and model because their times differ tenfold.
+ * Under load the observed times and thus the timeout grow, so that a busy service doesn't receive
  * its requests twice.
  */
 final class FirstByteTimeout {
 
-  /** Weight of the newest time in the mean and in the deviation, as in RFC 6298. */
+  /** Weight of the newest sample in the mean, as in RFC 6298. */
   private static final double MEAN_GAIN = 0.125;
 
+  /** Weight of the newest sample in the mean deviation, as in RFC 6298. */
   private static final double DEVIATION_GAIN = 0.25;
 
-  /** Deviations beyond the mean; RFC 6298 takes 4, an engine's times have a longer tail. */
+  /**
+   * Number of mean deviations added to the mean; RFC 6298 uses 4, but engine times have a longer
+   * tail.
+   */
   private static final double DEVIATION_FACTOR = 6;
 
-  /** Least patience in means, since even times deviate as soon as load comes. */
+  /** Minimum timeout as a multiple of the mean, since uniform times start to vary under load. */
   private static final double MIN_MEAN_FACTOR = 2;
 
-  /** Answers from which on the times count as known. */
+  /** Minimum number of samples before the timeout applies. */
   private static final int MIN_SAMPLES = 8;
 
-  /** Least patience as a share of the route's objective. */
+  /** Minimum timeout as a share of the route's objective. */
   private static final double MIN_OBJECTIVE_SHARE = 0.3;
 
   private final Map<String, Estimate> byRoute = new HashMap<>();
 
-  /** Takes note of a time to the first byte, or of one that was not waited out. */
+  /**
+   * Records a time to the first byte, or the time until an attempt was abandoned, in milliseconds.
+   */
   void record(RelayRoute route, int model, double millis) {
     byRoute.computeIfAbsent(key(route, model), missing -> new Estimate()).add(millis);
   }
 
-  /** Returns whether an attempt has waited longer than is usual for its route and model. */
+  /**
+   * Returns whether a wait in milliseconds exceeds the timeout of a route and model; false until
+   * enough samples are recorded.
+   */
   boolean isExceeded(RelayRoute route, int model, double millis) {
     Estimate estimate = byRoute.get(key(route, model));
     if (estimate == null || estimate.answers < MIN_SAMPLES) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PendingRequests.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PendingRequests.java
@@ -9,37 +9,43 @@
 import java.util.function.Predicate;
 
 /**
- * Requests that came before their entry could serve.
+ * Requests that arrived before their entry was ready to serve them.
  *
- * <p>An entry that has just started, or a core that elects, is ready again within a second; a
- * caller that is refused instead comes back once at most and finds the same.
+ * <p>An entry that has just started, or whose control VMs are electing a leader, is ready again
+ * within a second. A caller that is rejected instead retries at most once and meets the same state.
  */
 final class PendingRequests {
 
   /**
-   * Longest wait at an entry that has just started. After a crash of everything the entries are up
-   * 1.2 s before they may serve; an engine answers in 0.2 s, so that a stream that waited this long
-   * is still in time, and every other entry is as far.
+   * Maximum wait at an entry that has not served since its start. After a full outage the entries
+   * run for 1.2 s before they are allowed to serve, and all entries reach that point at the same
+   * time. An engine answers in 0.2 s, so a stream that waited this long still begins within its
+   * objective.
    */
   private static final Duration STARTUP_WAIT = Duration.ofMillis(1500);
 
-  /** Longest wait at an entry that served before. It may be cut off, and others may serve. */
+  /**
+   * Maximum wait at an entry that has served before. It may be partitioned while other entries
+   * serve.
+   */
   private static final Duration DISCONNECTED_WAIT = Duration.ofMillis(900);
 
-  /** Share of a caller's time that its request waits here at the most; the rest is for the work. */
+  /**
+   * Maximum share of the caller's timeout that a request waits here; the rest is left for the work.
+   */
   private static final double MAX_WAIT_SHARE = 0.8;
 
-  /** Most requests that wait; a body of 10 kB each takes 5 MB. */
+  /** Maximum number of pending requests; with bodies of 10 kB each they take 5 MB. */
   private static final int MAX_REQUESTS = 512;
 
   private final Map<Long, PendingRequest> byNumber = new LinkedHashMap<>();
 
   /**
-   * Keeps a request; returns whether there was room.
+   * Adds a request; returns false if the maximum number of requests is pending.
    *
    * @param request the request
    * @param starting whether the entry has not served since its start
-   * @param now the present time
+   * @param now the current time
    */
   boolean add(RelayRequest request, boolean starting, Instant now) {
     if (byNumber.size() >= MAX_REQUESTS) {
@@ -50,16 +56,16 @@
     return true;
   }
 
-  /** Forgets a request; returns whether it waited here. */
+  /** Removes a request; returns whether it was pending. */
   boolean remove(long number) {
     return byNumber.remove(number) != null;
   }
 
   /**
-   * Hands out requests that need not or may not wait any longer.
+   * Removes and returns the requests that are servable or whose wait has expired.
    *
-   * @param servable tells whether a request can be decided on now
-   * @param now the present time
+   * @param servable returns whether a request can be admitted or rejected now
+   * @param now the current time
    */
   List<PendingRequest> release(Predicate<RelayRequest> servable, Instant now) {
     List<PendingRequest> released = new ArrayList<>();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/Refusal.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/Refusal.java
@@ -1,25 +1,30 @@
 package org.skylarkfork.core.relay;
 
-/** Why an entry ends a request by itself. */
+/** Reason for which an entry rejects or fails a request without an upstream's answer. */
 public enum Refusal {
-  /** No key, or one that no team holds. */
+  /** The request has no key, or a key of no team. */
   UNKNOWN_KEY,
   /** No route matches. */
   NO_ROUTE,
-  /** This entry can't serve now; the request has not run. */
+  /** The entry is not ready to serve; the request has not run. */
   NOT_SERVING,
-  /** This entry stops and could not end the request in time; the request has not run. */
+  /**
+   * The entry is shutting down and could not complete the request in time; the request has not run.
+   */
   STOPPING,
-  /** Upstreams that ran the same request have ended; it is sent to none, now or later. */
+  /**
+   * The request is quarantined because upstreams that ran the same request crashed; it is not sent
+   * to any upstream.
+   */
   QUARANTINED,
-  /** No upstream took the request; it has not run. */
+  /** No upstream accepted the request; it has not run. */
   NO_UPSTREAM,
-  /** What is ahead of it at the upstreams takes longer than the caller waits; it has not run. */
+  /** The queues at the upstreams are longer than the caller's timeout; the request has not run. */
   OVERLOADED,
-  /** The time was up before the request could be sent; it has not run. */
+  /** The deadline passed before the request was sent; it has not run. */
   TOO_LATE,
-  /** The upstream gave no whole answer; the request may have run. */
+  /** The upstream gave no complete answer; the request may have run. */
   OUTCOME_UNKNOWN,
-  /** The time was up while an upstream worked on it; the request may have run. */
+  /** The deadline passed while an upstream was running the request; it may have run. */
   TIME_OUT
 }
