--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -24,13 +24,17 @@
 import org.skylarkfork.core.message.RelayMessage.Neighbourhood;
 import org.skylarkfork.core.message.RelayMessage.SharedState;
 
-/** An entry's side of the control plane: what it believes, how old that is, and its polls. */
+/**
+ * An entry's side of the control plane: polls the control VMs and keeps the entry's view of the
+ * deployment and the age of that view.
+ */
 public final class RelayEntryPart implements Part, RelayView {
 
   /**
-   * Time between two polls to each control VM while none is known to lead. The first one waits
-   * there for the election's end, so that more only replace what a connection has lost; with 250
-   * ms, 91 entries kept each control VM busy with 364 polls a second while it was to vote.
+   * Interval between polls of each control VM while no leader is known. The first poll waits at the
+   * control VM until the election ends, so further ones only replace polls that a connection has
+   * lost. With 250 ms, 91 entries loaded each control VM with 364 polls per second during the
+   * election.
    */
   private static final Duration LEADERLESS_POLL_INTERVAL = Duration.ofMillis(500);
 
@@ -56,12 +60,12 @@
   private boolean stopping;
 
   /**
-   * Makes the part.
+   * Creates the part.
    *
-   * @param self this entry as the control VMs are to see it
-   * @param seeds peer names of control VMs to begin with
-   * @param timings when to do what
-   * @param counts what this entry saw of each version
+   * @param self identity that this entry reports to the control VMs
+   * @param seeds peer names of the control VMs to contact first
+   * @param timings intervals and timeouts
+   * @param counts outcomes that this entry observed per version
    */
   public RelayEntryPart(
       EntryIdentity self, List<String> seeds, RelayTimings timings, VersionLedger counts) {
@@ -72,7 +76,7 @@
     this.lag = new TickLag(timings.tickInterval());
   }
 
-  /** Returns the name that tells this entry from all others. */
+  /** Returns the unique name of this entry. */
   String name() {
     return self.callerAddress();
   }
@@ -97,7 +101,7 @@
     return Duration.between(provenAt, now);
   }
 
-  /** Returns whether callers can be served. */
+  /** Returns whether this entry is ready to serve callers. */
   public boolean ready(Instant now) {
     return configured() && proven(now) && !stopping;
   }
@@ -138,12 +142,14 @@
   }
 
   /**
-   * Returns where callers may connect, as the leader told last; this entry alone before that.
+   * Returns the addresses to which callers may connect, as last reported by the leader, or this
+   * entry's own address before the first report.
    *
-   * <p>Entries answer callers' look-ups as control VMs do: a caller waits a second for each that
-   * stands still, a whole deadline of a booking, and there are more entries than control VMs. After
-   * a crash of everything an entry is up a second before it is told anything. A caller that was
-   * turned away then has no other try; one that comes here waits until this entry serves.
+   * <p>Entries answer callers' look-ups of addresses as control VMs do, since there are more
+   * entries than control VMs and a caller waits a second for each unresponsive one, which is the
+   * whole deadline of a booking. After a full outage an entry runs for a second before it receives
+   * its first update. A caller that got no address in that time has no further attempt; one that
+   * connects to this entry waits until the entry serves.
    */
   public List<String> callerAddresses() {
     if (stopping || !neighbourhood.callerAddresses().isEmpty()) {
@@ -157,12 +163,12 @@
     return quarantined.contains(key);
   }
 
-  /** Returns how many requests are refused because they end the upstreams that run them. */
+  /** Returns the number of quarantined requests. */
   public int quarantinedCount() {
     return quarantined.size();
   }
 
-  /** Returns how many upstreams name a rate limit, as far as this entry knows. */
+  /** Returns the number of known upstreams that report a rate limit. */
   public int limitedUpstreamCount() {
     return (int) directory.tracks().stream().filter(track -> track.rateLimit().isBounded()).count();
   }
@@ -172,12 +178,12 @@
     return leader;
   }
 
-  /** Returns the availability zones whose upstreams get nothing. */
+  /** Returns the evacuated availability zones, whose upstreams receive no requests. */
   public Set<String> evacuatedZones() {
     return directory.evacuated();
   }
 
-  /** Returns the peer names of entries that are told of this one's load. */
+  /** Returns the peer names of the entries to which this one reports its load. */
   List<String> peers() {
     return neighbourhood.peers();
   }
@@ -291,8 +297,8 @@
     if (newNeighbourhood != null) {
       neighbourhood = newNeighbourhood;
     }
-    // Entries that are cut off from the leader still hold their connections, so the count that
-    // divides an upstream's connections never falls.
+    // Entries that are partitioned from the leader keep their connections, so the count that
+    // divides an upstream's connections never decreases.
     entries = Math.max(entries, update.entries());
     if (proof != null && proof.isAfter(provenAt)) {
       provenAt = proof;
@@ -303,7 +309,9 @@
     }
   }
 
-  /** Adds control VMs that one who doesn't lead has named; its list may be an old one. */
+  /**
+   * Adds the control VMs that a follower listed to the known ones, since its list may be outdated.
+   */
   private List<String> mergedControlNodes(List<String> named) {
     Set<String> all = new LinkedHashSet<>(controlNodes);
     all.addAll(named);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayLimits.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayLimits.java
@@ -1,16 +1,19 @@
 package org.skylarkfork.core.relay;
 
 /**
- * Bounds on what callers send.
+ * Limits on callers' requests and connections.
  *
- * @param maxHeaderBytes longest head of a request in bytes
- * @param maxBodyBytes longest body in bytes
- * @param headerTimeoutMillis longest time that a head may take, in milliseconds
+ * @param maxHeaderBytes maximum size of a request's head, in bytes
+ * @param maxBodyBytes maximum size of a request's body, in bytes
+ * @param headerTimeoutMillis maximum time to receive a request's head, in milliseconds
  * @param idleTimeoutMillis time after which an idle connection is closed, in milliseconds
  */
 public record RelayLimits(
     int maxHeaderBytes, int maxBodyBytes, int headerTimeoutMillis, int idleTimeoutMillis) {
 
-  /** Limits until a configuration is known: 16 KiB, 4 MiB, 3 s and 15 s, usual for proxies. */
+  /**
+   * Limits in use until a configuration is known: 16 KiB, 4 MiB, 3 s and 15 s, as is common for
+   * proxies.
+   */
   public static final RelayLimits DEFAULT = new RelayLimits(16_384, 4_194_304, 3_000, 15_000);
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequest.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequest.java
@@ -6,21 +6,24 @@
 import org.skylarkfork.core.placement.PromptPart;
 
 /**
- * The head of a caller's request, as far as decisions rest on it.
+ * The properties of a caller's request on which routing and placement depend.
  *
- * @param number number that the entry gave it
- * @param id id that the caller gave it, for logs
- * @param host host that it names
- * @param path path with its query
- * @param waitMillis how long the caller waits from the arrival, in milliseconds; 0 if it didn't say
- * @param key the caller's key, or null
- * @param model the model it names, or null
- * @param promptTokens tokens of its prompt; 0 if unknown
- * @param outputTokens tokens that its caller expects of the answer; 0 if unknown
- * @param prompt the shared parts of its prompt in order, its own part last
- * @param session session that it belongs to, or null
- * @param lastEventId event after which its stream is to begin, or null
- * @param contentHash hash of its method, host, path and body, the same on each entry
+ * @param number number that the entry assigned to the request
+ * @param id id that the caller assigned to the request, for logs
+ * @param host host that the request names
+ * @param path path including the query
+ * @param waitMillis the caller's timeout, counted from the arrival, in milliseconds; 0 if
+ *     unspecified
+ * @param key the caller's key, or null if there is none
+ * @param model requested model, or null if the request names none
+ * @param promptTokens number of tokens of the prompt; 0 if unknown
+ * @param outputTokens number of tokens that the caller expects in the answer; 0 if unknown
+ * @param prompt the shared parts of the prompt in order, followed by the part specific to this
+ *     request
+ * @param session session of the request, or null if there is none
+ * @param lastEventId id of the event after which the answer's stream begins, or null to begin at
+ *     the start
+ * @param contentHash hash of the method, host, path and body, equal on all entries
  */
 public record RelayRequest(
     long number,
@@ -43,7 +46,8 @@
   }
 
   /**
-   * Returns what it has in common with the same request sent again; the team is null without a key.
+   * Returns the key that identifies the request's content and team, equal for each repetition of
+   * the request; the team is null for a request without a key.
    */
   RequestKey keyOf(@Nullable RelayTeam team) {
     return new RequestKey(team == null ? "" : team.name(), contentHash);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -14,22 +14,24 @@
 import org.skylarkfork.core.message.RelayMessage.PlacementAnswer;
 
 /**
- * An entry's decisions on callers' requests, from the arrival to the end.
+ * Processes callers' requests at an entry from their arrival to their completion.
  *
  * <p>A request goes through {@link RequestIntake}, {@link AttemptStarter} and {@link AttemptSender}
- * to an upstream. Its answer comes back here and is passed on, asked again of a larger model, or
- * handed to {@link AttemptFailureHandler}; {@link RequestCompleter} ends it.
+ * to an upstream. This class forwards the upstream's answer, escalates the request to a larger
+ * model, or delegates a failure to {@link AttemptFailureHandler}; {@link RequestCompleter} ends the
+ * request.
  *
- * <p>A request that must not run twice is sent to a second upstream only after the first has
- * certainly not run it: nothing was sent, or the upstream said so. An entry is the only place that
- * knows an attempt of a caller, so this needs no word with other daemons.
+ * <p>A request that must not run twice is sent to a second upstream only if the first has certainly
+ * not run it: nothing was sent, or the upstream reported that it has not run the request. All
+ * attempts for a caller's request start at one entry, so this needs no coordination with other
+ * daemons.
  */
 public final class RelayRequestPart implements Part {
 
   private static final int FIRST_SERVER_ERROR = 500;
   private static final int MISDIRECTED_REQUEST = 421;
 
-  /** Time by which an answer under way may overrun before it is broken off. */
+  /** Time after the deadline at which an incomplete answer is aborted. */
   private static final Duration MAX_OVERRUN = Duration.ofMillis(60);
 
   private final ModelPolicy models;
@@ -49,11 +51,11 @@
   private final RequestCompleter completer;
 
   /**
-   * Makes the part.
+   * Creates the part.
    *
-   * @param entry what this entry believes
-   * @param settings what the deployment sets
-   * @param counts takes what is seen of each version
+   * @param entry this entry's view of the deployment
+   * @param settings settings of the deployment
+   * @param counts records the outcomes observed per version
    * @param seed seed of random choices
    */
   public RelayRequestPart(
@@ -111,12 +113,12 @@
     this.intake = new RequestIntake(view, admission, models, completer, seed);
   }
 
-  /** Returns what of this entry's prompts other entries are to be told. */
+  /** Returns the prompt prefixes that this entry has sent, for reports to other entries. */
   SentPrompts prompts() {
     return prompts;
   }
 
-  /** Returns how many requests are under way. */
+  /** Returns the number of requests in progress. */
   public int activeRequestCount() {
     return active.count();
   }
@@ -204,7 +206,10 @@
     }
   }
 
-  /** Asks a larger model in place of the answer that has begun; returns whether it does. */
+  /**
+   * Escalates to a larger model if the confidence in the answer is too low; returns whether the
+   * entry discards the answer or waits for a scheduler's placement.
+   */
   private boolean escalate(ActiveRelay relay, Instant now, Output output) {
     int larger = models.larger(relay.route, relay.modelIndex);
     if (larger < 0 || !models.doubts(relay)) {
@@ -217,7 +222,10 @@
     return placement != null && escalate(relay, larger, placement, null, now, output);
   }
 
-  /** Asks a larger model where it is placed, if that is still wanted; returns whether it is. */
+  /**
+   * Sends an escalation to its placement if the model policy and the retry budget allow it; returns
+   * whether it was sent.
+   */
   private boolean escalate(
       ActiveRelay relay,
       int larger,
@@ -236,7 +244,7 @@
     return true;
   }
 
-  /** Goes on with a request whose scheduler has answered, or kept silent. */
+  /** Continues a request whose placement query was answered or timed out. */
   private void onPlacement(SchedulerClient.Placed placed, Instant now, Output output) {
     if (!placed.larger()) {
       starter.onPlacement(placed, now, output);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestSettings.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * What a deployment sets for the decisions on requests.
+ * Settings of a deployment for the processing of requests.
  *
  * @param zone availability zone of the entry
- * @param retryRatio repeats that are allowed for each request
- * @param canaryShare share of new work that tries a new version
- * @param grace time that a stop may take
+ * @param retryRatio allowed number of retries per request
+ * @param canaryShare share of new requests that a canary version receives
+ * @param grace maximum duration of a graceful shutdown
  */
 public record RelayRequestSettings(
     String zone, double retryRatio, double canaryShare, Duration grace) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRoute.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRoute.java
@@ -3,22 +3,25 @@
 import java.util.List;
 
 /**
- * Which requests go to which services, and how.
+ * A route: the requests it matches, the services that receive them, and the rules of delivery.
  *
  * @param name name of the route
- * @param host host that requests name, in lower case
- * @param pathPrefix beginning of the path, with a slash at both ends
- * @param kind what the requests allow
- * @param services where they go
- * @param timeoutMillis longest time that a caller is kept waiting, in milliseconds
- * @param objectiveMillis time within which an answer is on time, in milliseconds; 0 for none
- * @param pauseMillis longest pause between events that is on time, in milliseconds; 0 for none
- * @param maxAttempts most upstreams that one request may be sent to
- * @param priority rank of the requests, 0 first
- * @param isPublic whether requests need no key
- * @param sticky whether requests tell of their prompts
- * @param resumable whether a stream may go on at another upstream
- * @param models models that may answer, the smallest first; empty if the caller names the model
+ * @param host host of matching requests, in lower case
+ * @param pathPrefix path prefix of matching requests, with a slash at both ends
+ * @param kind whether the requests may run more than once, and whether their answers are streams
+ * @param services the services that receive the requests
+ * @param timeoutMillis maximum time for an answer, in milliseconds
+ * @param objectiveMillis objective for the time to the first byte of an answer, in milliseconds; 0
+ *     for none
+ * @param pauseMillis objective for the longest pause between events, in milliseconds; 0 for none
+ * @param maxAttempts maximum number of attempts that reach an upstream per request
+ * @param priority priority of the requests, 0 being the highest
+ * @param isPublic whether requests are accepted without a key
+ * @param sticky whether requests describe their prompts, so that they can be routed to cached
+ *     prefixes
+ * @param resumable whether another upstream may continue a stream
+ * @param models models that may answer, ordered from the smallest; empty if the caller names the
+ *     model
  */
 public record RelayRoute(
     String name,
@@ -42,7 +45,7 @@
     models = List.copyOf(models);
   }
 
-  /** Returns whether a request may be sent again although it may have run. */
+  /** Returns whether a request may be retried although it may have run. */
   public boolean retryable() {
     return kind == RouteKind.IDEMPOTENT || kind == RouteKind.STREAMING && resumable;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayTeam.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayTeam.java
@@ -6,9 +6,10 @@
 /**
  * A team and the keys that its callers send.
  *
- * @param name name of the team, told to upstreams
- * @param keys keys in force
- * @param priority rank of its requests, in place of the route's; null to keep the route's
+ * @param name name of the team, sent to upstreams
+ * @param keys valid keys
+ * @param priority priority of the team's requests, which overrides the route's; null to use the
+ *     route's
  */
 public record RelayTeam(String name, List<String> keys, @Nullable Integer priority) {
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayTimings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayTimings.java
@@ -3,19 +3,22 @@
 import java.time.Duration;
 
 /**
- * Times that the relay's daemons keep.
+ * Intervals and timeouts of the relay's daemons.
  *
- * @param tickInterval time between two ticks of the runtime
- * @param pollInterval time between two polls of an entry to the leader
- * @param backgroundPollInterval time between two polls to each other control VM, which only learns
- *     from them that the entry lives
- * @param leaseDuration time for which an entry takes keyed requests after a proof that its
- *     configuration is the newest; shorter than the time in which a removed key must be dead
- * @param entryTimeout time without a poll after which callers aren't sent to an entry
- * @param upstreamTimeout time without a heartbeat after which an upstream is used last
- * @param upstreamExpiry time without a heartbeat after which an upstream is forgotten
- * @param settlingTime time that a new leader waits until its directory counts as whole; longer than
- *     the time between two heartbeats
+ * @param tickInterval interval between ticks of the runtime
+ * @param pollInterval interval between an entry's polls of the leader
+ * @param backgroundPollInterval interval between an entry's polls of each other control VM, which
+ *     uses them only to detect that the entry is alive
+ * @param leaseDuration time for which an entry accepts requests with a key after its configuration
+ *     was proven to be the newest; shorter than the time within which a removed key must be
+ *     rejected
+ * @param entryTimeout time without a poll after which an entry is no longer listed to callers
+ * @param upstreamTimeout time without a heartbeat after which an upstream is used only if no other
+ *     is available
+ * @param upstreamExpiry time without a heartbeat after which an upstream is removed from the
+ *     directory
+ * @param settlingTime time after which a new leader considers its directory complete; longer than
+ *     the heartbeat interval
  */
 public record RelayTimings(
     Duration tickInterval,
@@ -27,12 +30,12 @@
     Duration upstreamExpiry,
     Duration settlingTime) {
 
-  /** Ticks of control VMs: a change is told to entries with the next one. */
+  /** Tick interval of control VMs, which send changes to entries on the next tick. */
   private static final Duration VOTER_TICK = Duration.ofMillis(25);
 
   /**
-   * Ticks of daemons that are entries alone. Each wakes the process, which takes a third of a
-   * millisecond of its processor; what entries wait for lasts 75 ms and more.
+   * Tick interval of daemons that are only entries. Each tick wakes the process and uses a third of
+   * a millisecond of CPU time; the shortest wait of an entry is 75 ms.
    */
   private static final Duration ENTRY_TICK = Duration.ofMillis(50);
 
@@ -41,11 +44,12 @@
   private static final int SETTLING_HEARTBEATS = 4;
 
   /**
-   * Derives the times from what was promised.
+   * Derives the timings from the bounds that the deployment guarantees.
    *
-   * @param keyBound time from the acceptance of a change until a key that it removes is dead; the
-   *     lease takes 94 in 100 of it, the rest is for the drift of clocks and the way to an upstream
-   * @param heartbeat time between two heartbeats of an upstream
+   * @param keyBound maximum time from the acceptance of a change until a key that it removes is
+   *     rejected everywhere; the lease uses 94 in 100 of it, the rest covers clock drift and the
+   *     transmission to an upstream
+   * @param heartbeat interval between heartbeats of an upstream
    */
   public static RelayTimings of(Duration keyBound, Duration heartbeat) {
     return new RelayTimings(
@@ -59,7 +63,7 @@
         heartbeat.multipliedBy(SETTLING_HEARTBEATS));
   }
 
-  /** Returns the times of a daemon that is an entry and no control VM. */
+  /** Returns the timings of a daemon that is an entry but not a control VM. */
   public RelayTimings forEntry() {
     return new RelayTimings(
         ENTRY_TICK,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayView.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayView.java
@@ -6,42 +6,50 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.crash.RequestKey;
 
-/** What an entry believes of configuration and upstreams. */
+/** An entry's view of the deployment: its configuration, upstreams and other entries. */
 interface RelayView extends UpstreamSource {
 
-  /** Returns the configuration in force here. */
+  /** Returns the configuration that this entry applies. */
   RouteTable table();
 
   /** Returns whether a configuration is known. */
   boolean configured();
 
-  /** Returns whether the configuration is proven to be new enough for keyed requests. */
+  /**
+   * Returns whether the configuration was proven recently enough to be the newest, which requests
+   * with a key require.
+   */
   boolean proven(Instant now);
 
-  /** Returns the time since the newest such proof. */
+  /** Returns the time since the configuration was last proven to be the newest. */
   Duration proofAge(Instant now);
 
-  /** Returns whether all upstreams that live are known. */
+  /** Returns whether all live upstreams are known. */
   boolean settled();
 
   /** Returns the newest roll-out of each service. */
   List<ServiceRollOut> rollOuts();
 
-  /** Returns the version of a service that is used apart from roll-outs, or null if none is. */
+  /**
+   * Returns the version of a service that is in use apart from roll-outs, or null if none is known.
+   */
   @Nullable String stableVersion(String service);
 
-  /** Returns which one of all entries this one is. */
+  /** Returns this entry's ordinal among all entries. */
   EntryPlace place();
 
-  /** Returns how many entries serve, at least 1. */
+  /** Returns the number of serving entries, at least 1. */
   int entries();
 
-  /** Returns whether a request is refused because it ends the upstreams that run it. */
+  /** Returns whether a request is quarantined because it crashes the upstreams that run it. */
   boolean isQuarantined(RequestKey key);
 
-  /** Returns the peer name of the control VM that leads, or null if none is known. */
+  /** Returns the peer name of the control VMs' leader, or null if none is known. */
   @Nullable String leader();
 
-  /** Returns the entries that place prompts, by group of engines; empty if each places its own. */
+  /**
+   * Returns the peer names of the scheduling entries, indexed by group of engines; empty if each
+   * entry places its own requests.
+   */
   List<String> schedulers();
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestAdmission.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestAdmission.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 import org.jspecify.annotations.Nullable;
 
-/** Decides whether an entry may take a request at all. */
+/** Decides whether an entry admits a request. */
 final class RequestAdmission {
 
   private final RelayView view;
@@ -15,10 +15,10 @@
   }
 
   /**
-   * Returns why a request can't be taken now, or null if it has a route and a service.
+   * Returns the reason to reject a request now, or null if the request is admitted.
    *
    * @param request the request
-   * @param now the present time
+   * @param now the current time
    */
   @Nullable Refusal refusal(RelayRequest request, Instant now) {
     if (!view.configured()) {
@@ -53,9 +53,9 @@
   /**
    * Returns whether an upstream of a route is known.
    *
-   * <p>After a crash of everything a new leader hears of upstreams one by one, within the time
-   * between two of their heartbeats. A request that comes earlier waits for the first of them; sent
-   * back, it would use up its caller's only other try.
+   * <p>After a full outage a new leader learns of upstreams one by one, within one heartbeat
+   * interval. A request that arrives earlier waits for the first of them; rejecting it would use up
+   * its caller's only retry.
    */
   private boolean hasUpstream(RelayRoute route) {
     return route.services().stream()
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestCompleter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestCompleter.java
@@ -5,16 +5,18 @@
 import org.skylarkfork.core.Output;
 import org.skylarkfork.core.effect.RelayEffect;
 
-/** Ends requests, with an answer of the entry's own where no upstream gave one. */
+/** Ends requests, with a refusal by the entry if no upstream answered. */
 final class RequestCompleter {
 
-  /** When to come back where nothing could take the request, in milliseconds. */
+  /** Retry delay if no upstream accepted the request, in milliseconds. */
   private static final long RETRY_MILLIS = 250;
 
-  /** When to come back, to another entry, in milliseconds. */
+  /**
+   * Retry delay if this entry is shutting down, in milliseconds; the retry goes to another entry.
+   */
   private static final long STOPPING_RETRY_MILLIS = 10;
 
-  /** When to come back to an entry that can't serve, in milliseconds. */
+  /** Retry delay if this entry is not ready to serve, in milliseconds. */
   private static final long NOT_SERVING_RETRY_MILLIS = 700;
 
   private final ActiveRelays active;
@@ -30,25 +32,25 @@
     this.trace = trace;
   }
 
-  /** Refuses a request that was not taken. */
+  /** Refuses a request that was not admitted. */
   void refuse(RelayRequest request, Refusal refusal, Instant now, Output output) {
     output.effect(new RelayEffect.Refuse(request.number(), refusal, retryAfter(refusal)));
     trace.refused(request, refusal, now, output);
   }
 
-  /** Ends a request of whose answer the caller has got nothing. */
+  /** Refuses an admitted request for which no part of an answer was forwarded. */
   void endWithRefusal(ActiveRelay relay, Refusal refusal, Instant now, Output output) {
     endWithRefusal(relay, refusal, retryAfter(refusal), now, output);
   }
 
   /**
-   * Ends a request of whose answer the caller has got nothing.
+   * Refuses an admitted request for which no part of an answer was forwarded.
    *
    * @param relay the request
-   * @param refusal why
-   * @param retryAfterMillis when to come back, in milliseconds; 0 to say nothing
-   * @param now the present time
-   * @param output takes what is to be done
+   * @param refusal the reason
+   * @param retryAfterMillis delay after which the caller may retry, in milliseconds; 0 to omit it
+   * @param now the current time
+   * @param output receives the resulting effects
    */
   void endWithRefusal(
       ActiveRelay relay, Refusal refusal, long retryAfterMillis, Instant now, Output output) {
@@ -70,7 +72,7 @@
         output);
   }
 
-  /** Ends a request whose answer was begun and goes on nowhere. */
+  /** Ends a request whose answer has begun and can't be continued by any upstream. */
   void abortAnswer(ActiveRelay relay, Instant now, Output output) {
     recordAnswerTime(relay, false, now);
     sender.cancelAttempt(relay, output);
@@ -80,7 +82,7 @@
     trace.ended("broken_off", relay, facts, now, output);
   }
 
-  /** Ends a request whose answer was passed on whole. */
+  /** Ends a request whose answer was forwarded completely. */
   void complete(ActiveRelay relay, Instant now, Output output) {
     recordAnswerTime(relay, true, now);
     sender.releaseAttempt(relay, output);
@@ -96,7 +98,7 @@
     trace.ended("done", relay, facts, now, output);
   }
 
-  /** Ends a request whose caller is gone. */
+  /** Ends a request whose caller has disconnected. */
   void callerLeft(ActiveRelay relay, Instant now, Output output) {
     recordAnswerTime(relay, false, now);
     sender.cancelAttempt(relay, output);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
@@ -8,7 +8,9 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.Output;
 
-/** Takes requests in: those that can be served now, and later those that had to wait for that. */
+/**
+ * Admits or refuses arriving requests, or keeps them pending while the entry isn't ready to serve.
+ */
 final class RequestIntake {
 
   private final RelayView view;
@@ -31,7 +33,7 @@
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
   }
 
-  /** Returns the work that a request means now, or null if it waits or was refused. */
+  /** Returns the admitted request, or null if it is pending or was refused. */
   @Nullable ActiveRelay onArrival(RelayRequest request, Instant now, Output output) {
     Refusal refusal = admission.refusal(request, now);
     boolean starting = !view.configured() || !view.settled();
@@ -39,7 +41,10 @@
     return waits ? null : admit(request, refusal, now, now, output);
   }
 
-  /** Returns the work of requests that need not wait any longer; others may be refused. */
+  /**
+   * Returns the pending requests that are now admitted; refuses those whose wait has expired or
+   * that are rejected.
+   */
   List<ActiveRelay> releasePending(Instant now, Output output) {
     List<ActiveRelay> released = new ArrayList<>();
     for (PendingRequest pendingRequest :
@@ -54,7 +59,7 @@
     return released;
   }
 
-  /** Forgets a request that waits; returns whether it did. */
+  /** Removes a pending request; returns whether it was pending. */
   boolean removePending(long request) {
     return pending.remove(request);
   }
@@ -72,7 +77,7 @@
     RouteTable table = view.table();
     RelayRoute route = table.route(request.host(), request.path());
     if (route == null) {
-      throw new IllegalStateException("a request without refusal has a route");
+      throw new IllegalStateException("an admitted request must match a route");
     }
     long wait =
         request.waitMillis() > 0
@@ -89,8 +94,7 @@
   }
 
   private RelayService selectService(RouteTable table, RelayRoute route) {
-    // Two large weights add up beyond an int; each entry that drew from that would halt in its
-    // turn.
+    // The sum of two large weights can exceed an int; an overflow would make every entry halt.
     long totalWeight = route.services().stream().mapToLong(WeightedService::weight).sum();
     long remainingWeight = random.nextLong(totalWeight);
     for (WeightedService target : route.services()) {
@@ -100,6 +104,6 @@
         return service;
       }
     }
-    throw new IllegalStateException("a valid route has a service");
+    throw new IllegalStateException("a valid route must have a service with a positive weight");
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestTrace.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestTrace.java
@@ -7,10 +7,11 @@
 import org.skylarkfork.core.effect.TraceEffect;
 
 /**
- * What an entry tells of its decisions on requests: log lines, counters and histograms.
+ * Reports an entry's decisions on requests as log lines, counters and histograms.
  *
- * <p>A line is {@code event=NAME id=ID} and further {@code key=value} facts. Each ends with the
- * version of the configuration that decided and the age of the proof that it was the newest.
+ * <p>A line consists of {@code event=NAME id=ID} and further {@code key=value} pairs. Each line
+ * ends with the version of the configuration in use and the time since it was proven to be the
+ * newest.
  */
 final class RequestTrace {
 
@@ -89,7 +90,7 @@
     output.effect(new TraceEffect.Count("relay_answers", String.valueOf(status), 1));
   }
 
-  /** Tells of an attempt that ended without a good answer. */
+  /** Reports an attempt that ended without a successful answer. */
   void attemptEnded(String event, ActiveRelay relay, String facts, Instant now, Output output) {
     output.effect(new TraceEffect.Count("relay_attempts_ended", event, 1));
     UpstreamTrack track = relay.upstream();
@@ -106,7 +107,7 @@
     log(true, event, relay, all, now, output);
   }
 
-  /** Tells that a larger model is asked in place of an answer. */
+  /** Reports an escalation to a larger model, which replaces the answer received. */
   void escalated(ActiveRelay relay, int model, Placement placement, Instant now, Output output) {
     output.effect(new TraceEffect.Count("relay_larger_models", relay.route.name(), 1));
     String facts =
@@ -123,7 +124,7 @@
     log(false, "larger_model", relay, facts, now, output);
   }
 
-  /** Tells how a request ended. */
+  /** Reports the outcome of a request. */
   void ended(String outcome, ActiveRelay relay, String facts, Instant now, Output output) {
     double seconds = Duration.between(relay.arrivedAt, now).toMillis() / MILLIS_A_SECOND;
     output.effect(new TraceEffect.Count("relay_requests", outcome, 1));
@@ -132,7 +133,7 @@
     log(!outcome.equals("done"), outcome, relay, facts, now, output);
   }
 
-  /** Tells of a request that was refused before it had a route. */
+  /** Reports a request that was refused before it was admitted. */
   void refused(RelayRequest request, Refusal refusal, Instant now, Output output) {
     output.effect(new TraceEffect.Count("relay_requests", "refused", 1));
     String line =
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RetryBudget.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RetryBudget.java
@@ -5,18 +5,19 @@
 import java.util.Map;
 
 /**
- * Bounds how often requests are sent again, for each service.
+ * Limits the number of retries per service.
  *
- * <p>All entries together may repeat a share of the requests of the newest seconds. Each entry
- * keeps that share for its own requests, so the sum keeps it too without a word between them. A few
- * repeats are free, so that an entry with little to do may repeat at all.
+ * <p>All entries together may retry a share of the requests of the last seconds. Each entry applies
+ * that share to its own requests, so the sum complies without coordination. A few retries are free,
+ * so that an entry with few requests can retry at all.
  */
 final class RetryBudget {
 
   private static final int WINDOW_SECONDS = 10;
 
   /**
-   * Free repeats of an entry in a window; with 63 entries far below the slack of any deployment.
+   * Retries that an entry may make per window regardless of its requests; with 63 entries their sum
+   * is far below the spare capacity of any deployment.
    */
   private static final int FREE_RETRIES = 1;
 
@@ -24,20 +25,20 @@
   private final Map<String, Window> windows = new HashMap<>();
 
   /**
-   * Makes a budget.
+   * Creates a budget.
    *
-   * @param ratio repeats for each request in ten seconds
+   * @param ratio allowed retries per request within a window of ten seconds
    */
   RetryBudget(double ratio) {
     this.ratio = ratio;
   }
 
-  /** Counts a request that goes to a service for the first time. */
+  /** Records the first attempt of a request to a service. */
   void recordRequest(String service, Instant now) {
     window(service, now).requests[slot(now)]++;
   }
 
-  /** Counts a repeat if the budget allows it. */
+  /** Records a retry and returns true if the budget allows it, else returns false. */
   boolean tryAcquire(String service, Instant now) {
     Window window = window(service, now);
     if (sum(window.repeats) + 1 > ratio * sum(window.requests) + FREE_RETRIES) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RouteKind.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RouteKind.java
@@ -1,11 +1,11 @@
 package org.skylarkfork.core.relay;
 
-/** What a route's requests allow. */
+/** Kind of a route's requests, which determines whether they may run again. */
 public enum RouteKind {
   /** May run more than once. */
   IDEMPOTENT,
   /** May run at most once for each request of a caller. */
   NON_IDEMPOTENT,
-  /** Answered by a series of events; may run again only where the route can be resumed. */
+  /** Answered by an event stream; may run again only if the route is resumable. */
   STREAMING
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RouteTable.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RouteTable.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** A configuration prepared for look-ups. */
+/** Indexes a configuration by host, key and service for look-ups. */
 public final class RouteTable {
 
   private final RelayConfiguration configuration;
@@ -17,7 +17,7 @@
   private final Map<String, RelayService> services = new HashMap<>();
 
   /**
-   * Prepares a configuration.
+   * Indexes a configuration.
    *
    * @param configuration a valid configuration
    */
@@ -40,7 +40,7 @@
     return configuration;
   }
 
-  /** Returns whether any request needs a key. */
+  /** Returns whether requests to routes that aren't public require a key. */
   public boolean requiresKeys() {
     return !configuration.teams().isEmpty();
   }
@@ -48,7 +48,7 @@
   /**
    * Returns the route of a request, or null if none matches.
    *
-   * @param host host that the request names; a port is left out
+   * @param host host that the request names; a port is ignored
    * @param path path with or without a query
    */
   public @Nullable RelayRoute route(String host, String path) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ShutdownPolicy.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ShutdownPolicy.java
@@ -5,18 +5,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Which requests an entry still takes while it stops.
+ * Decides which requests an entry still accepts during a graceful shutdown.
  *
- * <p>Callers go on sending until their lists of entries have run out. A request that would still be
- * under way at the end of the grace time would be cut, so it is refused as not run instead; the
- * caller finds another entry at once.
+ * <p>Callers continue to send requests until their lists of entries expire. A request that is still
+ * in progress at the end of the grace period would be aborted, so it is refused as not run instead,
+ * and the caller can use another entry at once.
  */
 final class ShutdownPolicy {
 
-  /** Time kept between the last answer and the end of the grace time. */
+  /** Reserve between the last answer and the end of the grace period. */
   private static final Duration MARGIN = Duration.ofMillis(600);
 
-  /** Longest time of nearly all streams, resumed ones included; measured at 1 to 4 s. */
+  /** Maximum duration of nearly all streams including resumed ones, which take 1 to 4 s. */
   private static final Duration MAX_STREAM_DURATION = Duration.ofMillis(4500);
 
   private final Duration grace;
@@ -32,7 +32,7 @@
     }
   }
 
-  /** Returns whether a request of the route can certainly be answered before the end. */
+  /** Returns whether a request of the route is expected to complete within the grace period. */
   boolean accepts(RelayRoute route, Instant now) {
     Instant since = stoppingSince;
     if (since == null) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TickLag.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TickLag.java
@@ -5,20 +5,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * How late a daemon's ticks come, which shows that its processor has no time left.
+ * Measures the delay of a daemon's ticks to detect that its CPU is saturated.
  *
- * <p>An entry on a VM that was slowed down still answers all questions for its health, but each of
- * its callers waits. It learns of that first, and by itself.
+ * <p>An entry on a throttled VM still answers all health checks, but each of its callers waits. The
+ * entry itself is the first to detect this.
  */
 final class TickLag {
 
-  /** Time whose ticks make most of the mean, in milliseconds. */
+  /** Time constant of the moving mean, in milliseconds. */
   private static final double SMOOTHING_MILLIS = 250;
 
-  /** Mean lag from which on the daemon counts as busy, in milliseconds; idle ones have about 1. */
+  /** Mean lag above which the daemon becomes busy, in milliseconds; idle daemons have about 1. */
   private static final double BUSY_MILLIS = 40;
 
-  /** Mean lag below which it no longer does, in milliseconds. */
+  /** Mean lag at or below which the daemon stops being busy, in milliseconds. */
   private static final double NOT_BUSY_MILLIS = 15;
 
   private final Duration period;
@@ -28,16 +28,16 @@
   private boolean busy;
 
   /**
-   * Makes a measure.
+   * Creates a measure.
    *
-   * @param period time between two ticks
+   * @param period expected interval between ticks
    */
   TickLag(Duration period) {
     this.period = period;
     this.smoothingFactor = period.toMillis() / SMOOTHING_MILLIS;
   }
 
-  /** Takes note of a tick. */
+  /** Records a tick. */
   void tick(Instant now) {
     if (tickedAt != null) {
       double late = Duration.between(tickedAt, now).minus(period).toMillis();
@@ -47,7 +47,7 @@
     tickedAt = now;
   }
 
-  /** Returns whether the daemon has more to do than its processor can. */
+  /** Returns whether the daemon's CPU is saturated. */
   boolean busy() {
     return busy;
   }
