--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -107,8 +107,8 @@
     }
     boolean unsent = failed.failure() == AttemptFailure.NOT_SENT;
     if (failed.failure() != AttemptFailure.STALE_CONNECTION) {
-      AttemptProgress how = unsent ? AttemptProgress.UNREACHABLE : AttemptProgress.FAILED;
-      sender.recordFailure(relay, how, now, output);
+      AttemptProgress progress = unsent ? AttemptProgress.UNREACHABLE : AttemptProgress.FAILED;
+      sender.recordFailure(relay, progress, now, output);
     }
     if (failed.failure().mayHaveRun()) {
       relay.mayHaveRun = true;
@@ -165,8 +165,8 @@
     }
     double pause = relay.route.pauseMillis();
     boolean certainlySilent = silent.silentMillis() >= CERTAIN_SILENCE_PAUSES * pause;
-    double longest = certainlySilent ? Double.MAX_VALUE : pause - silent.silentMillis();
-    failOver(relay, longest, "silent_stream", now, output);
+    double maxFirstByteMillis = certainlySilent ? Double.MAX_VALUE : pause - silent.silentMillis();
+    failOver(relay, maxFirstByteMillis, "silent_stream", now, output);
   }
 
   private static void updateLastEventId(ActiveRelay relay, @Nullable String lastEventId) {
@@ -193,14 +193,14 @@
    * because otherwise the caller would lose an answer that may still come.
    */
   private void failOver(
-      ActiveRelay relay, double longestMillis, String why, Instant now, Output output) {
+      ActiveRelay relay, double maxFirstByteMillis, String why, Instant now, Output output) {
     UpstreamTrack silent = relay.upstream();
     boolean possible = !relay.failedOver && silent != null && relay.route.retryable();
     if (!possible || relay.sentAttempts >= relay.route.maxAttempts()) {
       return;
     }
     Placement next = sender.placeFailover(relay, now);
-    boolean withinLimit = next != null && next.firstByteMillis() <= longestMillis;
+    boolean withinLimit = next != null && next.firstByteMillis() <= maxFirstByteMillis;
     if (!withinLimit || !starter.acquireRetry(relay, now)) {
       return;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
@@ -56,9 +56,9 @@
    * without a second attempt there, its first failure would reach the caller.
    */
   @Nullable Placement place(ActiveRelay relay, Instant now) {
-    Placement fresh = pick(relay, relay.modelName(), relay.triedUpstreams, now);
-    boolean mayReturn = fresh == null && relay.route.retryable() && !relay.forwarding;
-    return mayReturn ? pick(relay, relay.modelName(), relay.refusingUpstreams, now) : fresh;
+    Placement untried = pick(relay, relay.modelName(), relay.triedUpstreams, now);
+    boolean mayRevisit = untried == null && relay.route.retryable() && !relay.forwarding;
+    return mayRevisit ? pick(relay, relay.modelName(), relay.refusingUpstreams, now) : untried;
   }
 
   /** Returns whether the request is quarantined because it crashes the upstreams that run it. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
@@ -102,8 +102,8 @@
 
   private void endUnplaced(ActiveRelay relay, Instant now, Output output) {
     if (remainingMillis(relay, now) <= 0) {
-      Refusal late = relay.mayHaveRun ? Refusal.TIME_OUT : Refusal.TOO_LATE;
-      completer.endWithRefusal(relay, late, now, output);
+      Refusal refusal = relay.mayHaveRun ? Refusal.TIME_OUT : Refusal.TOO_LATE;
+      completer.endWithRefusal(relay, refusal, now, output);
     } else if (relay.forwarding) {
       completer.abortAnswer(relay, now, output);
     } else if (relay.mayHaveRun) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/FirstByteTimeout.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/FirstByteTimeout.java
@@ -40,17 +40,17 @@
   /**
    * Records a time to the first byte, or the time until an attempt was abandoned, in milliseconds.
    */
-  void record(RelayRoute route, int model, double millis) {
-    byRoute.computeIfAbsent(key(route, model), missing -> new Estimate()).add(millis);
+  void record(RelayRoute route, int modelIndex, double millis) {
+    byRoute.computeIfAbsent(key(route, modelIndex), missing -> new Estimate()).add(millis);
   }
 
   /**
    * Returns whether a wait in milliseconds exceeds the timeout of a route and model; false until
    * enough samples are recorded.
    */
-  boolean isExceeded(RelayRoute route, int model, double millis) {
-    Estimate estimate = byRoute.get(key(route, model));
-    if (estimate == null || estimate.answers < MIN_SAMPLES) {
+  boolean isExceeded(RelayRoute route, int modelIndex, double millis) {
+    Estimate estimate = byRoute.get(key(route, modelIndex));
+    if (estimate == null || estimate.sampleCount < MIN_SAMPLES) {
       return false;
     }
     double expected = estimate.mean + DEVIATION_FACTOR * estimate.deviation;
@@ -59,24 +59,24 @@
     return millis > Math.max(expected, minimum);
   }
 
-  private static String key(RelayRoute route, int model) {
-    return route.name() + '/' + model;
+  private static String key(RelayRoute route, int modelIndex) {
+    return route.name() + '/' + modelIndex;
   }
 
   private static final class Estimate {
-    private int answers;
+    private int sampleCount;
     private double mean;
     private double deviation;
 
     private void add(double millis) {
-      if (answers == 0) {
+      if (sampleCount == 0) {
         mean = millis;
         deviation = millis / 2;
       } else {
         deviation += DEVIATION_GAIN * (Math.abs(millis - mean) - deviation);
         mean += MEAN_GAIN * (millis - mean);
       }
-      answers++;
+      sampleCount++;
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PendingRequests.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PendingRequests.java
@@ -51,8 +51,8 @@
     if (byNumber.size() >= MAX_REQUESTS) {
       return false;
     }
-    Instant until = now.plus(maxWait(request, starting));
-    byNumber.put(request.number(), new PendingRequest(request, now, until));
+    Instant expiresAt = now.plus(maxWait(request, starting));
+    byNumber.put(request.number(), new PendingRequest(request, now, expiresAt));
     return true;
   }
 
@@ -82,7 +82,7 @@
   private static Duration maxWait(RelayRequest request, boolean starting) {
     Duration limit = starting ? STARTUP_WAIT : DISCONNECTED_WAIT;
     long callerMillis = (long) (request.waitMillis() * MAX_WAIT_SHARE);
-    boolean shorter = callerMillis > 0 && callerMillis < limit.toMillis();
-    return shorter ? Duration.ofMillis(callerMillis) : limit;
+    boolean callerLimits = callerMillis > 0 && callerMillis < limit.toMillis();
+    return callerLimits ? Duration.ofMillis(callerMillis) : limit;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -232,8 +232,8 @@
       leader = null;
     }
     for (String node : pollTargets()) {
-      Duration wait = pollInterval(node);
-      if (!now.isBefore(polledAt.getOrDefault(node, Instant.EPOCH).plus(wait))) {
+      Duration interval = pollInterval(node);
+      if (!now.isBefore(polledAt.getOrDefault(node, Instant.EPOCH).plus(interval))) {
         poll(node, now, output);
       }
     }
@@ -250,9 +250,9 @@
     if (leader != null && !controlNodes.isEmpty()) {
       return new LinkedHashSet<>(controlNodes);
     }
-    Set<String> all = new LinkedHashSet<>(controlNodes);
-    all.addAll(seeds);
-    return all;
+    Set<String> nodes = new LinkedHashSet<>(controlNodes);
+    nodes.addAll(seeds);
+    return nodes;
   }
 
   private void poll(String node, Instant now, Output output) {
@@ -278,8 +278,8 @@
   }
 
   private void onUpdate(String from, EntryUpdate update, Instant now, Output output) {
-    Instant proof = update.provenAt();
-    if (proof != null) {
+    Instant provenInstant = update.provenAt();
+    if (provenInstant != null) {
       if (!from.equals(leader)) {
         log(false, "event=leader_found node=" + from, output);
       }
@@ -291,7 +291,7 @@
     directory.take(update.directory(), now, output);
     if (!update.controlNodes().isEmpty()) {
       controlNodes =
-          proof == null ? mergedControlNodes(update.controlNodes()) : update.controlNodes();
+          provenInstant == null ? mergedControlNodes(update.controlNodes()) : update.controlNodes();
     }
     Neighbourhood newNeighbourhood = update.neighbourhood();
     if (newNeighbourhood != null) {
@@ -300,8 +300,8 @@
     // Entries that are partitioned from the leader keep their connections, so the count that
     // divides an upstream's connections never decreases.
     entries = Math.max(entries, update.entries());
-    if (proof != null && proof.isAfter(provenAt)) {
-      provenAt = proof;
+    if (provenInstant != null && provenInstant.isAfter(provenAt)) {
+      provenAt = provenInstant;
       if (!wasProven && proven(now)) {
         wasProven = true;
         log(false, "event=lease_gained configuration=" + table.configuration().version(), output);
@@ -312,22 +312,22 @@
   /**
    * Adds the control VMs that a follower listed to the known ones, since its list may be outdated.
    */
-  private List<String> mergedControlNodes(List<String> named) {
-    Set<String> all = new LinkedHashSet<>(controlNodes);
-    all.addAll(named);
-    return List.copyOf(all);
+  private List<String> mergedControlNodes(List<String> listed) {
+    Set<String> nodes = new LinkedHashSet<>(controlNodes);
+    nodes.addAll(listed);
+    return List.copyOf(nodes);
   }
 
-  private void applyConfiguration(@Nullable RelayConfiguration newer, Output output) {
-    if (newer != null && newer.version() > table.configuration().version()) {
+  private void applyConfiguration(@Nullable RelayConfiguration newConfiguration, Output output) {
+    if (newConfiguration != null && newConfiguration.version() > table.configuration().version()) {
       log(
           false,
           "event=configuration_taken version="
-              + newer.version()
+              + newConfiguration.version()
               + " before="
               + table.configuration().version(),
           output);
-      table = new RouteTable(newer);
+      table = new RouteTable(newConfiguration);
     }
   }
 
@@ -391,7 +391,7 @@
     return requests.stream().filter(key -> !others.contains(key)).toList();
   }
 
-  private static void log(boolean warning, String facts, Output output) {
-    output.effect(new TraceEffect.LogLine(warning, "relay", facts));
+  private static void log(boolean warning, String message, Output output) {
+    output.effect(new TraceEffect.LogLine(warning, "relay", message));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -144,10 +144,10 @@
       if (relay != null) {
         answerBegan(relay, began, now, output);
       }
-    } else if (event instanceof RelayEvent.AttemptFailed failed) {
-      ActiveRelay relay = active.find(failed.request(), failed.attempt());
+    } else if (event instanceof RelayEvent.AttemptFailed serverError) {
+      ActiveRelay relay = active.find(serverError.request(), serverError.attempt());
       if (relay != null) {
-        failures.onAttemptFailed(relay, failed, now, output);
+        failures.onAttemptFailed(relay, serverError, now, output);
       }
     } else if (event instanceof RelayEvent.UpstreamProbed probed) {
       crashes.probed(probed.upstream(), probed.reachable(), now, output);
@@ -192,16 +192,16 @@
     track.answered(now);
     sender.recordFirstByte(relay, now, output);
     firstByteTimeout.record(relay.route, relay.modelIndex, millis);
-    boolean failed = began.status() >= FIRST_SERVER_ERROR;
-    if (failed && failures.onServerError(relay, track, began, now, output)) {
+    boolean serverError = began.status() >= FIRST_SERVER_ERROR;
+    if (serverError && failures.onServerError(relay, track, began, now, output)) {
       return;
     }
-    if (!failed) {
+    if (!serverError) {
       trace.answered(relay, began.status(), now, output);
       track.succeeded();
       counts.answered(track.instance(), millis);
     }
-    if (relay.forwarding || failed || relay.modelIndex < 0 || !escalate(relay, now, output)) {
+    if (relay.forwarding || serverError || relay.modelIndex < 0 || !escalate(relay, now, output)) {
       forwardAnswer(relay, track, output);
     }
   }
@@ -211,15 +211,15 @@
    * entry discards the answer or waits for a scheduler's placement.
    */
   private boolean escalate(ActiveRelay relay, Instant now, Output output) {
-    int larger = models.larger(relay.route, relay.modelIndex);
-    if (larger < 0 || !models.doubts(relay)) {
+    int largerModel = models.larger(relay.route, relay.modelIndex);
+    if (largerModel < 0 || !models.doubts(relay)) {
       return false;
     }
-    if (sender.querySchedulerForEscalation(relay, larger, now, output)) {
+    if (sender.querySchedulerForEscalation(relay, largerModel, now, output)) {
       return true;
     }
-    Placement placement = sender.placeEscalation(relay, larger, now);
-    return placement != null && escalate(relay, larger, placement, null, now, output);
+    Placement placement = sender.placeEscalation(relay, largerModel, now);
+    return placement != null && escalate(relay, largerModel, placement, null, now, output);
   }
 
   /**
@@ -228,7 +228,7 @@
    */
   private boolean escalate(
       ActiveRelay relay,
-      int larger,
+      int largerModel,
       Placement placement,
       @Nullable SchedulerGrant grant,
       Instant now,
@@ -237,9 +237,9 @@
       sender.releaseGrant(grant, output);
       return false;
     }
-    trace.escalated(relay, larger, placement, now, output);
+    trace.escalated(relay, largerModel, placement, now, output);
     sender.cancelAttempt(relay, output);
-    relay.modelIndex = larger;
+    relay.modelIndex = largerModel;
     sender.send(relay, placement, grant, now, output);
     return true;
   }
@@ -251,13 +251,13 @@
       return;
     }
     ActiveRelay relay = placed.relay();
-    int larger = models.larger(relay.route, relay.modelIndex);
+    int largerModel = models.larger(relay.route, relay.modelIndex);
     Placement chosen = placed.placement();
-    Placement placement = chosen == null ? sender.placeEscalation(relay, larger, now) : chosen;
+    Placement placement = chosen == null ? sender.placeEscalation(relay, largerModel, now) : chosen;
     UpstreamTrack track = relay.upstream();
-    boolean asked =
-        placement != null && escalate(relay, larger, placement, placed.grant(), now, output);
-    if (!asked && track != null) {
+    boolean escalated =
+        placement != null && escalate(relay, largerModel, placement, placed.grant(), now, output);
+    if (!escalated && track != null) {
       forwardAnswer(relay, track, output);
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestTrace.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestTrace.java
@@ -95,7 +95,7 @@
     output.effect(new TraceEffect.Count("relay_attempts_ended", event, 1));
     UpstreamTrack track = relay.upstream();
     String upstream = track == null ? "-" : track.instance().id();
-    String all =
+    String allFacts =
         "attempt="
             + relay.attempt
             + " content="
@@ -104,7 +104,7 @@
             + upstream
             + " "
             + facts;
-    log(true, event, relay, all, now, output);
+    log(true, event, relay, allFacts, now, output);
   }
 
   /** Reports an escalation to a larger model, which replaces the answer received. */
@@ -136,7 +136,7 @@
   /** Reports a request that was refused before it was admitted. */
   void refused(RelayRequest request, Refusal refusal, Instant now, Output output) {
     output.effect(new TraceEffect.Count("relay_requests", "refused", 1));
-    String line =
+    String message =
         "event=refused id="
             + request.id()
             + " why="
@@ -146,12 +146,12 @@
             + " host="
             + request.host()
             + configurationFacts(now);
-    output.effect(new TraceEffect.LogLine(true, PART, line));
+    output.effect(new TraceEffect.LogLine(true, PART, message));
   }
 
   private void log(
       boolean warning, String event, ActiveRelay relay, String facts, Instant now, Output output) {
-    String line =
+    String message =
         "event="
             + event
             + " id="
@@ -167,7 +167,7 @@
             + " left_ms="
             + Duration.between(now, relay.deadline).toMillis()
             + configurationFacts(now);
-    output.effect(new TraceEffect.LogLine(warning, PART, line));
+    output.effect(new TraceEffect.LogLine(warning, PART, message));
   }
 
   private String configurationFacts(Instant now) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RetryBudget.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RetryBudget.java
@@ -41,16 +41,16 @@
   /** Records a retry and returns true if the budget allows it, else returns false. */
   boolean tryAcquire(String service, Instant now) {
     Window window = window(service, now);
-    if (sum(window.repeats) + 1 > ratio * sum(window.requests) + FREE_RETRIES) {
+    if (sum(window.retries) + 1 > ratio * sum(window.requests) + FREE_RETRIES) {
       return false;
     }
-    window.repeats[slot(now)]++;
+    window.retries[slot(now)]++;
     return true;
   }
 
   private Window window(String service, Instant now) {
     Window window = windows.computeIfAbsent(service, missing -> new Window());
-    window.moveTo(now.getEpochSecond());
+    window.advanceTo(now.getEpochSecond());
     return window;
   }
 
@@ -68,17 +68,17 @@
 
   private static final class Window {
     private final int[] requests = new int[WINDOW_SECONDS];
-    private final int[] repeats = new int[WINDOW_SECONDS];
-    private long second;
+    private final int[] retries = new int[WINDOW_SECONDS];
+    private long newestSecond;
 
-    private void moveTo(long newest) {
-      long from = Math.max(second + 1, newest - WINDOW_SECONDS + 1);
+    private void advanceTo(long newest) {
+      long from = Math.max(newestSecond + 1, newest - WINDOW_SECONDS + 1);
       for (long passed = from; passed <= newest; passed++) {
         int slot = (int) Math.floorMod(passed, (long) WINDOW_SECONDS);
         requests[slot] = 0;
-        repeats[slot] = 0;
+        retries[slot] = 0;
       }
-      second = Math.max(second, newest);
+      newestSecond = Math.max(newestSecond, newest);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RouteTable.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RouteTable.java
@@ -57,9 +57,9 @@
       return null;
     }
     int query = path.indexOf('?');
-    String bare = query < 0 ? path : path.substring(0, query);
+    String pathWithoutQuery = query < 0 ? path : path.substring(0, query);
     for (RelayRoute route : routes) {
-      if (bare.startsWith(route.pathPrefix())) {
+      if (pathWithoutQuery.startsWith(route.pathPrefix())) {
         return route;
       }
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TickLag.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TickLag.java
@@ -40,8 +40,8 @@
   /** Records a tick. */
   void tick(Instant now) {
     if (tickedAt != null) {
-      double late = Duration.between(tickedAt, now).minus(period).toMillis();
-      lagMillis += smoothingFactor * (late - lagMillis);
+      double delayMillis = Duration.between(tickedAt, now).minus(period).toMillis();
+      lagMillis += smoothingFactor * (delayMillis - lagMillis);
       busy = lagMillis > (busy ? NOT_BUSY_MILLIS : BUSY_MILLIS);
     }
     tickedAt = now;
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConnectionShareTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConnectionShareTest.java
@@ -7,17 +7,19 @@
 /** Tests of the connections that entries may have to one upstream. */
 public final class ConnectionShareTest {
 
-  private static final int UPSTREAM_TAKES = 100;
+  private static final int MAX_CONNECTIONS = 100;
 
   /** Guards against entries that together open more connections than an upstream takes. */
   @Test
-  public void entriesTogetherStayWithinWhatAnUpstreamTakes() {
-    for (int entries = 1; entries <= UPSTREAM_TAKES; entries++) {
+  public void entriesTogetherStayWithinConnectionLimit() {
+    for (int entries = 1; entries <= MAX_CONNECTIONS; entries++) {
       RelayFixture entry = new RelayFixture();
       entry.view.entries = entries;
-      int each = entry.send(1, "/lookup/x").target().maxConnections();
-      assertTrue(each > 0, entries + " entries have " + each);
-      assertTrue(entries * each <= UPSTREAM_TAKES, entries + " entries have " + each + " each");
+      int connectionsPerEntry = entry.send(1, "/lookup/x").target().maxConnections();
+      assertTrue(connectionsPerEntry > 0, entries + " entries have " + connectionsPerEntry);
+      assertTrue(
+          entries * connectionsPerEntry <= MAX_CONNECTIONS,
+          entries + " entries have " + connectionsPerEntry + " each");
     }
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ExtremeValuesTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ExtremeValuesTest.java
@@ -21,22 +21,20 @@
 
   private static final int SEEDS = 6;
   private static final int STEPS = 40;
-  private static final long[] NUMBERS = {
+  private static final long[] LONG_VALUES = {
     0, 1, -1, 7, 1000, Integer.MAX_VALUE, Integer.MIN_VALUE, Long.MAX_VALUE, Long.MIN_VALUE
   };
-  private static final int[] SMALL_NUMBERS = {
-    0, 1, -1, 7, 1000, Integer.MAX_VALUE, Integer.MIN_VALUE
-  };
+  private static final int[] INT_VALUES = {0, 1, -1, 7, 1000, Integer.MAX_VALUE, Integer.MIN_VALUE};
 
-  private static long number(UniformRandomProvider random) {
-    return NUMBERS[random.nextInt(NUMBERS.length)];
+  private static long randomLong(UniformRandomProvider random) {
+    return LONG_VALUES[random.nextInt(LONG_VALUES.length)];
   }
 
-  private static int smallNumber(UniformRandomProvider random) {
-    return SMALL_NUMBERS[random.nextInt(SMALL_NUMBERS.length)];
+  private static int randomInt(UniformRandomProvider random) {
+    return INT_VALUES[random.nextInt(INT_VALUES.length)];
   }
 
-  private static void play(BiConsumer<CrashingRequestSimulation, UniformRandomProvider> step) {
+  private static void runSeeds(BiConsumer<CrashingRequestSimulation, UniformRandomProvider> step) {
     for (int seed = 1; seed <= SEEDS; seed++) {
       UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
       CrashingRequestSimulation run = new CrashingRequestSimulation(seed, 3, 3);
@@ -52,17 +50,17 @@
     }
   }
 
-  private static String any(List<String> names, UniformRandomProvider random) {
-    return names.get(random.nextInt(names.size()));
+  private static String randomElement(List<String> elements, UniformRandomProvider random) {
+    return elements.get(random.nextInt(elements.size()));
   }
 
   /** An upstream tells numbers without sense; control VMs and entries go on. */
   @Test
-  public void heartbeatsOfAnyNumbersEndNoDaemon() {
-    play(
+  public void heartbeatsWithExtremeNumbersHaltNoDaemon() {
+    runSeeds(
         (run, random) ->
             run.network.inject(
-                any(run.controls, random),
+                randomElement(run.controls, random),
                 new RelayEvent.HeartbeatReceived(
                     new UpstreamInstance(
                         "odd-" + random.nextInt(4),
@@ -70,105 +68,109 @@
                         "10.0.1." + random.nextInt(4) + ":80",
                         "a",
                         "v1",
-                        smallNumber(random),
-                        number(random),
-                        number(random),
-                        number(random)))));
+                        randomInt(random),
+                        randomLong(random),
+                        randomLong(random),
+                        randomLong(random)))));
   }
 
   /** A caller sends numbers without sense; the entries go on. */
   @Test
-  public void requestsOfAnyNumbersEndNoEntry() {
-    long[] last = {1_000_000_000L};
-    play(
+  public void requestsWithExtremeNumbersHaltNoEntry() {
+    long[] lastNumber = {1_000_000_000L};
+    runSeeds(
         (run, random) ->
             run.network.inject(
-                any(run.entries, random),
+                randomElement(run.entries, random),
                 new RelayEvent.RequestArrived(
                     new RelayRequest(
-                        ++last[0],
+                        ++lastNumber[0],
                         "odd",
                         random.nextBoolean() ? "host.example" : "",
-                        any(List.of("/sized/x", "/stream/x", "/book/x", "", "*", "x:80"), random),
-                        number(random),
+                        randomElement(
+                            List.of("/sized/x", "/stream/x", "/book/x", "", "*", "x:80"), random),
+                        randomLong(random),
                         "key",
                         random.nextBoolean() ? "*" : null,
-                        smallNumber(random),
-                        smallNumber(random),
+                        randomInt(random),
+                        randomInt(random),
                         List.of(
-                            new PromptPart("a", smallNumber(random)),
-                            new PromptPart("b", smallNumber(random))),
+                            new PromptPart("a", randomInt(random)),
+                            new PromptPart("b", randomInt(random))),
                         null,
                         random.nextBoolean() ? "" : null,
-                        number(random)))));
+                        randomLong(random)))));
   }
 
   /** Operators order roll-outs and configurations that are valid but odd; all daemons go on. */
   @Test
-  public void ordersOfAnyNumbersEndNoDaemon() {
-    long[] last = {1};
-    play(
+  public void commandsWithExtremeNumbersHaltNoDaemon() {
+    long[] lastNumber = {1};
+    runSeeds(
         (run, random) -> {
           RelayCommand command =
               random.nextInt(3) == 0
-                  ? new RelayCommand.BeginRollOut("service", "v2", number(random))
+                  ? new RelayCommand.BeginRollOut("service", "v2", randomLong(random))
                   : new RelayCommand.PutConfiguration(
-                      configuration(++last[0], random), new byte[0]);
+                      validExtremeConfiguration(++lastNumber[0], random), new byte[0]);
           run.network.inject(
-              any(run.controls, random), new RelayEvent.CommandAsked(++last[0], command, 900));
+              randomElement(run.controls, random),
+              new RelayEvent.CommandAsked(++lastNumber[0], command, 900));
         });
   }
 
-  private static RelayConfiguration configuration(long version, UniformRandomProvider random) {
+  private static RelayConfiguration validExtremeConfiguration(
+      long version, UniformRandomProvider random) {
     while (true) {
-      RelayConfiguration odd = oddConfiguration(version, random);
-      if (RelayConfigurationValidator.problems(odd).isEmpty()) {
-        return odd;
+      RelayConfiguration candidate = extremeConfiguration(version, random);
+      if (RelayConfigurationValidator.problems(candidate).isEmpty()) {
+        return candidate;
       }
     }
   }
 
-  private static RelayConfiguration oddConfiguration(long version, UniformRandomProvider random) {
+  private static RelayConfiguration extremeConfiguration(
+      long version, UniformRandomProvider random) {
     List<RelayRoute> routes =
         RelayFixture.configuration(version, "key").routes().stream()
-            .map(route -> odd(route, random))
+            .map(route -> withExtremeNumbers(route, random))
             .toList();
     EngineProfile engine =
         random.nextBoolean()
             ? null
             : new EngineProfile(
-                smallNumber(random),
-                number(random),
-                List.of(new ModelPrice("small", number(random)), new ModelPrice("large", 0)));
+                randomInt(random),
+                randomLong(random),
+                List.of(new ModelPrice("small", randomLong(random)), new ModelPrice("large", 0)));
     RelayService service =
         new RelayService(
             "service",
             "/health",
-            smallNumber(random),
+            randomInt(random),
             engine,
-            new ColdStart(smallNumber(random), number(random)));
+            new ColdStart(randomInt(random), randomLong(random)));
     return new RelayConfiguration(
         version,
         routes,
         List.of(service, new RelayService("other", "/health", 1, null)),
-        List.of(new RelayTeam("team", List.of("key"), smallNumber(random))),
+        List.of(new RelayTeam("team", List.of("key"), randomInt(random))),
         RelayLimits.DEFAULT);
   }
 
-  private static RelayRoute odd(RelayRoute route, UniformRandomProvider random) {
+  private static RelayRoute withExtremeNumbers(RelayRoute route, UniformRandomProvider random) {
     return new RelayRoute(
         route.name(),
         route.host(),
         route.pathPrefix(),
         route.kind(),
         List.of(
-            new WeightedService("service", Math.abs(smallNumber(random) / 2) + 1),
-            new WeightedService("other", Math.abs(smallNumber(random) / 2) + 1)),
-        smallNumber(random),
-        smallNumber(random),
-        smallNumber(random),
-        smallNumber(random),
-        smallNumber(random),
+            new WeightedService("service", Math.abs(randomInt(random) / 2) + 1),
+            new WeightedService("other", Math.abs(randomInt(random) / 2) + 1)),
+        randomInt(random),
+        randomInt(random),
+        randomInt(random),
+        randomInt(random),
+        randomInt(random),
         route.isPublic(),
         route.sticky(),
         route.resumable(),
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LimitedRequestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LimitedRequestTest.java
@@ -11,7 +11,7 @@
 /** Tests of requests whose upstreams name a rate limit. */
 public final class LimitedRequestTest {
 
-  private static final RateLimit HALF_A_SECOND = new RateLimit(0.5);
+  private static final RateLimit ONE_PER_TWO_SECONDS = new RateLimit(0.5);
 
   private RelayFixture entry = new RelayFixture();
 
@@ -21,17 +21,17 @@
     entry = new RelayFixture();
   }
 
-  private void limit(int from) {
+  private void limitUpstreams(int firstIndex) {
     List<UpstreamTrack> tracks = entry.view.tracks;
     tracks
-        .subList(from, tracks.size())
-        .forEach(track -> track.rate().heard(HALF_A_SECOND, RelayFixture.START));
+        .subList(firstIndex, tracks.size())
+        .forEach(track -> track.rate().heard(ONE_PER_TWO_SECONDS, RelayFixture.START));
   }
 
   /** Guards against callers that wait for their deadline, or come back before there is a place. */
   @Test
-  public void requestIsRefusedAtOnceWithTheTimeOfTheNextPlace() {
-    limit(0);
+  public void requestIsRefusedImmediatelyWithRetryDelay() {
+    limitUpstreams(0);
     RelayEffect.Refuse refuse =
         RelayFixture.only(entry.arrives(1, "/lookup/x"), RelayEffect.Refuse.class);
     assertEquals(refuse.refusal(), Refusal.NO_UPSTREAM);
@@ -47,12 +47,12 @@
 
   /** Guards against callers that are lured back though their request may have run. */
   @Test
-  public void requestThatMayHaveRunIsToldNoTimeToComeBack() {
+  public void requestThatMayHaveRunIsRefusedWithoutRetryDelay() {
     for (long number = 100; number < 120; number++) {
       entry.send(number, "/lookup/x");
       entry.apply(new RelayEvent.CallerLeft(number));
     }
-    limit(1);
+    limitUpstreams(1);
     entry.send(1, "/lookup/x");
     entry.fails(1, 1, AttemptFailure.NO_ANSWER, null);
     RelayEffect.Refuse refuse =
@@ -63,8 +63,8 @@
 
   /** Guards against an upstream that is free as soon as it fails one request. */
   @Test
-  public void failureWithoutLimitLiftsNone() {
-    limit(0);
+  public void failureWithoutReportedLimitKeepsLimits() {
+    limitUpstreams(0);
     entry.arrives(1, "/book/x");
     entry.advance(2000);
     entry.send(2, "/book/x");
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/QuarantinedRequestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/QuarantinedRequestTest.java
@@ -27,8 +27,8 @@
     }
   }
 
-  private void quarantine(long content) {
-    entry.view.quarantined.add(new RequestKey("team", content));
+  private void quarantine(long contentHash) {
+    entry.view.quarantined.add(new RequestKey("team", contentHash));
   }
 
   private void assertRefused(List<RelayEffect> effects) {
@@ -40,7 +40,7 @@
 
   /** The caller is refused for good before any upstream is asked; others are served. */
   @Test
-  public void requestIsRefusedAtItsArrival() {
+  public void quarantinedRequestIsRefusedOnArrival() {
     quarantine(1);
     assertRefused(entry.arrives(1, "/lookup/x"));
     entry.send(2, "/lookup/x");
@@ -48,7 +48,7 @@
 
   /** The request became known while it ran; the attempts that are left to it aren't made. */
   @Test
-  public void requestIsNotSentAgain() {
+  public void requestQuarantinedInProgressIsNotRetried() {
     entry.send(1, "/lookup/x");
     quarantine(1);
     assertRefused(entry.fails(1, 1, AttemptFailure.NO_ANSWER, null));
@@ -62,7 +62,7 @@
 
   /** The caller has had the beginning of a stream: it is broken off, and goes on nowhere. */
   @Test
-  public void begunStreamGoesOnNowhere() {
+  public void startedStreamIsAborted() {
     entry.send(1, "/stream/x");
     entry.answers(1, 1, 200, false);
     quarantine(1);
@@ -73,7 +73,7 @@
 
   /** An answer is at hand that a larger model would be asked for again: it is passed on. */
   @Test
-  public void largerModelIsNotAsked() {
+  public void quarantinedRequestIsNotEscalated() {
     entry.send(1, "/sized/x");
     quarantine(1);
     List<RelayEffect> effects = entry.apply(new RelayEvent.AnswerBegan(1, 1, 200, false, 0));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
@@ -20,12 +20,12 @@
 
   private static final String CONTROL = "control-1";
 
-  private RelayEntryPart entry = part();
+  private RelayEntryPart entry = createPart();
   private Reducer reducer = new Reducer(List.of(entry));
   private long sequence;
-  private List<String> evacuated = List.of();
+  private List<String> evacuatedZones = List.of();
 
-  private static RelayEntryPart part() {
+  private static RelayEntryPart createPart() {
     return new RelayEntryPart(
         new EntryIdentity("10.0.0.9:80", "a", 1),
         List.of(CONTROL),
@@ -36,13 +36,13 @@
   /** Each test begins anew. */
   @BeforeMethod
   public void setUp() {
-    entry = part();
+    entry = createPart();
     reducer = new Reducer(List.of(entry));
     sequence = 0;
-    evacuated = List.of();
+    evacuatedZones = List.of();
   }
 
-  private void told(List<UpstreamRun> leaving, UpstreamInstance... instances) {
+  private void receiveUpdate(List<UpstreamRun> leaving, UpstreamInstance... instances) {
     sequence++;
     List<UpstreamStatus> statuses =
         List.of(instances).stream()
@@ -53,7 +53,7 @@
             RelayFixture.START,
             sequence,
             null,
-            new RelayMessage.SharedState(List.of(), leaving, evacuated, List.of()),
+            new RelayMessage.SharedState(List.of(), leaving, evacuatedZones, List.of()),
             new RelayMessage.DirectoryChanges(1, sequence, sequence == 1, true, statuses),
             List.of(CONTROL),
             1,
@@ -61,11 +61,11 @@
     reducer.apply(new PeerEvent.MessageReceived(CONTROL, update), RelayFixture.START);
   }
 
-  private static UpstreamInstance started(long sequence, long bornMillis) {
+  private static UpstreamInstance instance(long sequence, long bornMillis) {
     return new UpstreamInstance("up", "service", "10.0.0.1:80", "a", "v1", 1, sequence, bornMillis);
   }
 
-  private UpstreamTrack only() {
+  private UpstreamTrack onlyUpstream() {
     List<UpstreamTrack> known = entry.upstreams("service");
     assertEquals(known.size(), 1);
     return known.get(0);
@@ -76,47 +76,47 @@
    * again under its id: the failures were the earlier process's, as was what it kept of prompts.
    */
   @Test
-  public void nothingOfAnEarlierStartIsKept() {
-    told(List.of(), started(30, 1000));
-    UpstreamTrack first = only();
+  public void statisticsOfEarlierRunAreDiscarded() {
+    receiveUpdate(List.of(), instance(30, 1000));
+    UpstreamTrack first = onlyUpstream();
     first.failed(true, RelayFixture.START);
-    told(List.of(), started(1, 2000));
-    assertNotSame(only(), first);
-    assertEquals(only().failureShare(), 0.0);
+    receiveUpdate(List.of(), instance(1, 2000));
+    assertNotSame(onlyUpstream(), first);
+    assertEquals(onlyUpstream().failureShare(), 0.0);
   }
 
   @Test
-  public void lateWordOfAnEarlierStartEmptiesNothing() {
-    told(List.of(), started(1, 2000));
-    UpstreamTrack known = only();
-    told(List.of(), started(40, 1000));
-    assertSame(only(), known);
+  public void lateUpdateOfEarlierRunIsIgnored() {
+    receiveUpdate(List.of(), instance(1, 2000));
+    UpstreamTrack known = onlyUpstream();
+    receiveUpdate(List.of(), instance(40, 1000));
+    assertSame(onlyUpstream(), known);
     assertEquals(known.instance().sequence(), 1);
   }
 
   /** The earlier start had said that it leaves; the later one serves. */
   @Test
-  public void laterStartIsUsedThoughAnEarlierOneLeft() {
-    told(List.of(new UpstreamRun("up", 1000)), started(30, 1000));
-    assertEquals(only().condition(), UpstreamCondition.LEAVING);
-    told(List.of(new UpstreamRun("up", 1000)), started(1, 2000));
-    assertEquals(only().condition(), UpstreamCondition.READY);
+  public void laterRunIsReadyAfterEarlierRunLeft() {
+    receiveUpdate(List.of(new UpstreamRun("up", 1000)), instance(30, 1000));
+    assertEquals(onlyUpstream().condition(), UpstreamCondition.LEAVING);
+    receiveUpdate(List.of(new UpstreamRun("up", 1000)), instance(1, 2000));
+    assertEquals(onlyUpstream().condition(), UpstreamCondition.READY);
   }
 
   /** An upstream that is heard of only after its zone was evacuated gets nothing either. */
   @Test
-  public void upstreamsOfAnEvacuatedZoneGetNothingUntilItIsTakenBack() {
-    told(List.of(), started(1, 1000));
-    evacuated = List.of("a");
-    told(List.of());
-    assertEquals(only().condition(), UpstreamCondition.EVACUATED);
-    told(List.of(), started(1, 2000));
-    assertEquals(only().condition(), UpstreamCondition.EVACUATED);
-    evacuated = List.of();
-    told(List.of(), started(2, 2000).coldFor(3000));
-    assertEquals(only().condition(), UpstreamCondition.READY);
-    assertTrue(only().isCold(RelayFixture.START.plusMillis(2999)));
-    told(List.of(), started(3, 2000));
-    assertFalse(only().isCold(RelayFixture.START), "warm again");
+  public void upstreamsOfEvacuatedZoneAreEvacuatedUntilZoneIsRestored() {
+    receiveUpdate(List.of(), instance(1, 1000));
+    evacuatedZones = List.of("a");
+    receiveUpdate(List.of());
+    assertEquals(onlyUpstream().condition(), UpstreamCondition.EVACUATED);
+    receiveUpdate(List.of(), instance(1, 2000));
+    assertEquals(onlyUpstream().condition(), UpstreamCondition.EVACUATED);
+    evacuatedZones = List.of();
+    receiveUpdate(List.of(), instance(2, 2000).coldFor(3000));
+    assertEquals(onlyUpstream().condition(), UpstreamCondition.READY);
+    assertTrue(onlyUpstream().isCold(RelayFixture.START.plusMillis(2999)));
+    receiveUpdate(List.of(), instance(3, 2000));
+    assertFalse(onlyUpstream().isCold(RelayFixture.START), "warm again");
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
@@ -99,11 +99,11 @@
   }
 
   static <E extends RelayEffect> E only(List<RelayEffect> effects, Class<E> type) {
-    List<E> found = effects.stream().filter(type::isInstance).map(type::cast).toList();
-    if (found.size() != 1) {
+    List<E> matching = effects.stream().filter(type::isInstance).map(type::cast).toList();
+    if (matching.size() != 1) {
       throw new AssertionError("one " + type.getSimpleName() + " expected in " + effects);
     }
-    return found.get(0);
+    return matching.get(0);
   }
 
   static boolean none(List<RelayEffect> effects, Class<? extends RelayEffect> type) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
@@ -25,7 +25,7 @@
     entry = new RelayFixture();
   }
 
-  private void busy() {
+  private void fillRetryBudget() {
     for (long number = 1000; number < 1020; number++) {
       entry.send(number, "/lookup/x");
       entry.apply(new RelayEvent.CallerLeft(number));
@@ -37,8 +37,8 @@
    * The upstream may have booked, so neither a second upstream nor the promise "not run" is right.
    */
   @Test
-  public void nonIdempotentRequestIsNotSentTwiceAfterItMayHaveRun() {
-    busy();
+  public void nonIdempotentRequestIsNotRetriedAfterItMayHaveRun() {
+    fillRetryBudget();
     entry.send(1, "/book/x");
     List<RelayEffect> effects = entry.fails(1, 1, AttemptFailure.NO_ANSWER, null);
     assertTrue(RelayFixture.none(effects, RelayEffect.SendAttempt.class));
@@ -52,8 +52,8 @@
    * the booking, so that sending it on can't book twice.
    */
   @Test
-  public void requestThatHasNotRunGoesToAnotherUpstream() {
-    busy();
+  public void requestThatHasNotRunIsRetriedAtAnotherUpstream() {
+    fillRetryBudget();
     RelayEffect.SendAttempt first = entry.send(1, "/book/x");
     List<RelayEffect> effects = entry.answers(1, 1, 503, true);
     RelayEffect.SendAttempt second = RelayFixture.only(effects, RelayEffect.SendAttempt.class);
@@ -63,8 +63,8 @@
 
   /** The caller is told at once that nothing ran and when to come back. Every upstream was full. */
   @Test
-  public void requestThatNoUpstreamTakesIsRefusedAtOnceWithTimeToComeBack() {
-    busy();
+  public void requestThatAllUpstreamsRejectIsRefusedWithRetryDelay() {
+    fillRetryBudget();
     entry.send(1, "/book/x");
     entry.answers(1, 1, 503, true);
     entry.answers(1, 2, 503, true);
@@ -76,8 +76,8 @@
 
   /** The caller gets the second upstream's answer: a lookup may run twice. */
   @Test
-  public void idempotentRequestIsSentAgainAfterFailure() {
-    busy();
+  public void idempotentRequestIsRetriedAfterFailure() {
+    fillRetryBudget();
     entry.send(1, "/lookup/x");
     assertTrue(
         !RelayFixture.none(
@@ -91,8 +91,8 @@
    * there; the answer has begun, so its head isn't given again.
    */
   @Test
-  public void brokenStreamGoesOnAtAnotherUpstream() {
-    busy();
+  public void brokenStreamContinuesAtAnotherUpstream() {
+    fillRetryBudget();
     entry.send(1, "/stream/x");
     RelayFixture.only(entry.answers(1, 1, 200, false), RelayEffect.PassAnswer.class);
     List<RelayEffect> effects = entry.fails(1, 1, AttemptFailure.BROKEN_OFF, "4");
@@ -107,8 +107,8 @@
    * unused.
    */
   @Test
-  public void upstreamThatCannotBeReachedIsNoAttempt() {
-    busy();
+  public void unreachableUpstreamsDoNotCountAsAttempts() {
+    fillRetryBudget();
     entry.send(1, "/book/x");
     RelayEffect.SendAttempt second =
         RelayFixture.only(
@@ -125,7 +125,7 @@
    * reached.
    */
   @Test
-  public void requestThatReachesNoUpstreamHasNotRun() {
+  public void requestWithoutReachableUpstreamIsRefusedAsNotRun() {
     entry.send(1, "/book/x");
     entry.fails(1, 1, AttemptFailure.NOT_SENT, null);
     entry.fails(1, 2, AttemptFailure.NOT_SENT, null);
@@ -135,7 +135,7 @@
     assertTrue(refuse.retryAfterMillis() > 0);
   }
 
-  private void answered(int count, String path, int millis) {
+  private void completeRequests(int count, String path, int millis) {
     for (long number = 5000; number < 5000 + count; number++) {
       entry.send(number, path);
       entry.advance(millis);
@@ -149,9 +149,9 @@
    * entry drops that attempt before it asks the other, so that the two never work on it at once.
    */
   @Test
-  public void lookupIsTakenFromUpstreamThatKeepsSilent() {
-    busy();
-    answered(20, "/lookup/x", 40);
+  public void lookupFailsOverFromSilentUpstream() {
+    fillRetryBudget();
+    completeRequests(20, "/lookup/x", 40);
     String silent = entry.send(1, "/lookup/x").target().upstream().id();
     assertTrue(entry.advance(250).isEmpty(), "less than three tenths of the objective");
     List<RelayEffect> effects = entry.advance(100);
@@ -167,8 +167,8 @@
    * loses its answer once, and it is the only one that can be asked again.
    */
   @Test
-  public void lookupGoesBackToTheLastUpstreamOfItsService() {
-    busy();
+  public void lookupIsRetriedAtTheOnlyRemainingUpstream() {
+    fillRetryBudget();
     entry.view.tracks.get(1).leaves();
     entry.view.tracks.get(2).leaves();
     String only = entry.send(1, "/lookup/x").target().upstream().id();
@@ -184,8 +184,8 @@
 
   /** The caller is told at once: the last upstream was full, and would be so again. */
   @Test
-  public void fullUpstreamIsNotAskedAgain() {
-    busy();
+  public void requestIsNotRetriedAtFullUpstream() {
+    fillRetryBudget();
     entry.view.tracks.get(1).leaves();
     entry.view.tracks.get(2).leaves();
     entry.send(1, "/lookup/x");
@@ -199,8 +199,8 @@
    * booking must not run twice.
    */
   @Test
-  public void failureOfTheOnlyUpstreamIsPassedOn() {
-    busy();
+  public void errorOfTheOnlyUpstreamIsForwarded() {
+    fillRetryBudget();
     entry.view.tracks.get(1).leaves();
     entry.view.tracks.get(2).leaves();
     entry.send(1, "/book/x");
@@ -212,8 +212,8 @@
    * its configuration again before the new leader has heard of any upstream of the service.
    */
   @Test
-  public void requestWaitsForTheFirstUpstreamAfterTheCrashOfEverything() {
-    busy();
+  public void requestWaitsForFirstUpstreamAfterFullOutage() {
+    fillRetryBudget();
     final List<UpstreamTrack> known = List.copyOf(entry.view.tracks);
     entry.view.tracks.clear();
     entry.view.settled = false;
@@ -225,8 +225,8 @@
 
   /** The caller is told at once where a service has no upstream and none is to be expected. */
   @Test
-  public void requestDoesNotWaitWhereNoUpstreamIsToBeExpected() {
-    busy();
+  public void requestIsRefusedIfServiceHasNoUpstream() {
+    fillRetryBudget();
     entry.view.tracks.clear();
     RelayEffect.Refuse refuse =
         RelayFixture.only(entry.arrives(1, "/lookup/x"), RelayEffect.Refuse.class);
@@ -238,8 +238,8 @@
    * takes longer than it waits; sent, it would take their time from others and end at its deadline.
    */
   @Test
-  public void requestThatCannotBeServedInTimeIsRefusedAtOnce() {
-    busy();
+  public void requestThatWouldMissItsDeadlineIsRefused() {
+    fillRetryBudget();
     for (UpstreamTrack track : entry.view.tracks) {
       track.peers().told("entry-2", 600, 0, RelayFixture.START);
     }
@@ -254,9 +254,9 @@
    * asked.
    */
   @Test
-  public void bookingIsNeverTakenFromSilentUpstream() {
-    busy();
-    answered(20, "/book/x", 40);
+  public void bookingDoesNotFailOverFromSilentUpstream() {
+    fillRetryBudget();
+    completeRequests(20, "/book/x", 40);
     entry.send(1, "/book/x");
     assertTrue(entry.advance(1400).isEmpty());
   }
@@ -266,9 +266,9 @@
    * and asking another upstream would only add to the load.
    */
   @Test
-  public void patienceGrowsWithTheUsualTimes() {
-    busy();
-    answered(20, "/lookup/x", 700);
+  public void firstByteTimeoutGrowsWithObservedTimes() {
+    fillRetryBudget();
+    completeRequests(20, "/lookup/x", 700);
     entry.send(1, "/lookup/x");
     assertTrue(entry.advance(800).isEmpty());
   }
@@ -278,8 +278,8 @@
    * its connection, and another one goes on from there.
    */
   @Test
-  public void silentStreamGoesOnAtAnotherUpstream() {
-    busy();
+  public void silentStreamFailsOver() {
+    fillRetryBudget();
     RelayEffect.SendAttempt first = entry.send(1, "/stream/x");
     assertEquals(first.target().silenceMillis(), 480);
     entry.answers(1, 1, 200, false);
@@ -295,8 +295,8 @@
    * no other one could go on in time; only a silence that no busy upstream shows moves the stream.
    */
   @Test
-  public void streamStaysWhereOthersWouldBeLaterStill() {
-    busy();
+  public void streamStaysIfOtherUpstreamsWouldBeSlower() {
+    fillRetryBudget();
     for (UpstreamTrack track : entry.view.tracks) {
       track.peers().told("entry-2", 60, 0, RelayFixture.START);
     }
@@ -310,8 +310,8 @@
 
   /** The caller's stream isn't touched: it can't be resumed, so its events may still come. */
   @Test
-  public void silentStreamThatCannotBeResumedGoesOn() {
-    busy();
+  public void silentStreamThatIsNotResumableStays() {
+    fillRetryBudget();
     assertEquals(entry.send(1, "/once/x").target().silenceMillis(), 0);
     entry.answers(1, 1, 200, false);
     assertTrue(entry.apply(new RelayEvent.AnswerSilent(1, 1, "4", 500)).isEmpty());
@@ -322,8 +322,8 @@
    * the lookup is asked again, and the booking had a connection of its own.
    */
   @Test
-  public void staleConnectionBlamesNobody() {
-    busy();
+  public void staleConnectionCountsAsNoFailure() {
+    fillRetryBudget();
     String first = entry.send(1, "/lookup/x").target().upstream().id();
     RelayFixture.only(
         entry.fails(1, 1, AttemptFailure.STALE_CONNECTION, null), RelayEffect.SendAttempt.class);
@@ -338,8 +338,8 @@
    * join pieces of two answers.
    */
   @Test
-  public void brokenStreamThatCannotBeResumedIsBrokenOff() {
-    busy();
+  public void brokenStreamThatIsNotResumableIsAborted() {
+    fillRetryBudget();
     entry.send(1, "/once/x");
     entry.answers(1, 1, 200, false);
     List<RelayEffect> effects = entry.fails(1, 1, AttemptFailure.BROKEN_OFF, "4");
@@ -362,7 +362,7 @@
 
   /** The upstream's work ends when the caller leaves; what comes later is ignored. */
   @Test
-  public void callerThatLeavesEndsTheAttempt() {
+  public void attemptIsCancelledWhenCallerDisconnects() {
     entry.send(1, "/lookup/x");
     RelayFixture.only(entry.apply(new RelayEvent.CallerLeft(1)), RelayEffect.DropAttempt.class);
     assertTrue(entry.answers(1, 1, 200, false).isEmpty());
@@ -383,7 +383,7 @@
    * been taken away, and a path that it doesn't know may have been added.
    */
   @Test
-  public void entryWithoutProofRefusesKeyedRequestsAsNotRun() {
+  public void entryWithUnprovenConfigurationRefusesKeyedRequests() {
     entry.view.proven = false;
     for (String path : List.of("/lookup/x", "/nowhere/")) {
       assertTrue(entry.arrives(1, path).isEmpty());
@@ -398,7 +398,7 @@
    * this one; a caller that was sent back after less would find the same elsewhere.
    */
   @Test
-  public void requestWaitsLongerAtAnEntryThatStarts() {
+  public void requestWaitsLongerAtStartingEntry() {
     entry.view.proven = false;
     entry.view.settled = false;
     assertTrue(entry.arrives(1, "/lookup/x").isEmpty());
@@ -409,7 +409,7 @@
 
   /** The caller is served a little later. The entry had just started when the request came. */
   @Test
-  public void requestWaitsUntilTheEntryCanServe() {
+  public void requestWaitsUntilEntryIsReady() {
     entry.view.proven = false;
     assertTrue(entry.arrives(1, "/lookup/x").isEmpty());
     entry.view.proven = true;
@@ -421,8 +421,8 @@
    * has had nothing.
    */
   @Test
-  public void doubtedAnswerIsAskedOfTheLargerModel() {
-    busy();
+  public void answerWithLowConfidenceEscalatesToLargerModel() {
+    fillRetryBudget();
     assertEquals(entry.send(1, "/sized/x").target().model(), "small");
     List<RelayEffect> effects = entry.apply(new RelayEvent.AnswerBegan(1, 1, 200, false, 10));
     RelayFixture.only(effects, RelayEffect.DropAttempt.class);
@@ -431,7 +431,7 @@
   }
 
   @Test
-  public void trustedAnswerOfTheSmallModelIsPassed() {
+  public void answerWithHighConfidenceIsForwarded() {
     entry.send(1, "/sized/x");
     List<RelayEffect> effects = entry.apply(new RelayEvent.AnswerBegan(1, 1, 200, false, 90));
     RelayFixture.only(effects, RelayEffect.PassAnswer.class);
@@ -442,7 +442,7 @@
    * when its time is over; a short call is still served.
    */
   @Test
-  public void stoppingEntryRefusesWhatItCouldNotEnd() {
+  public void stoppingEntryRefusesRequestsItCouldNotComplete() {
     entry.apply(new LifecycleEvent.StopRequested());
     entry.advance(5000);
     entry.send(1, "/stream/x");
@@ -460,17 +460,17 @@
    * service would get three times its usual requests.
    */
   @Test
-  public void repeatsStayWithinTheBudget() {
-    int repeats = 0;
+  public void retriesStayWithinBudget() {
+    int retries = 0;
     for (long number = 1; number <= 100; number++) {
       entry.send(number, "/lookup/x");
       for (int attempt = 1; attempt <= 3; attempt++) {
         List<RelayEffect> effects = entry.fails(number, attempt, AttemptFailure.NO_ANSWER, null);
-        repeats += RelayFixture.none(effects, RelayEffect.SendAttempt.class) ? 0 : 1;
+        retries += RelayFixture.none(effects, RelayEffect.SendAttempt.class) ? 0 : 1;
       }
     }
-    assertTrue(repeats <= 91, "repeats: " + repeats);
-    assertTrue(repeats >= 80, "repeats: " + repeats);
+    assertTrue(retries <= 91, "repeats: " + retries);
+    assertTrue(retries >= 80, "repeats: " + retries);
   }
 
   /**
@@ -478,19 +478,19 @@
    * nothing more under that name.
    */
   @Test
-  public void addressOfAnotherRunIsNotUsedAgain() {
-    busy();
-    String wrong = entry.send(1, "/lookup/x").target().upstream().id();
+  public void addressOfAnotherRunIsNotReused() {
+    fillRetryBudget();
+    String misdirected = entry.send(1, "/lookup/x").target().upstream().id();
     entry.answers(1, 1, 421, false);
     Set<String> used = new HashSet<>();
     for (long number = 2; number < 40; number++) {
       used.add(entry.send(number, "/lookup/x").target().upstream().id());
     }
-    assertTrue(!used.contains(wrong), wrong + " in " + used);
+    assertTrue(!used.contains(misdirected), misdirected + " in " + used);
   }
 
   @Test
-  public void teamAndPriorityOfTheTeamAreNamed() {
+  public void attemptNamesTheTeam() {
     RelayEffect.SendAttempt sent = entry.send(1, "/lookup/x");
     assertEquals(sent.target().team(), "team");
     assertNull(sent.target().urgency(), "a plain service knows no urgency");
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RouteTableTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RouteTableTest.java
@@ -38,39 +38,39 @@
   }
 
   @Test
-  public void longestPrefixOfTheHostWins() {
+  public void longestPathPrefixOfHostMatches() {
     RouteTable table =
         new RouteTable(
             configuration(
                 List.of(route("short", "/a/", 1, 1), route("long", "/a/b/", 1, 1)), List.of()));
-    assertEquals(name(table, "host.example", "/a/b/c"), "long");
-    assertEquals(name(table, "HOST.example:80", "/a/c?x=/a/b/"), "short");
+    assertEquals(routeName(table, "host.example", "/a/b/c"), "long");
+    assertEquals(routeName(table, "HOST.example:80", "/a/c?x=/a/b/"), "short");
     assertNull(table.route("host.example", "/a"));
     assertNull(table.route("other.example", "/a/b/"));
   }
 
-  private static String name(RouteTable table, String host, String path) {
+  private static String routeName(RouteTable table, String host, String path) {
     RelayRoute route = table.route(host, path);
     assertNotNull(route);
     return route.name();
   }
 
   @Test
-  public void everyMistakeIsNamed() {
+  public void eachInvalidConfigurationHasOneProblem() {
     RelayTeam one = new RelayTeam("one", List.of("key"), null);
     RelayTeam other = new RelayTeam("other", List.of("key"), null);
     RelayRoute good = route("good", "/a/", 1, 1);
-    assertEquals(problems(List.of(good), List.of(one)), 0);
-    assertEquals(problems(List.of(good), List.of(one, other)), 1);
-    assertEquals(problems(List.of(good, route("twin", "/a/", 1, 1)), List.of()), 1);
-    assertEquals(problems(List.of(route("timeless", "/a/", 0, 1)), List.of()), 1);
-    assertEquals(problems(List.of(route("weightless", "/a/", 1, 0)), List.of()), 1);
+    assertEquals(problemCount(List.of(good), List.of(one)), 0);
+    assertEquals(problemCount(List.of(good), List.of(one, other)), 1);
+    assertEquals(problemCount(List.of(good, route("twin", "/a/", 1, 1)), List.of()), 1);
+    assertEquals(problemCount(List.of(route("timeless", "/a/", 0, 1)), List.of()), 1);
+    assertEquals(problemCount(List.of(route("weightless", "/a/", 1, 0)), List.of()), 1);
     RelayConfiguration unknown =
         new RelayConfiguration(1, List.of(good), List.of(), List.of(), RelayLimits.DEFAULT);
     assertEquals(RelayConfigurationValidator.problems(unknown).size(), 1);
   }
 
-  private static int problems(List<RelayRoute> routes, List<RelayTeam> teams) {
+  private static int problemCount(List<RelayRoute> routes, List<RelayTeam> teams) {
     return RelayConfigurationValidator.problems(configuration(routes, teams)).size();
   }
 }
