--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -278,8 +278,8 @@
   }
 
   private void onUpdate(String from, EntryUpdate update, Instant now, Output output) {
-    Instant provenInstant = update.provenAt();
-    if (provenInstant != null) {
+    Instant proofTime = update.provenAt();
+    if (proofTime != null) {
       if (!from.equals(leader)) {
         log(false, "event=leader_found node=" + from, output);
       }
@@ -291,7 +291,7 @@
     directory.take(update.directory(), now, output);
     if (!update.controlNodes().isEmpty()) {
       controlNodes =
-          provenInstant == null ? mergedControlNodes(update.controlNodes()) : update.controlNodes();
+          proofTime == null ? mergedControlNodes(update.controlNodes()) : update.controlNodes();
     }
     Neighbourhood newNeighbourhood = update.neighbourhood();
     if (newNeighbourhood != null) {
@@ -300,8 +300,8 @@
     // Entries that are partitioned from the leader keep their connections, so the count that
     // divides an upstream's connections never decreases.
     entries = Math.max(entries, update.entries());
-    if (provenInstant != null && provenInstant.isAfter(provenAt)) {
-      provenAt = provenInstant;
+    if (proofTime != null && proofTime.isAfter(provenAt)) {
+      provenAt = proofTime;
       if (!wasProven && proven(now)) {
         wasProven = true;
         log(false, "event=lease_gained configuration=" + table.configuration().version(), output);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RetryBudget.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RetryBudget.java
@@ -73,8 +73,8 @@
 
     private void advanceTo(long newest) {
       long from = Math.max(newestSecond + 1, newest - WINDOW_SECONDS + 1);
-      for (long passed = from; passed <= newest; passed++) {
-        int slot = (int) Math.floorMod(passed, (long) WINDOW_SECONDS);
+      for (long expired = from; expired <= newest; expired++) {
+        int slot = (int) Math.floorMod(expired, (long) WINDOW_SECONDS);
         requests[slot] = 0;
         retries[slot] = 0;
       }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConnectionShareTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConnectionShareTest.java
@@ -4,12 +4,12 @@
 
 import org.testng.annotations.Test;
 
-/** Tests of the connections that entries may have to one upstream. */
+/** Tests the limit on the connections from all entries to one upstream. */
 public final class ConnectionShareTest {
 
   private static final int MAX_CONNECTIONS = 100;
 
-  /** Guards against entries that together open more connections than an upstream takes. */
+  /** Guards against entries that together open more connections than an upstream accepts. */
   @Test
   public void entriesTogetherStayWithinConnectionLimit() {
     for (int entries = 1; entries <= MAX_CONNECTIONS; entries++) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ExtremeValuesTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ExtremeValuesTest.java
@@ -11,11 +11,11 @@
 import org.testng.annotations.Test;
 
 /**
- * Tests with numbers that nobody means but anybody can send.
+ * Tests with extreme numbers that are valid on the wire although no client sends them on purpose.
  *
- * <p>A daemon halts if its reducer throws. What one heartbeat, order or request does to one daemon
- * it does to the next one that gets it, and what is in the log or the directory does it at each
- * start: a single number could end all daemons there are.
+ * <p>A daemon halts if its reducer throws. A heartbeat, command or request that halts one daemon
+ * halts each daemon that receives it, and a value in the log or the directory does so on each
+ * start, so a single number could halt all daemons.
  */
 public final class ExtremeValuesTest {
 
@@ -54,7 +54,9 @@
     return elements.get(random.nextInt(elements.size()));
   }
 
-  /** An upstream tells numbers without sense; control VMs and entries go on. */
+  /**
+   * Control VMs and entries must keep running if an upstream's heartbeats contain extreme numbers.
+   */
   @Test
   public void heartbeatsWithExtremeNumbersHaltNoDaemon() {
     runSeeds(
@@ -74,7 +76,7 @@
                         randomLong(random)))));
   }
 
-  /** A caller sends numbers without sense; the entries go on. */
+  /** Entries must keep running if a caller's requests contain extreme numbers. */
   @Test
   public void requestsWithExtremeNumbersHaltNoEntry() {
     long[] lastNumber = {1_000_000_000L};
@@ -102,7 +104,10 @@
                         randomLong(random)))));
   }
 
-  /** Operators order roll-outs and configurations that are valid but odd; all daemons go on. */
+  /**
+   * All daemons must keep running if roll-outs and configurations are valid but contain extreme
+   * numbers.
+   */
   @Test
   public void commandsWithExtremeNumbersHaltNoDaemon() {
     long[] lastNumber = {1};
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LimitedRequestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LimitedRequestTest.java
@@ -8,14 +8,14 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of requests whose upstreams name a rate limit. */
+/** Tests requests whose upstreams report a rate limit. */
 public final class LimitedRequestTest {
 
   private static final RateLimit ONE_PER_TWO_SECONDS = new RateLimit(0.5);
 
   private RelayFixture entry = new RelayFixture();
 
-  /** Each test begins anew. */
+  /** Creates a new entry for each test. */
   @BeforeMethod
   public void setUp() {
     entry = new RelayFixture();
@@ -28,7 +28,10 @@
         .forEach(track -> track.rate().heard(ONE_PER_TWO_SECONDS, RelayFixture.START));
   }
 
-  /** Guards against callers that wait for their deadline, or come back before there is a place. */
+  /**
+   * Guards against callers that wait until their deadline, or retry before an upstream accepts the
+   * request.
+   */
   @Test
   public void requestIsRefusedImmediatelyWithRetryDelay() {
     limitUpstreams(0);
@@ -45,7 +48,10 @@
     assertEquals(next.retryAfterMillis(), 2000);
   }
 
-  /** Guards against callers that are lured back though their request may have run. */
+  /**
+   * Guards against a retry delay in the refusal of a request that may have run, since the caller
+   * would retry it.
+   */
   @Test
   public void requestThatMayHaveRunIsRefusedWithoutRetryDelay() {
     for (long number = 100; number < 120; number++) {
@@ -61,7 +67,10 @@
     assertEquals(refuse.retryAfterMillis(), 0);
   }
 
-  /** Guards against an upstream that is free as soon as it fails one request. */
+  /**
+   * Guards against an upstream's rate limit that is dropped when the upstream fails a request
+   * without reporting a limit.
+   */
   @Test
   public void failureWithoutReportedLimitKeepsLimits() {
     limitUpstreams(0);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/QuarantinedRequestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/QuarantinedRequestTest.java
@@ -12,12 +12,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of what an entry does with requests that are known to end upstreams. */
+/** Tests an entry's handling of quarantined requests. */
 public final class QuarantinedRequestTest {
 
   private RelayFixture entry = new RelayFixture();
 
-  /** Each test begins anew, with an entry that has room for repeats. */
+  /** Creates a new entry for each test, with enough requests to allow retries. */
   @BeforeMethod
   public void setUp() {
     entry = new RelayFixture();
@@ -35,10 +35,12 @@
     assertTrue(none(effects, RelayEffect.SendAttempt.class), effects.toString());
     RelayEffect.Refuse refuse = only(effects, RelayEffect.Refuse.class);
     assertEquals(refuse.refusal(), Refusal.QUARANTINED);
-    assertEquals(refuse.retryAfterMillis(), 0, "nothing lures it in again");
+    assertEquals(refuse.retryAfterMillis(), 0, "no retry delay for a quarantined request");
   }
 
-  /** The caller is refused for good before any upstream is asked; others are served. */
+  /**
+   * The request is refused permanently before it is sent to an upstream; other requests are served.
+   */
   @Test
   public void quarantinedRequestIsRefusedOnArrival() {
     quarantine(1);
@@ -46,7 +48,7 @@
     entry.send(2, "/lookup/x");
   }
 
-  /** The request became known while it ran; the attempts that are left to it aren't made. */
+  /** A request that is quarantined while it is in progress gets no further attempts. */
   @Test
   public void requestQuarantinedInProgressIsNotRetried() {
     entry.send(1, "/lookup/x");
@@ -60,7 +62,7 @@
     assertRefused(entry.answers(3, 1, 503, true));
   }
 
-  /** The caller has had the beginning of a stream: it is broken off, and goes on nowhere. */
+  /** A stream that has begun is aborted and not continued at another upstream. */
   @Test
   public void startedStreamIsAborted() {
     entry.send(1, "/stream/x");
@@ -71,7 +73,7 @@
     only(effects, RelayEffect.BreakOff.class);
   }
 
-  /** An answer is at hand that a larger model would be asked for again: it is passed on. */
+  /** An answer whose low confidence would cause an escalation is forwarded instead. */
   @Test
   public void quarantinedRequestIsNotEscalated() {
     entry.send(1, "/sized/x");
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link RelayEntryPart}. */
+/** Tests {@link RelayEntryPart}. */
 public final class RelayEntryPartTest {
 
   private static final String CONTROL = "control-1";
@@ -33,7 +33,7 @@
         new VersionLedger());
   }
 
-  /** Each test begins anew. */
+  /** Creates a new entry for each test. */
   @BeforeMethod
   public void setUp() {
     entry = createPart();
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Callers would wait for a sound upstream. It crashed, failed what was sent to it, and started
-   * again under its id: the failures were the earlier process's, as was what it kept of prompts.
+   * Guards against avoiding a healthy upstream. An upstream that crashed and restarted with the
+   * same id must not inherit the failures and cached prompt prefixes of its earlier run.
    */
   @Test
   public void statisticsOfEarlierRunAreDiscarded() {
@@ -94,7 +94,7 @@
     assertEquals(known.instance().sequence(), 1);
   }
 
-  /** The earlier start had said that it leaves; the later one serves. */
+  /** Guards against treating a run as leaving because an earlier run of the same upstream left. */
   @Test
   public void laterRunIsReadyAfterEarlierRunLeft() {
     receiveUpdate(List.of(new UpstreamRun("up", 1000)), instance(30, 1000));
@@ -103,7 +103,10 @@
     assertEquals(onlyUpstream().condition(), UpstreamCondition.READY);
   }
 
-  /** An upstream that is heard of only after its zone was evacuated gets nothing either. */
+  /**
+   * Guards against sending requests to an upstream whose run is first reported after its zone was
+   * evacuated.
+   */
   @Test
   public void upstreamsOfEvacuatedZoneAreEvacuatedUntilZoneIsRestored() {
     receiveUpdate(List.of(), instance(1, 1000));
@@ -117,6 +120,6 @@
     assertEquals(onlyUpstream().condition(), UpstreamCondition.READY);
     assertTrue(onlyUpstream().isCold(RelayFixture.START.plusMillis(2999)));
     receiveUpdate(List.of(), instance(3, 2000));
-    assertFalse(onlyUpstream().isCold(RelayFixture.START), "warm again");
+    assertFalse(onlyUpstream().isCold(RelayFixture.START), "no longer cold");
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
@@ -15,7 +15,7 @@
 import org.skylarkfork.core.event.LifecycleEvent;
 import org.skylarkfork.core.event.RelayEvent;
 
-/** An entry's decisions with a view that tests set by hand. */
+/** An entry's request processing with a view that the tests set directly. */
 final class RelayFixture {
 
   static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
@@ -63,7 +63,7 @@
     return apply(new LifecycleEvent.Tick());
   }
 
-  /** Sends a request and returns the attempt that it starts. */
+  /** Sends a request to the entry and returns the attempt that the entry starts. */
   RelayEffect.SendAttempt send(long number, String path) {
     return only(arrives(number, path), RelayEffect.SendAttempt.class);
   }
@@ -146,7 +146,7 @@
     return new UpstreamInstance(id, "service", "10.0.0.1:80", "a", version, 6, 1, 0);
   }
 
-  /** What the entry believes, set by hand. */
+  /** The entry's view of the deployment, set directly by the tests. */
   static final class FakeView implements RelayView {
     RouteTable table = new RouteTable(configuration(1, "key"));
     boolean proven = true;
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
@@ -14,12 +14,12 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link RelayRequestPart}. */
+/** Tests {@link RelayRequestPart}. */
 public final class RelayRequestPartTest {
 
   private RelayFixture entry = new RelayFixture();
 
-  /** Each test begins anew. */
+  /** Creates a new entry for each test. */
   @BeforeMethod
   public void setUp() {
     entry = new RelayFixture();
@@ -33,8 +33,9 @@
   }
 
   /**
-   * The caller gets 502 and not 503. A booking was sent and its connection lost without an answer.
-   * The upstream may have booked, so neither a second upstream nor the promise "not run" is right.
+   * The connection is lost after a booking was sent and before an answer came. The upstream may
+   * have run it, so the entry must neither try a second upstream nor report "not run": the caller
+   * gets 502 and not 503.
    */
   @Test
   public void nonIdempotentRequestIsNotRetriedAfterItMayHaveRun() {
@@ -48,8 +49,8 @@
   }
 
   /**
-   * The caller gets the second upstream's answer. The first was full and said that it has not run
-   * the booking, so that sending it on can't book twice.
+   * The first upstream is full and reports that it has not run the booking, so the entry can retry
+   * it at a second one without booking twice.
    */
   @Test
   public void requestThatHasNotRunIsRetriedAtAnotherUpstream() {
@@ -58,10 +59,13 @@
     List<RelayEffect> effects = entry.answers(1, 1, 503, true);
     RelayEffect.SendAttempt second = RelayFixture.only(effects, RelayEffect.SendAttempt.class);
     assertNotEquals(second.target().upstream().id(), first.target().upstream().id());
-    assertTrue(second.target().fresh(), "a kept connection may be reset under the booking");
+    assertTrue(second.target().fresh(), "a pooled connection may be reset during the booking");
   }
 
-  /** The caller is told at once that nothing ran and when to come back. Every upstream was full. */
+  /**
+   * If every upstream is full, the refusal must be immediate, report that nothing ran and contain a
+   * retry delay.
+   */
   @Test
   public void requestThatAllUpstreamsRejectIsRefusedWithRetryDelay() {
     fillRetryBudget();
@@ -74,7 +78,7 @@
     assertTrue(refuse.retryAfterMillis() > 0);
   }
 
-  /** The caller gets the second upstream's answer: a lookup may run twice. */
+  /** A lookup may run twice, so it is retried after a failure. */
   @Test
   public void idempotentRequestIsRetriedAfterFailure() {
     fillRetryBudget();
@@ -87,8 +91,8 @@
   }
 
   /**
-   * The caller sees one stream. The upstream broke off after event 4, and another one goes on from
-   * there; the answer has begun, so its head isn't given again.
+   * The stream's upstream fails after event 4 and another one continues from there. The answer has
+   * begun, so its head must not be sent again.
    */
   @Test
   public void brokenStreamContinuesAtAnotherUpstream() {
@@ -102,9 +106,9 @@
   }
 
   /**
-   * The caller gets the third upstream's answer. Two upstreams had just crashed, so that no
-   * connection to them could be made; nothing was sent, so the route's single attempt was still
-   * unused.
+   * Guards against a failed request after two upstreams have just crashed. No connection to them
+   * could be established, so nothing was sent and the route's single attempt is still available for
+   * the third upstream.
    */
   @Test
   public void unreachableUpstreamsDoNotCountAsAttempts() {
@@ -121,8 +125,8 @@
   }
 
   /**
-   * The caller is told at once that nothing ran and when to come back. No upstream could be
-   * reached.
+   * If no upstream is reachable, the refusal must be immediate, report that nothing ran and contain
+   * a retry delay.
    */
   @Test
   public void requestWithoutReachableUpstreamIsRefusedAsNotRun() {
@@ -145,26 +149,27 @@
   }
 
   /**
-   * The caller gets another upstream's answer in time. The first was cut off without a reset; the
-   * entry drops that attempt before it asks the other, so that the two never work on it at once.
+   * The upstream is disconnected without a TCP reset. The entry must cancel that attempt before it
+   * tries another upstream, so that two upstreams never run the request at once.
    */
   @Test
   public void lookupFailsOverFromSilentUpstream() {
     fillRetryBudget();
     completeRequests(20, "/lookup/x", 40);
     String silent = entry.send(1, "/lookup/x").target().upstream().id();
-    assertTrue(entry.advance(250).isEmpty(), "less than three tenths of the objective");
+    assertTrue(entry.advance(250).isEmpty(), "wait is below three tenths of the objective");
     List<RelayEffect> effects = entry.advance(100);
     assertTrue(effects.get(0) instanceof RelayEffect.DropAttempt, effects.toString());
     RelayEffect.SendAttempt next = RelayFixture.only(effects, RelayEffect.SendAttempt.class);
     assertNotEquals(next.target().upstream().id(), silent);
-    assertEquals(entry.counts.all().get(0).failures(), 0, "a slow version isn't a failing one");
-    assertTrue(entry.advance(1000).isEmpty(), "only once");
+    assertEquals(
+        entry.counts.all().get(0).failures(), 0, "a slow answer isn't a failure of the version");
+    assertTrue(entry.advance(1000).isEmpty(), "fails over only once");
   }
 
   /**
-   * The caller gets an answer, not a failure. Two upstreams of the service have left; the last one
-   * loses its answer once, and it is the only one that can be asked again.
+   * Guards against an avoidable failure when two upstreams of the service have left. The remaining
+   * one fails once and is the only one available for the retry.
    */
   @Test
   public void lookupIsRetriedAtTheOnlyRemainingUpstream() {
@@ -182,7 +187,7 @@
     RelayFixture.only(entry.answers(1, 3, 200, false), RelayEffect.PassAnswer.class);
   }
 
-  /** The caller is told at once: the last upstream was full, and would be so again. */
+  /** The only upstream is full and would reject a retry, so the request is refused immediately. */
   @Test
   public void requestIsNotRetriedAtFullUpstream() {
     fillRetryBudget();
@@ -195,8 +200,8 @@
   }
 
   /**
-   * The caller gets the upstream's own failure as it is. There is no other upstream to ask and its
-   * booking must not run twice.
+   * The booking must not run twice and no other upstream is available, so the caller gets the
+   * upstream's error unchanged.
    */
   @Test
   public void errorOfTheOnlyUpstreamIsForwarded() {
@@ -208,8 +213,8 @@
   }
 
   /**
-   * Callers are served half a second after a crash of everything and not sent back. The entry has
-   * its configuration again before the new leader has heard of any upstream of the service.
+   * After a full outage the entry has its configuration before the new leader knows any upstream of
+   * the service. Requests must wait the half second until then instead of being refused.
    */
   @Test
   public void requestWaitsForFirstUpstreamAfterFullOutage() {
@@ -223,7 +228,10 @@
     RelayFixture.only(entry.advance(100), RelayEffect.SendAttempt.class);
   }
 
-  /** The caller is told at once where a service has no upstream and none is to be expected. */
+  /**
+   * If the directory is complete and the service has no upstream, the request is refused
+   * immediately.
+   */
   @Test
   public void requestIsRefusedIfServiceHasNoUpstream() {
     fillRetryBudget();
@@ -234,8 +242,9 @@
   }
 
   /**
-   * The caller learns at once when to come back. What is ahead of its request at every upstream
-   * takes longer than it waits; sent, it would take their time from others and end at its deadline.
+   * The queue at every upstream is longer than the caller's timeout. If the request were sent, it
+   * would use upstream time and still miss its deadline, so it is refused immediately with a retry
+   * delay.
    */
   @Test
   public void requestThatWouldMissItsDeadlineIsRefused() {
@@ -249,10 +258,7 @@
     assertTrue(refuse.retryAfterMillis() > 1500, refuse.toString());
   }
 
-  /**
-   * The caller waits for its booking. It may have run at the silent upstream, so no other one is
-   * asked.
-   */
+  /** The booking may have run at the silent upstream, so the entry must not try another one. */
   @Test
   public void bookingDoesNotFailOverFromSilentUpstream() {
     fillRetryBudget();
@@ -262,8 +268,8 @@
   }
 
   /**
-   * Callers of a busy service wait. All its answers take long, so that a long wait shows no fault,
-   * and asking another upstream would only add to the load.
+   * All answers of a busy service take long, so a long wait doesn't indicate a fault, and trying
+   * another upstream would only add load.
    */
   @Test
   public void firstByteTimeoutGrowsWithObservedTimes() {
@@ -274,8 +280,8 @@
   }
 
   /**
-   * The caller sees one stream with a pause. The upstream fell silent after event 4 without closing
-   * its connection, and another one goes on from there.
+   * The stream's upstream becomes silent after event 4 without closing its connection, and another
+   * one continues from there.
    */
   @Test
   public void silentStreamFailsOver() {
@@ -291,8 +297,8 @@
   }
 
   /**
-   * The caller's stream goes on after a pause. Its upstream is busy and would go on by itself, but
-   * no other one could go on in time; only a silence that no busy upstream shows moves the stream.
+   * The stream's upstream is busy, and no other upstream could continue the stream within the pause
+   * objective. The stream fails over only after a silence longer than that of any busy upstream.
    */
   @Test
   public void streamStaysIfOtherUpstreamsWouldBeSlower() {
@@ -308,7 +314,10 @@
         entry.apply(new RelayEvent.AnswerSilent(1, 1, "4", 1440)), RelayEffect.SendAttempt.class);
   }
 
-  /** The caller's stream isn't touched: it can't be resumed, so its events may still come. */
+  /**
+   * A stream that isn't resumable must stay at its silent upstream, since its events may still
+   * come.
+   */
   @Test
   public void silentStreamThatIsNotResumableStays() {
     fillRetryBudget();
@@ -318,8 +327,8 @@
   }
 
   /**
-   * A roll-out isn't judged by connections that had rested too long, nor is the upstream avoided;
-   * the lookup is asked again, and the booking had a connection of its own.
+   * A pooled connection that the upstream closed as idle must count neither against the version in
+   * a roll-out nor against the upstream. The lookup is retried; bookings use new connections.
    */
   @Test
   public void staleConnectionCountsAsNoFailure() {
@@ -334,8 +343,8 @@
   }
 
   /**
-   * The caller sees a stream that breaks off. Its route can't be resumed, so a second run would
-   * join pieces of two answers.
+   * The route isn't resumable, so a second run would combine parts of two different answers. The
+   * caller's stream is aborted instead.
    */
   @Test
   public void brokenStreamThatIsNotResumableIsAborted() {
@@ -348,8 +357,8 @@
   }
 
   /**
-   * The caller gets 504 at the route's timeout although it would wait longer, and the upstream's
-   * work ends.
+   * The route's timeout applies although the caller would wait longer: the caller gets 504 and the
+   * upstream stops working on the request.
    */
   @Test
   public void requestEndsAtTheRoutesTimeout() {
@@ -360,7 +369,10 @@
     assertEquals(RelayFixture.only(effects, RelayEffect.Refuse.class).refusal(), Refusal.TIME_OUT);
   }
 
-  /** The upstream's work ends when the caller leaves; what comes later is ignored. */
+  /**
+   * The upstream's work is cancelled when the caller disconnects, and later events of the attempt
+   * are ignored.
+   */
   @Test
   public void attemptIsCancelledWhenCallerDisconnects() {
     entry.send(1, "/lookup/x");
@@ -379,8 +391,8 @@
   }
 
   /**
-   * The caller is told to come back. The entry was cut off, so a key that it believes in may have
-   * been taken away, and a path that it doesn't know may have been added.
+   * A partitioned entry may hold a key that was removed, or lack a route that was added. It must
+   * refuse with a retry delay instead of reporting an unknown key or route.
    */
   @Test
   public void entryWithUnprovenConfigurationRefusesKeyedRequests() {
@@ -394,8 +406,8 @@
   }
 
   /**
-   * The caller is served in its only try. Everything had crashed, so that each entry is as far as
-   * this one; a caller that was sent back after less would find the same elsewhere.
+   * After a full outage all entries start at the same time. A caller that is refused after a
+   * shorter wait would use up its only retry at another entry in the same state.
    */
   @Test
   public void requestWaitsLongerAtStartingEntry() {
@@ -407,7 +419,7 @@
     RelayFixture.only(entry.advance(50), RelayEffect.SendAttempt.class);
   }
 
-  /** The caller is served a little later. The entry had just started when the request came. */
+  /** A request that arrives just after the entry's start is served when the entry is ready. */
   @Test
   public void requestWaitsUntilEntryIsReady() {
     entry.view.proven = false;
@@ -417,8 +429,8 @@
   }
 
   /**
-   * The caller gets the large model's answer. The small one doubted its own, of which the caller
-   * has had nothing.
+   * The small model's answer has low confidence and no part of it was forwarded, so the caller gets
+   * the large model's answer.
    */
   @Test
   public void answerWithLowConfidenceEscalatesToLargerModel() {
@@ -438,8 +450,9 @@
   }
 
   /**
-   * The caller is sent to another entry. This one stops, and a stream that begins late would be cut
-   * when its time is over; a short call is still served.
+   * Guards against streams that are aborted at the end of an entry's grace period. The stopping
+   * entry refuses requests that may take longer than the remaining time; shorter ones are still
+   * served.
    */
   @Test
   public void stoppingEntryRefusesRequestsItCouldNotComplete() {
@@ -456,8 +469,8 @@
   }
 
   /**
-   * Upstreams get no more repeats than their share when all fail. Without the budget a failing
-   * service would get three times its usual requests.
+   * Guards against retry storms: without the budget a service whose upstreams all fail would
+   * receive three times its usual requests.
    */
   @Test
   public void retriesStayWithinBudget() {
@@ -469,13 +482,13 @@
         retries += RelayFixture.none(effects, RelayEffect.SendAttempt.class) ? 0 : 1;
       }
     }
-    assertTrue(retries <= 91, "repeats: " + retries);
-    assertTrue(retries >= 80, "repeats: " + retries);
+    assertTrue(retries <= 91, "retries: " + retries);
+    assertTrue(retries >= 80, "retries: " + retries);
   }
 
   /**
-   * Another run answers at the upstream's address. It refuses what names the run before, and gets
-   * nothing more under that name.
+   * A different run answers at the upstream's address and rejects requests for the earlier run. The
+   * entry must send no further requests to the earlier run.
    */
   @Test
   public void addressOfAnotherRunIsNotReused() {
@@ -493,6 +506,6 @@
   public void attemptNamesTheTeam() {
     RelayEffect.SendAttempt sent = entry.send(1, "/lookup/x");
     assertEquals(sent.target().team(), "team");
-    assertNull(sent.target().urgency(), "a plain service knows no urgency");
+    assertNull(sent.target().urgency(), "urgency is only sent to services with engines");
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RouteTableTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RouteTableTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Tests of {@link RouteTable} and {@link RelayConfigurationValidator}. */
+/** Tests {@link RouteTable} and {@link RelayConfigurationValidator}. */
 public final class RouteTableTest {
 
   private static RelayRoute route(String name, String prefix, int timeout, int weight) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/package-info.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of the relay. */
+/** Tests and simulations of the relay. */
 @NullMarked
 package org.skylarkfork.core.relay;
 
