--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -230,7 +230,7 @@
   private void recordAbandonedWait(ActiveRelay relay, UpstreamTrack silent, Instant now) {
     if (!relay.forwarding) {
       long waitedMillis = Duration.between(relay.sentAt, now).toMillis();
-      firstByteTimeout.record(relay.route, relay.modelIndex, waitedMillis);
+      firstByteTimeout.addSample(relay.route, relay.modelIndex, waitedMillis);
       counts.answered(silent.instance(), waitedMillis);
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/FirstByteTimeout.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/FirstByteTimeout.java
@@ -40,7 +40,7 @@
   /**
    * Records a time to the first byte, or the time until an attempt was abandoned, in milliseconds.
    */
-  void record(RelayRoute route, int modelIndex, double millis) {
+  void addSample(RelayRoute route, int modelIndex, double millis) {
     byRoute.computeIfAbsent(key(route, modelIndex), missing -> new Estimate()).add(millis);
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PendingRequests.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PendingRequests.java
@@ -47,7 +47,7 @@
    * @param starting whether the entry has not served since its start
    * @param now the current time
    */
-  boolean add(RelayRequest request, boolean starting, Instant now) {
+  boolean enqueue(RelayRequest request, boolean starting, Instant now) {
     if (byNumber.size() >= MAX_REQUESTS) {
       return false;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -232,14 +232,14 @@
       leader = null;
     }
     for (String node : pollTargets()) {
-      Duration interval = pollInterval(node);
+      Duration interval = pollIntervalOf(node);
       if (!now.isBefore(polledAt.getOrDefault(node, Instant.EPOCH).plus(interval))) {
         poll(node, now, output);
       }
     }
   }
 
-  private Duration pollInterval(String node) {
+  private Duration pollIntervalOf(String node) {
     if (leader == null) {
       return LEADERLESS_POLL_INTERVAL;
     }
@@ -250,9 +250,9 @@
     if (leader != null && !controlNodes.isEmpty()) {
       return new LinkedHashSet<>(controlNodes);
     }
-    Set<String> nodes = new LinkedHashSet<>(controlNodes);
-    nodes.addAll(seeds);
-    return nodes;
+    Set<String> knownNodes = new LinkedHashSet<>(controlNodes);
+    knownNodes.addAll(seeds);
+    return knownNodes;
   }
 
   private void poll(String node, Instant now, Output output) {
@@ -313,9 +313,9 @@
    * Adds the control VMs that a follower listed to the known ones, since its list may be outdated.
    */
   private List<String> mergedControlNodes(List<String> listed) {
-    Set<String> nodes = new LinkedHashSet<>(controlNodes);
-    nodes.addAll(listed);
-    return List.copyOf(nodes);
+    Set<String> knownNodes = new LinkedHashSet<>(controlNodes);
+    knownNodes.addAll(listed);
+    return List.copyOf(knownNodes);
   }
 
   private void applyConfiguration(@Nullable RelayConfiguration newConfiguration, Output output) {
@@ -391,7 +391,7 @@
     return requests.stream().filter(key -> !others.contains(key)).toList();
   }
 
-  private static void log(boolean warning, String message, Output output) {
-    output.effect(new TraceEffect.LogLine(warning, "relay", message));
+  private static void log(boolean warning, String logText, Output output) {
+    output.effect(new TraceEffect.LogLine(warning, "relay", logText));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -191,7 +191,7 @@
     long millis = Duration.between(relay.sentAt, now).toMillis();
     track.answered(now);
     sender.recordFirstByte(relay, now, output);
-    firstByteTimeout.record(relay.route, relay.modelIndex, millis);
+    firstByteTimeout.addSample(relay.route, relay.modelIndex, millis);
     boolean serverError = began.status() >= FIRST_SERVER_ERROR;
     if (serverError && failures.onServerError(relay, track, began, now, output)) {
       return;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
@@ -37,7 +37,7 @@
   @Nullable ActiveRelay onArrival(RelayRequest request, Instant now, Output output) {
     Refusal refusal = admission.refusal(request, now);
     boolean starting = !view.configured() || !view.settled();
-    boolean isPending = refusal == Refusal.NOT_SERVING && pending.add(request, starting, now);
+    boolean isPending = refusal == Refusal.NOT_SERVING && pending.enqueue(request, starting, now);
     return isPending ? null : admit(request, refusal, now, now, output);
   }
 
@@ -79,14 +79,15 @@
     if (route == null) {
       throw new IllegalStateException("an admitted request must match a route");
     }
-    long waitMillis =
+    long allowedMillis =
         request.waitMillis() > 0
             ? Math.min(request.waitMillis(), route.timeoutMillis())
             : route.timeoutMillis();
     RelayTeam team = route.isPublic() ? null : table.team(request.key());
     RelayService service = selectService(table, route);
     ActiveRelay relay =
-        new ActiveRelay(request, route, service, team, arrivedAt, arrivedAt.plusMillis(waitMillis));
+        new ActiveRelay(
+            request, route, service, team, arrivedAt, arrivedAt.plusMillis(allowedMillis));
     if (!route.models().isEmpty()) {
       relay.modelIndex = models.first(route, request);
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
@@ -61,7 +61,7 @@
     reducer.apply(new PeerEvent.MessageReceived(CONTROL, update), RelayFixture.START);
   }
 
-  private static UpstreamInstance instance(long sequence, long bornMillis) {
+  private static UpstreamInstance newInstance(long sequence, long bornMillis) {
     return new UpstreamInstance("up", "service", "10.0.0.1:80", "a", "v1", 1, sequence, bornMillis);
   }
 
@@ -77,19 +77,19 @@
    */
   @Test
   public void statisticsOfEarlierRunAreDiscarded() {
-    receiveUpdate(List.of(), instance(30, 1000));
+    receiveUpdate(List.of(), newInstance(30, 1000));
     UpstreamTrack first = onlyUpstream();
     first.failed(true, RelayFixture.START);
-    receiveUpdate(List.of(), instance(1, 2000));
+    receiveUpdate(List.of(), newInstance(1, 2000));
     assertNotSame(onlyUpstream(), first);
     assertEquals(onlyUpstream().failureShare(), 0.0);
   }
 
   @Test
   public void lateUpdateOfEarlierRunIsIgnored() {
-    receiveUpdate(List.of(), instance(1, 2000));
+    receiveUpdate(List.of(), newInstance(1, 2000));
     UpstreamTrack known = onlyUpstream();
-    receiveUpdate(List.of(), instance(40, 1000));
+    receiveUpdate(List.of(), newInstance(40, 1000));
     assertSame(onlyUpstream(), known);
     assertEquals(known.instance().sequence(), 1);
   }
@@ -97,9 +97,9 @@
   /** Guards against treating a run as leaving because an earlier run of the same upstream left. */
   @Test
   public void laterRunIsReadyAfterEarlierRunLeft() {
-    receiveUpdate(List.of(new UpstreamRun("up", 1000)), instance(30, 1000));
+    receiveUpdate(List.of(new UpstreamRun("up", 1000)), newInstance(30, 1000));
     assertEquals(onlyUpstream().condition(), UpstreamCondition.LEAVING);
-    receiveUpdate(List.of(new UpstreamRun("up", 1000)), instance(1, 2000));
+    receiveUpdate(List.of(new UpstreamRun("up", 1000)), newInstance(1, 2000));
     assertEquals(onlyUpstream().condition(), UpstreamCondition.READY);
   }
 
@@ -109,17 +109,17 @@
    */
   @Test
   public void upstreamsOfEvacuatedZoneAreEvacuatedUntilZoneIsRestored() {
-    receiveUpdate(List.of(), instance(1, 1000));
+    receiveUpdate(List.of(), newInstance(1, 1000));
     evacuatedZones = List.of("a");
     receiveUpdate(List.of());
     assertEquals(onlyUpstream().condition(), UpstreamCondition.EVACUATED);
-    receiveUpdate(List.of(), instance(1, 2000));
+    receiveUpdate(List.of(), newInstance(1, 2000));
     assertEquals(onlyUpstream().condition(), UpstreamCondition.EVACUATED);
     evacuatedZones = List.of();
-    receiveUpdate(List.of(), instance(2, 2000).coldFor(3000));
+    receiveUpdate(List.of(), newInstance(2, 2000).coldFor(3000));
     assertEquals(onlyUpstream().condition(), UpstreamCondition.READY);
     assertTrue(onlyUpstream().isCold(RelayFixture.START.plusMillis(2999)));
-    receiveUpdate(List.of(), instance(3, 2000));
+    receiveUpdate(List.of(), newInstance(3, 2000));
     assertFalse(onlyUpstream().isCold(RelayFixture.START), "no longer cold");
   }
 }
