--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -255,9 +255,9 @@
     Placement chosen = placed.placement();
     Placement placement = chosen == null ? sender.placeEscalation(relay, largerModel, now) : chosen;
     UpstreamTrack track = relay.upstream();
-    boolean escalated =
+    boolean isEscalated =
         placement != null && escalate(relay, largerModel, placement, placed.grant(), now, output);
-    if (!escalated && track != null) {
+    if (!isEscalated && track != null) {
       forwardAnswer(relay, track, output);
     }
   }
