--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
@@ -10,7 +10,7 @@
 
   /**
    * Retry delay if every upstream of a service is in an evacuated zone, in milliseconds. The time
-   * at which operators reinstate a zone is unknown; entries learn of it within half a second.
+   * at which operators restore a zone is unknown; entries learn of it within half a second.
    */
   private static final long EVACUATED_RETRY_MILLIS = 1000;
 
