--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRoute.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRoute.java
@@ -17,8 +17,7 @@
  * @param maxAttempts maximum number of attempts that reach an upstream per request
  * @param priority priority of the requests, 0 being the highest
  * @param isPublic whether requests are accepted without a key
- * @param sticky whether requests describe their prompts, so that they can be routed to cached
- *     prefixes
+ * @param sticky whether requests describe the parts of their prompts
  * @param resumable whether another upstream may continue a stream
  * @param models models that may answer, ordered from the smallest; empty if the caller names the
  *     model
