--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
@@ -165,8 +165,8 @@
   }
 
   /** Returns the times of daemons whose keys are dead within {@link #KEY_BOUND}. */
-  static RelayTimes times() {
-    return RelayTimes.of(KEY_BOUND, HEARTBEAT);
+  static RelayTimings times() {
+    return RelayTimings.of(KEY_BOUND, HEARTBEAT);
   }
 
   /** Times of a deployment, with few entries between snapshots, so that every path is taken. */
@@ -262,7 +262,7 @@
       Order order = zone.getValue();
       boolean due = network.now().isAfter(order.acceptedAt.plus(KEY_BOUND));
       boolean serves = part.configured() && part.proven(network.timeOf(name));
-      if (due && serves && part.evacuated().contains(zone.getKey()) != order.evacuates) {
+      if (due && serves && part.evacuatedZones().contains(zone.getKey()) != order.evacuates) {
         throw new AssertionError(name + " missed the order on " + zone.getKey());
       }
     }
