--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RatingSampler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RatingSampler.java
@@ -9,36 +9,37 @@
 import org.skylarkfork.core.quality.AttemptOutcome;
 import org.skylarkfork.core.quality.QualityBook;
 
-/** Has a share of the answers rated after they were sent, so that versions stay known. */
+/** Requests ratings for a share of the delivered answers, to keep quality estimates current. */
 final class RatingSampler {
 
-  private static final int MOST_OPEN = 1000;
+  private static final int MAX_PENDING_RATINGS = 1000;
 
   private final double share;
   private final long waitMillis;
   private final QualityBook quality;
   private final UniformRandomProvider random;
-  private final Map<String, AttemptOutcome> open = new LinkedHashMap<>();
+  private final Map<String, AttemptOutcome> pendingRatings = new LinkedHashMap<>();
 
   RatingSampler(RequestSettings settings, QualityBook quality, UniformRandomProvider random) {
-    this.share = settings.sampledRatings();
-    this.waitMillis = settings.ratingWait().toMillis();
+    this.share = settings.sampledRatingShare();
+    this.waitMillis = settings.ratingTimeout().toMillis();
     this.quality = quality;
     this.random = random;
   }
 
-  /** Draws whether an answer is to be rated; more often while it is not clear if it is good. */
+  /** Decides at random whether to rate an answer; more often while the quality is uncertain. */
   boolean draw(ModelVersion version) {
     return random.nextDouble() < quality.ratingShare(version, share);
   }
 
-  /** Asks for the rating of an answer; beyond a bound the sample is dropped. */
-  void ask(ActiveRequest active, HeldAnswer answer, AttemptOutcome outcome, Turn turn) {
-    if (open.size() >= MOST_OPEN || answer.text().isEmpty()) {
+  /** Requests a rating, unless the answer is empty or too many ratings are pending. */
+  void requestRating(
+      ActiveRequest active, HeldAnswer answer, AttemptOutcome outcome, EventContext context) {
+    if (pendingRatings.size() >= MAX_PENDING_RATINGS || answer.text().isEmpty()) {
       return;
     }
-    open.put(answer.attemptId(), outcome);
-    turn.effect(
+    pendingRatings.put(answer.attemptId(), outcome);
+    context.effect(
         new UpstreamEffect.RequestRating(
             active.id(),
             answer.attemptId(),
@@ -48,11 +49,11 @@
             waitMillis));
   }
 
-  /** Takes a rating that came after the answer was sent; one that wasn't asked for is ignored. */
-  void rated(String attemptId, @Nullable Double score, Turn turn) {
-    AttemptOutcome outcome = open.remove(attemptId);
+  /** Records the rating of a delivered answer; ignores ratings that were not requested. */
+  void ratingReceived(String attemptId, @Nullable Double score, EventContext context) {
+    AttemptOutcome outcome = pendingRatings.remove(attemptId);
     if (outcome != null && score != null) {
-      quality.record(Outcomes.ratedLater(outcome, score), turn.now());
+      quality.record(AttemptOutcomes.ratedLater(outcome, score), context.now());
     }
   }
 }
