--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Applier.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Applier.java
@@ -102,6 +102,6 @@
       return;
     }
     replica.snapshotSaved(snapshot);
-    replica.log.compact(index - replica.settings.keptEntries());
+    replica.log.compact(index - replica.settings.trailingEntries());
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/ConsensusPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/ConsensusPart.java
@@ -84,7 +84,7 @@
    *
    * @param group the group
    */
-  public Instant provenAt(GroupId group) {
+  public Instant leadershipConfirmedAt(GroupId group) {
     RaftGroup hosted = groups.get(group);
     return hosted == null ? Instant.EPOCH : hosted.provenAt(latest);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Election.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Election.java
@@ -22,7 +22,7 @@
     if (replica.leads() || !replica.votes() || !replica.electionDue(turn.now())) {
       return;
     }
-    if (replica.durability.stalledSince(turn.now().minus(replica.settings.storageStall()))) {
+    if (replica.durability.stalledSince(turn.now().minus(replica.settings.storageStallTimeout()))) {
       return;
     }
     startPreVote(turn);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Founding.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Founding.java
@@ -37,7 +37,7 @@
   Founding(Replica replica, GroupSetup setup) {
     this.replica = replica;
     this.initialVoters = setup.initialVoters();
-    this.mayFound = setup.growth().mayFound();
+    this.mayFound = setup.membershipChangePolicy().mayFound();
   }
 
   void tick(Turn turn) {
@@ -45,7 +45,7 @@
     if (member && replica.leader() != null || !isDue(turn.now())) {
       return;
     }
-    nextRequest = turn.now().plus(replica.settings.resend());
+    nextRequest = turn.now().plus(replica.settings.resendInterval());
     askedUnder = replica.leader();
     if (mayFound()) {
       askForFounding(turn);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/MemberChanges.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/MemberChanges.java
@@ -21,11 +21,11 @@
 
   private final Replica replica;
   private final Replication replication;
-  private final Growth growth;
+  private final MembershipChangePolicy growth;
   private final Map<String, Long> joiners = new HashMap<>();
   private final Map<String, Instant> askedAt = new HashMap<>();
 
-  MemberChanges(Replica replica, Replication replication, Growth growth) {
+  MemberChanges(Replica replica, Replication replication, MembershipChangePolicy growth) {
     this.replica = replica;
     this.replication = replication;
     this.growth = growth;
@@ -116,7 +116,7 @@
 
   private boolean wantsVoter(Instant now) {
     return !growth.automatic()
-        || replica.members.latest().voters().size() < growth.wantedVoters()
+        || replica.members.latest().voters().size() < growth.targetVoters()
         || silentVoter(now) != null;
   }
 
@@ -129,16 +129,16 @@
   private GroupCommand.@Nullable ChangeMembers grow(Instant now) {
     Members members = replica.members.latest();
     String silent = silentVoter(now);
-    if (members.voters().size() > growth.wantedVoters()) {
+    if (members.voters().size() > growth.targetVoters()) {
       return remove(silent == null ? newestOtherVoter(members) : silent);
     }
     for (Member learner : members.learners()) {
-      if (replication.silentSince(learner, now.minus(growth.silence()))) {
+      if (replication.silentSince(learner, now.minus(growth.replacementTimeout()))) {
         return remove(learner.node());
       }
     }
     for (Map.Entry<String, Instant> asked : askedAt.entrySet()) {
-      boolean asksNow = asked.getValue().plus(growth.silence()).isAfter(now);
+      boolean asksNow = asked.getValue().plus(growth.replacementTimeout()).isAfter(now);
       if (asksNow && members.find(asked.getKey()) == null) {
         return admit(asked.getKey());
       }
@@ -162,7 +162,7 @@
   private @Nullable String silentVoter(Instant now) {
     for (Member voter : replica.members.latest().voters()) {
       boolean other = !voter.equals(replica.self());
-      if (other && replication.silentSince(voter, now.minus(growth.silence()))) {
+      if (other && replication.silentSince(voter, now.minus(growth.replacementTimeout()))) {
         return voter.node();
       }
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Proposals.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Proposals.java
@@ -31,8 +31,8 @@
   @Nullable String refusal() {
     RaftSettings settings = replica.settings;
     long entries = replica.log.lastIndex() - replica.commitIndex();
-    if (entries >= settings.uncommittedEntries()
-        || uncommittedBytes >= settings.uncommittedBytes()) {
+    if (entries >= settings.maxUncommittedEntries()
+        || uncommittedBytes >= settings.maxUncommittedBytes()) {
       return "raft: " + replica.group + " is behind with its commits; submit again later";
     }
     return null;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/RaftGroup.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/RaftGroup.java
@@ -61,7 +61,7 @@
     this.followerLog = new FollowerLog(replica);
     this.snapshotReceiver = new SnapshotReceiver(replica, codec);
     this.proposals = new Proposals(replica);
-    this.memberChanges = new MemberChanges(replica, replication, setup.growth());
+    this.memberChanges = new MemberChanges(replica, replication, setup.membershipChangePolicy());
     this.applier = new Applier(replica, machine, proposals);
     this.founding = new Founding(replica, setup);
   }
@@ -180,7 +180,7 @@
   }
 
   private void stepDownIfUnfit(Turn turn) {
-    Instant stall = turn.now().minus(replica.settings.storageStall());
+    Instant stall = turn.now().minus(replica.settings.storageStallTimeout());
     if (replication.lostMajority(turn.now())) {
       stepDown("majority_silent", turn);
     } else if (replica.durability.stalledSince(stall)) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Replica.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Replica.java
@@ -163,7 +163,7 @@
    * contact adds up to {@link RaftSettings#electionMax} to the time in which nothing is served.
    */
   void started(Instant now) {
-    long longest = settings.restartWait().toMillis();
+    long longest = settings.maxRestartWait().toMillis();
     if (longest == 0) {
       contact(now);
     } else {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Replication.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Replication.java
@@ -110,7 +110,7 @@
     long end =
         Math.min(
             replica.durability.issuedIndex(),
-            progress.matchIndex + replica.settings.windowEntries());
+            progress.matchIndex + replica.settings.maxInFlightEntries());
     while (progress.nextIndex <= end) {
       List<LogEntry> entries = batch(progress.nextIndex, end);
       sendEntries(progress, entries, turn);
@@ -131,7 +131,7 @@
 
   private List<LogEntry> batch(long from, long to) {
     RaftSettings settings = replica.settings;
-    return replica.log.slice(from, to, settings.appendEntries(), settings.appendBytes());
+    return replica.log.slice(from, to, settings.maxAppendEntries(), settings.maxAppendBytes());
   }
 
   private void sendEntries(Progress progress, List<LogEntry> entries, Turn turn) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SnapshotSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SnapshotSender.java
@@ -32,7 +32,7 @@
   }
 
   void send(Replica replica, String node, Turn turn) {
-    int end = Math.min(encoded.length, offset + replica.settings.chunkBytes());
+    int end = Math.min(encoded.length, offset + replica.settings.maxChunkBytes());
     byte[] data = Arrays.copyOfRange(encoded, offset, end);
     lastSentAt = turn.now();
     turn.send(
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SubmissionClient.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SubmissionClient.java
@@ -63,7 +63,7 @@
       fail(group, submissionId, false, "raft: name the voters of " + group + " in settings", turn);
       return;
     }
-    if (waiting.size() >= settings.submissions()) {
+    if (waiting.size() >= settings.maxPendingSubmissions()) {
       fail(group, submissionId, false, "raft: too many submissions wait; submit later", turn);
       return;
     }
@@ -81,7 +81,7 @@
     }
     submission.tries++;
     submission.target = target;
-    submission.nextTry = turn.now().plus(settings.resend());
+    submission.nextTry = turn.now().plus(settings.resendInterval());
     turn.send(
         target,
         new SubmitRequest(submission.group, session, submission.submissionId, submission.command));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdates.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdates.java
@@ -99,7 +99,7 @@
    * @return whether what is new was told
    */
   boolean tell(boolean news, long stateIndex, Instant now, Output output) {
-    if (consensus.provenAt(GroupId.RELAY).equals(Instant.EPOCH)) {
+    if (consensus.leadershipConfirmedAt(GroupId.RELAY).equals(Instant.EPOCH)) {
       return false;
     }
     Set<String> told = answerProven(stateIndex, now, output);
@@ -121,7 +121,7 @@
    */
   private Set<String> answerProven(long stateIndex, Instant now, Output output) {
     Set<String> told = new HashSet<>();
-    Instant proven = consensus.provenAt(GroupId.RELAY);
+    Instant proven = consensus.leadershipConfirmedAt(GroupId.RELAY);
     unproven.keySet().retainAll(entries.nodes());
     for (String entry : List.copyOf(unproven.keySet())) {
       if (unprovenSince.getOrDefault(entry, Instant.MAX).isBefore(proven)) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/GrowthTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/GrowthTest.java
@@ -16,7 +16,8 @@
 /** Tests of groups that change their members by themselves. */
 public final class GrowthTest {
 
-  private static final Growth AUTOMATIC = new Growth(true, 3, Duration.ofSeconds(2));
+  private static final MembershipChangePolicy AUTOMATIC =
+      new MembershipChangePolicy(true, 3, Duration.ofSeconds(2));
   private static final int RANDOM_RUNS = 120;
   private static final int STEPS = 12;
 
@@ -74,7 +75,10 @@
   public void groupIsNotFoundedOnceTheSystemHasRun() {
     TestCluster cluster =
         new TestCluster(
-            3, 3, TestCluster.settings(20), new Growth(false, 3, Duration.ofSeconds(2)));
+            3,
+            3,
+            TestCluster.settings(20),
+            new MembershipChangePolicy(false, 3, Duration.ofSeconds(2)));
     cluster.network.run(Duration.ofSeconds(20));
     assertNull(cluster.leader());
     assertEquals(cluster.status("node-1").members(), Members.NONE);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/LostDisksTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/LostDisksTest.java
@@ -15,7 +15,8 @@
 /** Tests of disks that are lost one after the other, while everything is killed in between. */
 public final class LostDisksTest {
 
-  private static final Growth AUTOMATIC = new Growth(true, 3, Duration.ofMillis(2500));
+  private static final MembershipChangePolicy AUTOMATIC =
+      new MembershipChangePolicy(true, 3, Duration.ofMillis(2500));
   private static final int RUNS = Integer.getInteger("skylarkfork.disks.seeds", 200);
   private static final int FIRST = Integer.getInteger("skylarkfork.disks.first", 0);
 
@@ -120,7 +121,7 @@
     long agreeing =
         names.stream()
             .map(cluster::status)
-            .filter(status -> status.membersAgreed() && allVote(status.members(), present))
+            .filter(status -> status.membersCommitted() && allVote(status.members(), present))
             .count();
     return cluster.leader() != null && agreeing * 2 > names.size();
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/TestCluster.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/TestCluster.java
@@ -47,7 +47,7 @@
 
   private final List<String> voters;
   private final RaftSettings settings;
-  private final Growth growth;
+  private final MembershipChangePolicy growth;
   private final MemoryCodec codec = new MemoryCodec();
   private final Map<Long, Command> agreed = new HashMap<>();
   private final Map<String, Long> indexes = new HashMap<>();
@@ -55,10 +55,10 @@
   private long newestAnswered;
 
   TestCluster(long seed, int voterCount, RaftSettings settings) {
-    this(seed, voterCount, settings, Growth.BY_OPERATORS);
+    this(seed, voterCount, settings, MembershipChangePolicy.MANUAL);
   }
 
-  TestCluster(long seed, int voterCount, RaftSettings settings, Growth growth) {
+  TestCluster(long seed, int voterCount, RaftSettings settings, MembershipChangePolicy growth) {
     this.network = new MiniNetwork(seed);
     this.settings = settings;
     this.growth = growth;
@@ -70,7 +70,7 @@
     for (String name : names) {
       add(name, true);
     }
-    if (settings.restartWait().isZero()) {
+    if (settings.maxRestartWait().isZero()) {
       network.check(this::checkLeases);
     }
   }
@@ -83,8 +83,8 @@
         defaults.electionMax(),
         defaults.heartbeat(),
         defaults.lease(),
-        defaults.storageStall(),
-        defaults.resend(),
+        defaults.storageStallTimeout(),
+        defaults.resendInterval(),
         snapshotEntries,
         4,
         8,
@@ -105,17 +105,17 @@
         usual.electionMax(),
         usual.heartbeat(),
         usual.lease(),
-        usual.storageStall(),
-        usual.resend(),
+        usual.storageStallTimeout(),
+        usual.resendInterval(),
         usual.snapshotEntries(),
-        usual.keptEntries(),
-        usual.appendEntries(),
-        usual.appendBytes(),
-        usual.windowEntries(),
-        usual.chunkBytes(),
-        usual.uncommittedEntries(),
-        usual.uncommittedBytes(),
-        usual.submissions(),
+        usual.trailingEntries(),
+        usual.maxAppendEntries(),
+        usual.maxAppendBytes(),
+        usual.maxInFlightEntries(),
+        usual.maxChunkBytes(),
+        usual.maxUncommittedEntries(),
+        usual.maxUncommittedBytes(),
+        usual.maxPendingSubmissions(),
         Duration.ofMillis(100));
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
@@ -36,10 +36,10 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 import org.skylarkfork.core.configuration.Team;
 import org.skylarkfork.core.configuration.ZoneTree;
+import org.skylarkfork.core.consensus.ConsensusEventLogger;
 import org.skylarkfork.core.consensus.ConsensusPart;
 import org.skylarkfork.core.consensus.ControlVmPart;
 import org.skylarkfork.core.consensus.GroupSetup;
-import org.skylarkfork.core.consensus.LeaderLog;
 import org.skylarkfork.core.consensus.RaftSettings;
 import org.skylarkfork.core.effect.TraceEffect;
 import org.skylarkfork.core.event.ConfigurationEvent;
@@ -293,7 +293,7 @@
         new ArrayList<>(
             List.of(
                 consensus,
-                new LeaderLog(),
+                new ConsensusEventLogger(),
                 new ControlVmPart(ALL_GROUPS, consensus.submitter()),
                 membership,
                 configuration,
