--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Applier.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Applier.java
@@ -10,7 +10,7 @@
 import org.skylarkfork.core.effect.StorageEffect;
 import org.skylarkfork.core.event.ConsensusEvent;
 
-/** Applies committed entries to the state machine in order and takes snapshots of it. */
+/** Applies committed entries to the state machine in log order and takes snapshots of it. */
 final class Applier {
 
   private final Replica replica;
@@ -26,7 +26,7 @@
   }
 
   void restore(Snapshot snapshot, EventContext context) {
-    Invariants.check(snapshot.index() >= appliedIndex, "the state machine never goes back");
+    Invariants.check(snapshot.index() >= appliedIndex, "the applied index never decreases");
     machine.restore(snapshot.state());
     appliedIndex = snapshot.index();
     context.raise(new ConsensusEvent.GroupRestored(replica.group, snapshot.index()));
@@ -69,11 +69,12 @@
   }
 
   /**
-   * Takes a snapshot, once all that it covers was given to the storage.
+   * Takes a snapshot once all entries that it covers have been passed to the storage.
    *
-   * <p>A replica that catches up applies more entries in one turn than lie between two snapshots.
-   * Given the snapshot before these entries, the storage refused them as older than its log, and
-   * the replica took no part until its next start: one more loss and nothing was served.
+   * <p>A replica that catches up may apply more entries during one event than lie between two
+   * snapshots. When the storage received the snapshot before these entries, it rejected them as
+   * older than its log, and the replica was out of service until its next start, so that the loss
+   * of one more replica made the group unavailable.
    */
   private void takeSnapshot(EventContext context) {
     if (appliedIndex > replica.durability.issuedIndex()) {
@@ -91,7 +92,7 @@
     context.effect(new StorageEffect.SaveSnapshot(replica.group, snapshot));
   }
 
-  /** Drops entries that a saved snapshot covers, but for some that lagging replicas may need. */
+  /** Compacts the log up to a saved snapshot, but keeps some entries for lagging replicas. */
   void snapshotSaved(long index) {
     Snapshot snapshot = saving;
     if (snapshot == null || snapshot.index() != index) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/ConsensusEventLogger.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/ConsensusEventLogger.java
@@ -8,7 +8,7 @@
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.StorageEvent;
 
-/** Tells operators and the time line of elections and of storage that failed. */
+/** Logs leader changes and storage failures, and records leader changes in the timeline. */
 public final class ConsensusEventLogger implements Part {
 
   private static final String PART = "raft";
@@ -23,7 +23,7 @@
               true,
               PART,
               failed.group()
-                  + " stopped voting, since its disk failed: "
+                  + " stopped voting because its disk failed: "
                   + failed.detail()
                   + "; replace the disk and restart"));
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/ConsensusPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/ConsensusPart.java
@@ -22,11 +22,11 @@
 import org.skylarkfork.core.message.RaftMessage.SubmitRequest;
 
 /**
- * The replicas that a daemon hosts, and the way for its commands to all groups.
+ * Hosts a daemon's Raft replicas and submits the daemon's commands to all groups.
  *
- * <p>The present time must come from a clock that doesn't jump, such as the wall clock at the start
- * plus the time since: the lease of a leader is measured with it. A time before an earlier one is
- * taken for the earlier one.
+ * <p>Leader leases are measured with the time passed to {@link #apply}, so it must come from a
+ * clock without jumps, such as the wall clock at the start plus the elapsed time. A time before an
+ * earlier one is replaced by the earlier one.
  */
 public final class ConsensusPart implements Part {
 
@@ -36,14 +36,14 @@
   private Instant latest = Instant.EPOCH;
 
   /**
-   * Makes the part; each hosted group starts with its {@code StorageEvent.Recovered}.
+   * Creates the part; each hosted group starts with its {@code StorageEvent.Recovered}.
    *
    * @param node name of this daemon
-   * @param setups the groups, those that this daemon only submits to included
-   * @param settings times and bounds
+   * @param setups the groups, including those to which this daemon only submits commands
+   * @param settings timeouts and limits
    * @param codec the wire's codec
-   * @param seed seed that no other daemon and no other start of this one has: disks and processes
-   *     are told apart by numbers drawn from it
+   * @param seed random seed, different for each daemon and each start: ids of disks and processes
+   *     are generated from it
    */
   public ConsensusPart(
       String node, List<GroupSetup> setups, RaftSettings settings, GroupCodec codec, long seed) {
@@ -58,17 +58,17 @@
     }
   }
 
-  /** Returns the way to have commands agreed on. */
+  /** Returns the submitter of commands to all groups. */
   public Submitter submitter() {
     return client;
   }
 
   /**
-   * Returns whether this daemon leads the group and may answer from its state machine alone.
+   * Returns whether this daemon is the group's leader and its lease permits local reads.
    *
    * @param group the group
-   * @param now the present time
-   * @return false also if the group isn't hosted here
+   * @param now the current time
+   * @return whether the lease is held; false if the group isn't hosted here
    */
   public boolean holdsLease(GroupId group, Instant now) {
     RaftGroup hosted = groups.get(group);
@@ -76,11 +76,11 @@
   }
 
   /**
-   * Returns a moment at which this daemon was certainly the group's leader and knew all that was
-   * committed before, or {@code Instant.EPOCH} if it doesn't lead.
+   * Returns the latest time at which this daemon was confirmed as the group's leader and had all
+   * entries committed before, or {@code Instant.EPOCH} if it isn't the leader.
    *
-   * <p>The moment is on this daemon's clock. It rests on answers of a majority to something sent at
-   * that moment or later, not on leases, so it is right whatever clocks do.
+   * <p>The time is on this daemon's clock. It is based on responses of a majority to messages sent
+   * at that time or later and not on leases, so it is correct regardless of clock errors.
    *
    * @param group the group
    */
@@ -89,13 +89,13 @@
     return hosted == null ? Instant.EPOCH : hosted.leadershipConfirmedAt(latest);
   }
 
-  /** Returns the state of a hosted replica, or null if the group isn't hosted here. */
+  /** Returns the status of a hosted replica, or null if the group isn't hosted here. */
   public @Nullable GroupStatus status(GroupId group) {
     RaftGroup hosted = groups.get(group);
     return hosted == null ? null : hosted.status();
   }
 
-  /** Returns the state of each hosted replica. */
+  /** Returns the status of each hosted replica. */
   public List<GroupStatus> statuses() {
     List<GroupStatus> statuses = new ArrayList<>();
     for (RaftGroup group : groups.values()) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/ControlVmPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/ControlVmPart.java
@@ -22,10 +22,10 @@
 import org.skylarkfork.core.request.RunState;
 
 /**
- * Takes control VMs into all replicated groups or out of them, as operators ask.
+ * Adds control VMs to all replicated groups or removes them at an operator's request.
  *
- * <p>Each group changes on its own, so one may have changed when another refuses. Asking again is
- * harmless: a group that has changed says so at once.
+ * <p>Each group changes independently, so one group may have changed when another refuses. A
+ * repeated request is harmless: a group that has already changed reports that immediately.
  */
 public final class ControlVmPart implements Part {
 
@@ -37,10 +37,10 @@
   private final Map<Long, Call> bySubmission = new HashMap<>();
 
   /**
-   * Makes the part.
+   * Creates the part.
    *
    * @param groups all replicated groups
-   * @param submitter has commands agreed on
+   * @param submitter submits the commands to the groups
    */
   public ControlVmPart(List<GroupId> groups, Submitter submitter) {
     this.groups = List.copyOf(groups);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Durability.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Durability.java
@@ -14,11 +14,12 @@
 import org.skylarkfork.core.message.RaftMessage;
 
 /**
- * Writes of one group on their way to the disk, and the messages that wait for them.
+ * Tracks pending writes of one group and the messages that wait for them to be synced.
  *
- * <p>A vote or an acknowledgement that leaves before its write is synced breaks after a power
- * failure: the voter votes twice in a term, or an accepted entry is gone. Here each promise names
- * the write it rests on and leaves only once the disk has reported that write or a later one.
+ * <p>A vote or acknowledgement that is sent before its write is synced becomes invalid after a
+ * power failure: the voter could vote twice in a term, or an accepted entry could be lost. Each
+ * pending message therefore holds the sequence number of its write and is sent only once the disk
+ * has reported that write or a later one.
  */
 final class Durability {
 
@@ -40,12 +41,12 @@
     this.log = log;
   }
 
-  /** Returns the last index that the disk holds for certain. */
+  /** Returns the last index that is synced to disk. */
   long syncedIndex() {
     return syncedIndex;
   }
 
-  /** Returns the last index that is written or on its way. */
+  /** Returns the last index that was passed to the storage, synced or not. */
   long issuedIndex() {
     return issuedIndex;
   }
@@ -58,17 +59,17 @@
     return stagedHardState == null && syncedSequence >= hardStateSequence;
   }
 
-  /** Returns whether the hard state, however old, is on the disk. */
+  /** Returns whether any version of the hard state is on disk. */
   boolean isHardStateStored() {
     return hardStateStored;
   }
 
-  /** Returns whether a write has been on its way since before that time. */
+  /** Returns whether a write that was issued before the given time is still pending. */
   boolean stalledSince(Instant time) {
     return !inFlight.isEmpty() && inFlight.getFirst().issuedAt.isBefore(time);
   }
 
-  /** Starts with what the disk held. */
+  /** Initializes the state from what was recovered from disk. */
   void recovered(long lastIndex, boolean withHardState) {
     hardStateStored = withHardState;
     syncedIndex = lastIndex;
@@ -90,19 +91,19 @@
     }
   }
 
-  /** Takes a saved snapshot for the log up to its index. */
+  /** Treats the log up to the index of a saved snapshot as synced. */
   void snapshotInstalled(long index) {
     syncedIndex = Math.max(syncedIndex, index);
     issuedIndex = Math.max(issuedIndex, index);
   }
 
-  /** Sends a message once the newest hard state is synced, at once if it is. */
+  /** Sends a message once the latest hard state is synced, immediately if it already is. */
   void sendAfterHardState(String node, long term, RaftMessage message, EventContext context) {
     long needed = stagedHardState == null ? hardStateSequence : sequence + 1;
     sendOnceSynced(new PendingMessage(needed, term, node, message), context);
   }
 
-  /** Sends a message once everything up to now is synced. */
+  /** Sends a message once all writes staged or issued so far are synced. */
   void sendAfterAll(String node, long term, RaftMessage message, EventContext context) {
     long needed = hasStagedChanges() ? sequence + 1 : sequence;
     sendOnceSynced(new PendingMessage(needed, term, node, message), context);
@@ -124,7 +125,7 @@
     return stagedHardState != null;
   }
 
-  /** Issues one write for everything staged. */
+  /** Issues one write for all staged changes. */
   void flush(EventContext context) {
     if (!hasStagedChanges()) {
       return;
@@ -146,9 +147,12 @@
     stagedTruncate = 0;
   }
 
-  /** Takes note of a sync and sends what waited for it, if it is still of the present term. */
+  /**
+   * Records a sync and sends the messages that waited for it, unless they belong to an earlier
+   * term.
+   */
   void persisted(long upTo, long term, EventContext context) {
-    Invariants.check(upTo <= sequence, "the disk reports only writes that were asked for");
+    Invariants.check(upTo <= sequence, "the disk reports only issued writes");
     syncedSequence = Math.max(syncedSequence, upTo);
     hardStateStored |= hardStateSequence > 0 && upTo >= hardStateSequence;
     while (!inFlight.isEmpty() && inFlight.getFirst().sequence <= upTo) {
@@ -164,7 +168,7 @@
     }
   }
 
-  /** Forgets what waits: the disk failed, so that no promise can be kept. */
+  /** Drops all pending messages, because the disk failed and their writes can't be synced. */
   void fail() {
     pendingMessages.clear();
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Election.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Election.java
@@ -7,7 +7,7 @@
 import org.skylarkfork.core.message.RaftMessage.VoteRequest;
 import org.skylarkfork.core.message.RaftMessage.VoteResponse;
 
-/** Finds a leader: pre-votes, votes and their count. */
+/** Leader election: requests, grants and counts pre-votes and votes. */
 final class Election {
 
   private final Replica replica;
@@ -17,7 +17,7 @@
     this.replica = replica;
   }
 
-  /** Campaigns if no leader was heard for the drawn time. */
+  /** Starts a pre-vote once the election timeout has elapsed without contact to a leader. */
   void tick(EventContext context) {
     if (replica.isLeader() || !replica.isVoter() || !replica.electionDue(context.now())) {
       return;
@@ -30,10 +30,10 @@
   }
 
   /**
-   * Asks whether a campaign could win, without taking a new term.
+   * Asks the voters whether a campaign could win, without increasing the term.
    *
-   * <p>A voter cut off for a while would otherwise come back with a higher term and depose a
-   * working leader, so that callers see a pause though nothing but that voter failed.
+   * <p>Without the pre-vote, a voter that was partitioned for a while would return with a higher
+   * term and force a working leader to step down, which interrupts service for all callers.
    */
   private void startPreVote(EventContext context) {
     replica.become(Role.PRE_CANDIDATE, null, context);
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Campaigns because the leader asked for it, without waiting for its lease to end. */
+  /** Campaigns at the leader's request, without waiting for the leader's lease to expire. */
   void campaignOnTransfer(EventContext context) {
     campaign(true, context);
   }
@@ -76,7 +76,7 @@
     return new VoteRequest(replica.group, term, log.lastIndex(), log.lastTerm(), preVote, handover);
   }
 
-  /** Returns whether the votes counted so far, the synced own one among them, are enough. */
+  /** Returns whether a majority has granted its vote; the own vote counts once it is synced. */
   boolean hasWon() {
     if (replica.role() != Role.CANDIDATE) {
       return false;
@@ -109,7 +109,8 @@
       boolean upToDate = upToDate(request);
       respond(from, request, newerTerm && upToDate, context);
       if (newerTerm && !upToDate) {
-        // The sender can't win against this voter's log; waiting for another try of it is in vain.
+        // The sender can't win because its log is behind this voter's log, so this voter campaigns
+        // at once.
         replica.expireElectionDeadline(context.now());
       } else if (newerTerm) {
         replica.deferCampaign(context.now());
@@ -144,7 +145,7 @@
     replica.durability.sendAfterHardState(from, replica.term(), response, context);
   }
 
-  /** Counts a vote, unless the disk that gave it isn't the voter's. */
+  /** Counts a vote, unless it comes from a disk other than the voter's registered one. */
   void onResponse(String from, VoteResponse response, EventContext context) {
     if (!response.granted() && response.term() > replica.term()) {
       replica.adoptTerm(response.term());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/EventContext.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/EventContext.java
@@ -11,15 +11,17 @@
 import org.skylarkfork.core.message.RaftMessage;
 
 /**
- * The handling of one event: its time and where its results go.
+ * Context in which one event is processed: the time and the output for effects and events.
  *
  * @param self name of this daemon
- * @param now the present time
- * @param output where effects and events go
+ * @param now the current time
+ * @param output receives effects and raised events
  */
 record EventContext(String self, Instant now, Output output) {
 
-  /** Sends a message; one to this daemon itself arrives as an event after the present one. */
+  /**
+   * Sends a message; a message to this daemon itself is raised as an event after the current one.
+   */
   void send(String node, RaftMessage message) {
     if (node.equals(self)) {
       output.raise(new PeerEvent.MessageReceived(self, message));
@@ -36,7 +38,7 @@
     output.raise(event);
   }
 
-  /** Tells operators of a replica's decision, with what it rests on. */
+  /** Logs a decision of a replica for operators, with the values behind it. */
   void log(GroupId group, String event, String facts) {
     output.effect(
         new TraceEffect.LogLine(false, "raft", "event=" + event + " group=" + group + " " + facts));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/FollowerLog.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/FollowerLog.java
@@ -6,7 +6,9 @@
 import org.skylarkfork.core.message.RaftMessage.AppendRequest;
 import org.skylarkfork.core.message.RaftMessage.AppendResponse;
 
-/** A follower's work: making its log agree with the leader's and acknowledging what is synced. */
+/**
+ * Follower-side log replication: matches the log to the leader's and acknowledges synced entries.
+ */
 final class FollowerLog {
 
   private final Replica replica;
@@ -15,7 +17,9 @@
     this.replica = replica;
   }
 
-  /** Takes over entries of the present leader. */
+  /**
+   * Appends entries from the current leader, or rejects them if the logs don't match before them.
+   */
   void onAppend(String from, AppendRequest request, EventContext context) {
     long previous = request.previousIndex();
     if (previous > replica.log.lastIndex()) {
@@ -64,7 +68,7 @@
     return appended;
   }
 
-  /** Answers that the logs don't agree before the entries sent. */
+  /** Rejects entries because the logs don't match before them. */
   void reject(String from, AppendRequest request, long index, EventContext context) {
     replica.durability.sendAfterHardState(
         from, replica.term(), response(request, false, index), context);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/GroupBootstrap.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/GroupBootstrap.java
@@ -17,11 +17,12 @@
 import org.skylarkfork.core.message.RaftMessage.JoinResponse;
 
 /**
- * The way into a group for a replica with an empty disk: founding it or asking to join.
+ * Bootstraps a group, or requests to join it, from a replica that is not yet a member.
  *
- * <p>An empty disk may be a wiped one. A wiped voter that founded the group again would lose what
- * the others hold, so the first voter in the settings founds only after each other one has said
- * that its disk is empty as well. A voter that is down therefore delays the founding.
+ * <p>An empty disk may be a wiped one. A wiped voter that bootstrapped the group again would
+ * discard the entries on the other voters, so the first voter in the settings bootstraps the group
+ * only after each other voter has reported an empty disk. A voter that is down therefore delays the
+ * bootstrap.
  */
 final class GroupBootstrap {
 
@@ -54,7 +55,10 @@
     }
   }
 
-  /** A leader that has just been heard of is asked at once; what was asked before it is lost. */
+  /**
+   * Returns whether a request is due: at once after a leader change, as the new leader doesn't know
+   * earlier requests, and at the resend interval otherwise.
+   */
   private boolean isDue(Instant now) {
     String leader = replica.leader();
     boolean newLeader = leader != null && !leader.equals(requestedUnderLeader);
@@ -83,8 +87,8 @@
     nodes.addAll(voterNodes());
     String leader = replica.leader();
     if (leader != null) {
-      // A leader writes to a wiped replica as if it still were the old one. It may be the only
-      // daemon left that this one has heard of, once the others in the settings were replaced.
+      // A leader still sends entries to a wiped replica as if it had its old disk. Once the other
+      // voters in the settings were replaced, the leader may be the only member known here.
       nodes.add(leader);
     }
     nodes.remove(replica.node);
@@ -94,7 +98,10 @@
     }
   }
 
-  /** Voters without a leader ask as well, and again and again; operators need the newcomer's. */
+  /**
+   * Logs the first join request of a replica that isn't a member; requests of voters without a
+   * leader and repeated requests aren't logged.
+   */
   private void logFirstRequest(Set<String> nodes, EventContext context) {
     if (!joinRequestLogged && !replica.members.latest().all().contains(replica.self())) {
       joinRequestLogged = true;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/GroupCodec.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/GroupCodec.java
@@ -3,19 +3,19 @@
 import org.skylarkfork.core.command.Command;
 import org.skylarkfork.core.command.Snapshot;
 
-/** What consensus needs of the wire's codec. */
+/** Wire encoding of snapshots and commands, as consensus needs it. */
 public interface GroupCodec {
 
-  /** Returns the snapshot as bytes that {@link #decode} reads on another daemon. */
+  /** Encodes a snapshot so that {@link #decode} can read it on another daemon. */
   byte[] encode(Snapshot snapshot);
 
   /**
-   * Reads an encoded snapshot.
+   * Decodes a snapshot.
    *
    * @throws IllegalArgumentException if the bytes aren't a snapshot
    */
   Snapshot decode(byte[] bytes);
 
-  /** Returns about how many bytes the command takes on the wire; needn't be exact. */
+  /** Returns the approximate encoded size of a command in bytes. */
   int sizeOf(Command command);
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/GroupSetup.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/GroupSetup.java
@@ -6,13 +6,15 @@
 import org.skylarkfork.core.command.StateMachine;
 
 /**
- * A group as a daemon's settings describe it.
+ * Configuration of a replicated group on one daemon.
  *
- * @param group name of the group
- * @param initialVoters nodes that found the group while all their disks are empty, the same list on
- *     each daemon; later the place to ask for the leader. The first one founds the group
- * @param membershipChangePolicy how the group takes in and drops members by itself
- * @param stateMachine what this daemon's replica applies commands to, or null if it hosts none
+ * @param group id of the group
+ * @param initialVoters nodes that form the group while all their disks are empty, the same list on
+ *     each daemon; later the nodes that are asked for the leader. The first node bootstraps the
+ *     group
+ * @param membershipChangePolicy how the group adds and removes members without an operator
+ * @param stateMachine state machine of this daemon's replica, or null if the daemon hosts no
+ *     replica
  */
 public record GroupSetup(
     GroupId group,
@@ -20,13 +22,13 @@
     MembershipChangePolicy membershipChangePolicy,
     @Nullable StateMachine stateMachine) {
 
-  /** Makes the setup of a group that operators grow. */
+  /** Creates the setup of a group whose members only operators change. */
   public GroupSetup(
       GroupId group, List<String> initialVoters, @Nullable StateMachine stateMachine) {
     this(group, initialVoters, MembershipChangePolicy.MANUAL, stateMachine);
   }
 
-  /** Copies the list. */
+  /** Copies the list of voters. */
   public GroupSetup {
     initialVoters = List.copyOf(initialVoters);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/GroupStatus.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/GroupStatus.java
@@ -5,21 +5,21 @@
 import org.skylarkfork.core.command.Members;
 
 /**
- * A replica's state for operators and metrics.
+ * Status of a replica for operators and metrics.
  *
  * @param group the group
- * @param role what the replica does
- * @param term newest term seen
- * @param leader the leader it knows, or null if none
- * @param commitIndex last index known to be agreed on
- * @param lastIndex last index of its log
- * @param syncedIndex last index that its disk holds for certain
- * @param snapshotIndex last index that its saved snapshot covers, 0 if there is none
- * @param members the members in its log
- * @param membersIndex index of the entry that gave them; agreed on once {@code commitIndex} covers
- *     it
- * @param instance number of the disk that the replica has now
- * @param storageFailed whether it has stopped voting because its disk failed
+ * @param role current Raft role
+ * @param term highest term seen
+ * @param leader node name of the known leader, or null if unknown
+ * @param commitIndex highest index known to be committed
+ * @param lastIndex last index of the replica's log
+ * @param syncedIndex last index that is synced to the replica's disk
+ * @param snapshotIndex last index that the saved snapshot covers, 0 if there is no snapshot
+ * @param members members according to the latest change in the replica's log
+ * @param membersIndex index of the entry that contains this change; committed once {@code
+ *     commitIndex} covers it
+ * @param instance id of the replica's current disk
+ * @param storageFailed whether the replica has stopped voting because its disk failed
  */
 public record GroupStatus(
     GroupId group,
@@ -35,7 +35,7 @@
     long instance,
     boolean storageFailed) {
 
-  /** Returns whether the members in the log are known to be agreed on. */
+  /** Returns whether the latest member change in the log is known to be committed. */
   public boolean membersCommitted() {
     return membersIndex <= commitIndex;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/MemberChanges.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/MemberChanges.java
@@ -9,11 +9,12 @@
 import org.skylarkfork.core.command.Members;
 
 /**
- * A leader's decisions on members: one change at a time, a voter only once it has caught up.
+ * Decides on the leader's member changes: one change at a time, and a learner becomes a voter only
+ * once it has caught up.
  *
- * <p>Two changes at once could make two majorities without a common voter, and each could elect its
- * own leader. While each change moves one voter and waits for the commit of the last one, any two
- * majorities share a voter.
+ * <p>Two concurrent changes could create two majorities without a common voter, and each could
+ * elect its own leader. As long as each change adds or removes one voter and waits until the
+ * previous change is committed, any two majorities overlap.
  */
 final class MemberChanges {
 
@@ -36,7 +37,7 @@
     joinRequestedAt.clear();
   }
 
-  /** Takes note of a replica that waits to be taken in. */
+  /** Records a replica's request to join. */
   void recordJoinRequest(String node, long instance, Instant now) {
     if (joiningInstances.containsKey(node) || joiningInstances.size() < MAX_JOINING_NODES) {
       joiningInstances.put(node, instance);
@@ -44,25 +45,28 @@
     }
   }
 
-  /** Returns why no change can be made now, or null if one can. */
+  /** Returns why no member change is possible now, or null if one is possible. */
   @Nullable String rejectionReason() {
     if (replica.log.termAt(replica.commitIndex()) != replica.term()) {
-      return "raft: the leader is new; submit again in a second";
+      return "raft: the leader has not committed an entry of its term yet; submit again in a"
+                 + " second";
     }
     if (replica.members.latestIndex() > replica.commitIndex()) {
-      return "raft: another change of members isn't committed yet; submit again once it is";
+      return "raft: another member change isn't committed yet; submit again once it is";
     }
     return null;
   }
 
-  /** Returns why a node can't be taken in, or null if it can. */
+  /** Returns why a node can't be admitted, or null if it can. */
   @Nullable String admitRejectionReason(String node) {
     Long instance = joiningInstances.get(node);
     if (instance == null) {
-      return "raft: " + node + " doesn't ask to join; start it with this group, then submit again";
+      return "raft: "
+          + node
+          + " has not requested to join; start it with this group, then submit again";
     }
     if (replica.members.latest().all().contains(new Member(node, instance))) {
-      return "raft: " + node + " is a member already; nothing is to be done";
+      return "raft: " + node + " is already a member; nothing to do";
     }
     if (isOnlyVoter(node)) {
       return "raft: " + node + " is the only voter; admit another node first";
@@ -75,10 +79,10 @@
     return new GroupCommand.ChangeMembers(replica.members.latest().withLearner(learner));
   }
 
-  /** Returns why a node can't be dropped, or null if it can. */
+  /** Returns why a node can't be removed, or null if it can. */
   @Nullable String removeRejectionReason(String node) {
     if (replica.members.latest().find(node) == null) {
-      return "raft: " + node + " isn't a member; nothing is to be done";
+      return "raft: " + node + " isn't a member; nothing to do";
     }
     if (isOnlyVoter(node)) {
       return "raft: " + node + " is the only voter; admit another node first";
@@ -95,7 +99,7 @@
     return rest.voters().isEmpty();
   }
 
-  /** Returns a change that the leader makes by itself, or null if there is none. */
+  /** Returns a change that the leader makes without an operator, or null if there is none. */
   GroupCommand.@Nullable ChangeMembers nextChange(EventContext context) {
     if (rejectionReason() != null) {
       return null;
@@ -121,10 +125,11 @@
   }
 
   /**
-   * Drops a silent voter once there are more than wanted, or takes a newcomer in as a learner.
+   * Removes a voter if there are more than the target, removes an unresponsive learner, or admits a
+   * joining node as a learner.
    *
-   * <p>A voter is dropped only after a newcomer has taken its place, so that its loss never leaves
-   * the group with fewer copies than it had.
+   * <p>An unresponsive voter is removed only after its replacement has become a voter, so that the
+   * number of copies never decreases.
    */
   private GroupCommand.@Nullable ChangeMembers nextAutomaticChange(Instant now) {
     Members members = replica.members.latest();
@@ -148,9 +153,9 @@
   }
 
   /**
-   * Returns the voter to drop if all answer again, since a lost one came back after all.
+   * Returns the voter to remove when all voters respond, because a lost voter came back.
    *
-   * <p>Kept, each such return would add a voter, and a majority would need ever more of them.
+   * <p>Otherwise each such return would add a voter, and the size of a majority would grow.
    */
   private String newestOtherVoter(Members members) {
     String newest = replica.node;
@@ -171,10 +176,10 @@
   }
 
   /**
-   * Returns whether a member came back with another disk.
+   * Returns whether a joining member other than this leader returned with another disk.
    *
-   * <p>It has forgotten its votes and entries. Counted as the old voter it could help to elect a
-   * leader that lacks accepted entries, so it starts again as a learner.
+   * <p>Its votes and entries are lost. If it counted as the old voter, it could help to elect a
+   * leader without all accepted entries, so it starts again as a learner.
    */
   private boolean hasReplacedDisk(String node) {
     Member member = replica.members.latest().find(node);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/MembersHistory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/MembersHistory.java
@@ -6,7 +6,7 @@
 import org.skylarkfork.core.command.LogEntry;
 import org.skylarkfork.core.command.Members;
 
-/** The members of a group along its log, so that a dropped entry brings the earlier ones back. */
+/** Member changes by log index, so that truncating an entry restores the previous members. */
 final class MembersHistory {
 
   private final List<Change> changes = new ArrayList<>();
@@ -15,17 +15,17 @@
     changes.add(new Change(0, Members.NONE));
   }
 
-  /** Returns the members in force, committed or not. */
+  /** Returns the members according to the latest change, committed or not. */
   Members latest() {
     return changes.get(changes.size() - 1).members;
   }
 
-  /** Returns the index of the entry that gave the latest members. */
+  /** Returns the index of the entry with the latest member change. */
   long latestIndex() {
     return changes.get(changes.size() - 1).index;
   }
 
-  /** Returns the members that were in force at an index. */
+  /** Returns the members that were in effect at an index. */
   Members at(long index) {
     Members members = changes.get(0).members;
     for (Change change : changes) {
@@ -46,7 +46,7 @@
     changes.removeIf(change -> change.index >= index);
   }
 
-  /** Forgets what a snapshot covers. */
+  /** Replaces the changes that a snapshot covers by the snapshot's members. */
   void reset(long index, Members members) {
     changes.removeIf(change -> change.index <= index);
     changes.add(0, new Change(index, members));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Progress.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Progress.java
@@ -4,7 +4,7 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.command.Member;
 
-/** What a leader knows of another replica. */
+/** Replication progress of another replica, as tracked by the leader. */
 final class Progress {
 
   final Member member;
@@ -23,14 +23,16 @@
     this.nextIndex = nextIndex;
   }
 
-  /** Takes note that the replica answered something that was sent at that time. */
+  /** Records a response to a message that the leader sent at the given time. */
   void recordResponse(Instant sentAt) {
     if (sentAt.isAfter(lastResponseAt)) {
       lastResponseAt = sentAt;
     }
   }
 
-  /** Takes note that the logs agree up to an index; the snapshot in use may be done with. */
+  /**
+   * Records that the logs match up to an index, and ends a snapshot transfer that the index covers.
+   */
   void recordMatch(long index, long baseIndex) {
     matchIndex = Math.max(matchIndex, index);
     nextIndex = Math.max(nextIndex, matchIndex + 1);
@@ -41,10 +43,10 @@
   }
 
   /**
-   * Goes back to an index at or before which the logs agree.
+   * Moves {@code nextIndex} back after the replica rejected entries because of a log mismatch.
    *
-   * <p>Refusals of messages sent before the last step back tell nothing new; obeying each of a full
-   * window of them would send the same entries as often.
+   * <p>Rejections of messages sent before the last move are ignored: handling each rejection of a
+   * full window would send the same entries once per rejection.
    */
   void recordMismatch(long index, Instant sentAt, Instant now) {
     if (snapshot != null || sentAt.isBefore(resetAt)) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Proposals.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Proposals.java
@@ -10,7 +10,7 @@
 import org.skylarkfork.core.message.RaftMessage.SubmitRedirect;
 import org.skylarkfork.core.message.RaftMessage.SubmitRequest;
 
-/** Submissions that a leader has appended and whose results it owes. */
+/** Submissions that the leader has appended and not yet answered. */
 final class Proposals {
 
   private final Replica replica;
@@ -22,18 +22,18 @@
     this.replica = replica;
   }
 
-  /** Returns whether the submission was appended and isn't answered yet. */
+  /** Returns whether the submission was appended and is not yet answered. */
   boolean isPending(String from, SubmitRequest request) {
     return pendingSubmissions.contains(Submission.of(from, request));
   }
 
-  /** Returns what stands against another entry, or null if there is room. */
+  /** Returns why no further entry can be accepted, or null if one can. */
   @Nullable String overloadReason() {
     RaftSettings settings = replica.settings;
     long entries = replica.log.lastIndex() - replica.commitIndex();
     if (entries >= settings.maxUncommittedEntries()
         || uncommittedBytes >= settings.maxUncommittedBytes()) {
-      return "raft: " + replica.group + " is behind with its commits; submit again later";
+      return "raft: " + replica.group + " has too many uncommitted entries; submit again later";
     }
     return null;
   }
@@ -57,7 +57,7 @@
         new SubmitAnswer(replica.group, submission.session, submission.submissionId, result));
   }
 
-  /** Sends all waiting submitters to the next leader; the entries may still be committed by it. */
+  /** Redirects all pending submitters to the next leader, which may still commit the entries. */
   void redirectAll(EventContext context) {
     for (Submission submission : submissionsByIndex.values()) {
       context.send(
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/RaftGroup.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/RaftGroup.java
@@ -30,10 +30,10 @@
 import org.skylarkfork.core.message.RaftMessage.VoteRequest;
 import org.skylarkfork.core.message.RaftMessage.VoteResponse;
 
-/** This daemon's replica of one group. */
+/** This daemon's replica of one Raft group; dispatches events to the components of the replica. */
 final class RaftGroup {
 
-  /** A leader starts no further write while this many wait, so that one sync serves many. */
+  /** Maximum number of a leader's concurrent writes; later entries are batched into one sync. */
   private static final int MAX_WRITES = 2;
 
   private final Replica replica;
@@ -123,11 +123,11 @@
   }
 
   /**
-   * Takes over the stored entries behind the snapshot.
+   * Restores the stored entries that follow the snapshot.
    *
-   * <p>A crash after a leader's snapshot was saved, but before the entries that it contradicts were
-   * dropped, leaves such entries behind it. They are of an earlier term than the snapshot's last
-   * entry, which no true continuation is.
+   * <p>A crash after a leader's snapshot was saved, but before the entries that conflict with it
+   * were truncated, leaves conflicting entries after it. Their term is lower than that of the
+   * snapshot's last entry, which is impossible for entries that continue the snapshot.
    */
   private void recoverEntries(StorageEvent.Recovered stored) {
     long last = replica.log.lastIndex();
@@ -164,7 +164,7 @@
     }
   }
 
-  /** Looks at deadlines. */
+  /** Checks election, lease, storage and bootstrap deadlines. */
   void tick(EventContext context) {
     if (!canParticipate()) {
       return;
@@ -188,7 +188,10 @@
     }
   }
 
-  /** A replica speaks only once its instance is on its disk, and never after its disk failed. */
+  /**
+   * Returns whether the replica may handle messages: its instance id is on disk and the disk hasn't
+   * failed.
+   */
   private boolean canParticipate() {
     return recovered && !replica.failed() && replica.durability.isHardStateStored();
   }
@@ -235,11 +238,11 @@
   }
 
   /**
-   * Takes the answer of a voter, which may come after this replica has won.
+   * Handles a vote response, which may arrive after this replica has won the election.
    *
-   * <p>A leader that is deposed by one must let go of its submissions: another leader's entries
-   * come to stand where its own stood, and each submitter would be told that its command was
-   * applied.
+   * <p>A leader that steps down because of a vote response must drop its pending submissions:
+   * another leader's entries may replace its own at the same indexes, and each submitter would
+   * receive a result for a command that was not applied.
    */
   private void onVoteResponse(String from, VoteResponse response, EventContext context) {
     if (!response.granted() && response.term() > replica.term()) {
@@ -273,7 +276,10 @@
     }
   }
 
-  /** Follows the sender unless its term is over. */
+  /**
+   * Accepts the sender as leader and returns true, or returns false if the sender's term is
+   * outdated.
+   */
   private boolean acceptLeader(String from, long term, EventContext context) {
     if (term < replica.term()) {
       return false;
@@ -313,7 +319,10 @@
     replication.stop();
   }
 
-  /** Hands the office over before the daemon stops, so that callers needn't wait an election. */
+  /**
+   * Transfers leadership before the daemon stops, so that callers don't wait for an election
+   * timeout.
+   */
   void prepareStop(EventContext context) {
     stopping = true;
     if (!replica.isLeader()) {
@@ -372,7 +381,7 @@
       return memberChanges.removeRejectionReason(remove.node());
     }
     if (command instanceof GroupCommand && !(command instanceof GroupCommand.Probe)) {
-      return "raft: only a leader makes this command; submit AdmitMember or RemoveMember";
+      return "raft: only leaders create this command; submit AdmitMember or RemoveMember";
     }
     return null;
   }
@@ -395,7 +404,7 @@
     return entry;
   }
 
-  /** Draws the consequences of an event: leadership, commits, results, writes and messages. */
+  /** Processes what an event made possible: leadership, commits, results, writes and messages. */
   private void processUpdates(EventContext context) {
     if (!recovered || replica.failed()) {
       return;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/RaftLog.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/RaftLog.java
@@ -6,10 +6,10 @@
 import org.skylarkfork.core.Invariants;
 import org.skylarkfork.core.command.LogEntry;
 
-/** The entries of a group's log that are in memory; those before {@link #baseIndex} are dropped. */
+/** In-memory part of a group's log; entries up to {@link #baseIndex} are compacted away. */
 final class RaftLog {
 
-  /** What {@link #termAt} gives for an index that isn't in memory. */
+  /** Result of {@link #termAt} for an index that isn't in memory. */
   static final long UNKNOWN_TERM = -1;
 
   private final GroupCodec codec;
@@ -22,7 +22,7 @@
     this.codec = codec;
   }
 
-  /** Returns the last index that isn't in memory as an entry; its term still is. */
+  /** Returns the index of the last compacted entry, whose term is still known. */
   long baseIndex() {
     return baseIndex;
   }
@@ -43,7 +43,7 @@
     return slots.isEmpty() ? baseStamp : entry(lastIndex()).stampedAt();
   }
 
-  /** Returns the term of an entry, or {@link #UNKNOWN_TERM}. */
+  /** Returns the term of an entry, or {@link #UNKNOWN_TERM} if the entry isn't in memory. */
   long termAt(long index) {
     if (index == baseIndex) {
       return baseTerm;
@@ -62,7 +62,7 @@
     Invariants.check(entry.index() == lastIndex() + 1, "log has no gaps");
     Invariants.check(entry.term() >= lastTerm(), "terms never decrease along the log");
     Invariants.check(
-        !entry.stampedAt().isBefore(lastStamp()), "stamps never decrease along the log");
+        !entry.stampedAt().isBefore(lastStamp()), "timestamps never decrease along the log");
     slots.add(new Slot(entry, codec.sizeOf(entry.command())));
   }
 
@@ -70,7 +70,7 @@
     slots.subList((int) (index - baseIndex - 1), slots.size()).clear();
   }
 
-  /** Drops the entries up to an index that is in memory. */
+  /** Drops the entries up to and including an index; does nothing if they are dropped already. */
   void compact(long index) {
     if (index <= baseIndex) {
       return;
@@ -82,7 +82,7 @@
     baseStamp = last.stampedAt();
   }
 
-  /** Drops all entries and goes on behind a snapshot. */
+  /** Drops all entries and continues after a snapshot. */
   void reset(long index, long term, Instant stampedAt) {
     slots.clear();
     baseIndex = index;
@@ -90,7 +90,10 @@
     baseStamp = stampedAt;
   }
 
-  /** Returns entries from an index up to another one, as many as the bounds allow, at least one. */
+  /**
+   * Returns entries from one index to another, both inclusive, as many as the limits allow, but at
+   * least one.
+   */
   List<LogEntry> slice(long from, long to, int maxEntries, int maxBytes) {
     List<LogEntry> entries = new ArrayList<>();
     long bytes = 0;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/RaftSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/RaftSettings.java
@@ -3,28 +3,33 @@
 import java.time.Duration;
 
 /**
- * Times and bounds of the replicated groups, the same on each daemon.
+ * Timeouts and limits of the replicated groups, the same on each daemon.
  *
- * @param electionMin least time without a leader before a voter campaigns
- * @param electionMax greatest such time; each wait is drawn between the two
- * @param heartbeat time between two signs of life of a leader
- * @param lease time for which a majority's answers let the leader act alone, counted from the
- *     sending of what they answer; must be less than {@code electionMin}
- * @param storageStallTimeout time after which a leader whose disk doesn't sync gives up its office
- * @param resendInterval time after which an unanswered submission is sent again
- * @param snapshotEntries applied entries after which a snapshot is taken
- * @param trailingEntries entries kept in memory behind a snapshot for replicas that lag a little
- * @param maxAppendEntries most entries in one message
- * @param maxAppendBytes most bytes of commands in one message, unless one command alone is larger
- * @param maxInFlightEntries most entries sent to a replica beyond what it acknowledged
- * @param maxChunkBytes most bytes of a snapshot in one message
- * @param maxUncommittedEntries most entries that wait for a commit; submissions beyond are refused
- * @param maxUncommittedBytes most bytes of commands that wait for a commit
- * @param maxPendingSubmissions most submissions of this daemon that wait for a result
- * @param maxRestartWait longest time for which a voter that has just started waits for a leader
- *     before it campaigns. Zero where a leader acts under its lease: a restarted voter doesn't know
- *     what it acknowledged, so its start then counts as contact and its votes wait for the lease's
- *     end
+ * @param electionMin minimum election timeout: time without contact to a leader before a voter
+ *     campaigns
+ * @param electionMax maximum election timeout; each timeout is drawn at random between the two
+ * @param heartbeat interval between a leader's heartbeats
+ * @param lease duration of the leader lease, counted from the sending of the messages that a
+ *     majority answered; must be less than {@code electionMin}
+ * @param storageStallTimeout time after which a leader whose disk doesn't complete a sync steps
+ *     down
+ * @param resendInterval time after which an unanswered submission is resent
+ * @param snapshotEntries number of applied entries after which a snapshot is taken
+ * @param trailingEntries number of entries before a snapshot that stay in memory for replicas that
+ *     lag slightly
+ * @param maxAppendEntries maximum number of entries in one message
+ * @param maxAppendBytes maximum size of the commands in one message in bytes, unless a single
+ *     command is larger
+ * @param maxInFlightEntries maximum number of entries sent to a replica and not yet acknowledged
+ * @param maxChunkBytes maximum size of a snapshot chunk in one message in bytes
+ * @param maxUncommittedEntries maximum number of uncommitted entries; submissions beyond it are
+ *     refused
+ * @param maxUncommittedBytes maximum size of uncommitted commands in bytes
+ * @param maxPendingSubmissions maximum number of this daemon's submissions that wait for a result
+ * @param maxRestartWait maximum time that a voter waits for a leader after a start before it
+ *     campaigns. Must be zero where leaders rely on their lease: a restarted voter doesn't know
+ *     what it acknowledged, so with zero its start counts as contact to a leader and it grants no
+ *     vote until the lease has expired
  */
 public record RaftSettings(
     Duration electionMin,
@@ -45,9 +50,10 @@
     Duration maxRestartWait) {
 
   /**
-   * Checks the times against each other.
+   * Validates the timeouts against each other.
    *
-   * @throws IllegalArgumentException if two leaders could act at once or none could stay in office
+   * @throws IllegalArgumentException if two leaders could hold a lease at once or no leader could
+   *     keep its lease
    */
   public RaftSettings {
     if (lease.compareTo(electionMin) >= 0) {
@@ -61,7 +67,7 @@
     }
   }
 
-  /** Returns settings for daemons a millisecond apart. */
+  /** Returns settings for daemons with about one millisecond of network latency between them. */
   public static RaftSettings defaults() {
     return new RaftSettings(
         Duration.ofMillis(300),
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Replica.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Replica.java
@@ -15,7 +15,7 @@
 import org.skylarkfork.core.command.Snapshot;
 import org.skylarkfork.core.event.ConsensusEvent;
 
-/** What the parts of one replica share: term, role, log and members. */
+/** State that the components of one replica share: term, role, log and members. */
 final class Replica {
 
   final GroupId group;
@@ -85,7 +85,7 @@
     return failed;
   }
 
-  /** Returns the newest saved snapshot, or null. */
+  /** Returns the latest saved snapshot, or null if there is none. */
   @Nullable Snapshot snapshot() {
     return snapshot;
   }
@@ -98,12 +98,14 @@
     return members.latest().votes(self());
   }
 
-  /** Returns whether neither a term nor an entry was ever stored. */
+  /** Returns whether no term and no entry was ever stored. */
   boolean isEmpty() {
     return term == 0 && log.lastIndex() == 0;
   }
 
-  /** Takes over the stored hard state, or draws an instance for an empty disk and stores that. */
+  /**
+   * Restores the stored hard state, or generates and stores an instance id if the disk is empty.
+   */
   void recoverHardState(@Nullable HardState hardState) {
     if (hardState == null) {
       instance = random.nextLong(1, Long.MAX_VALUE);
@@ -135,7 +137,7 @@
     durability.stage(new HardState(term, votedFor, instance));
   }
 
-  /** Changes the role and the known leader, and tells the other parts. */
+  /** Sets the role and the known leader, and raises an event if the leader or its term changed. */
   void become(Role newRole, @Nullable String newLeader, EventContext context) {
     if (newLeader != null) {
       Invariants.check(
@@ -157,10 +159,10 @@
   }
 
   /**
-   * Begins to wait for a leader after a start.
+   * Starts the election timer after a start of the process.
    *
-   * <p>After a crash of all voters there is no leader to wait for. A voter that waits as after a
-   * contact adds up to {@link RaftSettings#electionMax} to the time in which nothing is served.
+   * <p>After a crash of all voters there is no leader to wait for. A full election timeout would
+   * add up to {@link RaftSettings#electionMax} to the outage.
    */
   void startElectionTimer(Instant now) {
     long longest = settings.maxRestartWait().toMillis();
@@ -182,9 +184,10 @@
   }
 
   /**
-   * Lets a voter that asked for support campaign first.
+   * Delays this voter's campaign by up to a heartbeat after it granted a pre-vote.
    *
-   * <p>Two that campaign at once split the votes, and the next try comes only after a whole wait.
+   * <p>Two voters that campaign at once split the votes, and the next attempt starts only after
+   * another election timeout.
    */
   void deferCampaign(Instant now) {
     Instant later = now.plus(settings.heartbeat());
@@ -198,10 +201,11 @@
   }
 
   /**
-   * Returns whether a leader may still hold its lease because of this voter.
+   * Returns whether a leader may still hold a lease that counts on this voter.
    *
-   * <p>A vote given within this time could make a second leader while the first still answers under
-   * its lease. A restarted voter doesn't know what it acknowledged, so its start counts as contact.
+   * <p>A vote granted within this time could elect a second leader while the first one still serves
+   * under its lease. A restarted voter doesn't know what it acknowledged, so its start counts as
+   * contact.
    */
   boolean leaseMayBeActive(Instant now) {
     return isLeader() || now.isBefore(lastContact.plus(settings.electionMin()));
@@ -213,7 +217,7 @@
     commitIndex = index;
   }
 
-  /** Appends a command as leader. */
+  /** Appends a command to the leader's log in the current term. */
   LogEntry append(Command command, Instant now) {
     Instant stamp = now.isBefore(log.lastStamp()) ? log.lastStamp() : now;
     LogEntry entry = new LogEntry(log.lastIndex() + 1, term, stamp, command);
@@ -227,7 +231,7 @@
   }
 
   void truncateFrom(long index) {
-    Invariants.check(index > commitIndex, "committed entries are never dropped");
+    Invariants.check(index > commitIndex, "committed entries are never truncated");
     log.truncateFrom(index);
     members.truncateFrom(index);
     durability.truncateFrom(index);
@@ -237,7 +241,7 @@
     snapshot = saved;
   }
 
-  /** Goes on behind a saved snapshot, with the entries after it if they continue it. */
+  /** Installs a saved snapshot and keeps the log entries after it if they continue it. */
   void install(Snapshot saved) {
     Invariants.check(saved.index() > commitIndex, "commit index never decreases");
     snapshot = saved;
@@ -254,7 +258,9 @@
     commitIndex = saved.index();
   }
 
-  /** Stops taking part: a voter that can't store a promise must not give one. */
+  /**
+   * Stops participating: a voter that can't persist votes and entries must not acknowledge them.
+   */
   void fail(EventContext context) {
     failed = true;
     durability.fail();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Replication.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Replication.java
@@ -16,7 +16,7 @@
 import org.skylarkfork.core.message.RaftMessage.AppendResponse;
 import org.skylarkfork.core.message.RaftMessage.ChunkResponse;
 
-/** A leader's work: bringing its log to the other replicas, commits and its lease. */
+/** Leader-side log replication, commit index and leader lease. */
 final class Replication {
 
   private final Replica replica;
@@ -32,7 +32,7 @@
     this.codec = codec;
   }
 
-  /** Starts a term of office; the first heartbeat goes out with the next {@link #replicate}. */
+  /** Starts replication as leader; the first heartbeat is sent by the next {@link #replicate}. */
   void start(EventContext context) {
     progresses.clear();
     leaderSince = context.now();
@@ -45,7 +45,10 @@
     encodedSnapshot = null;
   }
 
-  /** Follows a change of members; a replica with another disk starts anew. */
+  /**
+   * Updates the tracked replicas after a member change; a replica with a new disk starts from
+   * scratch.
+   */
   void membersChanged() {
     Members members = replica.members.latest();
     List<Member> wanted = members.all();
@@ -57,7 +60,7 @@
     }
   }
 
-  /** Returns what is known of the replica, or null if the disk isn't that of a member. */
+  /** Returns the progress of a replica, or null if the instance isn't the one of a member. */
   @Nullable Progress progress(String node, long instance) {
     Progress progress = progresses.get(node);
     if (progress == null || progress.member.instance() != instance) {
@@ -66,7 +69,7 @@
     return progress;
   }
 
-  /** Sends what each replica lacks, and signs of life when they are due. */
+  /** Sends missing entries to each replica, and heartbeats when they are due. */
   void replicate(EventContext context) {
     boolean heartbeat = !context.now().isBefore(nextHeartbeat);
     if (heartbeat) {
@@ -157,7 +160,7 @@
     Snapshot snapshot = replica.snapshot();
     Invariants.check(
         snapshot != null && snapshot.index() >= replica.log.baseIndex(),
-        "a saved snapshot covers the dropped part of the log");
+        "a saved snapshot covers the compacted entries");
     byte[] encoded = encodedSnapshot;
     if (encoded == null || encodedIndex != snapshot.index()) {
       encoded = codec.encode(snapshot);
@@ -177,7 +180,7 @@
     progress.recordResponse(response.sentAt());
     if (response.matched()) {
       Invariants.check(
-          response.index() <= replica.log.lastIndex(), "replicas match only what the leader has");
+          response.index() <= replica.log.lastIndex(), "a match index is within the leader's log");
       progress.recordMatch(response.index(), replica.log.baseIndex());
     } else {
       progress.recordMismatch(response.index(), response.sentAt(), context.now());
@@ -201,11 +204,12 @@
   }
 
   /**
-   * Commits what a majority has synced.
+   * Advances the commit index to the highest entry that a majority has synced.
    *
-   * <p>Only an entry of the own term is counted: one of an earlier term that a majority holds can
-   * still be replaced by a leader that lacks it, and an accepted change would be gone. Once an
-   * entry of this term is on a majority, no such leader can win.
+   * <p>Only entries of the current term are committed by counting replicas: an entry of an earlier
+   * term that a majority holds can still be overwritten by a leader without it, and an accepted
+   * change would be lost. Once a majority holds an entry of the current term, no such leader can be
+   * elected.
    */
   void advanceCommit() {
     Members members = replica.members.latest();
@@ -231,18 +235,21 @@
     return progress == null ? 0 : progress.matchIndex;
   }
 
-  /** Returns whether too long has passed since a majority answered. */
+  /** Returns whether a majority has not responded for the duration of the lease. */
   boolean lostMajorityContact(Instant now) {
     return !now.isBefore(lastMajorityResponse(now, leaderSince).plus(replica.settings.lease()));
   }
 
-  /** Returns whether no other leader can exist yet, and all entries of earlier terms are known. */
+  /** Returns whether the leader lease is valid and an entry of the current term is committed. */
   boolean holdsLease(Instant now) {
     Instant end = lastMajorityResponse(now, Instant.EPOCH).plus(replica.settings.lease());
     return now.isBefore(end) && replica.log.termAt(replica.commitIndex()) == replica.term();
   }
 
-  /** Returns when a majority last showed that it follows, if all earlier entries are committed. */
+  /**
+   * Returns the latest time at which a majority confirmed this leader, or {@code Instant.EPOCH} if
+   * no entry of the current term is committed.
+   */
   Instant leadershipConfirmedAt(Instant now) {
     boolean termCommitted = replica.log.termAt(replica.commitIndex()) == replica.term();
     return termCommitted ? lastMajorityResponse(now, Instant.EPOCH) : Instant.EPOCH;
@@ -267,7 +274,7 @@
         : responseTimes.get(members.quorum() - 1);
   }
 
-  /** Returns whether a replica has answered nothing that was sent since the time. */
+  /** Returns whether a replica has not responded to any message sent since the given time. */
   boolean unresponsiveSince(Member member, Instant time) {
     Progress progress = progress(member.node(), member.instance());
     return progress != null
@@ -275,7 +282,7 @@
         && progress.trackedSince.isBefore(time);
   }
 
-  /** Returns the voter that has most of the log, or null if this replica is the only one. */
+  /** Returns the voter with the longest matching log, or null if this replica is the only voter. */
   @Nullable String transferTarget() {
     Progress best = null;
     for (Progress progress : progresses.values()) {
@@ -287,7 +294,7 @@
     return best == null ? null : best.member.node();
   }
 
-  /** Returns a learner that has all committed entries and answers, or null if there is none. */
+  /** Returns a responsive learner that has all committed entries, or null if there is none. */
   @Nullable Member caughtUpLearner(Instant now) {
     for (Member learner : replica.members.latest().learners()) {
       Progress progress = progress(learner.node(), learner.instance());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Role.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Role.java
@@ -1,13 +1,13 @@
 package org.skylarkfork.core.consensus;
 
-/** What a replica does at present. */
+/** Role of a replica in the Raft protocol. */
 public enum Role {
-  /** Follows a leader or waits for one. */
+  /** Accepts entries from a leader, or waits for the election timeout. */
   FOLLOWER,
-  /** Asks the voters if it could win, without disturbing a leader. */
+  /** Runs a pre-vote: asks the voters whether it could win, without increasing its term. */
   PRE_CANDIDATE,
-  /** Asks the voters for their votes. */
+  /** Requests votes for its term. */
   CANDIDATE,
-  /** Leads the group. */
+  /** Accepts commands and replicates the log to the other members. */
   LEADER
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SnapshotReceiver.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SnapshotReceiver.java
@@ -7,10 +7,10 @@
 import org.skylarkfork.core.message.RaftMessage.ChunkResponse;
 import org.skylarkfork.core.message.RaftMessage.SnapshotChunk;
 
-/** Collects a snapshot sent by the leader and has it saved before it takes its place. */
+/** Assembles a snapshot from the leader's chunks and saves it before it is installed. */
 final class SnapshotReceiver {
 
-  /** Most bytes of a snapshot, so that a false length can't take all memory. */
+  /** Maximum size of a snapshot in bytes, so that a wrong length can't exhaust the memory. */
   private static final int MAX_SNAPSHOT_BYTES = 256 * 1024 * 1024;
 
   private static final byte[] EMPTY_BUFFER = new byte[0];
@@ -27,7 +27,7 @@
     this.codec = codec;
   }
 
-  /** Returns whether a whole snapshot waits for the disk. */
+  /** Returns whether a complete snapshot is being saved. */
   boolean saving() {
     return saving != null;
   }
@@ -89,7 +89,7 @@
     context.effect(new StorageEffect.SaveSnapshot(replica.group, snapshot));
   }
 
-  /** Returns the snapshot if it is the one now on the disk, or null. */
+  /** Returns the snapshot that was being saved if it has the given index, or null otherwise. */
   @Nullable Snapshot saved(long savedIndex) {
     Snapshot snapshot = saving;
     if (snapshot == null || snapshot.index() != savedIndex) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SnapshotSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SnapshotSender.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import org.skylarkfork.core.message.RaftMessage.SnapshotChunk;
 
-/** A snapshot on its way to one replica, one chunk at a time. */
+/** Transfer of a snapshot to one replica, one chunk at a time. */
 final class SnapshotSender {
 
   private final long index;
@@ -21,12 +21,12 @@
     return index;
   }
 
-  /** Goes on where the replica says. */
+  /** Continues at the offset that the replica reported. */
   void acknowledged(int bytes) {
     offset = Math.min(bytes, encoded.length);
   }
 
-  /** Returns whether all bytes have arrived, so that only the replica's disk is waited for. */
+  /** Returns whether the replica has received all bytes and only has to save them. */
   boolean isComplete() {
     return offset == encoded.length;
   }
@@ -41,7 +41,7 @@
             replica.group, replica.term(), index, offset, encoded.length, data, context.now()));
   }
 
-  /** Sends the chunk again if it wasn't answered for a heartbeat. */
+  /** Resends the chunk if it wasn't answered within a heartbeat interval. */
   void resend(Replica replica, String node, EventContext context) {
     if (!context.now().isBefore(lastSentAt.plus(replica.settings.heartbeat()))) {
       send(replica, node, context);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SubmissionClient.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SubmissionClient.java
@@ -18,13 +18,13 @@
 import org.skylarkfork.core.message.RaftMessage.SubmitRefusal;
 import org.skylarkfork.core.message.RaftMessage.SubmitRequest;
 
-/** Brings this daemon's commands to the groups' leaders and their results back. */
+/** Sends this daemon's commands to the groups' leaders and receives the results. */
 final class SubmissionClient implements Submitter {
 
-  /** Wait before the next try when a voter knows another leader; bounds a loop of redirects. */
+  /** Delay before the next attempt when a voter names another leader; limits redirect loops. */
   private static final Duration REDIRECT_DELAY = Duration.ofMillis(20);
 
-  /** Wait before the next try when a voter knows no leader. */
+  /** Delay before the next attempt when a voter knows no leader. */
   private static final Duration NO_LEADER_DELAY = Duration.ofMillis(100);
 
   private final String node;
@@ -69,7 +69,12 @@
       return;
     }
     if (pending.size() >= settings.maxPendingSubmissions()) {
-      fail(group, submissionId, false, "raft: too many submissions wait; submit later", context);
+      fail(
+          group,
+          submissionId,
+          false,
+          "raft: too many pending submissions; submit again later",
+          context);
       return;
     }
     Submission submission = new Submission(group, command, submissionId, deadline);
@@ -92,7 +97,7 @@
         new SubmitRequest(submission.group, session, submission.submissionId, submission.command));
   }
 
-  /** Sends again what is due and gives up what is too late. */
+  /** Resends submissions that are due and fails those past their deadline. */
   void tick(EventContext context) {
     if (pending.isEmpty()) {
       return;
@@ -116,7 +121,7 @@
     send(submission, context);
   }
 
-  /** Remembers the leader that this daemon's own replica has found. */
+  /** Records the leader that this daemon's own replica reported. */
   void leaderChanged(ConsensusEvent.LeaderChanged change) {
     if (change.node() == null) {
       leaders.remove(change.group());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Submitter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Submitter.java
@@ -5,25 +5,26 @@
 import org.skylarkfork.core.command.Command;
 import org.skylarkfork.core.command.GroupId;
 
-/** Has commands agreed on by a group, wherever its leader is. */
+/** Submits commands to a replicated group, wherever its leader is. */
 public interface Submitter {
 
-  /** Returns a number for a submission that no other submission of this process has. */
+  /** Returns a submission id that is unique within this process. */
   long newSubmissionId();
 
   /**
-   * Sends a command to the group's leader, again and again until it is answered or too late.
+   * Sends a command to the group's leader and resends it until a result arrives or the deadline has
+   * passed.
    *
    * <p>The command may be appended more than once, so it must be idempotent by its own key. The
-   * result comes as {@code ConsensusEvent.SubmissionAnswered} or {@code SubmissionFailed}, never
+   * result arrives as {@code ConsensusEvent.SubmissionAnswered} or {@code SubmissionFailed}, never
    * before this method has returned.
    *
    * @param group the group, hosted here or not
    * @param command the command
-   * @param submissionId a number from {@link #newSubmissionId}
-   * @param deadline time after which it is given up
-   * @param now the present time
-   * @param output where messages go
+   * @param submissionId an id from {@link #newSubmissionId}
+   * @param deadline time after which the submission fails
+   * @param now the current time
+   * @param output receives messages and events
    */
   void submit(
       GroupId group,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/package-info.java
@@ -1,4 +1,4 @@
-/** Keeps the same state on several daemons: a replicated log after Raft's published rules. */
+/** Replicates state machines across daemons with the Raft consensus algorithm. */
 @NullMarked
 package org.skylarkfork.core.consensus;
 
