--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/MemberChanges.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/MemberChanges.java
@@ -63,7 +63,7 @@
     if (instance == null) {
       return "raft: "
           + node
-          + " has not requested to join; start it with this group, then submit again";
+          + " has not requested to join; start it with this group, then resubmit";
     }
     if (replica.members.latest().all().contains(new Member(node, instance))) {
       return "raft: " + node + " is already a member; nothing to do";
