--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/ChangeSpreader.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/ChangeSpreader.java
@@ -61,7 +61,8 @@
       sent += batch.size();
     }
     nextRound =
-        now.plus(settings.spreadEvery()).plusMillis(1000L * sent / settings.spreadsPerSecond());
+        now.plus(settings.disseminationInterval())
+            .plusMillis(1000L * sent / settings.maxRecordsPerSecond());
   }
 
   /** Passes changes that were news here on to the daemons of this zone. */
@@ -88,7 +89,7 @@
   private Map<String, Boolean> targets(boolean isUrgent) {
     Map<String, Boolean> targets = new TreeMap<>();
     Map<String, List<String>> elsewhere = new TreeMap<>();
-    boolean direct = members.live().size() <= settings.directFanout();
+    boolean direct = members.live().size() <= settings.maxDirectFanout();
     for (Member member : members.live()) {
       if (isSelf(member)) {
         continue;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectoryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectoryPart.java
@@ -67,7 +67,7 @@
     this.configuration = configuration;
     this.settings = settings;
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-    table = new UpstreamTable(self(), members.self().zone(), settings.subset());
+    table = new UpstreamTable(self(), members.self().zone(), settings.subsetSize());
     spreader = new ChangeSpreader(members, settings, random);
     comparison = new TableComparison(members, settings, table, random);
     loads = new LoadFeed(members, settings, table);
@@ -113,18 +113,18 @@
   }
 
   /** Returns the time after which an upstream that announces itself here is to do so again. */
-  public Duration announceEvery() {
+  public Duration announceInterval() {
     Duration affordable =
         Duration.ofSeconds(1)
             .multipliedBy(silentAt.size())
-            .dividedBy(settings.heartbeatsPerSecond());
-    return affordable.compareTo(settings.announceEvery()) > 0
+            .dividedBy(settings.maxHeartbeatsPerSecond());
+    return affordable.compareTo(settings.announceInterval()) > 0
         ? affordable
-        : settings.announceEvery();
+        : settings.announceInterval();
   }
 
   private Duration silence() {
-    return announceEvery().multipliedBy(settings.missedHeartbeats());
+    return announceInterval().multipliedBy(settings.maxMissedHeartbeats());
   }
 
   private String self() {
@@ -344,7 +344,7 @@
       silentAt.remove(record.id());
       leavingSince.remove(record.id());
       forwarded.remove(record.id());
-      forgetAt.put(record.id(), now.plus(settings.forgetAfter()));
+      forgetAt.put(record.id(), now.plus(settings.upstreamRetention()));
     }
     note(record, known, output);
   }
@@ -397,7 +397,7 @@
 
   /** Gives the upstreams of a daemon that hears them no more time to be heard by another. */
   private void orphan(String owner, Instant now) {
-    Instant until = now.plus(silence()).plus(settings.announceEvery());
+    Instant until = now.plus(silence()).plus(settings.announceInterval());
     for (UpstreamRecord record : table.all()) {
       boolean live = record.state() == UpstreamState.LIVE;
       if (live && record.owner().equals(owner) && isOrphan(record)) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/EntryList.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/EntryList.java
@@ -68,11 +68,11 @@
   private Instant refusesFrom(Instant since) {
     // Another entry may name this one until it hears of the change, and a caller keeps that list
     // for its lifetime; refusing earlier would turn away callers who did as they were told.
-    return since.plus(settings.spreadMargin()).plus(settings.lifetime());
+    return since.plus(settings.propagationMargin()).plus(settings.lifetime());
   }
 
   private boolean isListed(Member member, Instant now) {
-    if (!member.has(Member.ENTRY) || isDrained(member)) {
+    if (!member.hasRole(Member.ENTRY) || isDrained(member)) {
       return false;
     }
     if (member.name().equals(members.self().name())) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/FailureDetector.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/FailureDetector.java
@@ -67,7 +67,7 @@
       }
     }
     if (!now.isBefore(nextProbe)) {
-      nextProbe = now.plus(health.stretch(settings.probeEvery()));
+      nextProbe = now.plus(health.stretch(settings.probeInterval()));
       probeNext(now);
     }
     return silent;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/LoadFeed.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/LoadFeed.java
@@ -92,8 +92,8 @@
       }
     }
     boolean renew = !now.isBefore(nextRenewal);
-    long affordable = 1000L * LOAD_BYTES * count / settings.loadBytesPerSecond();
-    long every = Math.max(settings.loadEvery().toMillis(), affordable);
+    long affordable = 1000L * LOAD_BYTES * count / settings.maxLoadBytesPerSecond();
+    long every = Math.max(settings.loadReportInterval().toMillis(), affordable);
     for (Map.Entry<String, Set<String>> entry : byOwner.entrySet()) {
       if (renew || !entry.getValue().equals(followed.get(entry.getKey()))) {
         List<String> ids = List.copyOf(entry.getValue());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipPart.java
@@ -144,12 +144,12 @@
     if (!superseded) {
       detector.tick(now).forEach(node -> suspect(node, self.name(), now));
       if (!news.isEmpty() && !now.isBefore(nextGossip)) {
-        nextGossip = now.plus(settings.gossipEvery());
+        nextGossip = now.plus(settings.gossipInterval());
         gossip();
       }
     }
     if (!now.isBefore(nextSync)) {
-      nextSync = now.plus(settings.syncEvery());
+      nextSync = now.plus(settings.syncInterval());
       randomContacts(1)
           .forEach(
               node ->
@@ -175,7 +175,7 @@
 
   /** Speaks to seeds and to daemons held dead, so that separated groups find each other again. */
   private void join(Instant now) {
-    nextJoin = now.plus(settings.joinEvery());
+    nextJoin = now.plus(settings.joinInterval());
     List<String> missing = new ArrayList<>();
     for (Seed seed : seeds) {
       if (!table.isLive(seed.node())) {
@@ -283,7 +283,7 @@
     if (known == null && !update.status().isLive()) {
       return;
     }
-    if (known != null && !update.prevailsOver(known)) {
+    if (known != null && !update.overrides(known)) {
       confirm(update, known);
       return;
     }
@@ -295,7 +295,7 @@
     if (update.status() == MemberStatus.SUSPECTED) {
       suspicions.put(update.name(), new Suspicion(settings, now, update.accuser()));
     } else if (!update.status().isLive()) {
-      forgetAt.put(update.name(), now.plus(settings.forgetAfter()));
+      forgetAt.put(update.name(), now.plus(settings.memberRetention()));
     }
     MembershipNotices.raise(update, known, out);
     if (update.status() == MemberStatus.LEFT) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/TableComparison.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/TableComparison.java
@@ -59,7 +59,8 @@
     if (now.isBefore(nextRound) || members.live().size() < 2) {
       return;
     }
-    Duration normal = settings.digestEvery().multipliedBy(1 + table.size() / RECORDS_A_STEP);
+    Duration normal =
+        settings.antiEntropyInterval().multipliedBy(1 + table.size() / RECORDS_A_STEP);
     nextRound = now.plus(quickRounds > 0 ? QUICK : normal);
     quickRounds = Math.max(0, quickRounds - 1);
     send(partner(), new DirectoryMessage.RootHash(table.rootHash()), output);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/DirectorySpreadTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/DirectorySpreadTest.java
@@ -138,7 +138,7 @@
   @Test
   public void agreesWithTheTruthAfterRandomFailures() {
     for (int seed = 200; seed < 208; seed++) {
-      TestNetwork network = new TestNetwork(seed).with(7);
+      TestNetwork network = new TestNetwork(seed).withEntries(7);
       network.loss = 0.05;
       for (int i = 0; i < 15; i++) {
         network.startUpstream("engine-" + i, 1, 7100 + i, i);
@@ -195,7 +195,7 @@
   }
 
   private static TestNetwork with(int daemons, int upstreams) {
-    TestNetwork network = new TestNetwork(8).with(daemons);
+    TestNetwork network = new TestNetwork(8).withEntries(daemons);
     for (int i = 0; i < upstreams; i++) {
       network.startUpstream("engine-" + i, 1, 7100 + i, i);
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/MembershipPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/MembershipPartTest.java
@@ -16,7 +16,7 @@
 
   @Test
   public void allFindEachOtherThroughSeeds() {
-    TestNetwork network = new TestNetwork(1).with(9);
+    TestNetwork network = new TestNetwork(1).withEntries(9);
     for (TestDaemon daemon : network.daemons) {
       assertEquals(daemon.liveNames().size(), 9);
       assertEquals(daemon.listed(network.now).size(), 9);
@@ -31,7 +31,7 @@
    */
   @Test
   public void silentlyCutVmIsOutAndComesBack() {
-    TestNetwork network = new TestNetwork(2).with(9);
+    TestNetwork network = new TestNetwork(2).withEntries(9);
     TestDaemon lost = network.daemons.get(4);
     network.cut(lost.self.host(), true);
     network.run(Duration.ofSeconds(8));
@@ -57,11 +57,11 @@
    */
   @Test
   public void slowVmIsSuspectedAndNotDead() {
-    TestNetwork network = new TestNetwork(3).with(9);
+    TestNetwork network = new TestNetwork(3).withEntries(9);
     TestDaemon slow = network.daemons.get(3);
-    slow.slowness = Duration.ofMillis(700);
+    slow.sendDelay = Duration.ofMillis(700);
     for (int i = 0; i < 20; i++) {
-      slow.stuckUntil = network.now.plusMillis(500 + network.random.nextInt(1500));
+      slow.stalledUntil = network.now.plusMillis(500 + network.random.nextInt(1500));
       network.run(Duration.ofSeconds(4));
     }
     boolean suspected =
@@ -81,7 +81,7 @@
    */
   @Test
   public void restartsAndReplacedAddresses() {
-    TestNetwork network = new TestNetwork(4).with(5);
+    TestNetwork network = new TestNetwork(4).withEntries(5);
     network.kill(network.daemons.get(2));
     network.start(3, 10);
     network.run(Duration.ofSeconds(5));
@@ -116,7 +116,7 @@
    */
   @Test
   public void plannedStopLeavesTheListFirst() {
-    TestNetwork network = new TestNetwork(5).with(9);
+    TestNetwork network = new TestNetwork(5).withEntries(9);
     TestDaemon leaving = network.daemons.get(7);
     network.apply(leaving, new LifecycleEvent.StopRequested());
     assertFalse(leaving.listed(network.now).contains("entry-8"));
@@ -141,7 +141,7 @@
 
   @Test
   public void drainedAndLeaselessEntriesAreOffTheList() {
-    TestNetwork network = new TestNetwork(6).with(4);
+    TestNetwork network = new TestNetwork(6).withEntries(4);
     TestDaemon leaseless = network.daemons.get(2);
     leaseless.configuration.lease(false);
     final TestDaemon drained = network.daemons.get(3);
@@ -169,7 +169,7 @@
 
   @Test(dataProvider = "losses")
   public void lossKillsNobody(double loss) {
-    TestNetwork network = new TestNetwork(7).with(9);
+    TestNetwork network = new TestNetwork(7).withEntries(9);
     network.loss = loss;
     network.run(Duration.ofMinutes(10));
     for (TestDaemon daemon : network.daemons) {
@@ -184,7 +184,7 @@
   @Test
   public void agreesAfterRandomFailures() {
     for (int seed = 100; seed < 110; seed++) {
-      TestNetwork network = new TestNetwork(seed).with(7);
+      TestNetwork network = new TestNetwork(seed).withEntries(7);
       network.loss = 0.05;
       for (int step = 1; step <= 15; step++) {
         int number = 1 + network.random.nextInt(7);
@@ -223,7 +223,7 @@
       }
       case 1 -> network.cut(daemon.self.host(), true);
       case 2 -> network.cut(daemon.self.host(), false);
-      default -> daemon.stuckUntil = network.now.plusMillis(network.random.nextInt(5000));
+      default -> daemon.stalledUntil = network.now.plusMillis(network.random.nextInt(5000));
     }
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestDaemon.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestDaemon.java
@@ -34,8 +34,8 @@
   public final List<String> warnings = new ArrayList<>();
   public final Map<String, String> addressBook = new HashMap<>();
   public final Reducer reducer;
-  public Duration slowness = Duration.ZERO;
-  public Instant stuckUntil = Instant.MIN;
+  public Duration sendDelay = Duration.ZERO;
+  public Instant stalledUntil = Instant.MIN;
   public boolean running = true;
 
   TestDaemon(Member self, List<Seed> seeds, long seed) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestNetwork.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestNetwork.java
@@ -42,7 +42,7 @@
   }
 
   /** Starts entries 1 to n, of which the first two are seeds, and lets them find each other. */
-  public TestNetwork with(int count) {
+  public TestNetwork withEntries(int count) {
     for (int i = 1; i <= count; i++) {
       start(i, 1);
     }
@@ -120,7 +120,7 @@
       }
       now = next;
       for (TestDaemon daemon : List.copyOf(daemons)) {
-        if (!now.isBefore(daemon.stuckUntil)) {
+        if (!now.isBefore(daemon.stalledUntil)) {
           apply(daemon, new LifecycleEvent.Tick());
         }
       }
@@ -144,13 +144,13 @@
       return;
     }
     TestDaemon daemon = daemons.get(upstream.entry % daemons.size());
-    if (cut.contains(daemon.self.host()) || now.isBefore(daemon.stuckUntil)) {
+    if (cut.contains(daemon.self.host()) || now.isBefore(daemon.stalledUntil)) {
       upstream.entry++;
       upstream.next = now.plusMillis(500);
       return;
     }
     apply(daemon, new UpstreamEvent.Announced(upstream.announcement()));
-    upstream.next = now.plus(daemon.directory.announceEvery());
+    upstream.next = now.plus(daemon.directory.announceInterval());
   }
 
   private void carryOut(TestDaemon daemon, Effect effect) {
@@ -171,7 +171,7 @@
     if (to == null || apart || cut.contains(from.self.host()) || random.nextDouble() < loss) {
       return;
     }
-    Duration delay = Duration.ofMillis(1 + random.nextInt(5)).plus(from.slowness);
+    Duration delay = Duration.ofMillis(1 + random.nextInt(5)).plus(from.sendDelay);
     PeerEvent event = new PeerEvent.MessageReceived(from.self.name(), send.message());
     queue.add(new Delivery(now.plus(delay), order++, to, send.node(), event));
   }
@@ -184,10 +184,10 @@
       if (!daemon.self.host().equals(delivery.host())) {
         continue;
       }
-      if (now.isBefore(daemon.stuckUntil)) {
+      if (now.isBefore(daemon.stalledUntil)) {
         queue.add(
             new Delivery(
-                daemon.stuckUntil, order++, delivery.host(), delivery.name(), delivery.event()));
+                daemon.stalledUntil, order++, delivery.host(), delivery.name(), delivery.event()));
       } else if (daemon.self.name().equals(delivery.name())) {
         apply(daemon, delivery.event());
       }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
@@ -203,7 +203,7 @@
 
   private static EntryListSettings listSettings(DaemonSettings settings) {
     return new EntryListSettings(
-        settings.entryListLifetime(), EntryListSettings.DEFAULT.spreadMargin());
+        settings.entryListLifetime(), EntryListSettings.DEFAULT.propagationMargin());
   }
 
   private SharedQualityBook qualityBook(long incarnation) {
@@ -243,7 +243,7 @@
   private int servingEntries() {
     return (int)
         membership.live().stream()
-            .filter(member -> member.has(Member.ENTRY))
+            .filter(member -> member.hasRole(Member.ENTRY))
             .filter(member -> member.serving() == ServingState.SERVING)
             .count();
   }
