--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Suspicion.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Suspicion.java
@@ -29,6 +29,6 @@
     double share = Math.log(confirmations + 1) / Math.log(settings.confirmations() + 1.0);
     long span = settings.suspicionMax().minus(settings.suspicionMin()).toMillis();
     Duration time = settings.suspicionMax().minusMillis(Math.round(share * span));
-    return since.plus(health.stretch(time));
+    return since.plus(health.scale(time));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamPool.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamPool.java
@@ -17,7 +17,7 @@
 final class UpstreamPool {
 
   /** One of so many in a subset is from another zone, for the loss of the own one. */
-  private static final int ELSEWHERE_SHARE = 4;
+  private static final int OTHER_ZONES_ONE_IN = 4;
 
   private final String self;
   private final String zone;
@@ -73,14 +73,14 @@
   }
 
   private List<String> choose() {
-    List<Announcement> near = new ArrayList<>();
-    List<Announcement> far = new ArrayList<>();
+    List<Announcement> sameZone = new ArrayList<>();
+    List<Announcement> otherZones = new ArrayList<>();
     for (Announcement member : members.values()) {
-      (member.zone().equals(zone) ? near : far).add(member);
+      (member.zone().equals(zone) ? sameZone : otherZones).add(member);
     }
-    int fromFar = Math.max(subset / ELSEWHERE_SHARE, subset - near.size());
-    List<String> ids = first(far, fromFar);
-    ids.addAll(first(near, subset - ids.size()));
+    int otherZoneCount = Math.max(subset / OTHER_ZONES_ONE_IN, subset - sameZone.size());
+    List<String> ids = first(otherZones, otherZoneCount);
+    ids.addAll(first(sameZone, subset - ids.size()));
     ids.sort(Comparator.naturalOrder());
     return ids;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamTable.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamTable.java
@@ -69,7 +69,7 @@
   }
 
   /** Returns the names of all upstreams that this daemon uses. */
-  Set<String> used() {
+  Set<String> usedIds() {
     Set<String> ids = new TreeSet<>();
     engines.values().forEach(pool -> pool.subset().forEach(one -> ids.add(one.id())));
     services.values().forEach(pool -> pool.subset().forEach(one -> ids.add(one.id())));
@@ -77,7 +77,7 @@
   }
 
   /** Returns the record of the live upstream at an address, or null. */
-  @Nullable UpstreamRecord atAddress(String host, int port) {
+  @Nullable UpstreamRecord findByAddress(String host, int port) {
     String id = idByAddress.get(host + ":" + port);
     return id == null ? null : records.get(id);
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/MembershipPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/MembershipPartTest.java
@@ -30,7 +30,7 @@
    * others for dead as fast, and once the cut ends all are there again without a restart.
    */
   @Test
-  public void silentlyCutVmIsOutAndComesBack() {
+  public void isolatedVmIsRemovedAndRejoins() {
     TestNetwork network = new TestNetwork(2).withEntries(9);
     TestDaemon lost = network.daemons.get(4);
     network.cut(lost.self.host(), true);
@@ -56,7 +56,7 @@
    * up to 2 s. It is suspected, hears of it and refutes; callers keep it.
    */
   @Test
-  public void slowVmIsSuspectedAndNotDead() {
+  public void slowVmIsSuspectedButNotDead() {
     TestNetwork network = new TestNetwork(3).withEntries(9);
     TestDaemon slow = network.daemons.get(3);
     slow.sendDelay = Duration.ofMillis(700);
@@ -182,13 +182,13 @@
    * and slowed at random while messages get lost; once that ends, all agree on who is there.
    */
   @Test
-  public void agreesAfterRandomFailures() {
+  public void convergesAfterRandomFailures() {
     for (int seed = 100; seed < 110; seed++) {
       TestNetwork network = new TestNetwork(seed).withEntries(7);
       network.loss = 0.05;
       for (int step = 1; step <= 15; step++) {
         int number = 1 + network.random.nextInt(7);
-        disturb(network, number, 1 + step);
+        injectFault(network, number, 1 + step);
         network.run(Duration.ofMillis(500 + network.random.nextInt(9000)));
       }
       network.loss = 0;
@@ -210,7 +210,7 @@
     }
   }
 
-  private static void disturb(TestNetwork network, int number, long incarnation) {
+  private static void injectFault(TestNetwork network, int number, long incarnation) {
     TestDaemon daemon =
         network.daemons.stream()
             .filter(other -> other.self.name().equals("entry-" + number))
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestDaemon.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestDaemon.java
@@ -53,7 +53,7 @@
     reducer = new Reducer(List.of(membership, entries, directory, sessions, recorder));
   }
 
-  void take(TraceEffect.LogLine line) {
+  void recordWarning(TraceEffect.LogLine line) {
     if (line.warning()) {
       warnings.add(line.sentence());
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestNetwork.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestNetwork.java
@@ -30,7 +30,7 @@
   public Instant now = START;
   public double loss;
   final List<TestUpstream> upstreams = new ArrayList<>();
-  private final Set<String> island = new HashSet<>();
+  private final Set<String> partitionedHosts = new HashSet<>();
   private final Set<String> cut = new HashSet<>();
   private final PriorityQueue<Delivery> queue =
       new PriorityQueue<>(Comparator.comparing(Delivery::at).thenComparingLong(Delivery::order));
@@ -98,8 +98,8 @@
 
   /** Loses all that goes between these hosts and the others; none heals the network. */
   void partition(List<String> hosts) {
-    island.clear();
-    island.addAll(hosts);
+    partitionedHosts.clear();
+    partitionedHosts.addAll(hosts);
   }
 
   TestUpstream startUpstream(String id, long incarnation, int port, int entry) {
@@ -134,26 +134,26 @@
       return;
     }
     for (Effect effect : daemon.reducer.apply(event, now)) {
-      carryOut(daemon, effect);
+      execute(daemon, effect);
     }
   }
 
   /** Lets an upstream announce itself when that is due, to the next entry if one fails. */
   private void announce(TestUpstream upstream) {
-    if (now.isBefore(upstream.next)) {
+    if (now.isBefore(upstream.nextAnnouncement)) {
       return;
     }
     TestDaemon daemon = daemons.get(upstream.entry % daemons.size());
     if (cut.contains(daemon.self.host()) || now.isBefore(daemon.stalledUntil)) {
       upstream.entry++;
-      upstream.next = now.plusMillis(500);
+      upstream.nextAnnouncement = now.plusMillis(500);
       return;
     }
     apply(daemon, new UpstreamEvent.Announced(upstream.announcement()));
-    upstream.next = now.plus(daemon.directory.announceInterval());
+    upstream.nextAnnouncement = now.plus(daemon.directory.announceInterval());
   }
 
-  private void carryOut(TestDaemon daemon, Effect effect) {
+  private void execute(TestDaemon daemon, Effect effect) {
     if (effect instanceof PeerEffect.LearnPeer learn) {
       daemon.addressBook.put(learn.node(), learn.host());
     } else if (effect instanceof PeerEffect.ForgetPeer forget) {
@@ -161,14 +161,15 @@
     } else if (effect instanceof PeerEffect.SendToPeer send) {
       send(daemon, send);
     } else if (effect instanceof TraceEffect.LogLine line) {
-      daemon.take(line);
+      daemon.recordWarning(line);
     }
   }
 
   private void send(TestDaemon from, PeerEffect.SendToPeer send) {
     String to = from.addressBook.get(send.node());
-    boolean apart = to != null && island.contains(to) != island.contains(from.self.host());
-    if (to == null || apart || cut.contains(from.self.host()) || random.nextDouble() < loss) {
+    boolean partitioned =
+        to != null && partitionedHosts.contains(to) != partitionedHosts.contains(from.self.host());
+    if (to == null || partitioned || cut.contains(from.self.host()) || random.nextDouble() < loss) {
       return;
     }
     Duration delay = Duration.ofMillis(1 + random.nextInt(5)).plus(from.sendDelay);
