--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectoryAntiEntropy.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectoryAntiEntropy.java
@@ -29,7 +29,7 @@
   /** So many records let the time between comparisons grow by one of its lengths. */
   private static final int RECORDS_PER_INTERVAL_STEP = 2000;
 
-  private static final int ANY_ZONE_ONE_IN = 4;
+  private static final int ANY_ZONE_DIVISOR = 4;
 
   private final Members members;
   private final DirectorySettings settings;
@@ -155,7 +155,7 @@
 
   private String randomPeer() {
     List<String> near = names(members.liveIn(members.self().zone()));
-    boolean stayNear = !near.isEmpty() && random.nextInt(ANY_ZONE_ONE_IN) != 0;
+    boolean stayNear = !near.isEmpty() && random.nextInt(ANY_ZONE_DIVISOR) != 0;
     List<String> candidates = stayNear ? near : names(members.live());
     return candidates.get(random.nextInt(candidates.size()));
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamPool.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamPool.java
@@ -17,7 +17,7 @@
 final class UpstreamPool {
 
   /** One of so many in a subset is from another zone, for the loss of the own one. */
-  private static final int OTHER_ZONES_ONE_IN = 4;
+  private static final int OTHER_ZONES_DIVISOR = 4;
 
   private final String self;
   private final String zone;
@@ -78,7 +78,7 @@
     for (Announcement member : members.values()) {
       (member.zone().equals(zone) ? sameZone : otherZones).add(member);
     }
-    int otherZoneCount = Math.max(subset / OTHER_ZONES_ONE_IN, subset - sameZone.size());
+    int otherZoneCount = Math.max(subset / OTHER_ZONES_DIVISOR, subset - sameZone.size());
     List<String> ids = first(otherZones, otherZoneCount);
     ids.addAll(first(sameZone, subset - ids.size()));
     ids.sort(Comparator.naturalOrder());
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/AutomaticMembershipTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/AutomaticMembershipTest.java
@@ -13,7 +13,7 @@
 import org.skylarkfork.core.command.Members;
 import org.testng.annotations.Test;
 
-/** Tests of groups that change their members by themselves. */
+/** Tests groups that change their members without an operator. */
 public final class AutomaticMembershipTest {
 
   private static final MembershipChangePolicy AUTOMATIC =
@@ -33,8 +33,8 @@
   }
 
   /**
-   * Operators lose nothing and are served again. A control VM is gone for good; an empty one at
-   * another address copies the log, votes, and only then the lost one is dropped.
+   * Guards against lost changes when a control VM is lost permanently: an empty one at another
+   * address must copy the log and become a voter before the lost one is removed.
    */
   @Test
   public void joiningNodeReplacesLostVoter() {
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Operators lose nothing. A voter comes back at its old address with an empty disk; it counts
-   * again only once it has copied what it had promised to keep.
+   * Guards against lost changes when a voter returns at its old address with an empty disk: it must
+   * vote again only once it has copied the entries that it had acknowledged.
    */
   @Test
   public void wipedVoterVotesAgainAfterCatchingUp() {
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Nobody is told of an empty configuration. All disks were lost after the system had run; a group
-   * founded now would hide that what was accepted is gone.
+   * Guards against serving an empty configuration: if all disks are lost after the system has been
+   * in service, a newly bootstrapped group would hide that accepted changes are lost.
    */
   @Test
   public void groupIsNotBootstrappedAgainAfterService() {
@@ -84,7 +84,7 @@
     assertEquals(cluster.status("node-1").members(), Members.NONE);
   }
 
-  /** A fourth control VM copies the log without a vote while no voter is missing. */
+  /** A fourth control VM replicates the log as a learner while no voter is missing. */
   @Test
   public void spareControlVmDoesNotVote() {
     TestCluster cluster = cluster(4);
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Nothing that was answered is lost, over crashes, cuts, wiped disks and newcomers, one lost disk
-   * at a time.
+   * Guards against loss of answered changes under crashes, partitions, wiped disks and joining
+   * nodes, with one lost disk at a time.
    */
   @Test
   public void answeredChangesSurviveRandomFaults() {
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Nothing that was answered is lost either where voters campaign as soon as they have started;
-   * only a leader's lease would be.
+   * Guards against loss of answered changes where voters campaign right after their start. Such a
+   * start can break only a leader's lease.
    */
   @Test
   public void answeredChangesSurviveRandomFaultsWithQuickRestarts() {
@@ -125,8 +125,9 @@
   }
 
   /**
-   * Operators wait a tenth of a second longer than the start takes. All voters were killed at once,
-   * so that there is no leader for whom a restarted one should wait.
+   * Guards against a long outage after all voters were killed at once: there is no leader to wait
+   * for, so restarted voters must elect one after a tenth of a second and not after a full election
+   * timeout.
    */
   @Test
   public void leaderIsElectedSoonAfterRestartOfAllVoters() {
@@ -178,7 +179,7 @@
     }
   }
 
-  /** Waits until the next disk may be lost: three voters that have all that was accepted. */
+  /** Waits until another disk may be lost: three voters hold all accepted entries. */
   private static void awaitFullRedundancy(TestCluster cluster) {
     assertTrue(cluster.awaitVoters(3), cluster.statuses());
     cluster.network.run(Duration.ofSeconds(2));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/ConsensusPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/ConsensusPartTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Failures of replicated groups, one at a time. */
+/** Tests replicated groups with one failure at a time. */
 public class ConsensusPartTest {
 
   private static TestCluster cluster(long seed, int voters, int snapshotEntries) {
@@ -50,9 +50,10 @@
     cluster.assertNothingLost();
   }
 
-  // An operator writes to the leader, which is cut off in silence. It answers nothing more and
-  // loses its lease before the others elect; an operator at the others is answered. After the cut
-  // the old leader drops what it alone had, and its operator learns the result by the resend.
+  // Guards against a split brain: the leader is isolated without connection errors while commands
+  // are submitted on both sides. It must lose its lease before the others elect a leader and answer
+  // nothing; the other side must answer. After the partition the old leader truncates its
+  // uncommitted entries, and its submitter receives the result by a resend.
   @Test
   public void isolatedLeaderAcceptsNothing() {
     TestCluster cluster = cluster(3, 3, 1000);
@@ -71,8 +72,8 @@
   }
 
   /**
-   * Guards against an operator who is told that a change was made which nobody has: a leader that
-   * was deposed by a late vote's answer took another leader's entry at that index for its own.
+   * Guards against a success reported for a lost change: a leader that stepped down because of a
+   * late vote response took another leader's entry at the same index for its own.
    */
   @Test
   public void leaderSteppingDownOnLateVoteResponseAnswersNothing() {
@@ -97,8 +98,9 @@
     cluster.assertNothingLost();
   }
 
-  // A voter is cut off for a minute and comes back. Without the pre-vote it would have taken a new
-  // term each half second, and its return would depose the leader: callers would see a pause.
+  // Guards against an interruption of service when a voter returns after a partition of one minute.
+  // Without the pre-vote it would increase its term every half second and force the leader to step
+  // down on its return.
   @Test
   public void returningVoterDoesNotDisruptLeader() {
     TestCluster cluster = cluster(4, 3, 1000);
@@ -113,9 +115,9 @@
     assertEquals(cluster.status(cutOff).term(), term);
   }
 
-  // A voter's disk is replaced. It comes back under its name, copies the log as a learner and votes
-  // again only then; right after that a second voter is lost for good. What was answered before,
-  // between and after must still be there.
+  // Guards against lost changes when a second voter is lost permanently right after the first one's
+  // disk was replaced. The first one returns under its name and must copy the log as a learner
+  // before it votes again. Everything answered before, between and after must survive.
   @Test(dataProvider = "seeds")
   public void secondVoterLostRightAfterRepair(long seed) {
     TestCluster cluster = cluster(seed, 3, 40);
@@ -148,8 +150,9 @@
         && cluster.status(node).role() == Role.FOLLOWER;
   }
 
-  // Two of three voters lose their disks at once, one accepted change is left on the third alone.
-  // The two empty disks must not elect a leader without it: the group stands still instead.
+  // Guards against lost changes when two of three voters lose their disks at once and only the
+  // third one holds an accepted change. The two empty replicas must not elect a leader without it;
+  // the group must stay unavailable instead.
   @Test
   public void twoWipedVotersDoNotFormMajority() {
     TestCluster cluster = cluster(5, 3, 1000);
@@ -169,8 +172,8 @@
     assertEquals(cluster.leader(), null);
   }
 
-  // All processes stop after 500 changes and start with what their disks hold, with snapshots and
-  // without. Callers find each change they were answered.
+  // Guards against lost changes when all processes restart from their disks after 500 changes, with
+  // snapshots and without. Every answered change must be present.
   @Test(dataProvider = "thresholds")
   public void restartAfterManyChanges(int snapshotEntries) {
     TestCluster cluster = cluster(6, 3, snapshotEntries);
@@ -185,8 +188,8 @@
     cluster.assertNothingLost();
   }
 
-  // A voter was away while the log was compacted, so that the leader has to send its snapshot in
-  // chunks. Messages get lost meanwhile; it must still catch up.
+  // Guards against a voter that can't catch up: the log was compacted while it was down, so the
+  // leader must send its snapshot in chunks although messages are lost.
   @Test
   public void laggingVoterReceivesSnapshot() {
     TestCluster cluster = cluster(7, 3, 20);
@@ -201,7 +204,8 @@
     assertTrue(cluster.daemons.get(lagging).restores > 0);
   }
 
-  // The leader's disk fails. It must give up its office and acknowledge nothing; the others go on.
+  // Guards against a leader that continues after its disk failed: it must step down and acknowledge
+  // nothing, and the other voters must continue.
   @Test
   public void failedSyncStopsOnlyTheVoter() {
     TestCluster cluster = cluster(8, 3, 1000);
@@ -214,8 +218,8 @@
     assertTrue(cluster.awaitAnswer("during"), cluster.statuses());
   }
 
-  // Nobody is answered by a majority that has the entry in memory only: with syncs that take 50 ms
-  // all three processes lose power right after the first answer.
+  // Guards against answers for entries that a majority holds only in memory: with syncs that take
+  // 50 ms, all three processes crash right after the first answer.
   @Test(dataProvider = "seeds")
   public void answeredEntriesAreSynced(long seed) {
     TestCluster cluster = cluster(seed, 3, 1000);
@@ -256,8 +260,7 @@
     cluster.write("node-4", "b", 10);
   }
 
-  // The leader's daemon is stopped on plan. It hands its office over, so that callers wait for no
-  // election time-out.
+  // Guards against an election timeout on a planned stop: the leader must transfer its leadership.
   @Test
   public void plannedStopTransfersLeadership() {
     TestCluster cluster = cluster(16, 3, 1000);
@@ -282,13 +285,13 @@
     cluster.write(leader, "after-", 10);
   }
 
-  /** Seeds of the repeated runs. */
+  /** Returns the seeds of the repeated runs. */
   @DataProvider
   public Object[][] seeds() {
     return new Object[][] {{11L}, {12L}, {13L}, {14L}, {15L}};
   }
 
-  /** Snapshot thresholds: several snapshots, and none. */
+  /** Returns snapshot thresholds that lead to several snapshots and to none. */
   @DataProvider
   public Object[][] thresholds() {
     return new Object[][] {{60}, {10_000}};
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/ControlVmPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/ControlVmPartTest.java
@@ -36,7 +36,7 @@
 
         @Override
         public void raise(Event event) {
-          throw new AssertionError("nothing is raised");
+          throw new AssertionError("no event is expected");
         }
       };
   private final Submitter submitter =
@@ -58,7 +58,7 @@
         }
       };
 
-  /** Starts each test without what an earlier one left, since TestNG keeps one instance. */
+  /** Clears the recorded commands and effects, since TestNG runs all tests on one instance. */
   @BeforeMethod
   public void clearRecordedOutput() {
     submitted.clear();
@@ -79,9 +79,9 @@
   }
 
   /**
-   * The operator sees one refusal that says to ask again. The ledger refuses, since another change
-   * of its members is pending, and then the configuration's answer comes. The second answer must
-   * not turn the refusal into a success, since the ledger has not changed.
+   * Guards against a success reported after a refusal: the ledger group refuses because another
+   * change of its members is pending, and then the configuration group answers with success. The
+   * operator must receive only the refusal, since the ledger group has not changed.
    */
   @Test
   public void refusesOnceIfOneGroupRefuses() {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/RandomFaultsTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/RandomFaultsTest.java
@@ -14,10 +14,11 @@
 import org.testng.annotations.Test;
 
 /**
- * Long runs under seeded faults of every kind together.
+ * Long runs with seeded random faults of all kinds.
  *
- * <p>The cluster checks at each event that a term has one leader, that at most one leader holds a
- * lease and has all accepted entries, and that all replicas apply the same commands in order.
+ * <p>The cluster checks at each event that a term has at most one leader, that at most one leader
+ * holds a lease and has all accepted entries, and that all replicas apply the same commands in
+ * order.
  */
 public class RandomFaultsTest {
 
@@ -30,9 +31,9 @@
   private int submitted;
   private int wiped;
 
-  // Daemons crash, lose disks one after the other, are cut off and come back, members change, and
-  // messages are lost, doubled and late, while all daemons submit. Afterwards everything accepted
-  // is there and the group works again.
+  // Guards against loss of accepted entries when daemons crash, lose disks one at a time and are
+  // partitioned, members change, and messages are lost, duplicated and delayed while all daemons
+  // submit. Afterwards the group must hold all accepted entries and serve again.
   @Test(dataProvider = "runs")
   public void acceptedEntriesSurviveRandomFaults(long seed, int voters, int snapshotEntries) {
     cluster = new TestCluster(seed, voters, TestCluster.settings(snapshotEntries));
@@ -94,7 +95,9 @@
     }
   }
 
-  /** Empties a disk, but only while each voter has what it promised, as a repair must wait for. */
+  /**
+   * Wipes a disk, but only while every voter holds all entries and the previous repair is complete.
+   */
   private void wipeIfFullyRedundant(String name) {
     String leader = cluster.leader();
     if (leader == null || !cluster.daemons.get(name).hosts) {
@@ -149,7 +152,7 @@
     return cluster.network.random().nextInt(bound);
   }
 
-  /** Seed, number of voters and snapshot threshold of each run. */
+  /** Returns the seed, the number of voters and the snapshot threshold of each run. */
   @DataProvider
   public Object[][] runs() {
     List<Object[]> runs = new ArrayList<>();
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/ReplicaSafetyTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/ReplicaSafetyTest.java
@@ -35,7 +35,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What one replica promises and believes, message by message. */
+/** Tests the votes and acknowledgements that one replica sends and counts, message by message. */
 public class ReplicaSafetyTest {
 
   private static final GroupId GROUP = GroupId.LEDGER;
@@ -50,7 +50,7 @@
   private long writes;
   private long truncatedFrom;
 
-  /** Starts replica a, which has two entries of terms 1 and 2 on its disk. */
+  /** Starts replica a with two entries of terms 1 and 2 on its disk. */
   @BeforeMethod
   public void start() {
     now = Instant.parse("2026-01-01T00:00:00Z");
@@ -72,8 +72,8 @@
     apply(new StorageEvent.Recovered(GROUP, new HardState(2, null, 1), null, entries));
   }
 
-  // A voter that answers before its vote is on the disk, and then loses power, votes twice in the
-  // term: two leaders accept different changes.
+  // Guards against two leaders in a term: a voter that responds before its vote is synced and then
+  // loses power could vote a second time in the term.
   @Test
   public void voteIsSentAfterSync() {
     advanceTime(400);
@@ -83,8 +83,8 @@
     assertTrue(granted());
   }
 
-  // A leader counts what is acknowledged. An entry acknowledged from memory is gone after a power
-  // failure, though its caller was told that it was accepted.
+  // Guards against lost changes: a leader counts acknowledged entries, and an entry acknowledged
+  // before it is synced is lost in a power failure although its caller received a success.
   @Test
   public void acknowledgementIsSentAfterSync() {
     receive("b", new AppendRequest(GROUP, 3, 2, 2, List.of(), 0, now));
@@ -97,9 +97,10 @@
     assertEquals(acknowledged(), 3);
   }
 
-  // A leader answers reads under its lease while a candidate asks for votes. A vote within the
-  // least election time, also of a voter that has just restarted and doesn't know what it
-  // acknowledged, would let a second leader change what the first still answers.
+  // Guards against stale reads: a leader serves reads under its lease while a candidate requests
+  // votes. A vote within the minimum election timeout would let a second leader change the state
+  // that the first one still serves. The same holds for a voter that has just restarted and doesn't
+  // know what it acknowledged.
   @Test
   public void noVoteWhileLeaseMayBeActive() {
     advanceTime(280);
@@ -114,9 +115,9 @@
     assertEquals(part.status(GROUP).term(), 3);
   }
 
-  // A new leader brings an entry of an earlier term to a majority. Such an entry can still be
-  // replaced by another leader, so nobody may be told that it is accepted until one of the
-  // leader's own term has reached a majority.
+  // Guards against lost changes: an entry of an earlier term that a new leader replicated to a
+  // majority can still be overwritten by another leader. It must not be committed until an entry of
+  // the leader's own term has reached a majority.
   @Test
   public void entryOfEarlierTermIsNotCommittedByCounting() {
     becomeLeader();
@@ -126,8 +127,8 @@
     assertEquals(part.status(GROUP).commitIndex(), 3);
   }
 
-  // Voters b and c come back with empty disks under their old names. Neither their votes nor
-  // their acknowledgements stand for what the old disks held.
+  // Guards against counting wiped voters: b and c return with empty disks under their old names,
+  // and neither their votes nor their acknowledgements may count as those of the old disks.
   @Test
   public void wipedVotersAreNotCounted() {
     campaign();
@@ -142,8 +143,9 @@
     assertEquals(part.status(GROUP).commitIndex(), 0);
   }
 
-  // Voter c comes back with an empty disk and is taken in as a learner. Counted before it has all
-  // accepted entries, it would stand for them when a second voter is lost.
+  // Guards against counting a replica that is not caught up: voter c returns with an empty disk and
+  // is admitted as a learner. If it voted before it has all accepted entries, the loss of a second
+  // voter could lose them.
   @Test
   public void learnerBecomesVoterOnceCaughtUp() {
     becomeLeader();
@@ -159,8 +161,9 @@
     assertTrue(part.status(GROUP).members().votes(repaired));
   }
 
-  // Power fails after a leader's snapshot was saved and before the entries that it contradicts were
-  // dropped. Kept, they would stand in the log as if they continued the snapshot.
+  // Guards against stale entries in the log: power fails after a leader's snapshot was saved and
+  // before the conflicting entries were truncated. If they were kept, they would appear to continue
+  // the snapshot.
   @Test
   public void entriesConflictingWithSnapshotAreTruncated() {
     Snapshot snapshot = new Snapshot(10, 5, now, MEMBERS, new GroupState.Empty());
@@ -170,7 +173,8 @@
     assertEquals(truncatedFrom, 11);
   }
 
-  // The disk under one group fails. That group's voter stops; the daemon's other group goes on.
+  // Guards against one group's disk failure that stops the daemon's other group: only the replica
+  // of the failed group may stop.
   @Test
   public void diskFailureOfOneGroupDoesNotAffectOthers() {
     apply(new StorageEvent.Recovered(OTHER, new HardState(2, null, 1), null, List.of()));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/SuccessiveDiskLossTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/SuccessiveDiskLossTest.java
@@ -12,7 +12,7 @@
 import org.testng.Reporter;
 import org.testng.annotations.Test;
 
-/** Tests of disks that are lost one after the other, while everything is killed in between. */
+/** Tests the loss of one disk after another, with kills of all processes in between. */
 public final class SuccessiveDiskLossTest {
 
   private static final MembershipChangePolicy AUTOMATIC =
@@ -20,14 +20,16 @@
   private static final int SEED_COUNT = Integer.getInteger("skylarkfork.disks.seeds", 200);
   private static final int FIRST_SEED = Integer.getInteger("skylarkfork.disks.first", 0);
 
-  /** Longest time from the last start until all replicas count, one of them with an empty disk. */
+  /**
+   * Maximum time from the last start until all replicas are voters, one of them with an empty disk.
+   */
   private static final Duration REPAIR_TIMEOUT = Duration.ofSeconds(4);
 
   private final List<Long> repairMillis = new ArrayList<>();
 
   /**
-   * Guards against a group that stands still for good after a second disk was lost, though the
-   * first one's replica had been named as a voter again.
+   * Guards against a group that stays unavailable after the loss of a second disk, although the
+   * replica with the first lost disk had become a voter again.
    */
   @Test
   public void groupSurvivesNextDiskLossOnceVotersAreCommitted() {
@@ -40,7 +42,7 @@
     }
     Collections.sort(repairMillis);
     Reporter.log(
-        "raft: counts again after ms: median "
+        "raft: votes again after ms: median "
             + repairMillis.get(repairMillis.size() / 2)
             + ", 99 of 100 within "
             + repairMillis.get(repairMillis.size() * 99 / 100)
@@ -113,7 +115,7 @@
     assertTrue(committed, cluster.statuses());
   }
 
-  /** Returns whether a majority names the same voters, agreed on, each with its present disk. */
+  /** Returns whether a majority reports the same committed voters, each with its current disk. */
   private static boolean hasCommittedVoters(TestCluster cluster, List<String> names) {
     List<Member> current = new ArrayList<>();
     for (String name : names) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/TestCluster.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/TestCluster.java
@@ -30,7 +30,7 @@
 import org.skylarkfork.core.testing.MiniNetwork;
 import org.testng.Assert;
 
-/** Daemons with one group, and what must hold for them at every moment. */
+/** Cluster of daemons with one group, and the invariants that are checked after every event. */
 final class TestCluster {
 
   static final GroupId GROUP = GroupId.LEDGER;
@@ -40,7 +40,7 @@
   final MiniNetwork network;
   final Map<String, Daemon> daemons = new LinkedHashMap<>();
 
-  /** Results by key, as their submitters got them. */
+  /** Results by key, as received by their submitters. */
   final Map<String, CommandResult> answers = new HashMap<>();
 
   final Map<String, String> failures = new HashMap<>();
@@ -75,7 +75,10 @@
     }
   }
 
-  /** Settings with the default times and small bounds, so that every path is taken. */
+  /**
+   * Returns settings with the default timeouts and small limits, so that every code path is
+   * executed.
+   */
   static RaftSettings settings(int snapshotEntries) {
     RaftSettings defaults = RaftSettings.defaults();
     return new RaftSettings(
@@ -97,7 +100,10 @@
         Duration.ZERO);
   }
 
-  /** The same, but a voter campaigns soon after its start, so that no leader has a lease. */
+  /**
+   * Returns the same settings, except that a voter campaigns soon after its start and leaders can't
+   * rely on a lease.
+   */
   static RaftSettings quickRestartSettings(int snapshotEntries) {
     RaftSettings usual = settings(snapshotEntries);
     return new RaftSettings(
@@ -158,7 +164,7 @@
     return network.runUntil(Duration.ofSeconds(20), () -> answers.containsKey(key));
   }
 
-  /** Submits to one daemon and waits until all are answered. */
+  /** Submits commands to one daemon and waits until all of them are answered. */
   void write(String daemon, String prefix, int count) {
     for (int i = 0; i < count; i++) {
       submit(daemon, prefix + i);
@@ -191,7 +197,7 @@
     return text.toString();
   }
 
-  /** Checks that each running replica has applied everything that was ever answered. */
+  /** Asserts that each running member has applied all answered commands. */
   void assertNothingLost() {
     awaitLeader();
     write(leader(), "last-" + network.now() + "-", 1);
@@ -206,7 +212,7 @@
     for (Daemon daemon : daemons.values()) {
       boolean member = members.find(daemon.name) != null;
       if (member && network.isUp(daemon.name) && daemon.applied < highestAnsweredIndex) {
-        throw new AssertionError(daemon.name + " lacks accepted entries:" + statuses());
+        throw new AssertionError(daemon.name + " is missing accepted entries:" + statuses());
       }
       if (member && network.isUp(daemon.name)) {
         GroupState expected = daemons.get(leader()).machine.snapshot();
@@ -223,16 +229,16 @@
         continue;
       }
       if (holder != null) {
-        throw new AssertionError("two leaders under a lease" + statuses());
+        throw new AssertionError("two leaders hold a lease" + statuses());
       }
       holder = daemon.name;
       if (status(holder).commitIndex() < highestAnsweredIndex) {
-        throw new AssertionError("a leader under its lease lacks accepted entries" + statuses());
+        throw new AssertionError("a leader with a lease is missing accepted entries" + statuses());
       }
     }
   }
 
-  /** A daemon that submits what the test asks for and records what it is told. */
+  /** Daemon that submits the test's commands and records results and events. */
   final class Daemon implements Part {
     final String name;
     final boolean hosts;
@@ -317,7 +323,7 @@
     return command instanceof LedgerCommand.Claim claim ? claim.key() : command.toString();
   }
 
-  /** Keeps snapshots in memory under a number, padded so that they take several chunks. */
+  /** Keeps snapshots in memory by number; encoded snapshots are padded to span several chunks. */
   static final class MemoryCodec implements GroupCodec {
     private static final int LENGTH = 950;
     private final List<Snapshot> snapshots = new ArrayList<>();
