--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/ChangeDisseminator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/ChangeDisseminator.java
@@ -14,12 +14,12 @@
 import org.skylarkfork.core.upstream.UpstreamRecord;
 
 /**
- * Passes changes of this daemon's upstreams on to all daemons, at a bounded rate.
+ * Disseminates changes of this daemon's upstreams to all daemons at a bounded rate.
  *
- * <p>Few daemons get them directly. Of many, those in the own zone do, and in each other zone one
- * or two pass them on: so a change costs each daemon about one message, where gossip would cost
- * three times the logarithm of their number. What gets lost is repaired by {@link
- * DirectoryAntiEntropy}.
+ * <p>In a small deployment each daemon receives the changes directly. In a large one the daemons of
+ * the own zone receive them directly, and one or two daemons of each other zone forward them within
+ * their zone. A change then costs each daemon about one message, where gossip would cost three
+ * times the logarithm of the number of daemons. {@link DirectoryAntiEntropy} repairs lost changes.
  */
 final class ChangeDisseminator {
 
@@ -40,7 +40,7 @@
     this.random = random;
   }
 
-  /** Adds a change; an older one of the same upstream that still waits is dropped. */
+  /** Adds a change, which replaces a pending older change of the same upstream. */
   void add(UpstreamRecord record) {
     urgent.remove(record.id());
     regular.remove(record.id());
@@ -51,7 +51,8 @@
     if (now.isBefore(nextRound) || urgent.isEmpty() && regular.isEmpty()) {
       return;
     }
-    // What takes an upstream out goes first: new work sent there meanwhile would be refused.
+    // Changes that take an upstream out of service go first: it would refuse new work sent
+    // meanwhile.
     boolean isUrgent = !urgent.isEmpty();
     List<UpstreamRecord> batch = take(isUrgent ? urgent : regular);
     int sent = 0;
@@ -66,7 +67,7 @@
             .plusMillis(1000L * sent / settings.maxRecordsPerSecond());
   }
 
-  /** Passes changes that were news here on to the daemons of this zone. */
+  /** Forwards changes that were new to this daemon to the other daemons of this zone. */
   void forward(List<UpstreamRecord> records, String from, Output output) {
     for (Member member : members.liveIn(members.self().zone())) {
       if (!isSelf(member) && !member.name().equals(from)) {
@@ -86,7 +87,7 @@
     return batch;
   }
 
-  /** Returns whom to tell, and whether it passes the changes on. */
+  /** Returns the receivers, each with whether it forwards the changes within its zone. */
   private Map<String, Boolean> targets(boolean isUrgent) {
     Map<String, Boolean> targets = new TreeMap<>();
     Map<String, List<String>> remoteZones = new TreeMap<>();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectoryAntiEntropy.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectoryAntiEntropy.java
@@ -14,10 +14,10 @@
 import org.skylarkfork.core.upstream.UpstreamState;
 
 /**
- * Compares the table with those of random daemons, and so repairs lost changes and fills new ones.
+ * Compares the table with those of random daemons, to repair lost changes and fill new tables.
  *
- * <p>One hash each time; if it differs the hashes of all buckets; then the versions in those that
- * differ; then the records themselves.
+ * <p>Each round compares one hash over the table. If it differs, the daemons exchange the hashes of
+ * all buckets, then the record versions in the buckets that differ, and then the differing records.
  */
 final class DirectoryAntiEntropy {
 
@@ -26,7 +26,7 @@
   private static final int FAST_ROUNDS = 10;
   private static final Duration FAST_INTERVAL = Duration.ofMillis(300);
 
-  /** So many records let the time between comparisons grow by one of its lengths. */
+  /** Number of records for which the time between comparisons grows by one base interval. */
   private static final int RECORDS_PER_INTERVAL_STEP = 2000;
 
   private static final int ANY_ZONE_DIVISOR = 4;
@@ -49,7 +49,7 @@
     this.random = random;
   }
 
-  /** Compares often for a while, as after the start or when members come back. */
+  /** Switches to short intervals for some rounds, as after the start or when a member joins. */
   void accelerate() {
     fastRounds = FAST_ROUNDS;
     nextRound = Instant.MIN;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectoryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectoryPart.java
@@ -31,10 +31,12 @@
 import org.skylarkfork.core.upstream.UpstreamState;
 
 /**
- * Takes upstreams' announcements, spreads them and keeps the directory of those that are there.
+ * Receives the announcements of upstreams, disseminates changes and maintains the directory of live
+ * upstreams.
  *
- * <p>The daemon that hears an upstream owns it: it alone times its silence and tells the others
- * what changes. Heartbeats stay with the owner, and loads go only to daemons that use the upstream.
+ * <p>The daemon that receives an upstream's announcements owns the upstream: only the owner detects
+ * missing heartbeats and sends changes to the others. Heartbeats aren't forwarded, and loads are
+ * sent only to daemons that use the upstream.
  */
 public final class DirectoryPart implements Part, UpstreamDirectory {
 
@@ -54,11 +56,11 @@
   private final Map<String, Integer> forwardCounts = new HashMap<>();
 
   /**
-   * Makes an empty directory.
+   * Creates an empty directory.
    *
-   * @param members the daemons; their part stands before this one in the reducer
-   * @param configuration says which upstreams are drained
-   * @param settings how it works
+   * @param members the live daemons; their part must precede this one in the reducer
+   * @param configuration provides the drained upstreams
+   * @param settings settings of the directory
    * @param seed seed of the random choices
    */
   public DirectoryPart(
@@ -112,7 +114,7 @@
         .toList();
   }
 
-  /** Returns the time after which an upstream that announces itself here is to do so again. */
+  /** Returns the interval at which upstreams must send announcements to this daemon. */
   public Duration announceInterval() {
     Duration sustainableInterval =
         Duration.ofSeconds(1)
@@ -211,8 +213,8 @@
     }
     endFormerUpstreamAt(announcement, now, output);
     forwardCounts.remove(announcement.id());
-    // A daemon that restarted finds its own records at others; by a new one they see it hears
-    // again.
+    // After a restart, a daemon receives its own earlier records from others. A new record shows
+    // them that it receives the upstream's announcements again.
     boolean owned =
         known != null
             && known.owner().equals(self())
@@ -229,12 +231,15 @@
 
   private static boolean isLate(Announcement announcement, UpstreamRecord known) {
     long newest = known.announcement().incarnation();
-    // A heartbeat that was under way while its process ended would bring the upstream back.
+    // A heartbeat that was in transit when its process ended would restore the upstream.
     return announcement.incarnation() < newest
         || announcement.incarnation() == newest && known.state() == UpstreamState.GONE;
   }
 
-  /** Keeps an upstream leaving for a while, since heartbeats may cross on their ways. */
+  /**
+   * Keeps an upstream leaving for one heartbeat timeout, since announcements may arrive out of
+   * order.
+   */
   private Announcement retainLeaving(
       Announcement announcement, @Nullable UpstreamRecord known, Instant now) {
     boolean wasLeaving =
@@ -253,7 +258,10 @@
         : announcement;
   }
 
-  /** Returns whether another daemon that is well owns the upstream, so that it is to be told. */
+  /**
+   * Returns whether the announcement is forwarded to the owner, because another healthy daemon owns
+   * the upstream.
+   */
   private boolean forwardsToOwner(UpstreamRecord known) {
     String owner = known.owner();
     if (owner.equals(self()) || isOrphan(known) || members.isSuspected(owner)) {
@@ -262,7 +270,10 @@
     return forwardCounts.merge(known.id(), 1, Integer::sum) <= MAX_FORWARDS_BEFORE_TAKEOVER;
   }
 
-  /** Two processes can't listen at one address, so the newer ends the record of the older. */
+  /**
+   * Marks an earlier upstream at the same address as gone, since two processes can't share an
+   * address.
+   */
   private void endFormerUpstreamAt(Announcement announcement, Instant now, Output output) {
     UpstreamRecord former = table.findByAddress(announcement.host(), announcement.port());
     if (former != null && !former.id().equals(announcement.id())) {
@@ -277,12 +288,12 @@
   }
 
   private static long nextSequence(@Nullable UpstreamRecord known, Instant now) {
-    // The time makes a daemon that restarted and forgot its numbers go on above them.
+    // Based on the time, so that a restarted daemon continues above its earlier sequence numbers.
     long next = known == null ? 0 : known.sequence() + 1;
     return Math.max(next, now.toEpochMilli());
   }
 
-  /** Makes this daemon the owner of a new record. */
+  /** Creates a new record with this daemon as the owner and disseminates it. */
   private void publishChange(
       Announcement announcement, UpstreamState state, long sequence, Instant now, Output output) {
     Announcement kept = UpstreamTable.withLoad(announcement, announcement.load());
@@ -292,7 +303,7 @@
     disseminator.add(record);
   }
 
-  /** Takes a record from another daemon and returns whether it was news. */
+  /** Merges a record from another daemon and returns whether it contained new information. */
   private boolean merge(UpstreamRecord record, Instant now, Output output) {
     if (!isNewInformation(record, table.get(record.id()))) {
       return false;
@@ -321,7 +332,8 @@
     if (known == null) {
       return record.state() == UpstreamState.LIVE;
     }
-    // An upstream dropped here while its owner seemed dead has the same record at the owner.
+    // The owner still has the same live record if the upstream was marked lost here while the owner
+    // was wrongly considered dead.
     boolean wronglyMarkedLost =
         known.state() == UpstreamState.LOST
             && known.sequence() == record.sequence()
@@ -331,7 +343,7 @@
     return wronglyMarkedLost || record.isNewerThan(known);
   }
 
-  /** Returns whether no running process that this daemon knows of hears the upstream. */
+  /** Returns whether no known running process receives the upstream's announcements. */
   private boolean isOrphan(UpstreamRecord record) {
     boolean ownerRuns =
         members
@@ -360,7 +372,7 @@
       UpstreamRecord record, @Nullable UpstreamRecord known, Output output) {
     String now = stateName(record);
     if (known == null || !stateName(known).equals(now)) {
-      String sentence = record.id() + " is " + now + ", says " + record.owner();
+      String sentence = record.id() + " is " + now + ", reported by " + record.owner();
       output.effect(new TraceEffect.LogLine(false, "directory", sentence));
       output.effect(new TraceEffect.Count("upstream_changes", now, 1));
     }
@@ -387,7 +399,8 @@
     if (known.owner().equals(self())) {
       markLost(id, now, output);
     } else {
-      // Nobody can speak for it, so each daemon drops it by itself and any new record prevails.
+      // No owner is left to disseminate the loss, so each daemon marks the upstream lost locally,
+      // and any new record overrides that.
       put(known.with(UpstreamState.LOST), now, output);
     }
   }
@@ -403,7 +416,10 @@
     }
   }
 
-  /** Gives the upstreams of a daemon that hears them no more time to be heard by another. */
+  /**
+   * Sets a deadline for the upstreams of a daemon that no longer receives their announcements:
+   * another daemon must receive one before the deadline.
+   */
   private void startOrphanDeadlines(String owner, Instant now) {
     Instant until = now.plus(heartbeatTimeout()).plus(settings.announceInterval());
     for (UpstreamRecord record : table.all()) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectorySettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectorySettings.java
@@ -3,21 +3,26 @@
 import java.time.Duration;
 
 /**
- * How the directory of upstreams works.
+ * Settings of the directory of upstreams.
  *
- * @param announceInterval shortest time between two announcements of an upstream
- * @param maxHeartbeatsPerSecond announcements a second that this daemon wants at most; with more
- *     upstreams they are told to announce less often
- * @param maxMissedHeartbeats announcements that an upstream may miss before it is lost
- * @param upstreamRetention how long a lost or ended upstream is remembered against late messages
- * @param disseminationInterval time between two rounds of passing on changes
- * @param maxRecordsPerSecond records a second, counted for each receiver, that changes may cost
- * @param maxDirectFanout up to so many daemons each gets changes from the owner itself; above it
- *     daemons of the other zones pass them on in their zone
- * @param antiEntropyInterval time between two comparisons with a random daemon
- * @param subsetSize most upstreams of one pool that this daemon uses and whose load it follows
- * @param loadReportInterval shortest time between two load reports of an upstream
- * @param maxLoadBytesPerSecond bytes a second that load reports to this daemon may take
+ * @param announceInterval minimum time between two announcements of an upstream
+ * @param maxHeartbeatsPerSecond maximum rate of announcements to this daemon; with more upstreams
+ *     it requests longer intervals
+ * @param maxMissedHeartbeats number of announcements that an upstream may miss before it is
+ *     considered lost
+ * @param upstreamRetention time for which a lost or ended upstream is kept, so that late messages
+ *     about it are ignored
+ * @param disseminationInterval minimum time between two rounds of disseminating changes
+ * @param maxRecordsPerSecond maximum rate at which changed records are sent, counted for each
+ *     receiver
+ * @param maxDirectFanout maximum number of daemons up to which the owner sends changes to each
+ *     daemon directly; with more, selected daemons of the other zones forward them within their
+ *     zone
+ * @param antiEntropyInterval time between two comparisons of the table with that of a random daemon
+ * @param subsetSize maximum number of upstreams of one pool that this daemon uses and whose load it
+ *     subscribes to
+ * @param loadReportInterval minimum time between two load reports of an upstream
+ * @param maxLoadBytesPerSecond maximum rate of load reports to this daemon in bytes per second
  */
 public record DirectorySettings(
     Duration announceInterval,
@@ -32,7 +37,7 @@
     Duration loadReportInterval,
     int maxLoadBytesPerSecond) {
 
-  /** Settings that fit both today's and the largest planned size. */
+  /** Default settings, suitable for small and large deployments. */
   public static final DirectorySettings DEFAULT =
       new DirectorySettings(
           Duration.ofSeconds(1),
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Dissemination.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Dissemination.java
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 import org.jspecify.annotations.Nullable;
 
-/** News of members that still have to be passed on, each a bounded number of times. */
+/** Queue of member updates to gossip, each a bounded number of times. */
 final class Dissemination {
 
   private static final int RETRANSMIT_FACTOR = 3;
@@ -25,16 +25,18 @@
     return items.isEmpty();
   }
 
-  /** Adds news, which replaces older news of the same member. */
+  /** Adds an update, which replaces an older update of the same member. */
   void add(MemberUpdate update) {
     items.put(update.name(), new Item(update));
   }
 
   /**
-   * Takes news for one message, the least told first.
+   * Selects the updates for one message, the least transmitted first, and counts their
+   * transmission.
    *
-   * @param first name of a member whose news go first, such as the receiver's own suspicion
-   * @param members number of live members, by which the number of repeats grows
+   * @param first name of a member whose update goes first, such as the receiver's own suspicion, or
+   *     null
+   * @param members number of live members; the number of transmissions grows with its logarithm
    */
   List<MemberUpdate> take(@Nullable String first, int members) {
     int maxTransmissions = RETRANSMIT_FACTOR * (Long.SIZE - Long.numberOfLeadingZeros(members));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/EntryList.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/EntryList.java
@@ -9,7 +9,9 @@
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.LifecycleEvent;
 
-/** Makes the list of entries and times this entry's own way off it. */
+/**
+ * Creates the list of entries and determines until when this entry accepts work after its removal.
+ */
 public final class EntryList implements Part, EntryListing {
 
   private final Members members;
@@ -19,11 +21,12 @@
   private @Nullable Instant delistedSince;
 
   /**
-   * Makes a list.
+   * Creates the list.
    *
-   * @param members the daemons that are there
-   * @param configuration says which VMs are drained and whether this one holds its lease
-   * @param settings how long callers keep a list
+   * @param members the live daemons
+   * @param configuration provides the drained VMs and whether this daemon holds its configuration
+   *     lease
+   * @param settings lifetime of lists
    */
   public EntryList(Members members, ConfigurationView configuration, EntryListSettings settings) {
     this.members = members;
@@ -51,7 +54,8 @@
     List<Member> listed = members.live().stream().filter(member -> isListed(member, now)).toList();
     List<Member> unsuspected =
         listed.stream().filter(member -> !members.isSuspected(member.name())).toList();
-    // If most others look dead, this daemon rather than they may be cut off: name them all then.
+    // If most listed entries are suspected, this daemon is probably isolated itself, so all are
+    // listed.
     List<Member> chosen = unsuspected.size() * 2 >= listed.size() ? unsuspected : listed;
     List<Entry> entries = chosen.stream().map(EntryList::entry).toList();
     return new EntryPage(entries, settings.lifetime().toMillis());
@@ -66,8 +70,8 @@
   }
 
   private Instant refusalStart(Instant since) {
-    // Another entry may name this one until it hears of the change, and a caller keeps that list
-    // for its lifetime; refusing earlier would turn away callers who did as they were told.
+    // Other entries may list this one until they receive the change, and a caller may use such a
+    // list for its lifetime. An earlier refusal would reject callers with a valid list.
     return since.plus(settings.propagationMargin()).plus(settings.lifetime());
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/EntryListSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/EntryListSettings.java
@@ -3,14 +3,15 @@
 import java.time.Duration;
 
 /**
- * How long callers keep the list of entries.
+ * Settings of the list of entries for callers.
  *
- * @param lifetime how long a caller may use a list
- * @param propagationMargin time until each entry's list shows a change, and for clocks and delays
+ * @param lifetime time for which a caller may use a list
+ * @param propagationMargin time until each entry's list reflects a change, including clock
+ *     differences and delays
  */
 public record EntryListSettings(Duration lifetime, Duration propagationMargin) {
 
-  /** Settings for everyday use. */
+  /** Default settings. */
   public static final EntryListSettings DEFAULT =
       new EntryListSettings(Duration.ofSeconds(10), Duration.ofSeconds(5));
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/EntryListing.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/EntryListing.java
@@ -3,24 +3,25 @@
 import java.time.Instant;
 import java.util.List;
 
-/** Which entries callers are to use, and whether this one takes their work. */
+/** Lists the entries for callers, and tells whether this daemon accepts new work. */
 public interface EntryListing {
 
-  /** Returns the list for callers. */
+  /** Returns the list of entries for callers. */
   EntryPage entries(Instant now);
 
   /**
-   * Returns whether this daemon takes new work.
+   * Returns whether this daemon accepts new work.
    *
-   * <p>An entry that is stopping or drained takes it until the last list that named it has expired.
+   * <p>An entry that is stopping or drained accepts new work until the last list with its name has
+   * expired.
    */
   boolean acceptsNewWork(Instant now);
 
   /**
-   * A list of entries as a caller gets it.
+   * A list of entries for a caller.
    *
    * @param entries the entries, by name
-   * @param lifetimeMillis how long the caller may use it, in milliseconds
+   * @param lifetimeMillis time for which the caller may use the list, in milliseconds
    */
   record EntryPage(List<Entry> entries, long lifetimeMillis) {
 
@@ -31,14 +32,14 @@
   }
 
   /**
-   * An entry for callers.
+   * An entry as listed for callers.
    *
    * @param name node name
-   * @param host IP number
+   * @param host IP address
    * @param port port for callers
    * @param zone availability zone
    * @param region region of the zone
-   * @param weight its share of callers against the others
+   * @param weight its share of callers relative to the other entries
    */
   record Entry(String name, String host, int port, String zone, String region, int weight) {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/FailureDetector.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/FailureDetector.java
@@ -9,7 +9,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.jspecify.annotations.Nullable;
 
-/** Probes contacts one after the other and says which of them did not answer. */
+/** SWIM failure detector: probes the peers in turn and reports those that did not answer. */
 final class FailureDetector {
 
   private final String self;
@@ -39,7 +39,7 @@
     this.messenger = messenger;
   }
 
-  /** How the detector speaks with others. */
+  /** Sends the detector's messages to other daemons. */
   interface Messenger {
 
     void ping(String node, long sequence);
@@ -51,7 +51,7 @@
     void nack(String node, long sequence);
   }
 
-  /** Starts what is due and returns the daemons whose probes failed for good. */
+  /** Starts probes that are due and returns the daemons whose direct and indirect probes failed. */
   List<String> tick(Instant now) {
     List<String> unresponsive = new ArrayList<>();
     for (Iterator<Probe> it = probes.values().iterator(); it.hasNext(); ) {
@@ -73,7 +73,7 @@
     return unresponsive;
   }
 
-  /** Probes a daemon out of turn, such as one held dead; its silence has no consequence. */
+  /** Probes a daemon out of turn, such as one considered dead; a missing answer has no effect. */
   void probeOnce(String node) {
     messenger.ping(node, ++lastSequence);
   }
@@ -109,7 +109,7 @@
   }
 
   private void recordFailure(Probe probe, List<String> unresponsive) {
-    // A helper that neither reached the target nor said so is a sign that this daemon is cut off.
+    // A helper that sends neither an ack nor a nack indicates that this daemon itself is isolated.
     health.degrade(probe.helperCount == 0 ? 1 : Math.max(0, probe.missingNacks));
     unresponsive.add(probe.target);
   }
@@ -124,7 +124,7 @@
       probe.missingNacks++;
       messenger.requestPing(helper, probe.target, probe.sequence);
     }
-    // The first ping may have been lost alone.
+    // Only the first ping may have been lost.
     messenger.ping(probe.target, probe.sequence);
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Hashes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Hashes.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** Hashes that are the same on each daemon, and rendezvous order made of them. */
+/** Hashes that are the same on each daemon, and rendezvous hashing based on them. */
 public final class Hashes {
 
   private static final long FNV_OFFSET = 0xcbf29ce484222325L;
@@ -12,7 +12,7 @@
 
   private Hashes() {}
 
-  /** Returns the well mixed FNV-1a hash of a text's UTF-16 units. */
+  /** Returns the FNV-1a hash of a text's UTF-16 code units, finalized by {@link #mix}. */
   public static long of(String text) {
     long hash = FNV_OFFSET;
     for (int i = 0; i < text.length(); i++) {
@@ -21,7 +21,7 @@
     return mix(hash);
   }
 
-  /** Spreads a number over all 64 bits (the finalizer of MurmurHash3). */
+  /** Mixes a number over all 64 bits with the finalizer of MurmurHash3. */
   public static long mix(long value) {
     long hash = value;
     hash = (hash ^ (hash >>> 33)) * 0xff51afd7ed558ccdL;
@@ -29,7 +29,7 @@
     return hash ^ (hash >>> 33);
   }
 
-  /** Returns candidates in rendezvous order for a key; each removal moves only its own keys. */
+  /** Returns the candidates in rendezvous order for a key; removing one reassigns only its keys. */
   public static List<String> rendezvous(String key, Collection<String> candidates) {
     long keyHash = of(key);
     return candidates.stream()
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/LoadSubscriptions.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/LoadSubscriptions.java
@@ -18,17 +18,20 @@
 import org.skylarkfork.core.upstream.UpstreamRecord;
 import org.skylarkfork.core.upstream.UpstreamState;
 
-/** Sends loads of this daemon's upstreams to the daemons that use them, and asks for others'. */
+/**
+ * Sends load reports of owned upstreams to subscribed daemons and subscribes to those of other
+ * owners.
+ */
 final class LoadSubscriptions {
 
   private static final Duration SUBSCRIPTION_RENEWAL_INTERVAL = Duration.ofSeconds(20);
   private static final Duration SUBSCRIPTION_CHECK_INTERVAL = Duration.ofSeconds(1);
   private static final Duration SUBSCRIPTION_LIFETIME = Duration.ofSeconds(60);
 
-  /** About what one load takes in a message, in bytes. */
+  /** Approximate encoded size of one load report in bytes. */
   private static final int LOAD_BYTES = 110;
 
-  /** Smaller changes of the prefix cache's use are not worth a message. */
+  /** Minimum change of the prefix cache's usage that is reported. */
   private static final double MIN_CACHE_CHANGE = 0.1;
 
   private final Members members;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/LocalHealth.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/LocalHealth.java
@@ -3,11 +3,12 @@
 import java.time.Duration;
 
 /**
- * How far a daemon trusts its own probes.
+ * Local health score of a daemon, as in Lifeguard; it lengthens the timeouts of the daemon's
+ * probes.
  *
- * <p>A daemon that is slow itself, starved of processor time or cut off, sees all others silent.
- * Were its timeouts fixed, it would declare healthy daemons dead. So each sign that the fault is
- * here lengthens the timeouts, and each answer in time shortens them.
+ * <p>A daemon that is slow itself, starved of processor time or isolated, receives no timely
+ * answers from any other daemon. With fixed timeouts it would declare healthy daemons dead. Each
+ * sign of a local fault therefore lengthens the timeouts, and each timely answer shortens them.
  */
 final class LocalHealth {
 
@@ -15,7 +16,7 @@
 
   private int score;
 
-  /** Adds to the score; 0 is the best. */
+  /** Increases the score, up to the maximum; 0 is the best score. */
   void degrade(int by) {
     score = Math.min(MAX_SCORE, score + by);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Member.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Member.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * What a daemon says of itself.
+ * A daemon as described by itself.
  *
- * @param name node name; one running process has it
- * @param host IP number
+ * @param name node name, unique among running processes
+ * @param host IP address
  * @param framePort port for other daemons
- * @param callerPort port for callers, or 0 if it serves none
- * @param adminPort port for operators, or 0 if it serves none
+ * @param callerPort port for callers, or 0 if the daemon serves no callers
+ * @param adminPort port for operators, or 0 if the daemon serves no operators
  * @param zone availability zone
  * @param region region of the zone
  * @param roles names of its roles, such as {@link #ENTRY}
- * @param weight its share of callers against other entries, above 0
- * @param incarnation number of the process; a restart has a higher one
- * @param revision rises with each change and each refutation by this process
- * @param serving whether it takes new work
+ * @param weight its share of callers relative to other entries, above 0
+ * @param incarnation number of the process, increased by each restart
+ * @param revision number that the process increases with each change and each refutation
+ * @param serving whether the daemon accepts new work
  */
 public record Member(
     String name,
@@ -35,10 +35,10 @@
   /** Role of daemons that serve callers. */
   public static final String ENTRY = "entry";
 
-  /** Role of daemons that replicate what must survive. */
+  /** Role of daemons that replicate persistent state. */
   public static final String CONTROL = "control";
 
-  /** Copies the roles. */
+  /** Copies the list of roles. */
   public Member {
     roles = List.copyOf(roles);
   }
@@ -53,12 +53,12 @@
     return host + ":" + framePort;
   }
 
-  /** Returns whether both are at the same address. */
+  /** Returns whether both members have the same address. */
   public boolean sameAddress(Member other) {
     return host.equals(other.host) && framePort == other.framePort;
   }
 
-  /** Returns this with other numbers and another serving state. */
+  /** Returns a copy with another incarnation, revision and serving state. */
   Member with(long newIncarnation, long newRevision, ServingState newServing) {
     return new Member(
         name,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MemberStatus.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MemberStatus.java
@@ -1,17 +1,17 @@
 package org.skylarkfork.core.membership;
 
-/** What the others hold of a daemon; for equal numbers the later constant prevails. */
+/** Status of a daemon in the view of the others; for equal numbers the later constant overrides. */
 public enum MemberStatus {
-  /** It answers. */
+  /** It answers probes. */
   ALIVE,
-  /** It did not answer somebody and has some time left to refute that it is dead. */
+  /** It did not answer a probe and may still refute the suspicion. */
   SUSPECTED,
-  /** It did not refute in time. */
+  /** It did not refute the suspicion in time. */
   DEAD,
-  /** It said itself that it ends. */
+  /** It announced its own end. */
   LEFT;
 
-  /** Returns whether the daemon counts as there. */
+  /** Returns whether the daemon is considered live. */
   public boolean isLive() {
     return this == ALIVE || this == SUSPECTED;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MemberTable.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MemberTable.java
@@ -8,10 +8,10 @@
 import java.util.TreeMap;
 import org.jspecify.annotations.Nullable;
 
-/** What is known of all daemons, and which of them a daemon is in touch with. */
+/** Known state of all daemons, and the peers with which a daemon communicates. */
 final class MemberTable {
 
-  /** Successors on the ring that a daemon always watches. */
+  /** Number of direct successors on the ring that a daemon probes. */
   private static final int SUCCESSOR_COUNT = 4;
 
   private final TreeMap<String, MemberUpdate> known = new TreeMap<>();
@@ -46,12 +46,13 @@
   }
 
   /**
-   * Returns the daemons that a daemon probes and gossips with.
+   * Returns the peers that a daemon probes and gossips with.
    *
-   * <p>All live daemons stand on a ring in the order of their hashes. A daemon is in touch with its
-   * next few successors and with those 8, 16, 32 and so on places further. So each daemon is
-   * watched by as many as it watches, in all zones; news reach all in about as many hops as the
-   * binary logarithm; and connections, with their costly TLS handshakes, last.
+   * <p>All live daemons form a ring in the order of their hashes. The peers of a daemon are its
+   * next few successors and the daemons 8, 16, 32 and so on positions further. Each daemon is
+   * therefore probed by as many daemons as it probes, in all zones; updates reach all daemons in
+   * about as many hops as the binary logarithm of their number; and connections, which need a
+   * costly TLS handshake, are long-lived.
    */
   List<String> peers(String self) {
     if (peers == null) {
@@ -60,7 +61,7 @@
     return peers;
   }
 
-  /** Returns a hash over live members; equal tables have equal hashes. */
+  /** Returns a hash of the live members; tables with equal live members have equal hashes. */
   long hash() {
     long hash = 0;
     for (Member member : live) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Members.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Members.java
@@ -3,13 +3,13 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The daemons that this daemon holds to be there. */
+/** View of the live daemons. */
 public interface Members {
 
   /** Returns this daemon's own record. */
   Member self();
 
-  /** Returns the daemons that are there, this one and suspected ones included, by name. */
+  /** Returns the live daemons by name, including this one and suspected ones. */
   List<Member> live();
 
   /** Returns the live daemons of an availability zone, by name. */
@@ -24,7 +24,7 @@
   /**
    * Returns whether another running process has this daemon's name and is newer.
    *
-   * <p>Such a daemon takes no new work and tells the others nothing.
+   * <p>A superseded daemon accepts no new work and sends no updates to the others.
    */
   boolean isSuperseded();
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipEventPublisher.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipEventPublisher.java
@@ -6,12 +6,12 @@
 import org.skylarkfork.core.effect.TraceEffect;
 import org.skylarkfork.core.event.MembershipEvent;
 
-/** Tells the other parts, the log and the metrics what changed. */
+/** Raises membership events and records changes in the log and the metrics. */
 final class MembershipEventPublisher {
 
   private MembershipEventPublisher() {}
 
-  /** Raises the events of an update that has just prevailed over what was known. */
+  /** Raises the events of an update that has just overridden the known state. */
   static void raise(MemberUpdate update, @Nullable MemberUpdate known, Output out) {
     Member member = update.member();
     boolean sameProcess =
@@ -40,7 +40,7 @@
         log(member, "left", false, out);
         out.raise(new MembershipEvent.MemberLeft(member));
       }
-      default -> throw new IllegalStateException("no such status: " + update.status());
+      default -> throw new IllegalStateException("unknown status: " + update.status());
     }
     String label = update.status().name().toLowerCase(Locale.ROOT);
     out.effect(new TraceEffect.Count("membership_changes", label, 1));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipPart.java
@@ -24,10 +24,10 @@
 import org.skylarkfork.core.message.PeerMessage;
 
 /**
- * Finds the other daemons, watches them and spreads who is there.
+ * Discovers the other daemons, detects their failures and disseminates membership changes.
  *
- * <p>The published SWIM rules with Lifeguard's extensions: probes, indirect probes, suspicions that
- * their subject can refute, and timeouts that grow while this daemon itself seems at fault.
+ * <p>Implements SWIM with the Lifeguard extensions: probes, indirect probes, suspicions that the
+ * suspected daemon can refute, and timeouts that grow while this daemon itself appears faulty.
  */
 public final class MembershipPart implements Part, Members {
 
@@ -54,13 +54,13 @@
   private Output out = new DiscardingOutput();
 
   /**
-   * Makes a part that knows only itself.
+   * Creates a part that knows only this daemon.
    *
    * @param self this daemon; its incarnation must be above those of its earlier processes, such as
    *     the time of start
-   * @param seeds daemons to ask for the others; this one may be among them
-   * @param configuration says whether this daemon holds the configuration lease
-   * @param settings how daemons watch each other
+   * @param seeds daemons from which the list of members is requested; this daemon may be among them
+   * @param configuration tells whether this daemon holds the configuration lease
+   * @param settings settings of the failure detector and of gossip
    * @param seed seed of the random choices
    */
   public MembershipPart(
@@ -173,7 +173,7 @@
     }
   }
 
-  /** Speaks to seeds and to daemons held dead, so that separated groups find each other again. */
+  /** Contacts seeds and daemons considered dead, so that partitioned groups rejoin. */
   private void join(Instant now) {
     nextJoin = now.plus(settings.joinInterval());
     List<String> missing = new ArrayList<>();
@@ -229,17 +229,19 @@
   }
 
   /**
-   * Returns whether the sender's name belongs to a newer process by now.
+   * Returns whether a newer process has the sender's name.
    *
-   * <p>Answers to the old process go to the newer one's address. So it sees all others silent and
-   * would spread their deaths; without its messages it only loses its lease and refuses new work.
+   * <p>Answers to the old process are sent to the newer one's address. The old process therefore
+   * receives no answers and would report all others as dead. With its messages ignored, it only
+   * loses its lease and refuses new work.
    */
   private boolean isFromReplacedProcess(String node, MembershipMessage message) {
     MemberUpdate known = table.get(node);
     if (known == null || message.incarnation() >= known.member().incarnation()) {
       return false;
     }
-    // If it is the newer process and its clock was set back, it takes a higher number on this news.
+    // If the sender is the newer process and its clock was set back, this update makes it take a
+    // higher incarnation.
     dissemination.add(known);
     out.effect(new TraceEffect.Count("membership_replaced_senders", "", 1));
     if (!Long.valueOf(message.incarnation())
@@ -252,7 +254,7 @@
 
   private void exchangeStateIfUnknown(String node) {
     if (!table.isLive(node) && !left) {
-      // It holds this daemon to be there while it was forgotten or is held dead here.
+      // The sender considers this daemon live, but is itself unknown or considered dead here.
       sendFullState(node, true);
     }
   }
@@ -326,7 +328,7 @@
     boolean ended = !update.status().isLive();
     if (reported.incarnation() > self.incarnation()) {
       if (ended || reported.sameAddress(self)) {
-        // An earlier process of this daemon had the higher number, since the clock was set back.
+        // An earlier process of this daemon had a higher incarnation, since the clock was set back.
         raiseIncarnation(reported.incarnation() + 1);
       } else {
         markSuperseded(reported);
@@ -354,7 +356,7 @@
     if (!superseded) {
       superseded = true;
       String sentence =
-          "a newer process at %s has the name %s, so this one takes no new work; stop one of them"
+          "a newer process at %s has the name %s, so this one accepts no new work; stop one of them"
               .formatted(other.address(), self.name());
       out.effect(new TraceEffect.LogLine(true, "membership", sentence));
       out.effect(new TraceEffect.Count("membership_superseded", "", 1));
@@ -395,7 +397,7 @@
     }
   }
 
-  /** Gives this daemon a new revision and tells the others of it. */
+  /** Increases this daemon's revision and disseminates its state. */
   private void publishRevision(ServingState state) {
     self = self.with(self.incarnation(), self.revision() + 1, state);
     table.put(alive(self));
@@ -440,7 +442,7 @@
   private MemberUpdate requireKnown(String node) {
     MemberUpdate known = table.get(node);
     if (known == null) {
-      throw new IllegalStateException(node + " is timed but unknown");
+      throw new IllegalStateException(node + " has a deadline but is unknown");
     }
     return known;
   }
@@ -458,7 +460,8 @@
   }
 
   private void unregisterPeer(String node) {
-    // A seed's address stays known, or nobody could reach it before it speaks itself.
+    // The address of a seed stays registered; otherwise it would be unreachable until it sends a
+    // message itself.
     if (seeds.stream().noneMatch(seed -> seed.node().equals(node))) {
       out.effect(new PeerEffect.ForgetPeer(node));
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipSettings.java
@@ -3,21 +3,22 @@
 import java.time.Duration;
 
 /**
- * How daemons watch each other.
+ * Settings of the SWIM failure detector and of gossip.
  *
- * @param probeInterval time between two probes, whatever the number of members
- * @param probeTimeout time for an answer before others are asked to probe
- * @param probeDeadline time for an answer, direct or through others, before the suspicion
- * @param indirectProbes how many others are asked to probe
- * @param suspicionMin time to refute once enough daemons share the suspicion
- * @param suspicionMax time to refute a suspicion of one daemon alone
- * @param confirmations daemons besides the first that must share it for the shortest time
- * @param gossipInterval time between two rounds of passing on updates
- * @param gossipFanout daemons told in a round
- * @param updatesPerMessage most updates in one message
- * @param syncInterval time between two comparisons of all members with one daemon
- * @param joinInterval time between two tries to reach seeds and daemons held dead
- * @param memberRetention how long a daemon that died or left is remembered
+ * @param probeInterval time between two probes, independent of the number of members
+ * @param probeTimeout time to wait for an answer before indirect probes are sent
+ * @param probeDeadline time to wait for a direct or indirect answer before the target is suspected
+ * @param indirectProbes number of daemons that receive a request for an indirect probe
+ * @param suspicionMin minimum time to refute a suspicion, once enough daemons have confirmed it
+ * @param suspicionMax maximum time to refute a suspicion, raised by a single daemon
+ * @param confirmations number of daemons besides the first that must confirm a suspicion for the
+ *     minimum time
+ * @param gossipInterval time between two gossip rounds
+ * @param gossipFanout number of daemons that receive updates in a gossip round
+ * @param updatesPerMessage maximum number of updates in one message
+ * @param syncInterval time between two comparisons of the full member table with that of one daemon
+ * @param joinInterval time between two attempts to reach seeds and daemons considered dead
+ * @param memberRetention time for which a daemon that died or left is kept in the table
  */
 public record MembershipSettings(
     Duration probeInterval,
@@ -34,7 +35,7 @@
     Duration joinInterval,
     Duration memberRetention) {
 
-  /** Settings that fit both today's and the largest planned size. */
+  /** Default settings, suitable for small and large deployments. */
   public static final MembershipSettings DEFAULT =
       new MembershipSettings(
           Duration.ofMillis(500),
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/ServingState.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/ServingState.java
@@ -1,11 +1,13 @@
 package org.skylarkfork.core.membership;
 
-/** Whether a daemon takes new work of callers, as it says itself. */
+/** Whether a daemon accepts new work from callers, as reported by the daemon itself. */
 public enum ServingState {
-  /** It takes new work. */
+  /** It accepts new work. */
   SERVING,
-  /** It holds no configuration lease, and refuses new work until it does. */
+  /** It holds no configuration lease and refuses new work until it does. */
   NOT_SERVING,
-  /** It is stopping; it is on no entry list, and callers with an old list are still served. */
+  /**
+   * It is stopping: entry lists no longer name it, and it still serves callers with an old list.
+   */
   LEAVING
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Shuffle.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Shuffle.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Puts lists into a random order. */
+/** Shuffles lists with a seeded random generator. */
 final class Shuffle {
 
   private Shuffle() {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Suspicion.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Suspicion.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** A suspicion that runs: the more daemons share it, the shorter the time to refute it. */
+/** A pending suspicion: the more daemons confirm it, the shorter the time to refute it. */
 final class Suspicion {
 
   private final MembershipSettings settings;
@@ -18,12 +18,14 @@
     accusers.add(accuser);
   }
 
-  /** Returns whether this accuser was not counted before and still shortens the time. */
+  /**
+   * Adds an accuser and returns whether it is new and shortens the time to refute the suspicion.
+   */
   boolean confirm(String accuser) {
     return accusers.size() <= settings.confirmations() && accusers.add(accuser);
   }
 
-  /** Returns when the suspected daemon counts as dead. */
+  /** Returns the time at which the suspected daemon is considered dead. */
   Instant deadline(LocalHealth health) {
     double confirmations = Math.min(accusers.size() - 1, settings.confirmations());
     double share = Math.log(confirmations + 1) / Math.log(settings.confirmations() + 1.0);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamPool.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamPool.java
@@ -10,13 +10,14 @@
 /**
  * The upstreams of one model version or service, of which a daemon uses all or a subset.
  *
- * <p>A daemon that used all of a large pool would have to follow all their loads. Each uses the
- * first few in rendezvous order of its own name, most of them in its zone, so that the daemons
- * spread evenly over a pool and a change of the pool moves few.
+ * <p>A daemon that used all upstreams of a large pool would have to subscribe to all their loads.
+ * Each daemon instead uses the first few in rendezvous order of its own name, most of them in its
+ * own zone, so that the daemons are distributed evenly over the pool and a change of the pool
+ * reassigns only few.
  */
 final class UpstreamPool {
 
-  /** One of so many in a subset is from another zone, for the loss of the own one. */
+  /** One in this many upstreams of a subset is in another zone, in case the own zone fails. */
   private static final int OTHER_ZONES_DIVISOR = 4;
 
   private final String self;
@@ -48,13 +49,13 @@
     chosenIds = null;
   }
 
-  /** Takes a newer announcement that leaves the choice of the subset as it is. */
+  /** Replaces the announcement of an upstream without a new selection of the subset. */
   void replace(Announcement announcement) {
     members.put(announcement.id(), announcement);
     chosen = null;
   }
 
-  /** Returns the upstreams to use, in the order of ids. */
+  /** Returns the upstreams to use, ordered by id. */
   List<Announcement> subset() {
     if (chosen == null) {
       chosen =
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamTable.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamTable.java
@@ -18,10 +18,13 @@
 import org.skylarkfork.core.upstream.UpstreamRecord;
 import org.skylarkfork.core.upstream.UpstreamState;
 
-/** Records of upstreams with indexes, so that a look-up costs as much as its result is long. */
+/**
+ * Records of upstreams with indexes, so that the cost of a lookup is proportional to the size of
+ * its result.
+ */
 final class UpstreamTable {
 
-  /** Number of buckets into which two tables are split to compare them. */
+  /** Number of hash buckets by which two tables are compared. */
   static final int BUCKETS = 256;
 
   private final TreeMap<String, UpstreamRecord> records = new TreeMap<>();
@@ -34,11 +37,11 @@
   private final int subset;
 
   /**
-   * Makes an empty table.
+   * Creates an empty table.
    *
-   * @param self name of this daemon, by which its subsets differ from others'
-   * @param zone availability zone that subsets prefer
-   * @param subset most upstreams in a subset
+   * @param self name of this daemon; subsets differ by daemon
+   * @param zone availability zone that is preferred for subsets
+   * @param subset maximum number of upstreams in a subset
    */
   UpstreamTable(String self, String zone, int subset) {
     this.self = self;
@@ -68,7 +71,7 @@
     return pool == null ? List.of() : pool.subset();
   }
 
-  /** Returns the names of all upstreams that this daemon uses. */
+  /** Returns the ids of all upstreams that this daemon uses. */
   Set<String> usedIds() {
     Set<String> ids = new TreeSet<>();
     engines.values().forEach(pool -> pool.subset().forEach(one -> ids.add(one.id())));
@@ -76,13 +79,13 @@
     return ids;
   }
 
-  /** Returns the record of the live upstream at an address, or null. */
+  /** Returns the record of the live upstream at an address, or null if there is none. */
   @Nullable UpstreamRecord findByAddress(String host, int port) {
     String id = idByAddress.get(host + ":" + port);
     return id == null ? null : records.get(id);
   }
 
-  /** Puts a record in the place of the one that stands. */
+  /** Adds a record or replaces the existing one with the same id. */
   void put(UpstreamRecord incoming) {
     UpstreamRecord known = records.put(incoming.id(), incoming);
     if (known != null) {
@@ -91,7 +94,7 @@
     index(incoming);
   }
 
-  /** Replaces the load of an upstream, which counts as no change of its record. */
+  /** Replaces the load of an upstream without changing the version of its record. */
   void putLoad(String id, LoadReport load) {
     UpstreamRecord known = records.get(id);
     if (known == null || known.announcement().load().equals(load)) {
@@ -128,7 +131,7 @@
     return hashes;
   }
 
-  /** Returns the records of some buckets, lost and ended ones too. */
+  /** Returns the records of some buckets, including lost and ended upstreams. */
   List<UpstreamRecord> inBuckets(Collection<Integer> buckets) {
     Set<Integer> wanted = new TreeSet<>(buckets);
     return records.values().stream()
@@ -174,7 +177,7 @@
     }
     Announcement announcement = record.announcement();
     idByAddress.put(announcement.host() + ":" + announcement.port(), record.id());
-    // Only live records count: one daemon forgets a lost upstream sooner than another, and their
+    // Only live records are hashed: daemons remove a lost upstream at different times, and their
     // tables would differ for minutes without anything to repair.
     bucketHashes[bucketOf(record.id())] ^= hash(record);
     if (!record.takesWork()) {
@@ -183,7 +186,7 @@
     pools(announcement).forEach(pool -> pool.add(announcement));
   }
 
-  /** Returns the pools that an upstream belongs to, new ones if need be. */
+  /** Returns the pools that an upstream belongs to and creates missing ones. */
   private List<UpstreamPool> pools(Announcement announcement) {
     if (announcement.kind() == UpstreamKind.SERVICE) {
       String service = announcement.service() == null ? "" : announcement.service();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/package-info.java
@@ -1,4 +1,4 @@
-/** Which daemons and upstreams are there. */
+/** Membership of daemons by the SWIM protocol, and the directory of upstreams. */
 @NullMarked
 package org.skylarkfork.core.membership;
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/Announcements.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/Announcements.java
@@ -7,7 +7,7 @@
 import org.skylarkfork.core.upstream.LoadedModel;
 import org.skylarkfork.core.upstream.UpstreamKind;
 
-/** Announcements for tests. */
+/** Creates announcements for tests. */
 final class Announcements {
 
   static final ModelVersion RULING = new ModelVersion("ruling", "1");
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/DirectoryDisseminationTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/DirectoryDisseminationTest.java
@@ -14,7 +14,7 @@
 import org.skylarkfork.core.upstream.Announcement;
 import org.testng.annotations.Test;
 
-/** Tests what all daemons know of upstreams that announce themselves to one. */
+/** Tests that all daemons learn of upstreams that announce themselves to one daemon. */
 public final class DirectoryDisseminationTest {
 
   @Test
@@ -38,7 +38,9 @@
     }
   }
 
-  /** An upstream falls silent; new work sent to it would wait for nothing, at any entry. */
+  /**
+   * Guards against new work sent to an upstream that has stopped sending heartbeats, at any entry.
+   */
   @Test
   public void silentUpstreamIsRemovedOnAllDaemons() {
     TestNetwork network = networkWith(9, 20);
@@ -48,8 +50,8 @@
   }
 
   /**
-   * The entry that hears an upstream dies, or restarts. The upstream goes on at another entry
-   * within a second; callers of the other entries must not find it missing meanwhile.
+   * Guards against upstreams missing at other entries while the owner of the upstreams dies or
+   * restarts. Each upstream continues its announcements at another entry within a second.
    */
   @Test
   public void upstreamsSurviveLossOfOwner() {
@@ -76,8 +78,8 @@
   }
 
   /**
-   * An entry and the upstreams that it hears vanish together, as when a rack fails. Nobody is left
-   * to say so; each other entry must stop sending there by itself.
+   * Guards against work sent to upstreams that fail together with their owner, as in a rack
+   * failure. No owner is left to report the loss, so each other entry must remove them by itself.
    */
   @Test
   public void upstreamsLostWithTheirOwnerAreDropped() {
@@ -90,8 +92,9 @@
   }
 
   /**
-   * The network is parted while an upstream leaves and another process starts at an address of a
-   * third. After it heals, entries of both sides must send new work to neither old one.
+   * Guards against work sent to outdated upstreams after a partition: during the partition one
+   * upstream leaves and a new process starts at the address of another one. After the partition,
+   * entries of both sides must send new work to neither of the old upstreams.
    */
   @Test
   public void changesDuringPartitionAreDisseminatedAfterIt() {
@@ -132,8 +135,9 @@
   }
 
   /**
-   * Entries and upstreams are killed, restarted, cut off and made to leave at random, under loss
-   * and a partition. Once that ends, each entry must know just the upstreams that are there.
+   * Guards against tables that don't converge: entries and upstreams are killed, restarted,
+   * isolated and made to leave at random, under message loss and partitions. Afterwards each entry
+   * must know exactly the live upstreams.
    */
   @Test
   public void convergesAfterRandomFailures() {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/DirectoryPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/DirectoryPartTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests what one daemon's directory makes of announcements. */
+/** Tests how one daemon's directory processes announcements. */
 public final class DirectoryPartTest {
 
   private FixedConfiguration configuration;
@@ -44,9 +44,9 @@
   }
 
   /**
-   * A caller's request goes to an address where another process now listens, or to one that has
-   * ended: engine-2 ends and says so, a heartbeat of its comes late; then engine-3 starts at its
-   * address. The late heartbeat must not bring engine-2 back.
+   * Guards against requests to a process that has ended or whose address belongs to another
+   * process: engine-2 announces its end and a late heartbeat of it arrives; then engine-3 starts at
+   * its address. The late heartbeat must not restore engine-2.
    */
   @Test
   public void goneAndReplacedUpstreamsDoNotReturn() {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/FixedConfiguration.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/FixedConfiguration.java
@@ -8,13 +8,13 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 import org.skylarkfork.core.configuration.Team;
 
-/** A configuration that the test sets, with a lease that always holds unless it is taken away. */
+/** A configuration set by the test, with a lease that is held unless the test revokes it. */
 public final class FixedConfiguration implements ConfigurationView {
 
   private Configuration current = Configuration.EMPTY;
   private boolean lease = true;
 
-  /** Sets what is drained and withdrawn. */
+  /** Sets the drained upstreams and VMs and the withdrawn versions. */
   public void set(List<String> upstreams, List<String> vms, List<ModelVersion> withdrawn) {
     Configuration empty = Configuration.EMPTY;
     current =
@@ -33,7 +33,7 @@
             List.of());
   }
 
-  /** Gives or takes the configuration lease. */
+  /** Grants or revokes the configuration lease. */
   public void lease(boolean held) {
     lease = held;
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/MembershipPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/MembershipPartTest.java
@@ -11,7 +11,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests how daemons find, watch and lose each other. */
+/** Tests how daemons discover each other and detect failures. */
 public final class MembershipPartTest {
 
   @Test
@@ -25,9 +25,9 @@
   }
 
   /**
-   * A VM is cut off without any error to either side. Callers with a fresh list must not be sent
-   * there, so each other daemon finds it dead within seconds; the VM itself must not take the
-   * others for dead as fast, and once the cut ends all are there again without a restart.
+   * Guards against lists with an unreachable VM: a VM is isolated without an error at either end,
+   * and each other daemon must consider it dead within seconds. The VM itself must not consider the
+   * others dead as fast, and after the isolation all must be live again without a restart.
    */
   @Test
   public void isolatedVmIsRemovedAndRejoins() {
@@ -52,8 +52,8 @@
   }
 
   /**
-   * A VM answers late, for want of processor time: its answers take 700 ms, and it stands still for
-   * up to 2 s. It is suspected, hears of it and refutes; callers keep it.
+   * Guards against the removal of a slow VM: for lack of processor time its answers take 700 ms,
+   * and it stalls for up to 2 s. It must be suspected, refute the suspicion and stay live.
    */
   @Test
   public void slowVmIsSuspectedButNotDead() {
@@ -75,9 +75,10 @@
   }
 
   /**
-   * A process restarts before anybody missed it, once even with its clock set back, then its name
-   * moves to another VM while the old process is cut off and comes back later. Callers must be sent
-   * to the newest process, and the replaced one may do no harm.
+   * Guards against callers sent to a replaced process: a process restarts before its failure is
+   * detected, once even with its clock set back; then its name moves to another VM while the old
+   * process is isolated and returns later. All must use the newest process, and the replaced one
+   * must have no effect.
    */
   @Test
   public void restartsAndReplacedAddresses() {
@@ -111,8 +112,9 @@
   }
 
   /**
-   * An entry is asked to stop. Callers with a list that names it must be served until that list has
-   * expired; no list names it after a moment. Then it ends and the others do not look for it.
+   * Guards against refused callers on a planned stop: no new list may name the stopping entry, but
+   * it must serve callers until the last list that named it has expired. After its end the others
+   * must not report it as dead.
    */
   @Test
   public void plannedStopLeavesTheListFirst() {
@@ -161,7 +163,7 @@
     assertTrue(drained.entries.acceptsNewWork(network.now));
   }
 
-  /** Gives rates of lost messages. */
+  /** Returns rates of message loss. */
   @DataProvider
   public Object[][] losses() {
     return new Object[][] {{0.01}, {0.05}, {0.10}};
@@ -178,8 +180,8 @@
   }
 
   /**
-   * Callers must end up with the right list whatever happened: daemons are killed, restarted, cut
-   * and slowed at random while messages get lost; once that ends, all agree on who is there.
+   * Guards against member tables that don't converge: daemons are killed, restarted, isolated and
+   * stalled at random while messages are lost. Afterwards all must agree on the live members.
    */
   @Test
   public void convergesAfterRandomFailures() {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestDaemon.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestDaemon.java
@@ -20,7 +20,7 @@
 import org.skylarkfork.core.session.SessionTokens;
 import org.skylarkfork.core.upstream.Announcement;
 
-/** One process in a {@link TestNetwork}. */
+/** A daemon process in a {@link TestNetwork}. */
 public final class TestDaemon {
 
   public final Member self;
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestNetwork.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestNetwork.java
@@ -19,7 +19,10 @@
 import org.skylarkfork.core.event.PeerEvent;
 import org.skylarkfork.core.event.UpstreamEvent;
 
-/** Several daemons in virtual time, with seeded delay and loss, silent cuts and slow processes. */
+/**
+ * Simulates several daemons in virtual time, with seeded delay and loss, isolated hosts and slow
+ * processes.
+ */
 public final class TestNetwork {
 
   public static final Instant START = Instant.parse("2026-01-05T08:00:00Z");
@@ -36,12 +39,12 @@
       new PriorityQueue<>(Comparator.comparing(Delivery::at).thenComparingLong(Delivery::order));
   private long order;
 
-  /** Makes a network without daemons. */
+  /** Creates a network without daemons. */
   public TestNetwork(long seed) {
     random = RandomSource.XO_SHI_RO_256_PP.create(seed);
   }
 
-  /** Starts entries 1 to n, of which the first two are seeds, and lets them find each other. */
+  /** Starts entries 1 to n, of which the first two are seeds, and runs until they have joined. */
   public TestNetwork withEntries(int count) {
     for (int i = 1; i <= count; i++) {
       start(i, 1);
@@ -50,12 +53,12 @@
     return this;
   }
 
-  /** Starts an entry with its usual address. */
+  /** Starts an entry at its default address. */
   public TestDaemon start(int number, long incarnation) {
     return start("entry-" + number, "127.0.0." + number, number, incarnation);
   }
 
-  /** Starts an entry at some address. */
+  /** Starts an entry at the given address. */
   public TestDaemon start(String name, String host, int number, long incarnation) {
     String zone = ZONES.get(number % ZONES.size());
     List<String> roles = List.of(Member.ENTRY);
@@ -81,13 +84,15 @@
     return daemon;
   }
 
-  /** Ends a process at once, without a word. */
+  /** Ends a process immediately, without a message to the others. */
   public void kill(TestDaemon daemon) {
     daemon.running = false;
     daemons.remove(daemon);
   }
 
-  /** Loses all that goes to and from a host, without an error at either end. */
+  /**
+   * Drops all messages to and from a host without an error at either end, or stops dropping them.
+   */
   public void cut(String host, boolean isCut) {
     if (isCut) {
       cut.add(host);
@@ -96,7 +101,7 @@
     }
   }
 
-  /** Loses all that goes between these hosts and the others; none heals the network. */
+  /** Drops all messages between these hosts and the others; an empty list ends the partition. */
   void partition(List<String> hosts) {
     partitionedHosts.clear();
     partitionedHosts.addAll(hosts);
@@ -108,7 +113,7 @@
     return upstream;
   }
 
-  /** Lets time pass. */
+  /** Advances virtual time and delivers messages and ticks. */
   public void run(Duration time) {
     Instant end = now.plus(time);
     while (now.isBefore(end)) {
@@ -128,7 +133,7 @@
     }
   }
 
-  /** Gives a daemon an event and carries out the effects. */
+  /** Applies an event to a daemon and executes the resulting effects. */
   public void apply(TestDaemon daemon, Event event) {
     if (!daemon.running) {
       return;
@@ -138,7 +143,10 @@
     }
   }
 
-  /** Lets an upstream announce itself when that is due, to the next entry if one fails. */
+  /**
+   * Sends an upstream's announcement when it is due, and moves on to the next entry if one is
+   * unreachable.
+   */
   private void announce(TestUpstream upstream) {
     if (now.isBefore(upstream.nextAnnouncement)) {
       return;
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestUpstream.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestUpstream.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 import org.skylarkfork.core.upstream.Announcement;
 
-/** An engine that announces itself in a {@link TestNetwork}. */
+/** An engine that announces itself to the entries of a {@link TestNetwork}. */
 final class TestUpstream {
 
   final String id;
