--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectoryAntiEntropy.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectoryAntiEntropy.java
@@ -66,13 +66,13 @@
     send(randomPeer(), new DirectoryMessage.RootHash(table.rootHash()), output);
   }
 
-  void rootHash(String node, DirectoryMessage.RootHash root, Output output) {
+  void onRootHash(String node, DirectoryMessage.RootHash root, Output output) {
     if (root.hash() != table.rootHash()) {
       send(node, new DirectoryMessage.BucketHashes(table.bucketHashes()), output);
     }
   }
 
-  void bucketHashes(String node, DirectoryMessage.BucketHashes theirs, Output output) {
+  void onBucketHashes(String node, DirectoryMessage.BucketHashes theirs, Output output) {
     List<Long> ours = table.bucketHashes();
     List<Integer> differing = new ArrayList<>();
     for (int i = 0; i < Math.min(ours.size(), theirs.hashes().size()); i++) {
@@ -90,7 +90,7 @@
     send(node, new DirectoryMessage.BucketVersions(buckets, versions), output);
   }
 
-  void bucketVersions(String node, DirectoryMessage.BucketVersions theirs, Output output) {
+  void onBucketVersions(String node, DirectoryMessage.BucketVersions theirs, Output output) {
     Map<String, DirectoryMessage.RecordVersion> missing = new HashMap<>();
     theirs.versions().forEach(version -> missing.put(version.id(), version));
     List<UpstreamRecord> newer = new ArrayList<>();
@@ -112,7 +112,7 @@
     }
   }
 
-  void wanted(String node, DirectoryMessage.Wanted wanted, Output output) {
+  void onWanted(String node, DirectoryMessage.Wanted wanted, Output output) {
     List<UpstreamRecord> records = new ArrayList<>();
     for (String id : wanted.ids()) {
       UpstreamRecord record = table.get(id);
@@ -154,9 +154,9 @@
   }
 
   private String randomPeer() {
-    List<String> near = names(members.liveIn(members.self().zone()));
-    boolean stayNear = !near.isEmpty() && random.nextInt(ANY_ZONE_DIVISOR) != 0;
-    List<String> candidates = stayNear ? near : names(members.live());
+    List<String> sameZone = names(members.liveIn(members.self().zone()));
+    boolean sameZoneOnly = !sameZone.isEmpty() && random.nextInt(ANY_ZONE_DIVISOR) != 0;
+    List<String> candidates = sameZoneOnly ? sameZone : names(members.live());
     return candidates.get(random.nextInt(candidates.size()));
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectoryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectoryPart.java
@@ -182,13 +182,13 @@
     } else if (message instanceof DirectoryMessage.Heard received) {
       onAnnouncement(received.announcement(), false, now, output);
     } else if (message instanceof DirectoryMessage.RootHash root) {
-      antiEntropy.rootHash(node, root, output);
+      antiEntropy.onRootHash(node, root, output);
     } else if (message instanceof DirectoryMessage.BucketHashes hashes) {
-      antiEntropy.bucketHashes(node, hashes, output);
+      antiEntropy.onBucketHashes(node, hashes, output);
     } else if (message instanceof DirectoryMessage.BucketVersions versions) {
-      antiEntropy.bucketVersions(node, versions, output);
+      antiEntropy.onBucketVersions(node, versions, output);
     } else if (message instanceof DirectoryMessage.Wanted wanted) {
-      antiEntropy.wanted(node, wanted, output);
+      antiEntropy.onWanted(node, wanted, output);
     } else if (message instanceof DirectoryMessage.FollowLoads follow) {
       loadSubscriptions.onSubscription(node, follow, now);
     } else if (message instanceof DirectoryMessage.Loads loads) {
@@ -206,7 +206,7 @@
     UpstreamState state = announcement.gone() ? UpstreamState.GONE : UpstreamState.LIVE;
     boolean same =
         known != null && known.state() == state && !differs(announcement, known.announcement());
-    if (same && directly && forwardsToOwner(known)) {
+    if (same && directly && isForwardedToOwner(known)) {
       output.effect(
           new PeerEffect.SendToPeer(known.owner(), new DirectoryMessage.Heard(announcement)));
       return;
@@ -262,7 +262,7 @@
    * Returns whether the announcement is forwarded to the owner, because another healthy daemon owns
    * the upstream.
    */
-  private boolean forwardsToOwner(UpstreamRecord known) {
+  private boolean isForwardedToOwner(UpstreamRecord known) {
     String owner = known.owner();
     if (owner.equals(self()) || isOrphan(known) || members.isSuspected(owner)) {
       return false;
@@ -275,10 +275,10 @@
    * address.
    */
   private void endFormerUpstreamAt(Announcement announcement, Instant now, Output output) {
-    UpstreamRecord former = table.findByAddress(announcement.host(), announcement.port());
-    if (former != null && !former.id().equals(announcement.id())) {
-      long sequence = nextSequence(former, now);
-      publishChange(former.announcement(), UpstreamState.GONE, sequence, now, output);
+    UpstreamRecord previous = table.findByAddress(announcement.host(), announcement.port());
+    if (previous != null && !previous.id().equals(announcement.id())) {
+      long sequence = nextSequence(previous, now);
+      publishChange(previous.announcement(), UpstreamState.GONE, sequence, now, output);
     }
   }
 
@@ -308,14 +308,14 @@
     if (!isNewInformation(record, table.get(record.id()))) {
       return false;
     }
-    UpstreamRecord former =
+    UpstreamRecord previous =
         table.findByAddress(record.announcement().host(), record.announcement().port());
     boolean live = record.state() == UpstreamState.LIVE;
-    if (live && former != null && !former.id().equals(record.id())) {
-      if (former.sequence() > record.sequence()) {
+    if (live && previous != null && !previous.id().equals(record.id())) {
+      if (previous.sequence() > record.sequence()) {
         return false;
       }
-      put(former.with(UpstreamState.GONE), now, output);
+      put(previous.with(UpstreamState.GONE), now, output);
     }
     if (!record.owner().equals(self())) {
       heartbeatDeadlines.remove(record.id());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/FailureDetector.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/FailureDetector.java
@@ -78,7 +78,7 @@
     messenger.ping(node, ++lastSequence);
   }
 
-  void relay(String origin, long originSequence, String target, Instant now) {
+  void relayProbe(String origin, long originSequence, String target, Instant now) {
     start(new Probe(++lastSequence, target, now, origin, originSequence));
   }
 
@@ -130,9 +130,9 @@
 
   private void probeNext(Instant now) {
     if (position >= round.size()) {
-      List<String> next = new ArrayList<>(table.peers(self));
-      Shuffle.inPlace(next, random);
-      round = next;
+      List<String> nextRound = new ArrayList<>(table.peers(self));
+      Shuffle.inPlace(nextRound, random);
+      round = nextRound;
       position = 0;
     }
     while (position < round.size()) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipEventPublisher.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipEventPublisher.java
@@ -46,8 +46,8 @@
     out.effect(new TraceEffect.Count("membership_changes", label, 1));
   }
 
-  static void log(Member member, String what, boolean warning, Output out) {
-    String sentence = member.name() + " at " + member.address() + " " + what;
+  static void log(Member member, String change, boolean warning, Output out) {
+    String sentence = member.name() + " at " + member.address() + " " + change;
     out.effect(new TraceEffect.LogLine(warning, "membership", sentence));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipPart.java
@@ -213,7 +213,7 @@
     } else if (message instanceof MembershipMessage.Nack nack) {
       detector.onNack(nack.sequence());
     } else if (message instanceof MembershipMessage.PingRequest request) {
-      detector.relay(node, request.sequence(), request.target(), now);
+      detector.relayProbe(node, request.sequence(), request.target(), now);
     } else if (message instanceof MembershipMessage.Gossip gossip) {
       merge(gossip.updates(), now);
     } else if (message instanceof MembershipMessage.StateHash state) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamPool.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamPool.java
@@ -23,9 +23,9 @@
   private final String self;
   private final String zone;
   private final int subset;
-  private final TreeMap<String, Announcement> members = new TreeMap<>();
-  private @Nullable List<Announcement> chosen;
-  private @Nullable List<String> chosenIds;
+  private final TreeMap<String, Announcement> announcements = new TreeMap<>();
+  private @Nullable List<Announcement> selected;
+  private @Nullable List<String> selectedIds;
 
   UpstreamPool(String self, String zone, int subset) {
     this.self = self;
@@ -34,49 +34,49 @@
   }
 
   boolean isEmpty() {
-    return members.isEmpty();
+    return announcements.isEmpty();
   }
 
   void add(Announcement announcement) {
-    members.put(announcement.id(), announcement);
-    chosen = null;
-    chosenIds = null;
+    announcements.put(announcement.id(), announcement);
+    selected = null;
+    selectedIds = null;
   }
 
   void remove(String id) {
-    members.remove(id);
-    chosen = null;
-    chosenIds = null;
+    announcements.remove(id);
+    selected = null;
+    selectedIds = null;
   }
 
   /** Replaces the announcement of an upstream without a new selection of the subset. */
   void replace(Announcement announcement) {
-    members.put(announcement.id(), announcement);
-    chosen = null;
+    announcements.put(announcement.id(), announcement);
+    selected = null;
   }
 
   /** Returns the upstreams to use, ordered by id. */
   List<Announcement> subset() {
-    if (chosen == null) {
-      chosen =
-          members.size() <= subset
-              ? List.copyOf(members.values())
-              : ids().stream().map(members::get).toList();
+    if (selected == null) {
+      selected =
+          announcements.size() <= subset
+              ? List.copyOf(announcements.values())
+              : subsetIds().stream().map(announcements::get).toList();
     }
-    return chosen;
+    return selected;
   }
 
-  private List<String> ids() {
-    if (chosenIds == null) {
-      chosenIds = choose();
+  private List<String> subsetIds() {
+    if (selectedIds == null) {
+      selectedIds = selectIds();
     }
-    return chosenIds;
+    return selectedIds;
   }
 
-  private List<String> choose() {
+  private List<String> selectIds() {
     List<Announcement> sameZone = new ArrayList<>();
     List<Announcement> otherZones = new ArrayList<>();
-    for (Announcement member : members.values()) {
+    for (Announcement member : announcements.values()) {
       (member.zone().equals(zone) ? sameZone : otherZones).add(member);
     }
     int otherZoneCount = Math.max(subset / OTHER_ZONES_DIVISOR, subset - sameZone.size());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamTable.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamTable.java
@@ -87,30 +87,30 @@
 
   /** Adds a record or replaces the existing one with the same id. */
   void put(UpstreamRecord incoming) {
-    UpstreamRecord known = records.put(incoming.id(), incoming);
-    if (known != null) {
-      unindex(known);
+    UpstreamRecord existing = records.put(incoming.id(), incoming);
+    if (existing != null) {
+      unindex(existing);
     }
     index(incoming);
   }
 
   /** Replaces the load of an upstream without changing the version of its record. */
   void putLoad(String id, LoadReport load) {
-    UpstreamRecord known = records.get(id);
-    if (known == null || known.announcement().load().equals(load)) {
+    UpstreamRecord existing = records.get(id);
+    if (existing == null || existing.announcement().load().equals(load)) {
       return;
     }
-    Announcement announcement = withLoad(known.announcement(), load);
-    records.put(id, known.with(announcement));
-    if (known.takesWork()) {
+    Announcement announcement = withLoad(existing.announcement(), load);
+    records.put(id, existing.with(announcement));
+    if (existing.takesWork()) {
       pools(announcement).forEach(pool -> pool.replace(announcement));
     }
   }
 
   void remove(String id) {
-    UpstreamRecord known = records.remove(id);
-    if (known != null) {
-      unindex(known);
+    UpstreamRecord existing = records.remove(id);
+    if (existing != null) {
+      unindex(existing);
     }
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/DirectoryDisseminationTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/DirectoryDisseminationTest.java
@@ -18,7 +18,7 @@
 public final class DirectoryDisseminationTest {
 
   @Test
-  public void changesAndLoadsReachAllSoon() {
+  public void changesAndLoadsReachAllDaemons() {
     TestNetwork network = networkWith(9, 20);
     assertUpstreamsOnAllDaemons(network, 20);
     TestUpstream leaving = network.upstreams.get(3);
@@ -117,21 +117,22 @@
   }
 
   @Test
-  public void largePoolIsSharedEvenly() {
-    Map<String, Integer> uses = new HashMap<>();
+  public void largePoolIsDistributedEvenly() {
+    Map<String, Integer> useCounts = new HashMap<>();
     for (int entry = 1; entry <= 50; entry++) {
       UpstreamPool pool = new UpstreamPool("entry-" + entry, "utrecht-a", 16);
       for (int i = 0; i < 200; i++) {
         pool.add(Announcements.engine("engine-" + i, 1, i));
       }
       List<Announcement> subset = pool.subset();
-      subset.forEach(one -> uses.merge(one.id(), 1, Integer::sum));
+      subset.forEach(one -> useCounts.merge(one.id(), 1, Integer::sum));
       pool.remove(subset.get(0).id());
       List<Announcement> kept = new ArrayList<>(subset);
       kept.retainAll(pool.subset());
       assertEquals(kept.size(), 15);
     }
-    assertTrue(uses.size() > 185 && uses.values().stream().allMatch(count -> count <= 14));
+    assertTrue(
+        useCounts.size() > 185 && useCounts.values().stream().allMatch(count -> count <= 14));
   }
 
   /**
@@ -154,7 +155,7 @@
       network.loss = 0;
       network.partition(List.of());
       for (int i = 1; i <= 7; i++) {
-        network.cut("127.0.0." + i, false);
+        network.isolate("127.0.0." + i, false);
       }
       network.run(Duration.ofSeconds(90));
       TreeSet<String> expected = new TreeSet<>();
@@ -179,8 +180,8 @@
         network.kill(network.daemons.get(daemon));
         network.start(Integer.parseInt(name.substring("entry-".length())), step);
       }
-      case 1 -> network.cut(host, true);
-      case 2 -> network.cut(host, false);
+      case 1 -> network.isolate(host, true);
+      case 2 -> network.isolate(host, false);
       case 3 -> network.partition(List.of("127.0.0.2", "127.0.0.3", host));
       case 4 -> network.partition(List.of());
       case 5 -> upstream.leaving = !upstream.leaving;
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/MembershipPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/MembershipPartTest.java
@@ -15,7 +15,7 @@
 public final class MembershipPartTest {
 
   @Test
-  public void allFindEachOtherThroughSeeds() {
+  public void daemonsDiscoverEachOtherThroughSeeds() {
     TestNetwork network = new TestNetwork(1).withEntries(9);
     for (TestDaemon daemon : network.daemons) {
       assertEquals(daemon.liveNames().size(), 9);
@@ -32,19 +32,19 @@
   @Test
   public void isolatedVmIsRemovedAndRejoins() {
     TestNetwork network = new TestNetwork(2).withEntries(9);
-    TestDaemon lost = network.daemons.get(4);
-    network.cut(lost.self.host(), true);
+    TestDaemon isolated = network.daemons.get(4);
+    network.isolate(isolated.self.host(), true);
     network.run(Duration.ofSeconds(8));
     for (TestDaemon daemon : network.daemons) {
-      if (daemon != lost) {
+      if (daemon != isolated) {
         assertFalse(daemon.liveNames().contains("entry-5"), daemon.self.name());
         assertEquals(daemon.liveNames().size(), 8);
       }
     }
     network.run(Duration.ofSeconds(15));
-    assertEquals(lost.deathsSeen(), 0);
+    assertEquals(isolated.deathsSeen(), 0);
     network.run(Duration.ofSeconds(90));
-    network.cut(lost.self.host(), false);
+    network.isolate(isolated.self.host(), false);
     network.run(Duration.ofSeconds(30));
     for (TestDaemon daemon : network.daemons) {
       assertEquals(daemon.liveNames().size(), 9, daemon.self.name());
@@ -81,7 +81,7 @@
    * must have no effect.
    */
   @Test
-  public void restartsAndReplacedAddresses() {
+  public void newestProcessReplacesEarlierOnes() {
     TestNetwork network = new TestNetwork(4).withEntries(5);
     network.kill(network.daemons.get(2));
     network.start(3, 10);
@@ -93,14 +93,14 @@
     network.start(3, 4);
     network.run(Duration.ofSeconds(20));
     assertTrue(first.membership.find("entry-3").orElseThrow().incarnation() > 10);
-    TestDaemon old = network.daemons.get(4);
-    network.cut(old.self.host(), true);
+    TestDaemon replaced = network.daemons.get(4);
+    network.isolate(replaced.self.host(), true);
     network.start("entry-3", "127.0.0.33", 3, 20);
     network.run(Duration.ofSeconds(20));
-    network.cut(old.self.host(), false);
+    network.isolate(replaced.self.host(), false);
     network.run(Duration.ofSeconds(60));
     for (TestDaemon daemon : network.daemons) {
-      if (daemon != old) {
+      if (daemon != replaced) {
         assertEquals(daemon.membership.find("entry-3").orElseThrow().host(), "127.0.0.33");
         assertEquals(daemon.liveNames().size(), 5);
       }
@@ -117,7 +117,7 @@
    * must not report it as dead.
    */
   @Test
-  public void plannedStopLeavesTheListFirst() {
+  public void plannedStopRemovesEntryFromListFirst() {
     TestNetwork network = new TestNetwork(5).withEntries(9);
     TestDaemon leaving = network.daemons.get(7);
     network.apply(leaving, new LifecycleEvent.StopRequested());
@@ -142,7 +142,7 @@
   }
 
   @Test
-  public void drainedAndLeaselessEntriesAreOffTheList() {
+  public void drainedAndLeaselessEntriesAreNotListed() {
     TestNetwork network = new TestNetwork(6).withEntries(4);
     TestDaemon leaseless = network.daemons.get(2);
     leaseless.configuration.lease(false);
@@ -165,12 +165,12 @@
 
   /** Returns rates of message loss. */
   @DataProvider
-  public Object[][] losses() {
+  public Object[][] lossRates() {
     return new Object[][] {{0.01}, {0.05}, {0.10}};
   }
 
   @Test(dataProvider = "losses")
-  public void lossKillsNobody(double loss) {
+  public void messageLossCausesNoDeaths(double loss) {
     TestNetwork network = new TestNetwork(7).withEntries(9);
     network.loss = loss;
     network.run(Duration.ofMinutes(10));
@@ -195,7 +195,7 @@
       }
       network.loss = 0;
       for (int i = 1; i <= 7; i++) {
-        network.cut("127.0.0." + i, false);
+        network.isolate("127.0.0." + i, false);
       }
       network.run(Duration.ofSeconds(90));
       for (TestDaemon daemon : network.daemons) {
@@ -223,8 +223,8 @@
         network.kill(daemon);
         network.start(number, incarnation);
       }
-      case 1 -> network.cut(daemon.self.host(), true);
-      case 2 -> network.cut(daemon.self.host(), false);
+      case 1 -> network.isolate(daemon.self.host(), true);
+      case 2 -> network.isolate(daemon.self.host(), false);
       default -> daemon.stalledUntil = network.now.plusMillis(network.random.nextInt(5000));
     }
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestNetwork.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestNetwork.java
@@ -34,7 +34,7 @@
   public double loss;
   final List<TestUpstream> upstreams = new ArrayList<>();
   private final Set<String> partitionedHosts = new HashSet<>();
-  private final Set<String> cut = new HashSet<>();
+  private final Set<String> isolate = new HashSet<>();
   private final PriorityQueue<Delivery> queue =
       new PriorityQueue<>(Comparator.comparing(Delivery::at).thenComparingLong(Delivery::order));
   private long order;
@@ -93,11 +93,11 @@
   /**
    * Drops all messages to and from a host without an error at either end, or stops dropping them.
    */
-  public void cut(String host, boolean isCut) {
+  public void isolate(String host, boolean isCut) {
     if (isCut) {
-      cut.add(host);
+      isolate.add(host);
     } else {
-      cut.remove(host);
+      isolate.remove(host);
     }
   }
 
@@ -152,7 +152,7 @@
       return;
     }
     TestDaemon daemon = daemons.get(upstream.entry % daemons.size());
-    if (cut.contains(daemon.self.host()) || now.isBefore(daemon.stalledUntil)) {
+    if (isolate.contains(daemon.self.host()) || now.isBefore(daemon.stalledUntil)) {
       upstream.entry++;
       upstream.nextAnnouncement = now.plusMillis(500);
       return;
@@ -177,7 +177,10 @@
     String to = from.addressBook.get(send.node());
     boolean partitioned =
         to != null && partitionedHosts.contains(to) != partitionedHosts.contains(from.self.host());
-    if (to == null || partitioned || cut.contains(from.self.host()) || random.nextDouble() < loss) {
+    if (to == null
+        || partitioned
+        || isolate.contains(from.self.host())
+        || random.nextDouble() < loss) {
       return;
     }
     Duration delay = Duration.ofMillis(1 + random.nextInt(5)).plus(from.sendDelay);
@@ -186,7 +189,7 @@
   }
 
   private void deliver(Delivery delivery) {
-    if (cut.contains(delivery.host())) {
+    if (isolate.contains(delivery.host())) {
       return;
     }
     for (TestDaemon daemon : List.copyOf(daemons)) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/session/SessionPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/session/SessionPartTest.java
@@ -122,7 +122,7 @@
     TestNetwork network = new TestNetwork(14).withEntries(5);
     String token = pin(network, network.daemons.get(0), "s", ONE);
     TestDaemon cut = network.daemons.get(4);
-    network.cut(cut.self.host(), true);
+    network.isolate(cut.self.host(), true);
     for (int i = 0; i < 20; i++) {
       assertEquals(ask(network, cut, "new" + i, null), Optional.empty());
     }
