--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectoryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectoryPart.java
@@ -372,7 +372,7 @@
       UpstreamRecord record, @Nullable UpstreamRecord known, Output output) {
     String now = stateName(record);
     if (known == null || !stateName(known).equals(now)) {
-      String sentence = record.id() + " is " + now + ", reported by " + record.owner();
+      String sentence = record.id() + " is " + now + ", says " + record.owner();
       output.effect(new TraceEffect.LogLine(false, "directory", sentence));
       output.effect(new TraceEffect.Count("upstream_changes", now, 1));
     }
