--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/MemberChanges.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/MemberChanges.java
@@ -48,8 +48,7 @@
   /** Returns why no member change is possible now, or null if one is possible. */
   @Nullable String rejectionReason() {
     if (replica.log.termAt(replica.commitIndex()) != replica.term()) {
-      return "raft: the leader has not committed an entry of its term yet; submit again in a"
-                 + " second";
+      return "raft: the new leader has not committed an entry yet; submit again in a second";
     }
     if (replica.members.latestIndex() > replica.commitIndex()) {
       return "raft: another member change isn't committed yet; submit again once it is";
