--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/MembershipPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/MembershipPartTest.java
@@ -165,7 +165,7 @@
 
   /** Returns rates of message loss. */
   @DataProvider
-  public Object[][] lossRates() {
+  public Object[][] losses() {
     return new Object[][] {{0.01}, {0.05}, {0.10}};
   }
 
