--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/RaftSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/RaftSettings.java
@@ -7,7 +7,8 @@
  *
  * @param electionMin minimum election timeout: time without contact to a leader before a voter
  *     campaigns
- * @param electionMax maximum election timeout; each timeout is drawn at random between the two
+ * @param electionMax maximum election timeout; each timeout is drawn at random between {@code
+ *     electionMin} and this value
  * @param heartbeat interval between a leader's heartbeats
  * @param lease duration of the leader lease, counted from the sending of the messages that a
  *     majority answered; must be less than {@code electionMin}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipPart.java
@@ -246,8 +246,8 @@
     out.effect(new TraceEffect.Count("membership_replaced_senders", "", 1));
     if (!Long.valueOf(message.incarnation())
         .equals(warnedIncarnations.put(node, message.incarnation()))) {
-      String what = "has replaced a process that still runs; stop the older one";
-      MembershipEventPublisher.log(known.member(), what, true, out);
+      String warning = "has replaced a process that still runs; stop the older one";
+      MembershipEventPublisher.log(known.member(), warning, true, out);
     }
     return true;
   }
