--- /dev/null
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -0,0 +1,237 @@
+package org.skylarkfork.core.relay;
+
+import java.time.Duration;
+import java.time.Instant;
+import org.jspecify.annotations.Nullable;
+import org.skylarkfork.core.Output;
+import org.skylarkfork.core.crash.CrashWatch;
+import org.skylarkfork.core.crash.WatchedUpstream;
+import org.skylarkfork.core.effect.RelayEffect;
+import org.skylarkfork.core.event.RelayEvent;
+import org.skylarkfork.core.message.RelayMessage.AttemptProgress;
+
+/**
+ * Retries, fails over or ends requests whose attempts failed, were rejected unexecuted or are slow.
+ */
+final class AttemptFailureHandler {
+
+  private static final int MISDIRECTED_REQUEST = 421;
+
+  /** Maximum number of unreachable upstreams that are tried for one request. */
+  private static final int MAX_UNSENT_ATTEMPTS = 4;
+
+  /**
+   * Length of the silence, as a multiple of the route's pause objective, after which a stream fails
+   * over even if the other upstream can't meet the objective.
+   */
+  private static final double CERTAIN_SILENCE_PAUSES = 1.75;
+
+  private final AttemptSender sender;
+  private final AttemptStarter starter;
+  private final RequestCompleter completer;
+  private final VersionLedger counts;
+  private final FirstByteTimeout firstByteTimeout;
+  private final CrashWatch crashes;
+  private final RequestTrace trace;
+
+  AttemptFailureHandler(
+      AttemptSender sender,
+      AttemptStarter starter,
+      RequestCompleter completer,
+      VersionLedger counts,
+      FirstByteTimeout firstByteTimeout,
+      CrashWatch crashes,
+      RequestTrace trace) {
+    this.sender = sender;
+    this.starter = starter;
+    this.completer = completer;
+    this.counts = counts;
+    this.firstByteTimeout = firstByteTimeout;
+    this.crashes = crashes;
+    this.trace = trace;
+  }
+
+  /** Handles an upstream's report that it has not run the request. */
+  void onNotRun(
+      ActiveRelay relay,
+      UpstreamTrack track,
+      RelayEvent.AnswerBegan began,
+      Instant now,
+      Output output) {
+    if (began.status() == MISDIRECTED_REQUEST) {
+      track.answeredByOther();
+    } else {
+      sender.recordFailure(relay, AttemptProgress.FAILED, now, output);
+    }
+    relay.refusingUpstreams.add(track.instance().id());
+    trace.attemptEnded("not_run", relay, "status=" + began.status(), now, output);
+    sender.cancelAttempt(relay, output);
+    starter.retryOrEnd(relay, now, output);
+  }
+
+  /**
+   * Retries the request after an upstream answered with a server error, if another attempt is
+   * allowed.
+   *
+   * @return whether the request was retried or ended; if false, the caller must receive the error
+   *     answer
+   */
+  boolean onServerError(
+      ActiveRelay relay,
+      UpstreamTrack track,
+      RelayEvent.AnswerBegan began,
+      Instant now,
+      Output output) {
+    sender.recordFailure(relay, AttemptProgress.FAILED, now, output);
+    counts.failed(track.instance());
+    trace.attemptEnded("upstream_failed", relay, "status=" + began.status(), now, output);
+    boolean retried =
+        relay.route.retryable()
+            && sender.place(relay, now) != null
+            && starter.acquireRetry(relay, now);
+    if (retried) {
+      sender.cancelAttempt(relay, output);
+      starter.startNext(relay, now, output);
+    } else if (relay.forwarding) {
+      completer.abortAnswer(relay, now, output);
+    }
+    return retried || relay.forwarding;
+  }
+
+  /** Handles an attempt that failed before its answer was complete. */
+  void onAttemptFailed(
+      ActiveRelay relay, RelayEvent.AttemptFailed failed, Instant now, Output output) {
+    UpstreamTrack track = relay.upstream();
+    if (track == null) {
+      return;
+    }
+    boolean unsent = failed.failure() == AttemptFailure.NOT_SENT;
+    if (failed.failure() != AttemptFailure.STALE_CONNECTION) {
+      AttemptProgress progress = unsent ? AttemptProgress.UNREACHABLE : AttemptProgress.FAILED;
+      sender.recordFailure(relay, progress, now, output);
+    }
+    if (failed.failure().mayHaveRun()) {
+      relay.mayHaveRun = true;
+      crashes.lost(suspected(track.instance()), relay.requestKey, relay.sentAt, now, output);
+    }
+    if (failed.failure().countsAgainstVersion()) {
+      counts.failed(track.instance());
+    }
+    updateLastEventId(relay, failed.lastEventId());
+    String facts = "how=" + failed.failure() + " after_event=" + relay.lastEventId;
+    trace.attemptEnded("attempt_failed", relay, facts, now, output);
+    sender.releaseAttempt(relay, output);
+    if (unsent) {
+      relay.refusingUpstreams.add(track.instance().id());
+      onUnreachable(relay, now, output);
+    } else {
+      starter.retryOrEnd(relay, now, output);
+    }
+  }
+
+  /**
+   * Tries another upstream after one that was unreachable.
+   *
+   * <p>Nothing reached an upstream, so the next attempt is not a retry and counts neither toward
+   * the route's maximum of attempts nor toward the retry budget. When it counted, a request on a
+   * route with two attempts failed after 58 ms because two upstreams had just crashed.
+   */
+  private void onUnreachable(ActiveRelay relay, Instant now, Output output) {
+    relay.sentAttempts--;
+    relay.unsentAttempts++;
+    if (relay.unsentAttempts <= MAX_UNSENT_ATTEMPTS && now.isBefore(relay.deadline)) {
+      starter.startNext(relay, now, output);
+    } else if (relay.forwarding) {
+      completer.abortAnswer(relay, now, output);
+    } else {
+      Refusal refusal = relay.mayHaveRun ? Refusal.OUTCOME_UNKNOWN : Refusal.NO_UPSTREAM;
+      completer.endWithRefusal(relay, refusal, now, output);
+    }
+  }
+
+  /**
+   * Fails a stream over whose upstream has become silent after its answer began.
+   *
+   * <p>Initially the stream fails over only if another upstream is expected to continue it within
+   * the route's pause objective, because a busy engine can be silent for as long and the other
+   * upstream must prefill the prompt again. After a longer silence the stream fails over
+   * regardless, because an upstream that is disconnected without a TCP reset never continues.
+   */
+  void onSilentStream(
+      ActiveRelay relay, RelayEvent.AnswerSilent silent, Instant now, Output output) {
+    updateLastEventId(relay, silent.lastEventId());
+    if (!relay.forwarding) {
+      return;
+    }
+    double pause = relay.route.pauseMillis();
+    boolean certainlySilent = silent.silentMillis() >= CERTAIN_SILENCE_PAUSES * pause;
+    double maxFirstByteMillis = certainlySilent ? Double.MAX_VALUE : pause - silent.silentMillis();
+    failOver(relay, maxFirstByteMillis, "silent_stream", now, output);
+  }
+
+  private static void updateLastEventId(ActiveRelay relay, @Nullable String lastEventId) {
+    if (lastEventId != null) {
+      relay.lastEventId = lastEventId;
+    }
+  }
+
+  /** Fails a request over if its upstream has exceeded the first-byte timeout. */
+  void checkFirstByteTimeout(ActiveRelay relay, Instant now, Output output) {
+    double waitedMillis = Duration.between(relay.sentAt, now).toMillis();
+    boolean awaitsFirstByte = !relay.forwarding && relay.placementQuery == 0;
+    if (awaitsFirstByte
+        && firstByteTimeout.isExceeded(relay.route, relay.modelIndex, waitedMillis)) {
+      failOver(relay, Double.MAX_VALUE, "silent", now, output);
+    }
+  }
+
+  /**
+   * Fails over from a silent upstream to another one, at most once per request.
+   *
+   * <p>The current attempt is cancelled first, so that two upstreams never run the request at once.
+   * It is cancelled only if another upstream is available and the retry budget allows an attempt,
+   * because otherwise the caller would lose an answer that may still come.
+   */
+  private void failOver(
+      ActiveRelay relay, double maxFirstByteMillis, String why, Instant now, Output output) {
+    UpstreamTrack silent = relay.upstream();
+    boolean possible = !relay.failedOver && silent != null && relay.route.retryable();
+    if (!possible || relay.sentAttempts >= relay.route.maxAttempts()) {
+      return;
+    }
+    Placement next = sender.placeFailover(relay, now);
+    boolean withinLimit = next != null && next.firstByteMillis() <= maxFirstByteMillis;
+    if (!withinLimit || !starter.acquireRetry(relay, now)) {
+      return;
+    }
+    relay.failedOver = true;
+    sender.recordFailure(relay, AttemptProgress.SILENT, now, output);
+    recordAbandonedWait(relay, silent, now);
+    trace.attemptEnded(why, relay, "after_event=" + relay.lastEventId, now, output);
+    sender.cancelAttempt(relay, output);
+    crashes.lost(suspected(silent.instance()), relay.requestKey, relay.sentAt, now, output);
+    starter.startNext(relay, now, output);
+  }
+
+  private static WatchedUpstream suspected(UpstreamInstance instance) {
+    return new WatchedUpstream(
+        instance.run(),
+        instance.service(),
+        instance.version(),
+        new RelayEffect.ProbeUpstream(instance));
+  }
+
+  /**
+   * Records the time spent on an abandoned attempt as if its answer had begun now.
+   *
+   * <p>A new version has no cached prompt prefixes and is slow at first. When abandoned attempts
+   * counted as failures, a good version was rolled back.
+   */
+  private void recordAbandonedWait(ActiveRelay relay, UpstreamTrack silent, Instant now) {
+    if (!relay.forwarding) {
+      long waitedMillis = Duration.between(relay.sentAt, now).toMillis();
+      firstByteTimeout.addSample(relay.route, relay.modelIndex, waitedMillis);
+      counts.answered(silent.instance(), waitedMillis);
+    }
+  }
+}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -24,23 +24,27 @@
 import org.skylarkfork.core.message.RelayMessage.Neighbourhood;
 import org.skylarkfork.core.message.RelayMessage.SharedState;
 
-/** An entry's side of the control plane: what it believes, how old that is, and its polls. */
+/**
+ * An entry's side of the control plane: polls the control VMs and keeps the entry's view of the
+ * deployment and the age of that view.
+ */
 public final class RelayEntryPart implements Part, RelayView {
 
   /**
-   * Time between two polls to each control VM while none is known to lead. The first one waits
-   * there for the election's end, so that more only replace what a connection has lost; with 250
-   * ms, 91 entries kept each control VM busy with 364 polls a second while it was to vote.
+   * Interval between polls of each control VM while no leader is known. The first poll waits at the
+   * control VM until the election ends, so further ones only replace polls that a connection has
+   * lost. With 250 ms, 91 entries loaded each control VM with 364 polls per second during the
+   * election.
    */
-  private static final Duration LEADERLESS = Duration.ofMillis(500);
+  private static final Duration LEADERLESS_POLL_INTERVAL = Duration.ofMillis(500);
 
   private final EntryIdentity self;
-  private final RelayTimes times;
+  private final RelayTimings timings;
   private final VersionLedger counts;
   private List<String> seeds;
   private List<String> controlNodes = List.of();
   private @Nullable String leader;
-  private Instant leaderHeard = Instant.EPOCH;
+  private Instant leaderUpdatedAt = Instant.EPOCH;
   private final Map<String, Instant> polledAt = new HashMap<>();
   private RouteTable table = new RouteTable(RelayConfiguration.NONE);
   private Instant provenAt = Instant.EPOCH;
@@ -56,23 +60,23 @@
   private boolean stopping;
 
   /**
-   * Makes the part.
+   * Creates the part.
    *
-   * @param self this entry as the control VMs are to see it
-   * @param seeds peer names of control VMs to begin with
-   * @param times when to do what
-   * @param counts what this entry saw of each version
+   * @param self identity that this entry reports to the control VMs
+   * @param seeds peer names of the control VMs to contact first
+   * @param timings intervals and timeouts
+   * @param counts outcomes that this entry observed per version
    */
   public RelayEntryPart(
-      EntryIdentity self, List<String> seeds, RelayTimes times, VersionLedger counts) {
+      EntryIdentity self, List<String> seeds, RelayTimings timings, VersionLedger counts) {
     this.self = self;
     this.seeds = List.copyOf(seeds);
-    this.times = times;
+    this.timings = timings;
     this.counts = counts;
-    this.lag = new TickLag(times.tick());
+    this.lag = new TickLag(timings.tickInterval());
   }
 
-  /** Returns the name that tells this entry from all others. */
+  /** Returns the unique name of this entry. */
   String name() {
     return self.callerAddress();
   }
@@ -89,7 +93,7 @@
 
   @Override
   public boolean proven(Instant now) {
-    return now.isBefore(provenAt.plus(times.lease()));
+    return now.isBefore(provenAt.plus(timings.leaseDuration()));
   }
 
   @Override
@@ -97,7 +101,7 @@
     return Duration.between(provenAt, now);
   }
 
-  /** Returns whether callers can be served. */
+  /** Returns whether this entry is ready to serve callers. */
   public boolean ready(Instant now) {
     return configured() && proven(now) && !stopping;
   }
@@ -118,7 +122,7 @@
   }
 
   @Override
-  public @Nullable String usualVersion(String service) {
+  public @Nullable String stableVersion(String service) {
     return directory.usualVersion(service);
   }
 
@@ -138,12 +142,14 @@
   }
 
   /**
-   * Returns where callers may connect, as the leader told last; this entry alone before that.
+   * Returns the addresses to which callers may connect, as last reported by the leader, or this
+   * entry's own address before the first report.
    *
-   * <p>Entries answer callers' look-ups as control VMs do: a caller waits a second for each that
-   * stands still, a whole deadline of a booking, and there are more entries than control VMs. After
-   * a crash of everything an entry is up a second before it is told anything. A caller that was
-   * turned away then has no other try; one that comes here waits until this entry serves.
+   * <p>Entries answer callers' look-ups of addresses as control VMs do, since there are more
+   * entries than control VMs and a caller waits a second for each unresponsive one, which is the
+   * whole deadline of a booking. After a full outage an entry runs for a second before it receives
+   * its first update. A caller that got no address in that time has no further attempt; one that
+   * connects to this entry waits until the entry serves.
    */
   public List<String> callerAddresses() {
     if (stopping || !neighbourhood.callerAddresses().isEmpty()) {
@@ -157,13 +163,13 @@
     return quarantined.contains(key);
   }
 
-  /** Returns how many requests are refused because they end the upstreams that run them. */
+  /** Returns the number of quarantined requests. */
   public int quarantinedCount() {
     return quarantined.size();
   }
 
-  /** Returns how many upstreams name a rate limit, as far as this entry knows. */
-  public int limitedUpstreams() {
+  /** Returns the number of known upstreams that report a rate limit. */
+  public int limitedUpstreamCount() {
     return (int) directory.tracks().stream().filter(track -> track.rateLimit().isBounded()).count();
   }
 
@@ -172,12 +178,12 @@
     return leader;
   }
 
-  /** Returns the availability zones whose upstreams get nothing. */
-  public Set<String> evacuated() {
+  /** Returns the evacuated availability zones, whose upstreams receive no requests. */
+  public Set<String> evacuatedZones() {
     return directory.evacuated();
   }
 
-  /** Returns the peer names of entries that are told of this one's load. */
+  /** Returns the peer names of the entries to which this one reports its load. */
   List<String> peers() {
     return neighbourhood.peers();
   }
@@ -206,7 +212,7 @@
       seeds = changed.nodes();
     } else if (event instanceof LifecycleEvent.StopRequested) {
       stopping = true;
-      targets().forEach(node -> poll(node, now, output));
+      pollTargets().forEach(node -> poll(node, now, output));
     }
   }
 
@@ -220,32 +226,33 @@
       wasProven = false;
       log(true, "event=lease_lost configuration=" + table.configuration().version(), output);
     }
-    if (leader != null && now.isAfter(leaderHeard.plus(times.poll().multipliedBy(3)))) {
+    if (leader != null
+        && now.isAfter(leaderUpdatedAt.plus(timings.pollInterval().multipliedBy(3)))) {
       log(true, "event=leader_lost node=" + leader, output);
       leader = null;
     }
-    for (String node : targets()) {
-      Duration wait = waitFor(node);
-      if (!now.isBefore(polledAt.getOrDefault(node, Instant.EPOCH).plus(wait))) {
+    for (String node : pollTargets()) {
+      Duration interval = pollIntervalOf(node);
+      if (!now.isBefore(polledAt.getOrDefault(node, Instant.EPOCH).plus(interval))) {
         poll(node, now, output);
       }
     }
   }
 
-  private Duration waitFor(String node) {
+  private Duration pollIntervalOf(String node) {
     if (leader == null) {
-      return LEADERLESS;
+      return LEADERLESS_POLL_INTERVAL;
     }
-    return node.equals(leader) ? times.poll() : times.backgroundPoll();
+    return node.equals(leader) ? timings.pollInterval() : timings.backgroundPollInterval();
   }
 
-  private Set<String> targets() {
+  private Set<String> pollTargets() {
     if (leader != null && !controlNodes.isEmpty()) {
       return new LinkedHashSet<>(controlNodes);
     }
-    Set<String> all = new LinkedHashSet<>(controlNodes);
-    all.addAll(seeds);
-    return all;
+    Set<String> knownNodes = new LinkedHashSet<>(controlNodes);
+    knownNodes.addAll(seeds);
+    return knownNodes;
   }
 
   private void poll(String node, Instant now, Output output) {
@@ -271,29 +278,30 @@
   }
 
   private void onUpdate(String from, EntryUpdate update, Instant now, Output output) {
-    Instant proof = update.provenAt();
-    if (proof != null) {
+    Instant proofTime = update.provenAt();
+    if (proofTime != null) {
       if (!from.equals(leader)) {
         log(false, "event=leader_found node=" + from, output);
       }
       leader = from;
-      leaderHeard = now;
+      leaderUpdatedAt = now;
     }
-    take(update.configuration(), output);
-    takeShared(update, now, output);
+    applyConfiguration(update.configuration(), output);
+    applySharedState(update, now, output);
     directory.take(update.directory(), now, output);
     if (!update.controlNodes().isEmpty()) {
-      controlNodes = proof == null ? joined(update.controlNodes()) : update.controlNodes();
+      controlNodes =
+          proofTime == null ? mergedControlNodes(update.controlNodes()) : update.controlNodes();
     }
-    Neighbourhood told = update.neighbourhood();
-    if (told != null) {
-      neighbourhood = told;
+    Neighbourhood newNeighbourhood = update.neighbourhood();
+    if (newNeighbourhood != null) {
+      neighbourhood = newNeighbourhood;
     }
-    // Entries that are cut off from the leader still hold their connections, so the count that
-    // divides an upstream's connections never falls.
+    // Entries that are partitioned from the leader keep their connections, so the count that
+    // divides an upstream's connections never decreases.
     entries = Math.max(entries, update.entries());
-    if (proof != null && proof.isAfter(provenAt)) {
-      provenAt = proof;
+    if (proofTime != null && proofTime.isAfter(provenAt)) {
+      provenAt = proofTime;
       if (!wasProven && proven(now)) {
         wasProven = true;
         log(false, "event=lease_gained configuration=" + table.configuration().version(), output);
@@ -301,27 +309,29 @@
     }
   }
 
-  /** Adds control VMs that one who doesn't lead has named; its list may be an old one. */
-  private List<String> joined(List<String> named) {
-    Set<String> all = new LinkedHashSet<>(controlNodes);
-    all.addAll(named);
-    return List.copyOf(all);
+  /**
+   * Adds the control VMs that a follower listed to the known ones, since its list may be outdated.
+   */
+  private List<String> mergedControlNodes(List<String> listed) {
+    Set<String> knownNodes = new LinkedHashSet<>(controlNodes);
+    knownNodes.addAll(listed);
+    return List.copyOf(knownNodes);
   }
 
-  private void take(@Nullable RelayConfiguration newer, Output output) {
-    if (newer != null && newer.version() > table.configuration().version()) {
+  private void applyConfiguration(@Nullable RelayConfiguration newConfiguration, Output output) {
+    if (newConfiguration != null && newConfiguration.version() > table.configuration().version()) {
       log(
           false,
           "event=configuration_taken version="
-              + newer.version()
+              + newConfiguration.version()
               + " before="
               + table.configuration().version(),
           output);
-      table = new RouteTable(newer);
+      table = new RouteTable(newConfiguration);
     }
   }
 
-  private void takeShared(EntryUpdate update, Instant now, Output output) {
+  private void applySharedState(EntryUpdate update, Instant now, Output output) {
     SharedState shared = update.shared();
     if (shared == null || update.stateIndex() <= stateIndex) {
       return;
@@ -333,12 +343,12 @@
         directory.usualVersion(rollOut.service(), rollOut.target());
       }
     }
-    takeEvacuated(Set.copyOf(shared.evacuated()), now, output);
-    takeQuarantined(Set.copyOf(shared.quarantined()), now, output);
+    applyEvacuatedZones(Set.copyOf(shared.evacuated()), now, output);
+    applyQuarantine(Set.copyOf(shared.quarantined()), now, output);
     directory.leaving(shared.leaving(), stateIndex, output);
   }
 
-  private void takeEvacuated(Set<String> zones, Instant now, Output output) {
+  private void applyEvacuatedZones(Set<String> zones, Instant now, Output output) {
     Set<String> before = directory.evacuated();
     if (zones.equals(before)) {
       return;
@@ -357,7 +367,7 @@
     directory.evacuated(zones);
   }
 
-  private void takeQuarantined(Set<RequestKey> requests, Instant now, Output output) {
+  private void applyQuarantine(Set<RequestKey> requests, Instant now, Output output) {
     if (requests.equals(quarantined)) {
       return;
     }
@@ -366,9 +376,9 @@
         "event=requests_quarantined count="
             + requests.size()
             + " added="
-            + without(requests, quarantined)
+            + difference(requests, quarantined)
             + " lifted="
-            + without(quarantined, requests)
+            + difference(quarantined, requests)
             + " index="
             + stateIndex
             + " proof_age_ms="
@@ -377,11 +387,11 @@
     quarantined = requests;
   }
 
-  private static List<RequestKey> without(Set<RequestKey> requests, Set<RequestKey> others) {
+  private static List<RequestKey> difference(Set<RequestKey> requests, Set<RequestKey> others) {
     return requests.stream().filter(key -> !others.contains(key)).toList();
   }
 
-  private static void log(boolean warning, String facts, Output output) {
-    output.effect(new TraceEffect.LogLine(warning, "relay", facts));
+  private static void log(boolean warning, String logText, Output output) {
+    output.effect(new TraceEffect.LogLine(warning, "relay", logText));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestAdmission.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestAdmission.java
@@ -3,22 +3,22 @@
 import java.time.Instant;
 import org.jspecify.annotations.Nullable;
 
-/** Decides whether an entry may take a request at all. */
+/** Decides whether an entry admits a request. */
 final class RequestAdmission {
 
   private final RelayView view;
-  private final StopPlan stopPlan;
+  private final ShutdownPolicy shutdownPolicy;
 
-  RequestAdmission(RelayView view, StopPlan stopPlan) {
+  RequestAdmission(RelayView view, ShutdownPolicy shutdownPolicy) {
     this.view = view;
-    this.stopPlan = stopPlan;
+    this.shutdownPolicy = shutdownPolicy;
   }
 
   /**
-   * Returns why a request can't be taken now, or null if it has a route and a service.
+   * Returns the reason to reject a request now, or null if the request is admitted.
    *
    * @param request the request
-   * @param now the present time
+   * @param now the current time
    */
   @Nullable Refusal refusal(RelayRequest request, Instant now) {
     if (!view.configured()) {
@@ -30,32 +30,32 @@
     if (route == null) {
       return proven ? Refusal.NO_ROUTE : Refusal.NOT_SERVING;
     }
-    if (!stopPlan.takes(route, now)) {
+    if (!shutdownPolicy.accepts(route, now)) {
       return Refusal.STOPPING;
     }
     if (!view.settled() && !hasUpstream(route)) {
       return Refusal.NOT_SERVING;
     }
-    if (route.isPublic() || !table.keyed()) {
-      return quarantined(null, request);
+    if (route.isPublic() || !table.requiresKeys()) {
+      return quarantineRefusal(null, request);
     }
     if (!proven) {
       return Refusal.NOT_SERVING;
     }
     RelayTeam team = table.team(request.key());
-    return team == null ? Refusal.UNKNOWN_KEY : quarantined(team, request);
+    return team == null ? Refusal.UNKNOWN_KEY : quarantineRefusal(team, request);
   }
 
-  private @Nullable Refusal quarantined(@Nullable RelayTeam team, RelayRequest request) {
+  private @Nullable Refusal quarantineRefusal(@Nullable RelayTeam team, RelayRequest request) {
     return view.isQuarantined(request.keyOf(team)) ? Refusal.QUARANTINED : null;
   }
 
   /**
    * Returns whether an upstream of a route is known.
    *
-   * <p>After a crash of everything a new leader hears of upstreams one by one, within the time
-   * between two of their heartbeats. A request that comes earlier waits for the first of them; sent
-   * back, it would use up its caller's only other try.
+   * <p>After a full outage a new leader learns of upstreams one by one, within one heartbeat
+   * interval. A request that arrives earlier waits for the first of them; rejecting it would use up
+   * its caller's only retry.
    */
   private boolean hasUpstream(RelayRoute route) {
     return route.services().stream()
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
@@ -8,44 +8,50 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.Output;
 
-/** Takes requests in: those that can be served now, and later those that had to wait for that. */
+/**
+ * Admits or refuses arriving requests, or keeps them pending while the entry isn't ready to serve.
+ */
 final class RequestIntake {
 
   private final RelayView view;
   private final RequestAdmission admission;
   private final ModelPolicy models;
-  private final RequestEndings endings;
+  private final RequestCompleter completer;
   private final UniformRandomProvider random;
-  private final HeldRequests held = new HeldRequests();
+  private final PendingRequests pending = new PendingRequests();
 
   RequestIntake(
       RelayView view,
       RequestAdmission admission,
       ModelPolicy models,
-      RequestEndings endings,
+      RequestCompleter completer,
       long seed) {
     this.view = view;
     this.admission = admission;
     this.models = models;
-    this.endings = endings;
+    this.completer = completer;
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
   }
 
-  /** Returns the work that a request means now, or null if it waits or was refused. */
-  @Nullable ActiveRelay arrived(RelayRequest request, Instant now, Output output) {
+  /** Returns the admitted request, or null if it is pending or was refused. */
+  @Nullable ActiveRelay onArrival(RelayRequest request, Instant now, Output output) {
     Refusal refusal = admission.refusal(request, now);
     boolean starting = !view.configured() || !view.settled();
-    boolean waits = refusal == Refusal.NOT_SERVING && held.hold(request, starting, now);
-    return waits ? null : taken(request, refusal, now, now, output);
+    boolean isPending = refusal == Refusal.NOT_SERVING && pending.enqueue(request, starting, now);
+    return isPending ? null : admit(request, refusal, now, now, output);
   }
 
-  /** Returns the work of requests that need not wait any longer; others may be refused. */
-  List<ActiveRelay> released(Instant now, Output output) {
+  /**
+   * Returns the pending requests that are now admitted; refuses those whose wait has expired or
+   * that are rejected.
+   */
+  List<ActiveRelay> releasePending(Instant now, Output output) {
     List<ActiveRelay> released = new ArrayList<>();
-    for (HeldRequest waited :
-        held.release(request -> admission.refusal(request, now) != Refusal.NOT_SERVING, now)) {
-      Refusal refusal = admission.refusal(waited.request(), now);
-      ActiveRelay relay = taken(waited.request(), refusal, waited.arrivedAt(), now, output);
+    for (PendingRequest pendingRequest :
+        pending.release(request -> admission.refusal(request, now) != Refusal.NOT_SERVING, now)) {
+      Refusal refusal = admission.refusal(pendingRequest.request(), now);
+      ActiveRelay relay =
+          admit(pendingRequest.request(), refusal, pendingRequest.arrivedAt(), now, output);
       if (relay != null) {
         released.add(relay);
       }
@@ -53,52 +59,52 @@
     return released;
   }
 
-  /** Forgets a request that waits; returns whether it did. */
-  boolean forget(long request) {
-    return held.forget(request);
+  /** Removes a pending request; returns whether it was pending. */
+  boolean removePending(long request) {
+    return pending.remove(request);
   }
 
-  private @Nullable ActiveRelay taken(
+  private @Nullable ActiveRelay admit(
       RelayRequest request,
       @Nullable Refusal refusal,
       Instant arrivedAt,
       Instant now,
       Output output) {
     if (refusal != null) {
-      endings.refuse(request, refusal, now, output);
+      completer.refuse(request, refusal, now, output);
       return null;
     }
     RouteTable table = view.table();
     RelayRoute route = table.route(request.host(), request.path());
     if (route == null) {
-      throw new IllegalStateException("a request without refusal has a route");
+      throw new IllegalStateException("an admitted request must match a route");
     }
-    long wait =
+    long allowedMillis =
         request.waitMillis() > 0
             ? Math.min(request.waitMillis(), route.timeoutMillis())
             : route.timeoutMillis();
     RelayTeam team = route.isPublic() ? null : table.team(request.key());
-    RelayService service = service(table, route);
+    RelayService service = selectService(table, route);
     ActiveRelay relay =
-        new ActiveRelay(request, route, service, team, arrivedAt, arrivedAt.plusMillis(wait));
+        new ActiveRelay(
+            request, route, service, team, arrivedAt, arrivedAt.plusMillis(allowedMillis));
     if (!route.models().isEmpty()) {
-      relay.model = models.first(route, request);
+      relay.modelIndex = models.first(route, request);
     }
     return relay;
   }
 
-  private RelayService service(RouteTable table, RelayRoute route) {
-    // Two large weights add up beyond an int; each entry that drew from that would halt in its
-    // turn.
-    long total = route.services().stream().mapToLong(WeightedService::weight).sum();
-    long drawn = random.nextLong(total);
+  private RelayService selectService(RouteTable table, RelayRoute route) {
+    // The sum of two large weights can exceed an int; an overflow would make every entry halt.
+    long totalWeight = route.services().stream().mapToLong(WeightedService::weight).sum();
+    long remainingWeight = random.nextLong(totalWeight);
     for (WeightedService target : route.services()) {
-      drawn -= target.weight();
+      remainingWeight -= target.weight();
       RelayService service = table.service(target.service());
-      if (drawn < 0 && service != null) {
+      if (remainingWeight < 0 && service != null) {
         return service;
       }
     }
-    throw new IllegalStateException("a valid route has a service");
+    throw new IllegalStateException("a valid route must have a service with a positive weight");
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestTrace.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestTrace.java
@@ -7,10 +7,11 @@
 import org.skylarkfork.core.effect.TraceEffect;
 
 /**
- * What an entry tells of its decisions on requests: log lines, counters and histograms.
+ * Reports an entry's decisions on requests as log lines, counters and histograms.
  *
- * <p>A line is {@code event=NAME id=ID} and further {@code key=value} facts. Each ends with the
- * version of the configuration that decided and the age of the proof that it was the newest.
+ * <p>A line consists of {@code event=NAME id=ID} and further {@code key=value} pairs. Each line
+ * ends with the version of the configuration in use and the time since it was proven to be the
+ * newest.
  */
 final class RequestTrace {
 
@@ -29,7 +30,7 @@
         "attempt="
             + relay.attempt
             + " content="
-            + relay.key
+            + relay.requestKey
             + " upstream="
             + track.instance().id()
             + " upstream_version="
@@ -53,7 +54,7 @@
             + " scheduler="
             + (relay.grant == null ? "-" : relay.grant.scheduler())
             + " model="
-            + relay.model
+            + relay.modelIndex
             + " team="
             + (relay.team == null ? "-" : relay.team.name())
             + " after_event="
@@ -63,7 +64,7 @@
     if (track.rateLimit().isBounded()) {
       output.effect(new TraceEffect.Count("relay_limited_sends", relay.service.name(), 1));
     }
-    line(false, "sent", relay, facts, now, output);
+    log(false, "sent", relay, facts, now, output);
   }
 
   void answered(ActiveRelay relay, int status, Instant now, Output output) {
@@ -76,42 +77,42 @@
             + " status="
             + status
             + " model="
-            + relay.model
+            + relay.modelIndex
             + " confidence="
             + relay.confidence
             + " first_byte_ms="
             + millis
             + " expected_ms="
             + (placement == null ? -1 : Math.round(placement.firstByteMillis()));
-    line(false, "answered", relay, facts, now, output);
+    log(false, "answered", relay, facts, now, output);
     output.effect(
         new TraceEffect.Observe("relay_first_byte_seconds", relay.route.kind().name(), seconds));
     output.effect(new TraceEffect.Count("relay_answers", String.valueOf(status), 1));
   }
 
-  /** Tells of an attempt that ended without a good answer. */
+  /** Reports an attempt that ended without a successful answer. */
   void attemptEnded(String event, ActiveRelay relay, String facts, Instant now, Output output) {
     output.effect(new TraceEffect.Count("relay_attempts_ended", event, 1));
     UpstreamTrack track = relay.upstream();
     String upstream = track == null ? "-" : track.instance().id();
-    String all =
+    String allFacts =
         "attempt="
             + relay.attempt
             + " content="
-            + relay.key
+            + relay.requestKey
             + " upstream="
             + upstream
             + " "
             + facts;
-    line(true, event, relay, all, now, output);
+    log(true, event, relay, allFacts, now, output);
   }
 
-  /** Tells that a larger model is asked in place of an answer. */
-  void larger(ActiveRelay relay, int model, Placement placement, Instant now, Output output) {
+  /** Reports an escalation to a larger model, which replaces the answer received. */
+  void escalated(ActiveRelay relay, int model, Placement placement, Instant now, Output output) {
     output.effect(new TraceEffect.Count("relay_larger_models", relay.route.name(), 1));
     String facts =
         "from="
-            + relay.model
+            + relay.modelIndex
             + " to="
             + model
             + " confidence="
@@ -120,22 +121,22 @@
             + Math.round(placement.waitMillis())
             + " first_byte_ms="
             + Math.round(placement.firstByteMillis());
-    line(false, "larger_model", relay, facts, now, output);
+    log(false, "larger_model", relay, facts, now, output);
   }
 
-  /** Tells how a request ended. */
+  /** Reports the outcome of a request. */
   void ended(String outcome, ActiveRelay relay, String facts, Instant now, Output output) {
     double seconds = Duration.between(relay.arrivedAt, now).toMillis() / MILLIS_A_SECOND;
     output.effect(new TraceEffect.Count("relay_requests", outcome, 1));
     output.effect(
         new TraceEffect.Observe("relay_request_seconds", relay.route.kind().name(), seconds));
-    line(!outcome.equals("done"), outcome, relay, facts, now, output);
+    log(!outcome.equals("done"), outcome, relay, facts, now, output);
   }
 
-  /** Tells of a request that was refused before it had a route. */
+  /** Reports a request that was refused before it was admitted. */
   void refused(RelayRequest request, Refusal refusal, Instant now, Output output) {
     output.effect(new TraceEffect.Count("relay_requests", "refused", 1));
-    String line =
+    String message =
         "event=refused id="
             + request.id()
             + " why="
@@ -144,13 +145,13 @@
             + HexFormat.of().toHexDigits(request.contentHash())
             + " host="
             + request.host()
-            + belief(now);
-    output.effect(new TraceEffect.LogLine(true, PART, line));
+            + configurationFacts(now);
+    output.effect(new TraceEffect.LogLine(true, PART, message));
   }
 
-  private void line(
+  private void log(
       boolean warning, String event, ActiveRelay relay, String facts, Instant now, Output output) {
-    String line =
+    String message =
         "event="
             + event
             + " id="
@@ -165,11 +166,11 @@
             + Duration.between(relay.arrivedAt, now).toMillis()
             + " left_ms="
             + Duration.between(now, relay.deadline).toMillis()
-            + belief(now);
-    output.effect(new TraceEffect.LogLine(warning, PART, line));
+            + configurationFacts(now);
+    output.effect(new TraceEffect.LogLine(warning, PART, message));
   }
 
-  private String belief(Instant now) {
+  private String configurationFacts(Instant now) {
     return " configuration="
         + view.table().configuration().version()
         + " proof_age_ms="
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
@@ -15,11 +15,11 @@
 import org.skylarkfork.core.event.LifecycleEvent;
 import org.skylarkfork.core.event.RelayEvent;
 
-/** An entry's decisions with a view that tests set by hand. */
+/** An entry's request processing with a view that the tests set directly. */
 final class RelayFixture {
 
   static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
-  private static final double RATIO = 0.9;
+  private static final double RETRY_RATIO = 0.9;
 
   final FakeView view = new FakeView();
   final VersionLedger counts = new VersionLedger();
@@ -42,9 +42,9 @@
                     new ConfidenceCascade(answerTimes),
                     answerTimes,
                     new VersionRule(view, 0.05),
-                    new RetryBudget(RATIO),
+                    new RetryBudget(RETRY_RATIO),
                     counts,
-                    new StopPlan(Duration.ofSeconds(8)),
+                    new ShutdownPolicy(Duration.ofSeconds(8)),
                     1)));
   }
 
@@ -58,13 +58,13 @@
     return effects;
   }
 
-  List<RelayEffect> pass(long millis) {
+  List<RelayEffect> advance(long millis) {
     now = now.plusMillis(millis);
     return apply(new LifecycleEvent.Tick());
   }
 
-  /** Sends a request and returns the attempt that it starts. */
-  RelayEffect.SendAttempt sent(long number, String path) {
+  /** Sends a request to the entry and returns the attempt that the entry starts. */
+  RelayEffect.SendAttempt send(long number, String path) {
     return only(arrives(number, path), RelayEffect.SendAttempt.class);
   }
 
@@ -99,11 +99,11 @@
   }
 
   static <E extends RelayEffect> E only(List<RelayEffect> effects, Class<E> type) {
-    List<E> found = effects.stream().filter(type::isInstance).map(type::cast).toList();
-    if (found.size() != 1) {
+    List<E> matching = effects.stream().filter(type::isInstance).map(type::cast).toList();
+    if (matching.size() != 1) {
       throw new AssertionError("one " + type.getSimpleName() + " expected in " + effects);
     }
-    return found.get(0);
+    return matching.get(0);
   }
 
   static boolean none(List<RelayEffect> effects, Class<? extends RelayEffect> type) {
@@ -146,14 +146,14 @@
     return new UpstreamInstance(id, "service", "10.0.0.1:80", "a", version, 6, 1, 0);
   }
 
-  /** What the entry believes, set by hand. */
+  /** The entry's view of the deployment, set directly by the tests. */
   static final class FakeView implements RelayView {
     RouteTable table = new RouteTable(configuration(1, "key"));
     boolean proven = true;
     boolean settled = true;
     final List<UpstreamTrack> tracks = new ArrayList<>();
     List<ServiceRollOut> rollOuts = List.of();
-    @Nullable String usual;
+    @Nullable String stableVersion;
     List<String> schedulers = List.of();
     int entries = 1;
     EntryPlace place = new EntryPlace(0, 1);
@@ -208,8 +208,8 @@
     }
 
     @Override
-    public @Nullable String usualVersion(String service) {
-      return usual;
+    public @Nullable String stableVersion(String service) {
+      return stableVersion;
     }
 
     @Override
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
@@ -14,32 +14,33 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link RelayRequestPart}. */
+/** Tests {@link RelayRequestPart}. */
 public final class RelayRequestPartTest {
 
   private RelayFixture entry = new RelayFixture();
 
-  /** Each test begins anew. */
+  /** Creates a new entry for each test. */
   @BeforeMethod
   public void setUp() {
     entry = new RelayFixture();
   }
 
-  private void busy() {
+  private void fillRetryBudget() {
     for (long number = 1000; number < 1020; number++) {
-      entry.sent(number, "/lookup/x");
+      entry.send(number, "/lookup/x");
       entry.apply(new RelayEvent.CallerLeft(number));
     }
   }
 
   /**
-   * The caller gets 502 and not 503. A booking was sent and its connection lost without an answer.
-   * The upstream may have booked, so neither a second upstream nor the promise "not run" is right.
+   * The connection is lost after a booking was sent and before an answer came. The upstream may
+   * have run it, so the entry must neither try a second upstream nor report "not run": the caller
+   * gets 502 and not 503.
    */
   @Test
-  public void nonIdempotentRequestIsNotSentTwiceAfterItMayHaveRun() {
-    busy();
-    entry.sent(1, "/book/x");
+  public void nonIdempotentRequestIsNotRetriedAfterItMayHaveRun() {
+    fillRetryBudget();
+    entry.send(1, "/book/x");
     List<RelayEffect> effects = entry.fails(1, 1, AttemptFailure.NO_ANSWER, null);
     assertTrue(RelayFixture.none(effects, RelayEffect.SendAttempt.class));
     RelayEffect.Refuse refuse = RelayFixture.only(effects, RelayEffect.Refuse.class);
@@ -48,24 +49,27 @@
   }
 
   /**
-   * The caller gets the second upstream's answer. The first was full and said that it has not run
-   * the booking, so that sending it on can't book twice.
+   * The first upstream is full and reports that it has not run the booking, so the entry can retry
+   * it at a second one without booking twice.
    */
   @Test
-  public void requestThatHasNotRunGoesToAnotherUpstream() {
-    busy();
-    RelayEffect.SendAttempt first = entry.sent(1, "/book/x");
+  public void requestThatHasNotRunIsRetriedAtAnotherUpstream() {
+    fillRetryBudget();
+    RelayEffect.SendAttempt first = entry.send(1, "/book/x");
     List<RelayEffect> effects = entry.answers(1, 1, 503, true);
     RelayEffect.SendAttempt second = RelayFixture.only(effects, RelayEffect.SendAttempt.class);
     assertNotEquals(second.target().upstream().id(), first.target().upstream().id());
-    assertTrue(second.target().fresh(), "a kept connection may be reset under the booking");
+    assertTrue(second.target().fresh(), "a pooled connection may be reset during the booking");
   }
 
-  /** The caller is told at once that nothing ran and when to come back. Every upstream was full. */
+  /**
+   * If every upstream is full, the refusal must be immediate, report that nothing ran and contain a
+   * retry delay.
+   */
   @Test
-  public void requestThatNoUpstreamTakesIsRefusedAtOnceWithTimeToComeBack() {
-    busy();
-    entry.sent(1, "/book/x");
+  public void requestThatAllUpstreamsRejectIsRefusedWithRetryDelay() {
+    fillRetryBudget();
+    entry.send(1, "/book/x");
     entry.answers(1, 1, 503, true);
     entry.answers(1, 2, 503, true);
     List<RelayEffect> effects = entry.answers(1, 3, 503, true);
@@ -74,11 +78,11 @@
     assertTrue(refuse.retryAfterMillis() > 0);
   }
 
-  /** The caller gets the second upstream's answer: a lookup may run twice. */
+  /** A lookup may run twice, so it is retried after a failure. */
   @Test
-  public void idempotentRequestIsSentAgainAfterFailure() {
-    busy();
-    entry.sent(1, "/lookup/x");
+  public void idempotentRequestIsRetriedAfterFailure() {
+    fillRetryBudget();
+    entry.send(1, "/lookup/x");
     assertTrue(
         !RelayFixture.none(
             entry.fails(1, 1, AttemptFailure.NO_ANSWER, null), RelayEffect.SendAttempt.class));
@@ -87,13 +91,13 @@
   }
 
   /**
-   * The caller sees one stream. The upstream broke off after event 4, and another one goes on from
-   * there; the answer has begun, so its head isn't given again.
+   * The stream's upstream fails after event 4 and another one continues from there. The answer has
+   * begun, so its head must not be sent again.
    */
   @Test
-  public void brokenStreamGoesOnAtAnotherUpstream() {
-    busy();
-    entry.sent(1, "/stream/x");
+  public void brokenStreamContinuesAtAnotherUpstream() {
+    fillRetryBudget();
+    entry.send(1, "/stream/x");
     RelayFixture.only(entry.answers(1, 1, 200, false), RelayEffect.PassAnswer.class);
     List<RelayEffect> effects = entry.fails(1, 1, AttemptFailure.BROKEN_OFF, "4");
     RelayEffect.SendAttempt next = RelayFixture.only(effects, RelayEffect.SendAttempt.class);
@@ -102,14 +106,14 @@
   }
 
   /**
-   * The caller gets the third upstream's answer. Two upstreams had just crashed, so that no
-   * connection to them could be made; nothing was sent, so the route's single attempt was still
-   * unused.
+   * Guards against a failed request after two upstreams have just crashed. No connection to them
+   * could be established, so nothing was sent and the route's single attempt is still available for
+   * the third upstream.
    */
   @Test
-  public void upstreamThatCannotBeReachedIsNoAttempt() {
-    busy();
-    entry.sent(1, "/book/x");
+  public void unreachableUpstreamsDoNotCountAsAttempts() {
+    fillRetryBudget();
+    entry.send(1, "/book/x");
     RelayEffect.SendAttempt second =
         RelayFixture.only(
             entry.fails(1, 1, AttemptFailure.NOT_SENT, null), RelayEffect.SendAttempt.class);
@@ -121,12 +125,12 @@
   }
 
   /**
-   * The caller is told at once that nothing ran and when to come back. No upstream could be
-   * reached.
+   * If no upstream is reachable, the refusal must be immediate, report that nothing ran and contain
+   * a retry delay.
    */
   @Test
-  public void requestThatReachesNoUpstreamHasNotRun() {
-    entry.sent(1, "/book/x");
+  public void requestWithoutReachableUpstreamIsRefusedAsNotRun() {
+    entry.send(1, "/book/x");
     entry.fails(1, 1, AttemptFailure.NOT_SENT, null);
     entry.fails(1, 2, AttemptFailure.NOT_SENT, null);
     List<RelayEffect> effects = entry.fails(1, 3, AttemptFailure.NOT_SENT, null);
@@ -135,43 +139,44 @@
     assertTrue(refuse.retryAfterMillis() > 0);
   }
 
-  private void answered(int count, String path, int millis) {
+  private void completeRequests(int count, String path, int millis) {
     for (long number = 5000; number < 5000 + count; number++) {
-      entry.sent(number, path);
-      entry.pass(millis);
+      entry.send(number, path);
+      entry.advance(millis);
       entry.answers(number, 1, 200, false);
       entry.apply(new RelayEvent.AnswerEnded(number, 1));
     }
   }
 
   /**
-   * The caller gets another upstream's answer in time. The first was cut off without a reset; the
-   * entry drops that attempt before it asks the other, so that the two never work on it at once.
+   * The upstream is disconnected without a TCP reset. The entry must cancel that attempt before it
+   * tries another upstream, so that two upstreams never run the request at once.
    */
   @Test
-  public void lookupIsTakenFromUpstreamThatKeepsSilent() {
-    busy();
-    answered(20, "/lookup/x", 40);
-    String silent = entry.sent(1, "/lookup/x").target().upstream().id();
-    assertTrue(entry.pass(250).isEmpty(), "less than three tenths of the objective");
-    List<RelayEffect> effects = entry.pass(100);
+  public void lookupFailsOverFromSilentUpstream() {
+    fillRetryBudget();
+    completeRequests(20, "/lookup/x", 40);
+    String silent = entry.send(1, "/lookup/x").target().upstream().id();
+    assertTrue(entry.advance(250).isEmpty(), "wait is below three tenths of the objective");
+    List<RelayEffect> effects = entry.advance(100);
     assertTrue(effects.get(0) instanceof RelayEffect.DropAttempt, effects.toString());
     RelayEffect.SendAttempt next = RelayFixture.only(effects, RelayEffect.SendAttempt.class);
     assertNotEquals(next.target().upstream().id(), silent);
-    assertEquals(entry.counts.all().get(0).failures(), 0, "a slow version isn't a failing one");
-    assertTrue(entry.pass(1000).isEmpty(), "only once");
+    assertEquals(
+        entry.counts.all().get(0).failures(), 0, "a slow answer isn't a failure of the version");
+    assertTrue(entry.advance(1000).isEmpty(), "fails over only once");
   }
 
   /**
-   * The caller gets an answer, not a failure. Two upstreams of the service have left; the last one
-   * loses its answer once, and it is the only one that can be asked again.
+   * Guards against an avoidable failure when two upstreams of the service have left. The remaining
+   * one fails once and is the only one available for the retry.
    */
   @Test
-  public void lookupGoesBackToTheLastUpstreamOfItsService() {
-    busy();
+  public void lookupIsRetriedAtTheOnlyRemainingUpstream() {
+    fillRetryBudget();
     entry.view.tracks.get(1).leaves();
     entry.view.tracks.get(2).leaves();
-    String only = entry.sent(1, "/lookup/x").target().upstream().id();
+    String only = entry.send(1, "/lookup/x").target().upstream().id();
     RelayEffect.SendAttempt second =
         RelayFixture.only(
             entry.fails(1, 1, AttemptFailure.NO_ANSWER, null), RelayEffect.SendAttempt.class);
@@ -182,51 +187,54 @@
     RelayFixture.only(entry.answers(1, 3, 200, false), RelayEffect.PassAnswer.class);
   }
 
-  /** The caller is told at once: the last upstream was full, and would be so again. */
+  /** The only upstream is full and would reject a retry, so the request is refused immediately. */
   @Test
-  public void fullUpstreamIsNotAskedAgain() {
-    busy();
+  public void requestIsNotRetriedAtFullUpstream() {
+    fillRetryBudget();
     entry.view.tracks.get(1).leaves();
     entry.view.tracks.get(2).leaves();
-    entry.sent(1, "/lookup/x");
+    entry.send(1, "/lookup/x");
     RelayEffect.Refuse refuse =
         RelayFixture.only(entry.answers(1, 1, 503, true), RelayEffect.Refuse.class);
     assertEquals(refuse.refusal(), Refusal.NO_UPSTREAM);
   }
 
   /**
-   * The caller gets the upstream's own failure as it is. There is no other upstream to ask and its
-   * booking must not run twice.
+   * The booking must not run twice and no other upstream is available, so the caller gets the
+   * upstream's error unchanged.
    */
   @Test
-  public void failureOfTheOnlyUpstreamIsPassedOn() {
-    busy();
+  public void errorOfTheOnlyUpstreamIsForwarded() {
+    fillRetryBudget();
     entry.view.tracks.get(1).leaves();
     entry.view.tracks.get(2).leaves();
-    entry.sent(1, "/book/x");
+    entry.send(1, "/book/x");
     RelayFixture.only(entry.answers(1, 1, 500, false), RelayEffect.PassAnswer.class);
   }
 
   /**
-   * Callers are served half a second after a crash of everything and not sent back. The entry has
-   * its configuration again before the new leader has heard of any upstream of the service.
+   * After a full outage the entry has its configuration before the new leader knows any upstream of
+   * the service. Requests must wait the half second until then instead of being refused.
    */
   @Test
-  public void requestWaitsForTheFirstUpstreamAfterTheCrashOfEverything() {
-    busy();
+  public void requestWaitsForFirstUpstreamAfterFullOutage() {
+    fillRetryBudget();
     final List<UpstreamTrack> known = List.copyOf(entry.view.tracks);
     entry.view.tracks.clear();
     entry.view.settled = false;
     assertTrue(entry.arrives(1, "/lookup/x").isEmpty());
-    assertTrue(entry.pass(400).isEmpty());
+    assertTrue(entry.advance(400).isEmpty());
     entry.view.tracks.addAll(known);
-    RelayFixture.only(entry.pass(100), RelayEffect.SendAttempt.class);
+    RelayFixture.only(entry.advance(100), RelayEffect.SendAttempt.class);
   }
 
-  /** The caller is told at once where a service has no upstream and none is to be expected. */
+  /**
+   * If the directory is complete and the service has no upstream, the request is refused
+   * immediately.
+   */
   @Test
-  public void requestDoesNotWaitWhereNoUpstreamIsToBeExpected() {
-    busy();
+  public void requestIsRefusedIfServiceHasNoUpstream() {
+    fillRetryBudget();
     entry.view.tracks.clear();
     RelayEffect.Refuse refuse =
         RelayFixture.only(entry.arrives(1, "/lookup/x"), RelayEffect.Refuse.class);
@@ -234,12 +242,13 @@
   }
 
   /**
-   * The caller learns at once when to come back. What is ahead of its request at every upstream
-   * takes longer than it waits; sent, it would take their time from others and end at its deadline.
+   * The queue at every upstream is longer than the caller's timeout. If the request were sent, it
+   * would use upstream time and still miss its deadline, so it is refused immediately with a retry
+   * delay.
    */
   @Test
-  public void requestThatCannotBeServedInTimeIsRefusedAtOnce() {
-    busy();
+  public void requestThatWouldMissItsDeadlineIsRefused() {
+    fillRetryBudget();
     for (UpstreamTrack track : entry.view.tracks) {
       track.peers().told("entry-2", 600, 0, RelayFixture.START);
     }
@@ -249,38 +258,35 @@
     assertTrue(refuse.retryAfterMillis() > 1500, refuse.toString());
   }
 
-  /**
-   * The caller waits for its booking. It may have run at the silent upstream, so no other one is
-   * asked.
-   */
+  /** The booking may have run at the silent upstream, so the entry must not try another one. */
   @Test
-  public void bookingIsNeverTakenFromSilentUpstream() {
-    busy();
-    answered(20, "/book/x", 40);
-    entry.sent(1, "/book/x");
-    assertTrue(entry.pass(1400).isEmpty());
+  public void bookingDoesNotFailOverFromSilentUpstream() {
+    fillRetryBudget();
+    completeRequests(20, "/book/x", 40);
+    entry.send(1, "/book/x");
+    assertTrue(entry.advance(1400).isEmpty());
   }
 
   /**
-   * Callers of a busy service wait. All its answers take long, so that a long wait shows no fault,
-   * and asking another upstream would only add to the load.
+   * All answers of a busy service take long, so a long wait doesn't indicate a fault, and trying
+   * another upstream would only add load.
    */
   @Test
-  public void patienceGrowsWithTheUsualTimes() {
-    busy();
-    answered(20, "/lookup/x", 700);
-    entry.sent(1, "/lookup/x");
-    assertTrue(entry.pass(800).isEmpty());
+  public void firstByteTimeoutGrowsWithObservedTimes() {
+    fillRetryBudget();
+    completeRequests(20, "/lookup/x", 700);
+    entry.send(1, "/lookup/x");
+    assertTrue(entry.advance(800).isEmpty());
   }
 
   /**
-   * The caller sees one stream with a pause. The upstream fell silent after event 4 without closing
-   * its connection, and another one goes on from there.
+   * The stream's upstream becomes silent after event 4 without closing its connection, and another
+   * one continues from there.
    */
   @Test
-  public void silentStreamGoesOnAtAnotherUpstream() {
-    busy();
-    RelayEffect.SendAttempt first = entry.sent(1, "/stream/x");
+  public void silentStreamFailsOver() {
+    fillRetryBudget();
+    RelayEffect.SendAttempt first = entry.send(1, "/stream/x");
     assertEquals(first.target().silenceMillis(), 480);
     entry.answers(1, 1, 200, false);
     List<RelayEffect> effects = entry.apply(new RelayEvent.AnswerSilent(1, 1, "4", 500));
@@ -291,16 +297,16 @@
   }
 
   /**
-   * The caller's stream goes on after a pause. Its upstream is busy and would go on by itself, but
-   * no other one could go on in time; only a silence that no busy upstream shows moves the stream.
+   * The stream's upstream is busy, and no other upstream could continue the stream within the pause
+   * objective. The stream fails over only after a silence longer than that of any busy upstream.
    */
   @Test
-  public void streamStaysWhereOthersWouldBeLaterStill() {
-    busy();
+  public void streamStaysIfOtherUpstreamsWouldBeSlower() {
+    fillRetryBudget();
     for (UpstreamTrack track : entry.view.tracks) {
       track.peers().told("entry-2", 60, 0, RelayFixture.START);
     }
-    entry.sent(1, "/stream/x");
+    entry.send(1, "/stream/x");
     entry.answers(1, 1, 200, false);
     assertTrue(entry.apply(new RelayEvent.AnswerSilent(1, 1, "4", 500)).isEmpty());
     assertTrue(entry.apply(new RelayEvent.AnswerSilent(1, 1, "4", 960)).isEmpty());
@@ -308,23 +314,26 @@
         entry.apply(new RelayEvent.AnswerSilent(1, 1, "4", 1440)), RelayEffect.SendAttempt.class);
   }
 
-  /** The caller's stream isn't touched: it can't be resumed, so its events may still come. */
+  /**
+   * A stream that isn't resumable must stay at its silent upstream, since its events may still
+   * come.
+   */
   @Test
-  public void silentStreamThatCannotBeResumedGoesOn() {
-    busy();
-    assertEquals(entry.sent(1, "/once/x").target().silenceMillis(), 0);
+  public void silentStreamThatIsNotResumableStays() {
+    fillRetryBudget();
+    assertEquals(entry.send(1, "/once/x").target().silenceMillis(), 0);
     entry.answers(1, 1, 200, false);
     assertTrue(entry.apply(new RelayEvent.AnswerSilent(1, 1, "4", 500)).isEmpty());
   }
 
   /**
-   * A roll-out isn't judged by connections that had rested too long, nor is the upstream avoided;
-   * the lookup is asked again, and the booking had a connection of its own.
+   * A pooled connection that the upstream closed as idle must count neither against the version in
+   * a roll-out nor against the upstream. The lookup is retried; bookings use new connections.
    */
   @Test
-  public void staleConnectionBlamesNobody() {
-    busy();
-    String first = entry.sent(1, "/lookup/x").target().upstream().id();
+  public void staleConnectionCountsAsNoFailure() {
+    fillRetryBudget();
+    String first = entry.send(1, "/lookup/x").target().upstream().id();
     RelayFixture.only(
         entry.fails(1, 1, AttemptFailure.STALE_CONNECTION, null), RelayEffect.SendAttempt.class);
     assertTrue(entry.counts.all().isEmpty(), entry.counts.all().toString());
@@ -334,13 +343,13 @@
   }
 
   /**
-   * The caller sees a stream that breaks off. Its route can't be resumed, so a second run would
-   * join pieces of two answers.
+   * The route isn't resumable, so a second run would combine parts of two different answers. The
+   * caller's stream is aborted instead.
    */
   @Test
-  public void brokenStreamThatCannotBeResumedIsBrokenOff() {
-    busy();
-    entry.sent(1, "/once/x");
+  public void brokenStreamThatIsNotResumableIsAborted() {
+    fillRetryBudget();
+    entry.send(1, "/once/x");
     entry.answers(1, 1, 200, false);
     List<RelayEffect> effects = entry.fails(1, 1, AttemptFailure.BROKEN_OFF, "4");
     RelayFixture.only(effects, RelayEffect.BreakOff.class);
@@ -348,22 +357,25 @@
   }
 
   /**
-   * The caller gets 504 at the route's timeout although it would wait longer, and the upstream's
-   * work ends.
+   * The route's timeout applies although the caller would wait longer: the caller gets 504 and the
+   * upstream stops working on the request.
    */
   @Test
   public void requestEndsAtTheRoutesTimeout() {
-    entry.sent(1, "/book/x");
-    assertTrue(entry.pass(1499).isEmpty());
-    List<RelayEffect> effects = entry.pass(1);
+    entry.send(1, "/book/x");
+    assertTrue(entry.advance(1499).isEmpty());
+    List<RelayEffect> effects = entry.advance(1);
     RelayFixture.only(effects, RelayEffect.DropAttempt.class);
     assertEquals(RelayFixture.only(effects, RelayEffect.Refuse.class).refusal(), Refusal.TIME_OUT);
   }
 
-  /** The upstream's work ends when the caller leaves; what comes later is ignored. */
+  /**
+   * The upstream's work is cancelled when the caller disconnects, and later events of the attempt
+   * are ignored.
+   */
   @Test
-  public void callerThatLeavesEndsTheAttempt() {
-    entry.sent(1, "/lookup/x");
+  public void attemptIsCancelledWhenCallerDisconnects() {
+    entry.send(1, "/lookup/x");
     RelayFixture.only(entry.apply(new RelayEvent.CallerLeft(1)), RelayEffect.DropAttempt.class);
     assertTrue(entry.answers(1, 1, 200, false).isEmpty());
   }
@@ -379,51 +391,51 @@
   }
 
   /**
-   * The caller is told to come back. The entry was cut off, so a key that it believes in may have
-   * been taken away, and a path that it doesn't know may have been added.
+   * A partitioned entry may hold a key that was removed, or lack a route that was added. It must
+   * refuse with a retry delay instead of reporting an unknown key or route.
    */
   @Test
-  public void entryWithoutProofRefusesKeyedRequestsAsNotRun() {
+  public void entryWithUnprovenConfigurationRefusesKeyedRequests() {
     entry.view.proven = false;
     for (String path : List.of("/lookup/x", "/nowhere/")) {
       assertTrue(entry.arrives(1, path).isEmpty());
-      RelayEffect.Refuse refuse = RelayFixture.only(entry.pass(900), RelayEffect.Refuse.class);
+      RelayEffect.Refuse refuse = RelayFixture.only(entry.advance(900), RelayEffect.Refuse.class);
       assertEquals(refuse.refusal(), Refusal.NOT_SERVING);
       assertTrue(refuse.retryAfterMillis() > 0);
     }
   }
 
   /**
-   * The caller is served in its only try. Everything had crashed, so that each entry is as far as
-   * this one; a caller that was sent back after less would find the same elsewhere.
+   * After a full outage all entries start at the same time. A caller that is refused after a
+   * shorter wait would use up its only retry at another entry in the same state.
    */
   @Test
-  public void requestWaitsLongerAtAnEntryThatStarts() {
+  public void requestWaitsLongerAtStartingEntry() {
     entry.view.proven = false;
     entry.view.settled = false;
     assertTrue(entry.arrives(1, "/lookup/x").isEmpty());
-    assertTrue(entry.pass(1400).isEmpty());
+    assertTrue(entry.advance(1400).isEmpty());
     entry.view.proven = true;
-    RelayFixture.only(entry.pass(50), RelayEffect.SendAttempt.class);
+    RelayFixture.only(entry.advance(50), RelayEffect.SendAttempt.class);
   }
 
-  /** The caller is served a little later. The entry had just started when the request came. */
+  /** A request that arrives just after the entry's start is served when the entry is ready. */
   @Test
-  public void requestWaitsUntilTheEntryCanServe() {
+  public void requestWaitsUntilEntryIsReady() {
     entry.view.proven = false;
     assertTrue(entry.arrives(1, "/lookup/x").isEmpty());
     entry.view.proven = true;
-    RelayFixture.only(entry.pass(200), RelayEffect.SendAttempt.class);
+    RelayFixture.only(entry.advance(200), RelayEffect.SendAttempt.class);
   }
 
   /**
-   * The caller gets the large model's answer. The small one doubted its own, of which the caller
-   * has had nothing.
+   * The small model's answer has low confidence and no part of it was forwarded, so the caller gets
+   * the large model's answer.
    */
   @Test
-  public void doubtedAnswerIsAskedOfTheLargerModel() {
-    busy();
-    assertEquals(entry.sent(1, "/sized/x").target().model(), "small");
+  public void answerWithLowConfidenceEscalatesToLargerModel() {
+    fillRetryBudget();
+    assertEquals(entry.send(1, "/sized/x").target().model(), "small");
     List<RelayEffect> effects = entry.apply(new RelayEvent.AnswerBegan(1, 1, 200, false, 10));
     RelayFixture.only(effects, RelayEffect.DropAttempt.class);
     assertEquals(
@@ -431,22 +443,23 @@
   }
 
   @Test
-  public void trustedAnswerOfTheSmallModelIsPassed() {
-    entry.sent(1, "/sized/x");
+  public void answerWithHighConfidenceIsForwarded() {
+    entry.send(1, "/sized/x");
     List<RelayEffect> effects = entry.apply(new RelayEvent.AnswerBegan(1, 1, 200, false, 90));
     RelayFixture.only(effects, RelayEffect.PassAnswer.class);
   }
 
   /**
-   * The caller is sent to another entry. This one stops, and a stream that begins late would be cut
-   * when its time is over; a short call is still served.
+   * Guards against streams that are aborted at the end of an entry's grace period. The stopping
+   * entry refuses requests that may take longer than the remaining time; shorter ones are still
+   * served.
    */
   @Test
-  public void stoppingEntryRefusesWhatItCouldNotEnd() {
+  public void stoppingEntryRefusesRequestsItCouldNotComplete() {
     entry.apply(new LifecycleEvent.StopRequested());
-    entry.pass(5000);
-    entry.sent(1, "/stream/x");
-    entry.pass(1500);
+    entry.advance(5000);
+    entry.send(1, "/stream/x");
+    entry.advance(1500);
     for (String path : List.of("/stream/x", "/book/x")) {
       RelayEffect.Refuse refuse =
           RelayFixture.only(entry.arrives(2, path), RelayEffect.Refuse.class);
@@ -456,43 +469,43 @@
   }
 
   /**
-   * Upstreams get no more repeats than their share when all fail. Without the budget a failing
-   * service would get three times its usual requests.
+   * Guards against retry storms: without the budget a service whose upstreams all fail would
+   * receive three times its usual requests.
    */
   @Test
-  public void repeatsStayWithinTheBudget() {
-    int repeats = 0;
+  public void retriesStayWithinBudget() {
+    int retries = 0;
     for (long number = 1; number <= 100; number++) {
-      entry.sent(number, "/lookup/x");
+      entry.send(number, "/lookup/x");
       for (int attempt = 1; attempt <= 3; attempt++) {
         List<RelayEffect> effects = entry.fails(number, attempt, AttemptFailure.NO_ANSWER, null);
-        repeats += RelayFixture.none(effects, RelayEffect.SendAttempt.class) ? 0 : 1;
+        retries += RelayFixture.none(effects, RelayEffect.SendAttempt.class) ? 0 : 1;
       }
     }
-    assertTrue(repeats <= 91, "repeats: " + repeats);
-    assertTrue(repeats >= 80, "repeats: " + repeats);
+    assertTrue(retries <= 91, "retries: " + retries);
+    assertTrue(retries >= 80, "retries: " + retries);
   }
 
   /**
-   * Another run answers at the upstream's address. It refuses what names the run before, and gets
-   * nothing more under that name.
+   * A different run answers at the upstream's address and rejects requests for the earlier run. The
+   * entry must send no further requests to the earlier run.
    */
   @Test
-  public void addressOfAnotherRunIsNotUsedAgain() {
-    busy();
-    String wrong = entry.sent(1, "/lookup/x").target().upstream().id();
+  public void addressOfAnotherRunIsNotReused() {
+    fillRetryBudget();
+    String misdirected = entry.send(1, "/lookup/x").target().upstream().id();
     entry.answers(1, 1, 421, false);
     Set<String> used = new HashSet<>();
     for (long number = 2; number < 40; number++) {
-      used.add(entry.sent(number, "/lookup/x").target().upstream().id());
+      used.add(entry.send(number, "/lookup/x").target().upstream().id());
     }
-    assertTrue(!used.contains(wrong), wrong + " in " + used);
+    assertTrue(!used.contains(misdirected), misdirected + " in " + used);
   }
 
   @Test
-  public void teamAndPriorityOfTheTeamAreNamed() {
-    RelayEffect.SendAttempt sent = entry.sent(1, "/lookup/x");
+  public void attemptNamesTheTeam() {
+    RelayEffect.SendAttempt sent = entry.send(1, "/lookup/x");
     assertEquals(sent.target().team(), "team");
-    assertNull(sent.target().urgency(), "a plain service knows no urgency");
+    assertNull(sent.target().urgency(), "urgency is only sent to services with engines");
   }
 }
