--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Applier.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Applier.java
@@ -10,7 +10,7 @@
 import org.skylarkfork.core.effect.StorageEffect;
 import org.skylarkfork.core.event.ConsensusEvent;
 
-/** Applies committed entries to the state machine in order and takes snapshots of it. */
+/** Applies committed entries to the state machine in log order and takes snapshots of it. */
 final class Applier {
 
   private final Replica replica;
@@ -25,27 +25,27 @@
     this.proposals = proposals;
   }
 
-  void restore(Snapshot snapshot, Turn turn) {
-    Invariants.check(snapshot.index() >= appliedIndex, "the state machine never goes back");
+  void restore(Snapshot snapshot, EventContext context) {
+    Invariants.check(snapshot.index() >= appliedIndex, "the applied index never decreases");
     machine.restore(snapshot.state());
     appliedIndex = snapshot.index();
-    turn.raise(new ConsensusEvent.GroupRestored(replica.group, snapshot.index()));
+    context.raise(new ConsensusEvent.GroupRestored(replica.group, snapshot.index()));
   }
 
-  void applyCommitted(Turn turn) {
+  void applyCommitted(EventContext context) {
     while (appliedIndex < replica.commitIndex()) {
       LogEntry entry = replica.log.entry(appliedIndex + 1);
       Invariants.check(entry.index() == appliedIndex + 1, "entries are applied in order");
-      CommandResult result = apply(entry, turn);
+      CommandResult result = apply(entry, context);
       appliedIndex = entry.index();
-      proposals.applied(entry.index(), result, turn);
+      proposals.applied(entry.index(), result, context);
     }
     if (saving == null && appliedIndex - snapshotIndex() >= replica.settings.snapshotEntries()) {
-      takeSnapshot(turn);
+      takeSnapshot(context);
     }
   }
 
-  private CommandResult apply(LogEntry entry, Turn turn) {
+  private CommandResult apply(LogEntry entry, EventContext context) {
     CommandResult result = new CommandResult.Done();
     if (entry.command() instanceof GroupCommand.NoOperation) {
       return result;
@@ -55,9 +55,9 @@
     }
     if (entry.command() instanceof GroupCommand.ChangeMembers change) {
       String facts = "index=" + entry.index() + " " + change.members().describe();
-      turn.log(replica.group, "members_agreed", facts);
+      context.log(replica.group, "members_agreed", facts);
     }
-    turn.raise(
+    context.raise(
         new ConsensusEvent.CommandCommitted(
             replica.group, entry.index(), entry.stampedAt(), entry.command(), result));
     return result;
@@ -69,13 +69,14 @@
   }
 
   /**
-   * Takes a snapshot, once all that it covers was given to the storage.
+   * Takes a snapshot once all entries that it covers have been passed to the storage.
    *
-   * <p>A replica that catches up applies more entries in one turn than lie between two snapshots.
-   * Given the snapshot before these entries, the storage refused them as older than its log, and
-   * the replica took no part until its next start: one more loss and nothing was served.
+   * <p>A replica that catches up may apply more entries during one event than lie between two
+   * snapshots. When the storage received the snapshot before these entries, it rejected them as
+   * older than its log, and the replica was out of service until its next start, so that the loss
+   * of one more replica made the group unavailable.
    */
-  private void takeSnapshot(Turn turn) {
+  private void takeSnapshot(EventContext context) {
     if (appliedIndex > replica.durability.issuedIndex()) {
       return;
     }
@@ -88,10 +89,10 @@
             replica.members.at(last.index()),
             machine.snapshot());
     saving = snapshot;
-    turn.effect(new StorageEffect.SaveSnapshot(replica.group, snapshot));
+    context.effect(new StorageEffect.SaveSnapshot(replica.group, snapshot));
   }
 
-  /** Drops entries that a saved snapshot covers, but for some that lagging replicas may need. */
+  /** Compacts the log up to a saved snapshot, but keeps some entries for lagging replicas. */
   void snapshotSaved(long index) {
     Snapshot snapshot = saving;
     if (snapshot == null || snapshot.index() != index) {
@@ -102,6 +103,6 @@
       return;
     }
     replica.snapshotSaved(snapshot);
-    replica.log.compact(index - replica.settings.keptEntries());
+    replica.log.compact(index - replica.settings.trailingEntries());
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/ControlVmPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/ControlVmPart.java
@@ -22,25 +22,25 @@
 import org.skylarkfork.core.request.RunState;
 
 /**
- * Takes control VMs into all replicated groups or out of them, as operators ask.
+ * Adds control VMs to all replicated groups or removes them at an operator's request.
  *
- * <p>Each group changes on its own, so one may have changed when another refuses. Asking again is
- * harmless: a group that has changed says so at once.
+ * <p>Each group changes independently, so one group may have changed when another refuses. A
+ * repeated request is harmless: a group that has already changed reports that immediately.
  */
 public final class ControlVmPart implements Part {
 
-  private static final Duration LIMIT = Duration.ofSeconds(8);
-  private static final long RETRY_MILLIS = 1000;
+  private static final Duration SUBMISSION_TIMEOUT = Duration.ofSeconds(8);
+  private static final long RETRY_AFTER_MILLIS = 1000;
 
   private final List<GroupId> groups;
   private final Submitter submitter;
   private final Map<Long, Call> bySubmission = new HashMap<>();
 
   /**
-   * Makes the part.
+   * Creates the part.
    *
    * @param groups all replicated groups
-   * @param submitter has commands agreed on
+   * @param submitter submits the commands to the groups
    */
   public ControlVmPart(List<GroupId> groups, Submitter submitter) {
     this.groups = List.copyOf(groups);
@@ -73,7 +73,7 @@
     for (GroupId group : groups) {
       long submission = submitter.newSubmissionId();
       bySubmission.put(submission, call);
-      submitter.submit(group, command, submission, now.plus(LIMIT), now, output);
+      submitter.submit(group, command, submission, now.plus(SUBMISSION_TIMEOUT), now, output);
     }
   }
 
@@ -82,8 +82,8 @@
       refuse(call, answered.group() + ": " + rejected.remedy(), output);
       return;
     }
-    call.open().remove(answered.group());
-    if (call.open().isEmpty()) {
+    call.pendingGroups().remove(answered.group());
+    if (call.pendingGroups().isEmpty()) {
       output.effect(
           new OperatorEffect.ControlVmChanged(
               call.request().callId(), call.request().node(), call.request().admit()));
@@ -95,8 +95,8 @@
     output.effect(
         new OperatorEffect.RefuseOperator(
             call.request().callId(),
-            new RoutingError(ErrorKind.NOT_SERVING, remedy, RunState.UNKNOWN, RETRY_MILLIS)));
+            new RoutingError(ErrorKind.NOT_SERVING, remedy, RunState.UNKNOWN, RETRY_AFTER_MILLIS)));
   }
 
-  private record Call(OperatorEvent.ControlVmRequested request, Set<GroupId> open) {}
+  private record Call(OperatorEvent.ControlVmRequested request, Set<GroupId> pendingGroups) {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/LocalHealth.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/LocalHealth.java
@@ -3,24 +3,25 @@
 import java.time.Duration;
 
 /**
- * How far a daemon trusts its own probes.
+ * Local health score of a daemon, as in Lifeguard; it lengthens the timeouts of the daemon's
+ * probes.
  *
- * <p>A daemon that is slow itself, starved of processor time or cut off, sees all others silent.
- * Were its timeouts fixed, it would declare healthy daemons dead. So each sign that the fault is
- * here lengthens the timeouts, and each answer in time shortens them.
+ * <p>A daemon that is slow itself, starved of processor time or isolated, receives no timely
+ * answers from any other daemon. With fixed timeouts it would declare healthy daemons dead. Each
+ * sign of a local fault therefore lengthens the timeouts, and each timely answer shortens them.
  */
 final class LocalHealth {
 
-  private static final int WORST = 8;
+  private static final int MAX_SCORE = 8;
 
   private int score;
 
-  /** Adds to the score; 0 is the best. */
-  void worse(int by) {
-    score = Math.min(WORST, score + by);
+  /** Increases the score, up to the maximum; 0 is the best score. */
+  void degrade(int by) {
+    score = Math.min(MAX_SCORE, score + by);
   }
 
-  void better() {
+  void improve() {
     score = Math.max(0, score - 1);
   }
 
@@ -28,7 +29,7 @@
     return score;
   }
 
-  Duration stretch(Duration normal) {
+  Duration scale(Duration normal) {
     return normal.multipliedBy(score + 1L);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipNotices.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipEventPublisher.java
@@ -6,12 +6,12 @@
 import org.skylarkfork.core.effect.TraceEffect;
 import org.skylarkfork.core.event.MembershipEvent;
 
-/** Tells the other parts, the log and the metrics what changed. */
-final class MembershipNotices {
+/** Raises membership events and records changes in the log and the metrics. */
+final class MembershipEventPublisher {
 
-  private MembershipNotices() {}
+  private MembershipEventPublisher() {}
 
-  /** Raises the events of an update that has just prevailed over what was known. */
+  /** Raises the events of an update that has just overridden the known state. */
   static void raise(MemberUpdate update, @Nullable MemberUpdate known, Output out) {
     Member member = update.member();
     boolean sameProcess =
@@ -40,14 +40,14 @@
         log(member, "left", false, out);
         out.raise(new MembershipEvent.MemberLeft(member));
       }
-      default -> throw new IllegalStateException("no such status: " + update.status());
+      default -> throw new IllegalStateException("unknown status: " + update.status());
     }
     String label = update.status().name().toLowerCase(Locale.ROOT);
     out.effect(new TraceEffect.Count("membership_changes", label, 1));
   }
 
-  static void log(Member member, String what, boolean warning, Output out) {
-    String sentence = member.name() + " at " + member.address() + " " + what;
+  static void log(Member member, String change, boolean warning, Output out) {
+    String sentence = member.name() + " at " + member.address() + " " + change;
     out.effect(new TraceEffect.LogLine(warning, "membership", sentence));
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/PromisesTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/ReplicaSafetyTest.java
@@ -35,8 +35,8 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** What one replica promises and believes, message by message. */
-public class PromisesTest {
+/** Tests the votes and acknowledgements that one replica sends and counts, message by message. */
+public class ReplicaSafetyTest {
 
   private static final GroupId GROUP = GroupId.LEDGER;
   private static final GroupId OTHER = new GroupId("ledger", 1);
@@ -50,7 +50,7 @@
   private long writes;
   private long truncatedFrom;
 
-  /** Starts replica a, which has two entries of terms 1 and 2 on its disk. */
+  /** Starts replica a with two entries of terms 1 and 2 on its disk. */
   @BeforeMethod
   public void start() {
     now = Instant.parse("2026-01-01T00:00:00Z");
@@ -72,21 +72,21 @@
     apply(new StorageEvent.Recovered(GROUP, new HardState(2, null, 1), null, entries));
   }
 
-  // A voter that answers before its vote is on the disk, and then loses power, votes twice in the
-  // term: two leaders accept different changes.
+  // Guards against two leaders in a term: a voter that responds before its vote is synced and then
+  // loses power could vote a second time in the term.
   @Test
-  public void voteWaitsForItsSync() {
-    pass(400);
+  public void voteIsSentAfterSync() {
+    advanceTime(400);
     receive("b", new VoteRequest(GROUP, 9, 2, 2, false, false));
     assertFalse(granted());
     sync();
     assertTrue(granted());
   }
 
-  // A leader counts what is acknowledged. An entry acknowledged from memory is gone after a power
-  // failure, though its caller was told that it was accepted.
+  // Guards against lost changes: a leader counts acknowledged entries, and an entry acknowledged
+  // before it is synced is lost in a power failure although its caller received a success.
   @Test
-  public void acknowledgementWaitsForItsSync() {
+  public void acknowledgementIsSentAfterSync() {
     receive("b", new AppendRequest(GROUP, 3, 2, 2, List.of(), 0, now));
     sync();
     AppendRequest request = append(3, entry(3, 3, new GroupCommand.Probe("three")));
@@ -97,16 +97,17 @@
     assertEquals(acknowledged(), 3);
   }
 
-  // A leader answers reads under its lease while a candidate asks for votes. A vote within the
-  // least election time, also of a voter that has just restarted and doesn't know what it
-  // acknowledged, would let a second leader change what the first still answers.
+  // Guards against stale reads: a leader serves reads under its lease while a candidate requests
+  // votes. A vote within the minimum election timeout would let a second leader change the state
+  // that the first one still serves. The same holds for a voter that has just restarted and doesn't
+  // know what it acknowledged.
   @Test
-  public void noVoteWhileLeaseMayHold() {
-    pass(280);
+  public void noVoteWhileLeaseMayBeActive() {
+    advanceTime(280);
     receive("b", new VoteRequest(GROUP, 9, 2, 2, false, false));
-    pass(40);
+    advanceTime(40);
     receive("c", append(3, entry(3, 3, new GroupCommand.Probe("three"))));
-    pass(280);
+    advanceTime(280);
     receive("b", new VoteRequest(GROUP, 9, 5, 5, false, false));
     receive("b", new VoteRequest(GROUP, 9, 5, 5, true, false));
     sync();
@@ -114,20 +115,20 @@
     assertEquals(part.status(GROUP).term(), 3);
   }
 
-  // A new leader brings an entry of an earlier term to a majority. Such an entry can still be
-  // replaced by another leader, so nobody may be told that it is accepted until one of the
-  // leader's own term has reached a majority.
+  // Guards against lost changes: an entry of an earlier term that a new leader replicated to a
+  // majority can still be overwritten by another leader. It must not be committed until an entry of
+  // the leader's own term has reached a majority.
   @Test
-  public void entryOfEarlierTermIsNotCounted() {
-    lead();
+  public void entryOfEarlierTermIsNotCommittedByCounting() {
+    becomeLeader();
     receive("b", acknowledge(2, 2));
     assertEquals(part.status(GROUP).commitIndex(), 0);
     receive("b", acknowledge(2, 3));
     assertEquals(part.status(GROUP).commitIndex(), 3);
   }
 
-  // Voters b and c come back with empty disks under their old names. Neither their votes nor
-  // their acknowledgements stand for what the old disks held.
+  // Guards against counting wiped voters: b and c return with empty disks under their old names,
+  // and neither their votes nor their acknowledgements may count as those of the old disks.
   @Test
   public void wipedVotersAreNotCounted() {
     campaign();
@@ -142,11 +143,12 @@
     assertEquals(part.status(GROUP).commitIndex(), 0);
   }
 
-  // Voter c comes back with an empty disk and is taken in as a learner. Counted before it has all
-  // accepted entries, it would stand for them when a second voter is lost.
+  // Guards against counting a replica that is not caught up: voter c returns with an empty disk and
+  // is admitted as a learner. If it voted before it has all accepted entries, the loss of a second
+  // voter could lose them.
   @Test
-  public void learnerCountsOnlyOnceCaughtUp() {
-    lead();
+  public void learnerBecomesVoterOnceCaughtUp() {
+    becomeLeader();
     receive("b", acknowledge(2, 3));
     receive("c", new RaftMessage.JoinRequest(GROUP, 9));
     sync();
@@ -159,10 +161,11 @@
     assertTrue(part.status(GROUP).members().votes(repaired));
   }
 
-  // Power fails after a leader's snapshot was saved and before the entries that it contradicts were
-  // dropped. Kept, they would stand in the log as if they continued the snapshot.
+  // Guards against stale entries in the log: power fails after a leader's snapshot was saved and
+  // before the conflicting entries were truncated. If they were kept, they would appear to continue
+  // the snapshot.
   @Test
-  public void entriesContradictedBySnapshotAreDropped() {
+  public void entriesConflictingWithSnapshotAreTruncated() {
     Snapshot snapshot = new Snapshot(10, 5, now, MEMBERS, new GroupState.Empty());
     List<LogEntry> stale = List.of(entry(11, 3, new GroupCommand.Probe("stale")));
     apply(new StorageEvent.Recovered(OTHER, new HardState(5, null, 1), snapshot, stale));
@@ -170,11 +173,12 @@
     assertEquals(truncatedFrom, 11);
   }
 
-  // The disk under one group fails. That group's voter stops; the daemon's other group goes on.
+  // Guards against one group's disk failure that stops the daemon's other group: only the replica
+  // of the failed group may stop.
   @Test
-  public void failedGroupLeavesOthersAlone() {
+  public void diskFailureOfOneGroupDoesNotAffectOthers() {
     apply(new StorageEvent.Recovered(OTHER, new HardState(2, null, 1), null, List.of()));
-    lead();
+    becomeLeader();
     apply(new StorageEvent.Failed(OTHER, "no space left on device"));
     receive("b", acknowledge(2, 3));
     assertTrue(part.status(OTHER).storageFailed());
@@ -182,13 +186,13 @@
   }
 
   private void campaign() {
-    pass(700);
+    advanceTime(700);
     receive("b", new VoteResponse(GROUP, 3, 2, true, true));
     sync();
     assertEquals(part.status(GROUP).role(), Role.CANDIDATE);
   }
 
-  private void lead() {
+  private void becomeLeader() {
     campaign();
     receive("b", new VoteResponse(GROUP, 3, 2, true, false));
     sync();
@@ -225,8 +229,8 @@
     apply(new PeerEvent.MessageReceived(from, message));
   }
 
-  private void pass(long millis) {
-    for (long passed = 0; passed < millis; passed += Reducer.TICK.toMillis()) {
+  private void advanceTime(long millis) {
+    for (long elapsed = 0; elapsed < millis; elapsed += Reducer.TICK.toMillis()) {
       now = now.plus(Reducer.TICK);
       apply(new LifecycleEvent.Tick());
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/DirectoryPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/DirectoryPartTest.java
@@ -12,7 +12,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests what one daemon's directory makes of announcements. */
+/** Tests how one daemon's directory processes announcements. */
 public final class DirectoryPartTest {
 
   private FixedConfiguration configuration;
@@ -30,13 +30,13 @@
   }
 
   @Test
-  public void silentUpstreamIsOutAndBackOnceHeard() {
-    say(Announcements.engine("engine-1", 1, 7001));
+  public void silentUpstreamIsRemovedUntilNextAnnouncement() {
+    announce(Announcements.engine("engine-1", 1, 7001));
     assertEquals(engines(), List.of("engine-1"));
-    pass(4000);
+    advanceTime(4000);
     assertEquals(engines(), List.of());
     assertTrue(directory.find("engine-1").isEmpty());
-    say(Announcements.engine("engine-1", 1, 7001));
+    announce(Announcements.engine("engine-1", 1, 7001));
     assertEquals(engines(), List.of("engine-1"));
     configuration.set(List.of("engine-1"), List.of(), List.of());
     assertEquals(engines(), List.of());
@@ -44,31 +44,31 @@
   }
 
   /**
-   * A caller's request goes to an address where another process now listens, or to one that has
-   * ended: engine-2 ends and says so, a heartbeat of its comes late; then engine-3 starts at its
-   * address. The late heartbeat must not bring engine-2 back.
+   * Guards against requests to a process that has ended or whose address belongs to another
+   * process: engine-2 announces its end and a late heartbeat of it arrives; then engine-3 starts at
+   * its address. The late heartbeat must not restore engine-2.
    */
   @Test
   public void goneAndReplacedUpstreamsDoNotReturn() {
-    say(Announcements.engine("engine-2", 1, 7002));
-    say(Announcements.engine("engine-2", 1, 7002, false, true, 0));
-    say(Announcements.engine("engine-2", 1, 7002));
+    announce(Announcements.engine("engine-2", 1, 7002));
+    announce(Announcements.engine("engine-2", 1, 7002, false, true, 0));
+    announce(Announcements.engine("engine-2", 1, 7002));
     assertTrue(directory.find("engine-2").isEmpty());
-    say(Announcements.engine("engine-2", 2, 7002));
+    announce(Announcements.engine("engine-2", 2, 7002));
     assertTrue(directory.find("engine-2").isPresent());
-    say(Announcements.engine("engine-3", 1, 7002));
+    announce(Announcements.engine("engine-3", 1, 7002));
     assertTrue(directory.find("engine-2").isEmpty());
     assertTrue(directory.find("engine-3").isPresent());
-    say(Announcements.engine("engine-3", 1, 7002, true, false, 3));
+    announce(Announcements.engine("engine-3", 1, 7002, true, false, 3));
     assertEquals(engines(), List.of());
     assertEquals(directory.find("engine-3").orElseThrow().load().running(), 3);
   }
 
-  private void say(Announcement announcement) {
+  private void announce(Announcement announcement) {
     reducer.apply(new UpstreamEvent.Announced(announcement), now);
   }
 
-  private void pass(long millis) {
+  private void advanceTime(long millis) {
     now = now.plusMillis(millis);
     reducer.apply(new LifecycleEvent.Tick(), now);
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/MembershipPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/MembershipPartTest.java
@@ -11,12 +11,12 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests how daemons find, watch and lose each other. */
+/** Tests how daemons discover each other and detect failures. */
 public final class MembershipPartTest {
 
   @Test
-  public void allFindEachOtherThroughSeeds() {
-    TestNetwork network = new TestNetwork(1).with(9);
+  public void daemonsDiscoverEachOtherThroughSeeds() {
+    TestNetwork network = new TestNetwork(1).withEntries(9);
     for (TestDaemon daemon : network.daemons) {
       assertEquals(daemon.liveNames().size(), 9);
       assertEquals(daemon.listed(network.now).size(), 9);
@@ -25,26 +25,26 @@
   }
 
   /**
-   * A VM is cut off without any error to either side. Callers with a fresh list must not be sent
-   * there, so each other daemon finds it dead within seconds; the VM itself must not take the
-   * others for dead as fast, and once the cut ends all are there again without a restart.
+   * Guards against lists with an unreachable VM: a VM is isolated without an error at either end,
+   * and each other daemon must consider it dead within seconds. The VM itself must not consider the
+   * others dead as fast, and after the isolation all must be live again without a restart.
    */
   @Test
-  public void silentlyCutVmIsOutAndComesBack() {
-    TestNetwork network = new TestNetwork(2).with(9);
-    TestDaemon lost = network.daemons.get(4);
-    network.cut(lost.self.host(), true);
+  public void isolatedVmIsRemovedAndRejoins() {
+    TestNetwork network = new TestNetwork(2).withEntries(9);
+    TestDaemon isolated = network.daemons.get(4);
+    network.isolate(isolated.self.host(), true);
     network.run(Duration.ofSeconds(8));
     for (TestDaemon daemon : network.daemons) {
-      if (daemon != lost) {
+      if (daemon != isolated) {
         assertFalse(daemon.liveNames().contains("entry-5"), daemon.self.name());
         assertEquals(daemon.liveNames().size(), 8);
       }
     }
     network.run(Duration.ofSeconds(15));
-    assertEquals(lost.deathsSeen(), 0);
+    assertEquals(isolated.deathsSeen(), 0);
     network.run(Duration.ofSeconds(90));
-    network.cut(lost.self.host(), false);
+    network.isolate(isolated.self.host(), false);
     network.run(Duration.ofSeconds(30));
     for (TestDaemon daemon : network.daemons) {
       assertEquals(daemon.liveNames().size(), 9, daemon.self.name());
@@ -52,16 +52,16 @@
   }
 
   /**
-   * A VM answers late, for want of processor time: its answers take 700 ms, and it stands still for
-   * up to 2 s. It is suspected, hears of it and refutes; callers keep it.
+   * Guards against the removal of a slow VM: for lack of processor time its answers take 700 ms,
+   * and it stalls for up to 2 s. It must be suspected, refute the suspicion and stay live.
    */
   @Test
-  public void slowVmIsSuspectedAndNotDead() {
-    TestNetwork network = new TestNetwork(3).with(9);
+  public void slowVmIsSuspectedButNotDead() {
+    TestNetwork network = new TestNetwork(3).withEntries(9);
     TestDaemon slow = network.daemons.get(3);
-    slow.slowness = Duration.ofMillis(700);
+    slow.sendDelay = Duration.ofMillis(700);
     for (int i = 0; i < 20; i++) {
-      slow.stuckUntil = network.now.plusMillis(500 + network.random.nextInt(1500));
+      slow.stalledUntil = network.now.plusMillis(500 + network.random.nextInt(1500));
       network.run(Duration.ofSeconds(4));
     }
     boolean suspected =
@@ -75,13 +75,14 @@
   }
 
   /**
-   * A process restarts before anybody missed it, once even with its clock set back, then its name
-   * moves to another VM while the old process is cut off and comes back later. Callers must be sent
-   * to the newest process, and the replaced one may do no harm.
+   * Guards against callers sent to a replaced process: a process restarts before its failure is
+   * detected, once even with its clock set back; then its name moves to another VM while the old
+   * process is isolated and returns later. All must use the newest process, and the replaced one
+   * must have no effect.
    */
   @Test
-  public void restartsAndReplacedAddresses() {
-    TestNetwork network = new TestNetwork(4).with(5);
+  public void newestProcessReplacesEarlierOnes() {
+    TestNetwork network = new TestNetwork(4).withEntries(5);
     network.kill(network.daemons.get(2));
     network.start(3, 10);
     network.run(Duration.ofSeconds(5));
@@ -92,14 +93,14 @@
     network.start(3, 4);
     network.run(Duration.ofSeconds(20));
     assertTrue(first.membership.find("entry-3").orElseThrow().incarnation() > 10);
-    TestDaemon old = network.daemons.get(4);
-    network.cut(old.self.host(), true);
+    TestDaemon replaced = network.daemons.get(4);
+    network.isolate(replaced.self.host(), true);
     network.start("entry-3", "127.0.0.33", 3, 20);
     network.run(Duration.ofSeconds(20));
-    network.cut(old.self.host(), false);
+    network.isolate(replaced.self.host(), false);
     network.run(Duration.ofSeconds(60));
     for (TestDaemon daemon : network.daemons) {
-      if (daemon != old) {
+      if (daemon != replaced) {
         assertEquals(daemon.membership.find("entry-3").orElseThrow().host(), "127.0.0.33");
         assertEquals(daemon.liveNames().size(), 5);
       }
@@ -111,12 +112,13 @@
   }
 
   /**
-   * An entry is asked to stop. Callers with a list that names it must be served until that list has
-   * expired; no list names it after a moment. Then it ends and the others do not look for it.
+   * Guards against refused callers on a planned stop: no new list may name the stopping entry, but
+   * it must serve callers until the last list that named it has expired. After its end the others
+   * must not report it as dead.
    */
   @Test
-  public void plannedStopLeavesTheListFirst() {
-    TestNetwork network = new TestNetwork(5).with(9);
+  public void plannedStopRemovesEntryFromListFirst() {
+    TestNetwork network = new TestNetwork(5).withEntries(9);
     TestDaemon leaving = network.daemons.get(7);
     network.apply(leaving, new LifecycleEvent.StopRequested());
     assertFalse(leaving.listed(network.now).contains("entry-8"));
@@ -140,8 +142,8 @@
   }
 
   @Test
-  public void drainedAndLeaselessEntriesAreOffTheList() {
-    TestNetwork network = new TestNetwork(6).with(4);
+  public void drainedAndLeaselessEntriesAreNotListed() {
+    TestNetwork network = new TestNetwork(6).withEntries(4);
     TestDaemon leaseless = network.daemons.get(2);
     leaseless.configuration.lease(false);
     final TestDaemon drained = network.daemons.get(3);
@@ -161,15 +163,15 @@
     assertTrue(drained.entries.acceptsNewWork(network.now));
   }
 
-  /** Gives rates of lost messages. */
+  /** Returns rates of message loss. */
   @DataProvider
   public Object[][] losses() {
     return new Object[][] {{0.01}, {0.05}, {0.10}};
   }
 
   @Test(dataProvider = "losses")
-  public void lossKillsNobody(double loss) {
-    TestNetwork network = new TestNetwork(7).with(9);
+  public void messageLossCausesNoDeaths(double loss) {
+    TestNetwork network = new TestNetwork(7).withEntries(9);
     network.loss = loss;
     network.run(Duration.ofMinutes(10));
     for (TestDaemon daemon : network.daemons) {
@@ -178,22 +180,22 @@
   }
 
   /**
-   * Callers must end up with the right list whatever happened: daemons are killed, restarted, cut
-   * and slowed at random while messages get lost; once that ends, all agree on who is there.
+   * Guards against member tables that don't converge: daemons are killed, restarted, isolated and
+   * stalled at random while messages are lost. Afterwards all must agree on the live members.
    */
   @Test
-  public void agreesAfterRandomFailures() {
+  public void convergesAfterRandomFailures() {
     for (int seed = 100; seed < 110; seed++) {
-      TestNetwork network = new TestNetwork(seed).with(7);
+      TestNetwork network = new TestNetwork(seed).withEntries(7);
       network.loss = 0.05;
       for (int step = 1; step <= 15; step++) {
         int number = 1 + network.random.nextInt(7);
-        disturb(network, number, 1 + step);
+        injectFault(network, number, 1 + step);
         network.run(Duration.ofMillis(500 + network.random.nextInt(9000)));
       }
       network.loss = 0;
       for (int i = 1; i <= 7; i++) {
-        network.cut("127.0.0." + i, false);
+        network.isolate("127.0.0." + i, false);
       }
       network.run(Duration.ofSeconds(90));
       for (TestDaemon daemon : network.daemons) {
@@ -210,7 +212,7 @@
     }
   }
 
-  private static void disturb(TestNetwork network, int number, long incarnation) {
+  private static void injectFault(TestNetwork network, int number, long incarnation) {
     TestDaemon daemon =
         network.daemons.stream()
             .filter(other -> other.self.name().equals("entry-" + number))
@@ -221,9 +223,9 @@
         network.kill(daemon);
         network.start(number, incarnation);
       }
-      case 1 -> network.cut(daemon.self.host(), true);
-      case 2 -> network.cut(daemon.self.host(), false);
-      default -> daemon.stuckUntil = network.now.plusMillis(network.random.nextInt(5000));
+      case 1 -> network.isolate(daemon.self.host(), true);
+      case 2 -> network.isolate(daemon.self.host(), false);
+      default -> daemon.stalledUntil = network.now.plusMillis(network.random.nextInt(5000));
     }
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestUpstream.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestUpstream.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 import org.skylarkfork.core.upstream.Announcement;
 
-/** An engine that announces itself in a {@link TestNetwork}. */
+/** An engine that announces itself to the entries of a {@link TestNetwork}. */
 final class TestUpstream {
 
   final String id;
@@ -13,7 +13,7 @@
   boolean leaving;
   boolean gone;
   int running;
-  Instant next = Instant.MIN;
+  Instant nextAnnouncement = Instant.MIN;
 
   TestUpstream(String id, long incarnation, int port, int entry) {
     this.id = id;
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
@@ -36,10 +36,10 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 import org.skylarkfork.core.configuration.Team;
 import org.skylarkfork.core.configuration.ZoneTree;
+import org.skylarkfork.core.consensus.ConsensusEventLogger;
 import org.skylarkfork.core.consensus.ConsensusPart;
 import org.skylarkfork.core.consensus.ControlVmPart;
 import org.skylarkfork.core.consensus.GroupSetup;
-import org.skylarkfork.core.consensus.LeaderLog;
 import org.skylarkfork.core.consensus.RaftSettings;
 import org.skylarkfork.core.effect.TraceEffect;
 import org.skylarkfork.core.event.ConfigurationEvent;
@@ -203,7 +203,7 @@
 
   private static EntryListSettings listSettings(DaemonSettings settings) {
     return new EntryListSettings(
-        settings.entryListLifetime(), EntryListSettings.DEFAULT.spreadMargin());
+        settings.entryListLifetime(), EntryListSettings.DEFAULT.propagationMargin());
   }
 
   private SharedQualityBook qualityBook(long incarnation) {
@@ -243,7 +243,7 @@
   private int servingEntries() {
     return (int)
         membership.live().stream()
-            .filter(member -> member.has(Member.ENTRY))
+            .filter(member -> member.hasRole(Member.ENTRY))
             .filter(member -> member.serving() == ServingState.SERVING)
             .count();
   }
@@ -293,7 +293,7 @@
         new ArrayList<>(
             List.of(
                 consensus,
-                new LeaderLog(),
+                new ConsensusEventLogger(),
                 new ControlVmPart(ALL_GROUPS, consensus.submitter()),
                 membership,
                 configuration,
