--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashGuard.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashGuard.java
@@ -3,9 +3,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
-import org.skylarkfork.core.crash.CrashWatch;
+import org.skylarkfork.core.crash.CrashDetector;
 import org.skylarkfork.core.crash.RequestKey;
-import org.skylarkfork.core.crash.WatchedUpstream;
+import org.skylarkfork.core.crash.SuspectedUpstream;
 import org.skylarkfork.core.effect.UpstreamEffect;
 import org.skylarkfork.core.error.ErrorKind;
 import org.skylarkfork.core.error.RoutingError;
@@ -30,11 +30,11 @@
           + " Change it before you send it again, or ask your operator to lift the quarantine of ";
 
   private final RequestCollaborators parts;
-  private final CrashWatch watch;
+  private final CrashDetector watch;
 
   CrashGuard(RequestCollaborators parts) {
     this.parts = parts;
-    this.watch = new CrashWatch(parts.judges(), "upstreams_ended");
+    this.watch = new CrashDetector(parts.judges(), "upstreams_ended");
   }
 
   /** Returns what a request has in common with the same one sent again, at whatever entry. */
@@ -85,7 +85,7 @@
     String service = target.service() == null ? target.kind().name() : target.service();
     String version = attempt.version == null ? "" : attempt.version.toString();
     watch.lost(
-        new WatchedUpstream(
+        new SuspectedUpstream(
             run,
             service,
             version,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/VotersAsJudges.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/VotersAsJudges.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.skylarkfork.core.Output;
-import org.skylarkfork.core.crash.CrashJudges;
+import org.skylarkfork.core.crash.CrashReviewers;
 import org.skylarkfork.core.effect.PeerEffect.SendToPeer;
 import org.skylarkfork.core.event.PeerEvent;
 import org.skylarkfork.core.message.CrashMessage;
@@ -11,7 +11,7 @@
  * All voters of the configuration's group are told of requests that were lost, and the one that
  * leads judges: the next leader then knows as much.
  */
-public final class VotersAsJudges implements CrashJudges {
+public final class VotersAsJudges implements CrashReviewers {
 
   private final String self;
   private final List<String> voters;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashLedger.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashCorrelator.java
@@ -30,7 +30,7 @@
  *   <li>it was not answered since. One whole answer clears a request.
  * </ul>
  */
-final class CrashLedger {
+final class CrashCorrelator {
 
   /** Upstreams that end under a request until it is found. */
   static final int ENDS = 3;
@@ -112,7 +112,7 @@
       end.at = lostAt;
     }
     if (end.sentAt.size() < MAX_LOST) {
-      end.sentAt.merge(key, sentAt, CrashLedger::later);
+      end.sentAt.merge(key, sentAt, CrashCorrelator::later);
     }
     forgetOldestBeyond(MAX_UPSTREAMS, ends.keySet());
     if (dueAt == null) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashWatch.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashDetector.java
@@ -25,7 +25,7 @@
  * <p>A judge keeps what it is told in memory. A new one is told again all that is kept here, so
  * that a content which ends upstreams isn't unknown again after each election.
  */
-public final class CrashWatch {
+public final class CrashDetector {
 
   /** Time after the first lost attempt in which others are put down to the same end. */
   private static final Duration SAME_END = Duration.ofSeconds(5);
@@ -47,7 +47,7 @@
   /** Requests that are named in a log line. */
   private static final int MAX_NAMED = 12;
 
-  private final CrashJudges judges;
+  private final CrashReviewers judges;
   private final String counter;
   private final Map<UpstreamRun, Losses> losses = new LinkedHashMap<>();
 
@@ -57,7 +57,7 @@
    * @param judges those that are told
    * @param counter name of the metric that counts upstreams that ended, by service
    */
-  public CrashWatch(CrashJudges judges, String counter) {
+  public CrashDetector(CrashReviewers judges, String counter) {
     this.judges = judges;
     this.counter = counter;
   }
@@ -67,14 +67,14 @@
 
   /** What was lost at one start of an upstream. */
   private static final class Losses {
-    private final WatchedUpstream upstream;
+    private final SuspectedUpstream upstream;
     private final Instant firstAt;
     private final Map<RequestKey, Lost> byKey = new LinkedHashMap<>();
     private @Nullable Instant endedAt;
     private Instant toldAt = Instant.EPOCH;
     private List<String> toldTo = List.of();
 
-    private Losses(WatchedUpstream upstream, Instant firstAt) {
+    private Losses(SuspectedUpstream upstream, Instant firstAt) {
       this.upstream = upstream;
       this.firstAt = firstAt;
     }
@@ -91,7 +91,7 @@
    * @param output takes what is to be done
    */
   public void lost(
-      WatchedUpstream upstream, RequestKey key, Instant sentAt, Instant now, Output output) {
+      SuspectedUpstream upstream, RequestKey key, Instant sentAt, Instant now, Output output) {
     Losses known = losses.get(upstream.run());
     if (known == null) {
       known = new Losses(upstream, now);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashReview.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashReview.java
@@ -32,7 +32,7 @@
   private static final Duration AGAIN = Duration.ofSeconds(1);
 
   private final QuarantineList list;
-  private final CrashLedger ledger = new CrashLedger();
+  private final CrashCorrelator ledger = new CrashCorrelator();
   private final Set<RequestKey> found = new LinkedHashSet<>();
   private final Map<RequestKey, Instant> refusedSince = new HashMap<>();
   private final Map<RequestKey, Instant> askedAt = new HashMap<>();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailures.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailures.java
@@ -4,8 +4,8 @@
 import java.time.Instant;
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.Output;
-import org.skylarkfork.core.crash.CrashWatch;
-import org.skylarkfork.core.crash.WatchedUpstream;
+import org.skylarkfork.core.crash.CrashDetector;
+import org.skylarkfork.core.crash.SuspectedUpstream;
 import org.skylarkfork.core.effect.RelayEffect;
 import org.skylarkfork.core.event.RelayEvent;
 import org.skylarkfork.core.message.RelayMessage.AttemptProgress;
@@ -26,18 +26,18 @@
   private final AttemptSender sender;
   private final AttemptStarter starter;
   private final RequestEndings endings;
-  private final VersionLedger counts;
+  private final VersionStatistics counts;
   private final Patience patience;
-  private final CrashWatch crashes;
+  private final CrashDetector crashes;
   private final RequestTrace trace;
 
   AttemptFailures(
       AttemptSender sender,
       AttemptStarter starter,
       RequestEndings endings,
-      VersionLedger counts,
+      VersionStatistics counts,
       Patience patience,
-      CrashWatch crashes,
+      CrashDetector crashes,
       RequestTrace trace) {
     this.sender = sender;
     this.starter = starter;
@@ -203,8 +203,8 @@
     starter.next(relay, now, output);
   }
 
-  private static WatchedUpstream watched(UpstreamInstance instance) {
-    return new WatchedUpstream(
+  private static SuspectedUpstream watched(UpstreamInstance instance) {
+    return new SuspectedUpstream(
         instance.run(),
         instance.service(),
         instance.version(),
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdates.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdateSender.java
@@ -21,7 +21,7 @@
 import org.skylarkfork.core.message.RelayMessage.SharedState;
 
 /** What a control VM tells entries: the answers to their polls, and what is new. */
-final class EntryUpdates {
+final class EntryUpdateSender {
 
   private final RelayMachine machine;
   private final ConsensusPart consensus;
@@ -33,7 +33,7 @@
   private long term;
   private Instant leadsSince = Instant.EPOCH;
 
-  EntryUpdates(
+  EntryUpdateSender(
       RelayMachine machine,
       ConsensusPart consensus,
       UpstreamRegistry upstreams,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
@@ -42,10 +42,10 @@
   private final RelayMachine machine;
   private final ConsensusPart consensus;
   private final RelayTimes times;
-  private final RollOutJudge judge;
+  private final RollOutEvaluator judge;
   private final UpstreamRegistry upstreams;
   private final EntryRegistry entries;
-  private final EntryUpdates updates;
+  private final EntryUpdateSender updates;
   private final CrashReview crashes;
   private final Map<Long, AskedCall> callBySubmission = new HashMap<>();
   private @Nullable String leader;
@@ -77,10 +77,10 @@
     this.machine = machine;
     this.consensus = consensus;
     this.times = times;
-    this.judge = new RollOutJudge(rollOuts);
+    this.judge = new RollOutEvaluator(rollOuts);
     this.upstreams = new UpstreamRegistry(times);
     this.entries = new EntryRegistry(times);
-    this.updates = new EntryUpdates(machine, consensus, upstreams, entries, times);
+    this.updates = new EntryUpdateSender(machine, consensus, upstreams, entries, times);
     this.crashes = new CrashReview(new ReplicatedQuarantine(machine, consensus));
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -36,7 +36,7 @@
 
   private final EntryIdentity self;
   private final RelayTimes times;
-  private final VersionLedger counts;
+  private final VersionStatistics counts;
   private List<String> seeds;
   private List<String> controlNodes = List.of();
   private @Nullable String leader;
@@ -64,7 +64,7 @@
    * @param counts what this entry saw of each version
    */
   public RelayEntryPart(
-      EntryIdentity self, List<String> seeds, RelayTimes times, VersionLedger counts) {
+      EntryIdentity self, List<String> seeds, RelayTimes times, VersionStatistics counts) {
     this.self = self;
     this.seeds = List.copyOf(seeds);
     this.times = times;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -5,7 +5,7 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.Output;
 import org.skylarkfork.core.Part;
-import org.skylarkfork.core.crash.CrashWatch;
+import org.skylarkfork.core.crash.CrashDetector;
 import org.skylarkfork.core.effect.RelayEffect;
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.LifecycleEvent;
@@ -33,13 +33,13 @@
   private static final Duration OVERRUN = Duration.ofMillis(60);
 
   private final ModelPolicy models;
-  private final VersionLedger counts;
+  private final VersionStatistics counts;
   private final StopPlan stopPlan;
   private final RequestTrace trace;
   private final Patience patience = new Patience();
   private final SentPrompts prompts = new SentPrompts();
   private final ActiveRelays active = new ActiveRelays();
-  private final CrashWatch crashes;
+  private final CrashDetector crashes;
   private final RateLimitWatch rateLimits = new RateLimitWatch();
   private final RequestIntake intake;
   private final SchedulerClient schedulers;
@@ -57,14 +57,14 @@
    * @param seed seed of random choices
    */
   public RelayRequestPart(
-      RelayEntryPart entry, RelayRequestSettings settings, VersionLedger counts, long seed) {
+      RelayEntryPart entry, RelayRequestSettings settings, VersionStatistics counts, long seed) {
     this(entry, settings, counts, new AnswerTimes(), seed);
   }
 
   private RelayRequestPart(
       RelayEntryPart entry,
       RelayRequestSettings settings,
-      VersionLedger counts,
+      VersionStatistics counts,
       AnswerTimes answerTimes,
       long seed) {
     this(
@@ -77,7 +77,7 @@
             seed),
         new ConfidenceCascade(answerTimes),
         answerTimes,
-        new VersionRule(entry, settings.canaryShare()),
+        new VersionSelector(entry, settings.canaryShare()),
         new RetryBudget(settings.retryRatio()),
         counts,
         new StopPlan(settings.grace()),
@@ -90,16 +90,16 @@
       UpstreamPicker picker,
       ModelPolicy models,
       AnswerTimes answerTimes,
-      VersionRule versions,
+      VersionSelector versions,
       RetryBudget budget,
-      VersionLedger counts,
+      VersionStatistics counts,
       StopPlan stopPlan,
       long seed) {
     this.models = models;
     this.counts = counts;
     this.stopPlan = stopPlan;
     this.trace = new RequestTrace(view);
-    this.crashes = new CrashWatch(new LeaderAsJudge(view), "relay_upstreams_ended");
+    this.crashes = new CrashDetector(new LeaderCrashReviewers(view), "relay_upstreams_ended");
     this.schedulers = new SchedulerClient(view);
     this.sender = new AttemptSender(view, zone, picker, schedulers, versions, prompts, trace);
     this.endings = new RequestEndings(active, sender, answerTimes, trace);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RollOutJudge.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RollOutEvaluator.java
@@ -13,7 +13,7 @@
  * late isn't hidden by its good past. The old version is judged over all of its past, since it gets
  * little work at the end.
  */
-final class RollOutJudge {
+final class RollOutEvaluator {
 
   private static final double HALF_LIFE_SECONDS = 3.0;
 
@@ -37,7 +37,7 @@
   private final Map<String, Instant> moving = new HashMap<>();
   private final RollOutSettings settings;
 
-  RollOutJudge(RollOutSettings settings) {
+  RollOutEvaluator(RollOutSettings settings) {
     this.settings = settings;
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionRule.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionSelector.java
@@ -4,14 +4,14 @@
 import org.skylarkfork.core.routing.StableHash;
 
 /** Decides which versions of a service may get a request while a roll-out is on or after it. */
-final class VersionRule {
+final class VersionSelector {
 
   private static final int BUCKETS = 10_000;
 
   private final RelayView view;
   private final double canaryShare;
 
-  VersionRule(RelayView view, double canaryShare) {
+  VersionSelector(RelayView view, double canaryShare) {
     this.view = view;
     this.canaryShare = canaryShare;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionLedger.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionStatistics.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** Counts what this entry sees of each version of each service. */
-public final class VersionLedger {
+public final class VersionStatistics {
 
   private final Map<String, VersionCounts> counts = new LinkedHashMap<>();
 
@@ -23,7 +23,7 @@
     counts.merge(
         upstream.service() + "\n" + upstream.version(),
         new VersionCounts(upstream.service(), upstream.version(), 1, failures, millis),
-        VersionLedger::sum);
+        VersionStatistics::sum);
   }
 
   private static VersionCounts sum(VersionCounts one, VersionCounts other) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/crash/CrashLedgerTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/crash/CrashCorrelatorTest.java
@@ -8,19 +8,19 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link CrashLedger}. */
-public final class CrashLedgerTest {
+/** Tests of {@link CrashCorrelator}. */
+public final class CrashCorrelatorTest {
 
   private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
   private static final int SETTLED = 200;
 
-  private CrashLedger ledger = new CrashLedger();
+  private CrashCorrelator ledger = new CrashCorrelator();
   private Instant now = START;
 
   /** Each test begins anew. */
   @BeforeMethod
   public void setUp() {
-    ledger = new CrashLedger();
+    ledger = new CrashCorrelator();
     now = START;
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashWatchTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashDetectorTest.java
@@ -5,9 +5,9 @@
 
 import java.time.Instant;
 import java.util.List;
-import org.skylarkfork.core.crash.CrashWatch;
+import org.skylarkfork.core.crash.CrashDetector;
 import org.skylarkfork.core.crash.RequestKey;
-import org.skylarkfork.core.crash.WatchedUpstream;
+import org.skylarkfork.core.crash.SuspectedUpstream;
 import org.skylarkfork.core.effect.PeerEffect.SendToPeer;
 import org.skylarkfork.core.effect.RelayEffect;
 import org.skylarkfork.core.effect.TraceEffect;
@@ -19,27 +19,28 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link CrashWatch}. */
-public final class CrashWatchTest {
+/** Tests of {@link CrashDetector}. */
+public final class CrashDetectorTest {
 
   private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
   private static final UpstreamInstance UPSTREAM = RelayFixture.instance("up-1", "v1");
-  private static final WatchedUpstream WATCHED =
-      new WatchedUpstream(
+  private static final SuspectedUpstream WATCHED =
+      new SuspectedUpstream(
           UPSTREAM.run(),
           UPSTREAM.service(),
           UPSTREAM.version(),
           new RelayEffect.ProbeUpstream(UPSTREAM));
 
   private RelayFixture.FakeView view = new RelayFixture.FakeView();
-  private CrashWatch watch = new CrashWatch(new LeaderAsJudge(view), "upstreams_ended");
+  private CrashDetector watch =
+      new CrashDetector(new LeaderCrashReviewers(view), "upstreams_ended");
   private RecordedOutput output = new RecordedOutput();
 
   /** Each test begins anew. */
   @BeforeMethod
   public void setUp() {
     view = new RelayFixture.FakeView();
-    watch = new CrashWatch(new LeaderAsJudge(view), "upstreams_ended");
+    watch = new CrashDetector(new LeaderCrashReviewers(view), "upstreams_ended");
     output = new RecordedOutput();
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
@@ -115,7 +115,7 @@
   }
 
   private Reducer bootEntry(String name, long seed) {
-    VersionLedger counts = new VersionLedger();
+    VersionStatistics counts = new VersionStatistics();
     EntryIdentity self = new EntryIdentity(name + ":80", "a", starts.merge(name, 1, Integer::sum));
     RelayEntryPart entry = new RelayEntryPart(self, controls, RelaySimulation.times(), counts);
     entryParts.put(name, entry);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
@@ -143,7 +143,7 @@
 
   private void addEntry(int number, int entryCount, int peers, int schedulers, long seed) {
     String name = "entry-" + number;
-    VersionLedger counts = new VersionLedger();
+    VersionStatistics counts = new VersionStatistics();
     RelayEntryPart entry =
         new RelayEntryPart(
             new EntryIdentity(name + ":80", "a", 1),
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
@@ -30,7 +30,7 @@
         new EntryIdentity("10.0.0.9:80", "a", 1),
         List.of(CONTROL),
         RelayTimes.of(Duration.ofSeconds(5), Duration.ofSeconds(1)),
-        new VersionLedger());
+        new VersionStatistics());
   }
 
   /** Each test begins anew. */
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
@@ -197,7 +197,7 @@
             new EntryIdentity(name + ":80", "a", starts.merge(name, 1, Integer::sum)),
             seeds(),
             times(),
-            new VersionLedger());
+            new VersionStatistics());
     entryParts.put(name, part);
     return new Reducer(List.of(part));
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RollOutJudgeTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RollOutEvaluatorTest.java
@@ -7,18 +7,18 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link RollOutJudge}. */
-public final class RollOutJudgeTest {
+/** Tests of {@link RollOutEvaluator}. */
+public final class RollOutEvaluatorTest {
 
   private static final ServiceRollOut ROLL_OUT =
       new ServiceRollOut("service", "v2", 24_000, RollOutPhase.CANARY);
 
-  private RollOutJudge judge = new RollOutJudge(RollOutSettings.DEFAULT);
+  private RollOutEvaluator judge = new RollOutEvaluator(RollOutSettings.DEFAULT);
 
   /** Each test begins anew. */
   @BeforeMethod
   public void setUp() {
-    judge = new RollOutJudge(RollOutSettings.DEFAULT);
+    judge = new RollOutEvaluator(RollOutSettings.DEFAULT);
   }
 
   private void seen(String version, long answers, long failures, long meanMillis) {
