--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashGuard.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashGuard.java
@@ -84,7 +84,7 @@
     UpstreamRun run = new UpstreamRun(target.id(), target.incarnation());
     String service = target.service() == null ? target.kind().name() : target.service();
     String version = attempt.version == null ? "" : attempt.version.toString();
-    watch.lost(
+    watch.recordLoss(
         new SuspectedUpstream(
             run,
             service,
@@ -110,14 +110,14 @@
 
   /** Takes note that the last upstream that a request was sent to answered it whole. */
   void served(ActiveRequest active, Turn turn) {
-    if (watch.suspects()) {
-      watch.served(active.content(), turn.output());
+    if (watch.hasLosses()) {
+      watch.recordServed(active.content(), turn.output());
     }
   }
 
   /** Takes the word of a probe. */
   void probed(UpstreamEvent.UpstreamProbed probed, Turn turn) {
-    watch.probed(probed.upstream(), probed.reachable(), turn.now(), turn.output());
+    watch.onProbeResult(probed.upstream(), probed.reachable(), turn.now(), turn.output());
   }
 
   /** Tells again what may not have arrived. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashJudgePart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashJudgePart.java
@@ -53,9 +53,9 @@
 
   private void onMessage(PeerEvent.MessageReceived received, Instant now) {
     if (received.message() instanceof CrashMessage.UpstreamEnded ended) {
-      review.ended(ended, now);
+      review.onUpstreamEnded(ended, now);
     } else if (received.message() instanceof CrashMessage.RequestServed served) {
-      review.served(served.key(), now);
+      review.onRequestServed(served.key(), now);
     }
   }
 
@@ -64,8 +64,8 @@
     if (present == known) {
       return;
     }
-    present.stream().filter(key -> !known.contains(key)).forEach(review::refused);
-    known.stream().filter(key -> !present.contains(key)).forEach(review::lifted);
+    present.stream().filter(key -> !known.contains(key)).forEach(review::onQuarantined);
+    known.stream().filter(key -> !present.contains(key)).forEach(review::onLifted);
     known = present;
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/VotersAsJudges.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/VotersAsJudges.java
@@ -33,7 +33,7 @@
   }
 
   @Override
-  public void tell(CrashMessage message, Output output) {
+  public void report(CrashMessage message, Output output) {
     for (String voter : voters) {
       if (voter.equals(self)) {
         output.raise(new PeerEvent.MessageReceived(self, message));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashDetector.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashDetector.java
@@ -90,7 +90,7 @@
    * @param now the present time
    * @param output takes what is to be done
    */
-  public void lost(
+  public void recordLoss(
       SuspectedUpstream upstream, RequestKey key, Instant sentAt, Instant now, Output output) {
     Losses known = losses.get(upstream.run());
     if (known == null) {
@@ -114,7 +114,7 @@
   }
 
   /** Takes the word of a probe: losses at an upstream that goes on are its connections' only. */
-  public void probed(UpstreamRun upstream, boolean reachable, Instant now, Output output) {
+  public void onProbeResult(UpstreamRun upstream, boolean reachable, Instant now, Output output) {
     Losses known = losses.get(upstream);
     if (known == null || known.endedAt != null) {
       return;
@@ -145,18 +145,18 @@
   }
 
   /** Returns whether anything is kept that was lost, so that answers matter. */
-  public boolean suspects() {
+  public boolean hasLosses() {
     return !losses.isEmpty();
   }
 
   /** Takes note that a request was answered whole: it has ended no upstream. */
-  public void served(RequestKey key, Output output) {
+  public void recordServed(RequestKey key, Output output) {
     boolean suspected = false;
     for (Losses one : losses.values()) {
       suspected |= one.byKey.remove(key) != null && one.endedAt != null;
     }
     if (suspected) {
-      judges.tell(new RequestServed(key), output);
+      judges.report(new RequestServed(key), output);
     }
   }
 
@@ -194,7 +194,7 @@
       return;
     }
     List<LostRequest> lost = keys.stream().map(key -> told(key, one.byKey.get(key), now)).toList();
-    judges.tell(new UpstreamEnded(one.upstream.run(), lost), output);
+    judges.report(new UpstreamEnded(one.upstream.run(), lost), output);
   }
 
   private static LostRequest told(RequestKey key, @Nullable Lost lost, Instant now) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashReviewers.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashReviewers.java
@@ -16,5 +16,5 @@
    * @param message what they are told
    * @param output takes what is to be done
    */
-  void tell(CrashMessage message, Output output);
+  void report(CrashMessage message, Output output);
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailures.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailures.java
@@ -106,7 +106,7 @@
     }
     if (failed.failure().mayHaveRun()) {
       relay.mayHaveRun = true;
-      crashes.lost(watched(track.instance()), relay.key, relay.sentAt, now, output);
+      crashes.recordLoss(watched(track.instance()), relay.key, relay.sentAt, now, output);
     }
     if (failed.failure().blamesVersion()) {
       counts.failed(track.instance());
@@ -199,7 +199,7 @@
     noteWait(relay, silent, now);
     trace.attemptEnded(why, relay, "after_event=" + relay.lastEventId, now, output);
     sender.drop(relay, output);
-    crashes.lost(watched(silent.instance()), relay.key, relay.sentAt, now, output);
+    crashes.recordLoss(watched(silent.instance()), relay.key, relay.sentAt, now, output);
     starter.next(relay, now, output);
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeaderCrashReviewers.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeaderCrashReviewers.java
@@ -22,7 +22,7 @@
   }
 
   @Override
-  public void tell(CrashMessage message, Output output) {
+  public void report(CrashMessage message, Output output) {
     peers().forEach(peer -> output.effect(new SendToPeer(peer, message)));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -119,7 +119,7 @@
 
   @Override
   public @Nullable String usualVersion(String service) {
-    return directory.usualVersion(service);
+    return directory.stableVersion(service);
   }
 
   @Override
@@ -281,7 +281,7 @@
     }
     take(update.configuration(), output);
     takeShared(update, now, output);
-    directory.take(update.directory(), now, output);
+    directory.apply(update.directory(), now, output);
     if (!update.controlNodes().isEmpty()) {
       controlNodes = proof == null ? joined(update.controlNodes()) : update.controlNodes();
     }
@@ -330,7 +330,7 @@
     rollOuts = shared.rollOuts();
     for (ServiceRollOut rollOut : rollOuts) {
       if (rollOut.phase() == RollOutPhase.SUCCEEDED) {
-        directory.usualVersion(rollOut.service(), rollOut.target());
+        directory.stableVersion(rollOut.service(), rollOut.target());
       }
     }
     takeEvacuated(Set.copyOf(shared.evacuated()), now, output);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -146,7 +146,7 @@
         failures.failed(relay, failed, now, output);
       }
     } else if (event instanceof RelayEvent.UpstreamProbed probed) {
-      crashes.probed(probed.upstream(), probed.reachable(), now, output);
+      crashes.onProbeResult(probed.upstream(), probed.reachable(), now, output);
     } else if (event instanceof RelayEvent.AnswerSilent silent) {
       ActiveRelay relay = active.find(silent.request(), silent.attempt());
       if (relay != null) {
@@ -155,7 +155,7 @@
     } else if (event instanceof RelayEvent.AnswerEnded ended) {
       ActiveRelay relay = active.find(ended.request(), ended.attempt());
       if (relay != null) {
-        crashes.served(relay.key, output);
+        crashes.recordServed(relay.key, output);
         endings.done(relay, now, output);
       }
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RollOutEvaluator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RollOutEvaluator.java
@@ -61,7 +61,7 @@
   }
 
   /** Returns the phase that a running roll-out should enter now, or null to stay. */
-  @Nullable RollOutPhase next(ServiceRollOut rollOut, Instant now) {
+  @Nullable RollOutPhase nextPhase(ServiceRollOut rollOut, Instant now) {
     String id = key(rollOut.service(), rollOut.target());
     Instant begunAt = begun.computeIfAbsent(id, missing -> now);
     if (bad(rollOut)) {
@@ -69,7 +69,7 @@
     }
     Duration age = Duration.between(begunAt, now);
     if (rollOut.phase() == RollOutPhase.CANARY) {
-      return age.toMillis() >= settings.moveAfter(rollOut.deadlineMillis())
+      return age.toMillis() >= settings.moveAfterMillis(rollOut.deadlineMillis())
           ? RollOutPhase.MOVING
           : null;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
@@ -60,12 +60,12 @@
   }
 
   /** Returns the version of a service that is used apart from roll-outs, or null if none is. */
-  @Nullable String usualVersion(String service) {
+  @Nullable String stableVersion(String service) {
     return usualVersions.get(service);
   }
 
   /** Takes note that a version of a service has come into use with a roll-out. */
-  void usualVersion(String service, String version) {
+  void stableVersion(String service, String version) {
     usualVersions.put(service, version);
   }
 
@@ -104,7 +104,7 @@
   }
 
   /** Takes what the leader tells, unless it is older than what is known or doesn't follow it. */
-  void take(DirectoryChanges changes, Instant now, Output output) {
+  void apply(DirectoryChanges changes, Instant now, Output output) {
     if (changes.epoch() < epoch) {
       return;
     }
@@ -113,7 +113,7 @@
       return;
     }
     for (UpstreamStatus status : changes.upstreams()) {
-      take(status, now, output);
+      apply(status, now, output);
     }
     settled |= changes.settled();
     epoch = changes.epoch();
@@ -126,14 +126,14 @@
     }
   }
 
-  private void take(UpstreamStatus status, Instant now, Output output) {
+  private void apply(UpstreamStatus status, Instant now, Output output) {
     UpstreamInstance instance = status.instance();
     UpstreamTrack known = byId.get(instance.id());
     if (known == null || instance.bornMillis() > known.instance().bornMillis()) {
       takeRun(status, known, output);
     } else if (instance.bornMillis() != known.instance().bornMillis()) {
       return;
-    } else if (known.condition() != status.condition() || instance.follows(known.instance())) {
+    } else if (known.condition() != status.condition() || instance.isNewerThan(known.instance())) {
       known.told(status);
     }
     UpstreamTrack track = byId.get(instance.id());
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashDetectorTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashDetectorTest.java
@@ -45,7 +45,7 @@
   }
 
   private void lost(long content) {
-    watch.lost(WATCHED, new RequestKey("team", content), START, START, output);
+    watch.recordLoss(WATCHED, new RequestKey("team", content), START, START, output);
   }
 
   private List<String> lines() {
@@ -63,7 +63,7 @@
     lost(1);
     lost(0xabc);
     assertEquals(output.effects(RelayEffect.ProbeUpstream.class).size(), 1);
-    watch.probed(UPSTREAM.run(), false, START.plusMillis(3), output);
+    watch.onProbeResult(UPSTREAM.run(), false, START.plusMillis(3), output);
     assertEquals(lines().size(), 1);
     String line = lines().get(0);
     assertTrue(line.startsWith("event=upstream_ended id=up-1 service=service"), line);
@@ -76,7 +76,7 @@
   @Test
   public void upstreamThatTakesConnectionsHasNotEnded() {
     lost(1);
-    watch.probed(UPSTREAM.run(), true, START.plusMillis(3), output);
+    watch.onProbeResult(UPSTREAM.run(), true, START.plusMillis(3), output);
     assertEquals(lines(), List.of());
     lost(2);
     assertEquals(output.effects(RelayEffect.ProbeUpstream.class).size(), 2);
@@ -87,7 +87,7 @@
   public void oldLossesAreForgotten() {
     lost(1);
     watch.tick(START.plusSeconds(6), output);
-    watch.probed(UPSTREAM.run(), false, START.plusSeconds(7), output);
+    watch.onProbeResult(UPSTREAM.run(), false, START.plusSeconds(7), output);
     assertEquals(lines(), List.of());
   }
 
@@ -105,7 +105,7 @@
   @Test
   public void endIsToldAgainAndToNewLeaders() {
     lost(1);
-    watch.probed(UPSTREAM.run(), false, START, output);
+    watch.onProbeResult(UPSTREAM.run(), false, START, output);
     assertEquals(told(UpstreamEnded.class).size(), 1);
     assertEquals(told(UpstreamEnded.class).get(0).node(), "control-1");
     for (int tick = 1; tick <= 100; tick++) {
@@ -129,7 +129,7 @@
   @Test
   public void laterLossIsToldAtOnce() {
     lost(1);
-    watch.probed(UPSTREAM.run(), false, START, output);
+    watch.onProbeResult(UPSTREAM.run(), false, START, output);
     lost(2);
     UpstreamEnded last = (UpstreamEnded) told(UpstreamEnded.class).get(1).message();
     assertEquals(last.lost().size(), 1);
@@ -140,11 +140,11 @@
   @Test
   public void answerIsToldOfLostRequestsOnly() {
     lost(1);
-    watch.probed(UPSTREAM.run(), false, START, output);
-    watch.served(new RequestKey("team", 2), output);
+    watch.onProbeResult(UPSTREAM.run(), false, START, output);
+    watch.recordServed(new RequestKey("team", 2), output);
     assertEquals(told(RequestServed.class), List.of());
-    watch.served(new RequestKey("team", 1), output);
-    watch.served(new RequestKey("team", 1), output);
+    watch.recordServed(new RequestKey("team", 1), output);
+    watch.recordServed(new RequestKey("team", 1), output);
     assertEquals(told(RequestServed.class).size(), 1);
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
@@ -232,7 +232,7 @@
 
   private UpstreamStatus status(EmulatedEngine engine) {
     long coldMillis = coldReturn.coldMillis(engine.instance.id(), now);
-    return new UpstreamStatus(engine.instance.coldFor(coldMillis), UpstreamCondition.READY);
+    return new UpstreamStatus(engine.instance.withColdMillis(coldMillis), UpstreamCondition.READY);
   }
 
   private void prove(String name, Neighbourhood neighbourhood) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
@@ -113,7 +113,7 @@
     told(List.of(), started(1, 2000));
     assertEquals(only().condition(), UpstreamCondition.EVACUATED);
     evacuated = List.of();
-    told(List.of(), started(2, 2000).coldFor(3000));
+    told(List.of(), started(2, 2000).withColdMillis(3000));
     assertEquals(only().condition(), UpstreamCondition.READY);
     assertTrue(only().isCold(RelayFixture.START.plusMillis(2999)));
     told(List.of(), started(3, 2000));
