--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailures.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailures.java
@@ -78,7 +78,7 @@
       Instant now,
       Output output) {
     sender.failed(relay, AttemptProgress.FAILED, now, output);
-    counts.failed(track.instance());
+    counts.recordFailure(track.instance());
     trace.attemptEnded("upstream_failed", relay, "status=" + began.status(), now, output);
     boolean again =
         relay.route.repeatable()
@@ -109,7 +109,7 @@
       crashes.recordLoss(watched(track.instance()), relay.key, relay.sentAt, now, output);
     }
     if (failed.failure().blamesVersion()) {
-      counts.failed(track.instance());
+      counts.recordFailure(track.instance());
     }
     noteLastEvent(relay, failed.lastEventId());
     String facts = "how=" + failed.failure() + " after_event=" + relay.lastEventId;
@@ -221,7 +221,7 @@
     if (!relay.passing) {
       long waited = Duration.between(relay.sentAt, now).toMillis();
       patience.waited(relay.route, relay.model, waited);
-      counts.answered(silent.instance(), waited);
+      counts.recordAnswer(silent.instance(), waited);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
@@ -107,8 +107,8 @@
 
   private PlacementQuery query(ActiveRelay relay, @Nullable String model, Set<String> excluded) {
     String version = relay.version;
-    VersionSelector.Allowed allowed =
-        version == null ? versions.allowed(relay.service.name(), relay.request) : version::equals;
+    VersionSelector.VersionFilter allowed =
+        version == null ? versions.filterFor(relay.service.name(), relay.request) : version::equals;
     return new PlacementQuery(
         relay.service,
         model,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -266,8 +266,8 @@
                 leader == null,
                 lag.busy(),
                 neighbourhood.version(),
-                node.equals(leader) ? counts.all() : List.of(),
-                node.equals(leader) ? directory.limitsNewToLeader(now) : List.of())));
+                node.equals(leader) ? counts.allCounts() : List.of(),
+                node.equals(leader) ? directory.limitsUnknownToLeader(now) : List.of())));
   }
 
   private void onUpdate(String from, EntryUpdate update, Instant now, Output output) {
@@ -335,7 +335,7 @@
     }
     takeEvacuated(Set.copyOf(shared.evacuated()), now, output);
     takeQuarantined(Set.copyOf(shared.quarantined()), now, output);
-    directory.leaving(shared.leaving(), stateIndex, output);
+    directory.updateLeaving(shared.leaving(), stateIndex, output);
   }
 
   private void takeEvacuated(Set<String> zones, Instant now, Output output) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -195,7 +195,7 @@
     if (!failed) {
       trace.answered(relay, began.status(), now, output);
       track.succeeded();
-      counts.answered(track.instance(), millis);
+      counts.recordAnswer(track.instance(), millis);
     }
     if (relay.passing || failed || relay.model < 0 || !askLarger(relay, now, output)) {
       pass(relay, track, output);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
@@ -26,7 +26,7 @@
   private final Map<String, UpstreamTrack> byId = new LinkedHashMap<>();
   private final Map<String, List<UpstreamTrack>> byService = new HashMap<>();
   private final Map<String, String> usualVersions = new HashMap<>();
-  private final Map<String, UpstreamRun> leaving = new HashMap<>();
+  private final Map<String, UpstreamRun> updateLeaving = new HashMap<>();
   private Set<String> evacuated = Set.of();
   private long epoch;
   private long sequence;
@@ -90,10 +90,10 @@
    * @param index log index that this rests on
    * @param output takes a line for each that is new
    */
-  void leaving(List<UpstreamRun> runs, long index, Output output) {
-    leaving.clear();
-    runs.forEach(run -> leaving.put(run.id(), run));
-    for (UpstreamRun run : leaving.values()) {
+  void updateLeaving(List<UpstreamRun> runs, long index, Output output) {
+    updateLeaving.clear();
+    runs.forEach(run -> updateLeaving.put(run.id(), run));
+    for (UpstreamRun run : updateLeaving.values()) {
       UpstreamTrack track = byId.get(run.id());
       boolean meant = track != null && run.covers(track.instance().run());
       if (meant && track.condition() != UpstreamCondition.LEAVING) {
@@ -168,7 +168,7 @@
       byService.getOrDefault(before.instance().service(), List.of()).remove(before);
     }
     UpstreamTrack track = new UpstreamTrack(status);
-    UpstreamRun left = leaving.get(instance.id());
+    UpstreamRun left = updateLeaving.get(instance.id());
     if (left != null && left.covers(instance.run())) {
       track.leaves();
     }
@@ -198,7 +198,7 @@
   }
 
   /** Returns what upstreams named to this entry and the leader doesn't know. */
-  List<HeardLimit> limitsNewToLeader(Instant now) {
+  List<HeardLimit> limitsUnknownToLeader(Instant now) {
     List<HeardLimit> limits = new ArrayList<>();
     for (UpstreamTrack track : byId.values()) {
       TrackedRateLimit rate = track.rate();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
@@ -168,7 +168,7 @@
    * @param coldMillis how long they count as cold, in milliseconds
    * @param now the present time
    */
-  void restoreZone(String zone, long coldMillis, Instant now) {
+  void reinstateZone(String zone, long coldMillis, Instant now) {
     zoneColdUntil.put(zone, now.plusMillis(coldMillis));
     for (Entry entry : byId.values()) {
       if (entry.instance().zone().equals(zone)) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionSelector.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionSelector.java
@@ -17,7 +17,7 @@
   }
 
   /** Tells the allowed versions from the others. */
-  interface Allowed {
+  interface VersionFilter {
 
     /** Returns whether a version may get the request. */
     boolean allows(String version);
@@ -29,7 +29,7 @@
    * @param service service that it goes to
    * @param request the request
    */
-  Allowed allowed(String service, RelayRequest request) {
+  VersionFilter filterFor(String service, RelayRequest request) {
     ServiceRollOut rollOut = rollOut(service);
     if (rollOut == null) {
       String usual = view.usualVersion(service);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionStatistics.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionStatistics.java
@@ -10,12 +10,12 @@
   private final Map<String, VersionCounts> counts = new LinkedHashMap<>();
 
   /** Adds a good answer and the time to its first byte, in milliseconds. */
-  public void answered(UpstreamInstance upstream, long firstByteMillis) {
+  public void recordAnswer(UpstreamInstance upstream, long firstByteMillis) {
     add(upstream, 0, firstByteMillis);
   }
 
   /** Adds a failure. */
-  public void failed(UpstreamInstance upstream) {
+  public void recordFailure(UpstreamInstance upstream) {
     add(upstream, 1, 0);
   }
 
@@ -36,7 +36,7 @@
   }
 
   /** Returns the counts. */
-  List<VersionCounts> all() {
+  List<VersionCounts> allCounts() {
     return List.copyOf(counts.values());
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
@@ -44,7 +44,8 @@
   /** What each entry believes, of its newest start. */
   final Map<String, RelayEntryPart> entryParts = new HashMap<>();
 
-  private final RelaySimulation.SnapshotNumbers codec = new RelaySimulation.SnapshotNumbers();
+  private final RelaySimulation.InMemorySnapshotCodec codec =
+      new RelaySimulation.InMemorySnapshotCodec();
   private final Map<String, ConsensusPart> groups = new HashMap<>();
   private final Map<String, Integer> starts = new HashMap<>();
   private final Map<String, Instant> disturbedAt = new HashMap<>();
@@ -98,7 +99,7 @@
   private Reducer bootControl(String name, long seed) {
     boolean first = starts.merge(name, 1, Integer::sum) == 1;
     RelayMachine machine = new RelayMachine();
-    Growth growth = new Growth(first, CONTROLS, RelaySimulation.VOTER_SILENCE);
+    Growth growth = new Growth(first, CONTROLS, RelaySimulation.VOTER_TIMEOUT);
     ConsensusPart consensus =
         new ConsensusPart(
             name,
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
@@ -158,7 +158,8 @@
     assertTrue(effects.get(0) instanceof RelayEffect.DropAttempt, effects.toString());
     RelayEffect.SendAttempt next = RelayFixture.only(effects, RelayEffect.SendAttempt.class);
     assertNotEquals(next.target().upstream().id(), silent);
-    assertEquals(entry.counts.all().get(0).failures(), 0, "a slow version isn't a failing one");
+    assertEquals(
+        entry.counts.allCounts().get(0).failures(), 0, "a slow version isn't a failing one");
     assertTrue(entry.pass(1000).isEmpty(), "only once");
   }
 
@@ -327,7 +328,7 @@
     String first = entry.sent(1, "/lookup/x").target().upstream().id();
     RelayFixture.only(
         entry.fails(1, 1, AttemptFailure.STALE_CONNECTION, null), RelayEffect.SendAttempt.class);
-    assertTrue(entry.counts.all().isEmpty(), entry.counts.all().toString());
+    assertTrue(entry.counts.allCounts().isEmpty(), entry.counts.allCounts().toString());
     for (UpstreamTrack track : entry.view.tracks) {
       assertEquals(track.failureShare(), 0.0, first);
     }
