--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashCorrelator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashCorrelator.java
@@ -15,77 +15,80 @@
 import org.skylarkfork.core.upstream.UpstreamRun;
 
 /**
- * Decides which requests end the upstreams that run them, from what all entries lost.
+ * Identifies the requests that crash the upstreams which run them, from the losses that all entries
+ * report.
  *
- * <p>An upstream that ends takes dozens of requests with it, of which one at most has ended it. So
- * a request is found only if
+ * <p>An upstream that ends loses dozens of requests, of which at most one has crashed it. A request
+ * is therefore identified only if
  *
  * <ul>
- *   <li>{@link #ENDS} upstreams have ended under it, and {@link #ENDS_IN_TURN} of them one after
- *       the other, the later one under an attempt that was sent after the first had ended: what was
- *       under way at many upstreams of a zone that is lost is not found;
- *   <li>one of these ends at least isn't explained by a request that was found before;
- *   <li>no other one that was lost with the last of these was lost as often; such two are told
- *       apart by the next end, or both found after {@link #CERTAIN_ENDS};
- *   <li>it was not answered since. One whole answer clears a request.
+ *   <li>{@link #ENDS} upstreams have ended while they ran it, and {@link #ENDS_IN_TURN} of them in
+ *       sequence, the later one during an attempt that was sent after the earlier one had ended. A
+ *       request that ran on many upstreams of a zone that was lost at once is not identified;
+ *   <li>at least one of these ends is not explained by a request that was identified before;
+ *   <li>no other request that was lost in the last of these ends was lost as often. The next end
+ *       distinguishes two such requests, or both are identified after {@link #CERTAIN_ENDS};
+ *   <li>it has not been answered since. One complete answer clears a request.
  * </ul>
  */
 final class CrashCorrelator {
 
-  /** Upstreams that end under a request until it is found. */
+  /** Ends of upstreams after which a request that ran on them is identified. */
   static final int ENDS = 3;
 
-  /** Of these, how many must have come one after the other. */
+  /** Number of these ends that must have happened in sequence. */
   private static final int ENDS_IN_TURN = 2;
 
   /**
-   * Ends after which a request is found though others were lost as often, but none more often.
-   * Where few upstreams are left, each end takes the same requests, and a good one has no attempt
-   * left after so many.
+   * Ends after which a request is identified although others were lost as often, but none more
+   * often. Where few upstreams are left, the same requests are lost in each end, and a harmless
+   * request has used all of its attempts after this many.
    */
   private static final int CERTAIN_ENDS = 4;
 
-  /** Time until all entries have told what they lost; a probe takes a few milliseconds. */
+  /** Time in which all entries report their losses; a probe takes a few milliseconds. */
   private static final Duration SETTLING = Duration.ofMillis(150);
 
-  /** Differences of messages' ways, by which a time of one entry may be wrong against another's. */
+  /** Error of one entry's times against another's, caused by differences in message delay. */
   private static final Duration SKEW = Duration.ofMillis(50);
 
-  /** Time for which an end is remembered. */
-  private static final Duration KEPT = Duration.ofMinutes(10);
+  /** Time for which an end is retained. */
+  private static final Duration RETENTION = Duration.ofMinutes(10);
 
-  /** Ends that are remembered, and requests that were lost with each; the oldest end goes first. */
-  private static final int MAX_UPSTREAMS = 64;
+  /** Maximum number of retained ends; the oldest end is evicted first. */
+  private static final int MAX_ENDS = 64;
 
-  private static final int MAX_LOST = 512;
+  private static final int MAX_LOST_PER_END = 512;
 
-  /** Requests that were lost and then answered, for word of an end that comes late. */
+  /**
+   * Maximum number of retained answers, which are compared with reports of ends that arrive late.
+   */
   private static final int MAX_SERVED = 4096;
 
-  /** Requests that were let through again; as many as can be refused. */
+  /** Maximum number of requests on probation; as many as can be quarantined. */
   private static final int MAX_ON_PROBATION = 256;
 
   private final Map<UpstreamRun, End> ends = new LinkedHashMap<>();
   private final Map<RequestKey, Instant> servedAt = new LinkedHashMap<>();
   private final Set<RequestKey> onProbation = new LinkedHashSet<>();
 
-  /** When to look next, or null while nothing new was told. */
+  /** Time of the next evaluation, or null while there is nothing new. */
   private @Nullable Instant dueAt;
 
-  /** The end of one start of an upstream, and when each request that was lost with it was sent. */
+  /** The end of one run of an upstream, with the send time of each request that was lost in it. */
   private static final class End {
-    private final Instant toldAt;
+    private final Instant reportedAt;
     private Instant at;
     private final Map<RequestKey, Instant> sentAt = new LinkedHashMap<>();
     private boolean explained;
 
-    private End(Instant at, Instant toldAt) {
+    private End(Instant at, Instant reportedAt) {
       this.at = at;
-      this.toldAt = toldAt;
+      this.reportedAt = reportedAt;
     }
   }
 
-  /** How often a request was lost, and with which others at its last end that isn't explained. */
+  /** Counts of a request's losses, and the requests that were lost in its last unexplained end. */
   private static final class Suspicion {
     private int ends;
     private int inTurn;
@@ -94,10 +97,9 @@
   }
 
   /**
-   * Takes note of a request that was lost as an upstream ended; the same told again changes
-   * nothing.
+   * Records a request that was lost when an upstream ended. A repeated report changes nothing.
    *
-   * @param upstream the start of the upstream that ended
+   * @param upstream the run of the upstream that ended
    * @param key the request
    * @param sentAt when its attempt was sent
    * @param lostAt when it was lost
@@ -112,10 +114,10 @@
     if (lostAt.isBefore(end.at)) {
       end.at = lostAt;
     }
-    if (end.sentAt.size() < MAX_LOST) {
+    if (end.sentAt.size() < MAX_LOST_PER_END) {
       end.sentAt.merge(key, sentAt, CrashCorrelator::later);
     }
-    forgetOldestBeyond(MAX_UPSTREAMS, ends.keySet());
+    evictOldestBeyond(MAX_ENDS, ends.keySet());
     if (dueAt == null) {
       dueAt = now.plus(SETTLING);
     }
@@ -125,29 +127,31 @@
     return one.isAfter(other) ? one : other;
   }
 
-  private static void forgetOldestBeyond(int most, Set<?> inOrder) {
-    if (inOrder.size() > most) {
-      inOrder.remove(inOrder.iterator().next());
+  private static void evictOldestBeyond(int limit, Set<?> insertionOrdered) {
+    if (insertionOrdered.size() > limit) {
+      insertionOrdered.remove(insertionOrdered.iterator().next());
     }
   }
 
-  /** Clears a request that was answered whole; attempts that were sent before count no more. */
+  /**
+   * Clears a request that was answered completely; attempts sent before the answer no longer count.
+   */
   void recordServed(RequestKey key, Instant now) {
     boolean wasLost = false;
     for (End end : ends.values()) {
       wasLost |= end.sentAt.remove(key) != null;
     }
     if (wasLost && dueAt == null) {
-      // Another one may have been lost as often as this, and stands alone now.
+      // A request that was lost as often as this one may now be the only candidate.
       dueAt = now;
     }
     onProbation.remove(key);
     servedAt.remove(key);
     servedAt.put(key, now);
-    forgetOldestBeyond(MAX_SERVED, servedAt.keySet());
+    evictOldestBeyond(MAX_SERVED, servedAt.keySet());
   }
 
-  /** Takes note that a request is refused: the ends under it are explained. */
+  /** Marks the ends in which a quarantined request was lost as explained. */
   void markExplained(RequestKey key) {
     for (End end : ends.values()) {
       end.explained |= end.sentAt.containsKey(key);
@@ -155,14 +159,16 @@
     onProbation.remove(key);
   }
 
-  /** Takes note that a request is let through again: one more end is enough to find it. */
+  /**
+   * Puts a request on probation once its quarantine is lifted: one more end identifies it again.
+   */
   void putOnProbation(RequestKey key) {
     ends.values().forEach(end -> end.sentAt.remove(key));
     onProbation.add(key);
-    forgetOldestBeyond(MAX_ON_PROBATION, onProbation);
+    evictOldestBeyond(MAX_ON_PROBATION, onProbation);
   }
 
-  /** Forgets everything; a control VM that doesn't lead is told nothing. */
+  /** Discards all records; a control VM that does not lead receives no reports. */
   void clear() {
     ends.clear();
     servedAt.clear();
@@ -171,39 +177,39 @@
   }
 
   /**
-   * Returns the requests that are known by now to end what runs them and weren't a moment ago.
+   * Returns the requests that are newly identified as crashing their upstreams.
    *
-   * <p>Looks only once new ends have settled: what many upstreams took with them is too much to go
-   * through at each tick for as long as it is remembered.
+   * <p>Evaluates only once the reports of new ends have settled: the losses of many upstreams are
+   * too many to evaluate at each tick for as long as they are retained.
    */
   List<RequestKey> findCrashing(Instant now) {
     if (dueAt == null || now.isBefore(dueAt)) {
       return List.of();
     }
-    forgetOld(now);
-    dueAt = nextDue(now);
+    removeExpired(now);
+    dueAt = nextEvaluation(now);
     Map<RequestKey, Suspicion> suspicions = suspicions(now);
-    List<RequestKey> found = new ArrayList<>();
+    List<RequestKey> crashing = new ArrayList<>();
     suspicions.forEach(
         (key, suspicion) -> {
           if (isCrashing(key, suspicion, suspicions)) {
-            found.add(key);
+            crashing.add(key);
           }
         });
-    return found;
+    return crashing;
   }
 
-  private @Nullable Instant nextDue(Instant now) {
+  private @Nullable Instant nextEvaluation(Instant now) {
     return ends.values().stream()
-        .map(end -> end.toldAt.plus(SETTLING))
+        .map(end -> end.reportedAt.plus(SETTLING))
         .filter(now::isBefore)
         .min(Comparator.naturalOrder())
         .orElse(null);
   }
 
-  private void forgetOld(Instant now) {
+  private void removeExpired(Instant now) {
     Iterator<End> oldest = ends.values().iterator();
-    while (oldest.hasNext() && !now.isBefore(oldest.next().toldAt.plus(KEPT))) {
+    while (oldest.hasNext() && !now.isBefore(oldest.next().reportedAt.plus(RETENTION))) {
       oldest.remove();
     }
   }
@@ -211,7 +217,7 @@
   private Map<RequestKey, Suspicion> suspicions(Instant now) {
     Map<RequestKey, Suspicion> suspicions = new HashMap<>();
     ends.values().stream()
-        .filter(end -> !now.isBefore(end.toldAt.plus(SETTLING)))
+        .filter(end -> !now.isBefore(end.reportedAt.plus(SETTLING)))
         .sorted(Comparator.comparing(end -> end.at))
         .forEach(end -> add(end, suspicions));
     return suspicions;
@@ -220,7 +226,7 @@
   private void add(End end, Map<RequestKey, Suspicion> suspicions) {
     end.sentAt.forEach(
         (key, sentAt) -> {
-          Suspicion suspicion = suspicions.computeIfAbsent(key, this::before);
+          Suspicion suspicion = suspicions.computeIfAbsent(key, this::initialSuspicion);
           suspicion.ends++;
           if (!sentAt.plus(SKEW).isBefore(suspicion.lastAt)) {
             suspicion.inTurn++;
@@ -232,7 +238,7 @@
         });
   }
 
-  private Suspicion before(RequestKey key) {
+  private Suspicion initialSuspicion(RequestKey key) {
     Suspicion suspicion = new Suspicion();
     suspicion.ends = onProbation.contains(key) ? ENDS - 1 : 0;
     suspicion.inTurn = suspicion.ends;
@@ -245,14 +251,14 @@
     if (!suspected || suspicion.lostWith.isEmpty()) {
       return false;
     }
-    int mostOfOthers =
+    int maxEndsOfOthers =
         suspicion.lostWith.stream()
             .filter(other -> !other.equals(key))
             .mapToInt(other -> suspicions.get(other).ends)
             .max()
             .orElse(0);
-    boolean alone = suspicion.ends > mostOfOthers;
-    boolean certain = suspicion.ends == mostOfOthers && suspicion.ends >= CERTAIN_ENDS;
+    boolean alone = suspicion.ends > maxEndsOfOthers;
+    boolean certain = suspicion.ends == maxEndsOfOthers && suspicion.ends >= CERTAIN_ENDS;
     return alone || certain;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashDetector.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashDetector.java
@@ -16,63 +16,67 @@
 import org.skylarkfork.core.upstream.UpstreamRun;
 
 /**
- * Finds out, at an entry, which upstreams have ended while they ran requests, and tells those that
- * judge which requests these were.
+ * Detects, on an entry, upstreams that ended while they ran requests, and reports the requests that
+ * were lost to the crash reviewers.
  *
- * <p>An attempt that is lost says nothing of its upstream: a connection is reset, an answer spoilt,
- * by upstreams that go on serving. One that takes no connection any more has ended.
+ * <p>A lost attempt does not show that its upstream has ended: upstreams that continue to serve
+ * also reset connections and corrupt answers. An upstream that accepts no connection any more has
+ * ended.
  *
- * <p>A judge keeps what it is told in memory. A new one is told again all that is kept here, so
- * that a content which ends upstreams isn't unknown again after each election.
+ * <p>A crash reviewer keeps reports in memory only. All retained losses are reported again to a new
+ * reviewer, so that a crashing request stays known after each election.
  */
 public final class CrashDetector {
 
-  /** Time after the first lost attempt in which others are put down to the same end. */
-  private static final Duration SAME_END = Duration.ofSeconds(5);
+  /** Time after the first lost attempt in which further losses are attributed to the same end. */
+  private static final Duration ATTRIBUTION_WINDOW = Duration.ofSeconds(5);
 
-  /** Time for which ends are kept, to be told to a new judge. */
-  private static final Duration KEPT = Duration.ofSeconds(60);
+  /** Time for which ends are retained, to be reported to a new reviewer. */
+  private static final Duration RETENTION = Duration.ofSeconds(60);
 
-  /** An end is told again after this pause, for some time: messages may be lost. */
-  private static final Duration AGAIN = Duration.ofMillis(500);
+  /**
+   * Interval between repeated reports of an end, within {@link #REPORT_PERIOD}; messages may be
+   * lost.
+   */
+  private static final Duration REPORT_INTERVAL = Duration.ofMillis(500);
 
-  private static final Duration REPEATED = Duration.ofSeconds(2);
+  private static final Duration REPORT_PERIOD = Duration.ofSeconds(2);
 
-  /** Upstreams whose losses are kept; the oldest are forgotten first. */
+  /** Maximum number of upstreams whose losses are retained; the oldest are evicted first. */
   private static final int MAX_UPSTREAMS = 64;
 
-  /** Lost requests of one upstream that are kept; an engine runs 64 at once. */
+  /** Maximum number of lost requests of one upstream; an engine runs 64 at once. */
   private static final int MAX_LOST = 128;
 
-  /** Requests that are named in a log line. */
-  private static final int MAX_NAMED = 12;
+  /** Maximum number of requests in a log line. */
+  private static final int MAX_LOGGED = 12;
 
-  private final CrashReviewers judges;
+  private final CrashReviewers reviewers;
   private final String counter;
   private final Map<UpstreamRun, Losses> losses = new LinkedHashMap<>();
 
   /**
-   * Makes a watch that lost nothing.
+   * Creates a detector without any losses.
    *
-   * @param judges those that are told
+   * @param judges the daemons that receive the reports
    * @param counter name of the metric that counts upstreams that ended, by service
    */
-  public CrashDetector(CrashReviewers judges, String counter) {
-    this.judges = judges;
+  public CrashDetector(CrashReviewers reviewers, String counter) {
+    this.reviewers = reviewers;
     this.counter = counter;
   }
 
-  /** An attempt that reached an upstream and got no whole answer. */
+  /** An attempt that reached an upstream and received no complete answer. */
   private record Lost(Instant sentAt, Instant lostAt) {}
 
-  /** What was lost at one start of an upstream. */
+  /** The attempts that were lost in one run of an upstream. */
   private static final class Losses {
     private final SuspectedUpstream upstream;
     private final Instant firstAt;
     private final Map<RequestKey, Lost> byKey = new LinkedHashMap<>();
     private @Nullable Instant endedAt;
-    private Instant toldAt = Instant.EPOCH;
-    private List<String> toldTo = List.of();
+    private Instant reportedAt = Instant.EPOCH;
+    private List<String> reportedTo = List.of();
 
     private Losses(SuspectedUpstream upstream, Instant firstAt) {
       this.upstream = upstream;
@@ -81,52 +85,55 @@
   }
 
   /**
-   * Takes note of an attempt that reached an upstream and got no whole answer, and has the upstream
-   * probed if that isn't under way.
+   * Records an attempt that reached an upstream and received no complete answer, and probes the
+   * upstream unless a probe is in progress.
    *
    * @param upstream the upstream
    * @param key the request
    * @param sentAt when the attempt was sent
    * @param now the present time
-   * @param output takes what is to be done
+   * @param output receives the effects
    */
   public void recordLoss(
       SuspectedUpstream upstream, RequestKey key, Instant sentAt, Instant now, Output output) {
-    Losses known = losses.get(upstream.run());
-    if (known == null) {
-      known = new Losses(upstream, now);
-      losses.put(upstream.run(), known);
-      forgetOldest();
+    Losses upstreamLosses = losses.get(upstream.run());
+    if (upstreamLosses == null) {
+      upstreamLosses = new Losses(upstream, now);
+      losses.put(upstream.run(), upstreamLosses);
+      evictOldest();
       output.effect(upstream.probe());
     }
-    if (known.byKey.size() < MAX_LOST) {
-      known.byKey.put(key, new Lost(sentAt, now));
+    if (upstreamLosses.byKey.size() < MAX_LOST) {
+      upstreamLosses.byKey.put(key, new Lost(sentAt, now));
     }
-    if (known.endedAt != null) {
-      tell(known, List.of(key), now, output);
+    if (upstreamLosses.endedAt != null) {
+      report(upstreamLosses, List.of(key), now, output);
     }
   }
 
-  private void forgetOldest() {
+  private void evictOldest() {
     if (losses.size() > MAX_UPSTREAMS) {
       losses.remove(losses.keySet().iterator().next());
     }
   }
 
-  /** Takes the word of a probe: losses at an upstream that goes on are its connections' only. */
+  /**
+   * Processes the result of a probe. Losses at a reachable upstream are attributed to its
+   * connections.
+   */
   public void onProbeResult(UpstreamRun upstream, boolean reachable, Instant now, Output output) {
-    Losses known = losses.get(upstream);
-    if (known == null || known.endedAt != null) {
+    Losses upstreamLosses = losses.get(upstream);
+    if (upstreamLosses == null || upstreamLosses.endedAt != null) {
       return;
     }
     if (reachable) {
       losses.remove(upstream);
       return;
     }
-    known.endedAt = now;
-    output.effect(new TraceEffect.Count(counter, known.upstream.service(), 1));
-    output.effect(new TraceEffect.LogLine(true, "request", describe(known, now)));
-    tellAll(known, now, output);
+    upstreamLosses.endedAt = now;
+    output.effect(new TraceEffect.Count(counter, upstreamLosses.upstream.service(), 1));
+    output.effect(new TraceEffect.LogLine(true, "request", describe(upstreamLosses, now)));
+    reportAll(upstreamLosses, now, output);
   }
 
   private static String describe(Losses losses, Instant now) {
@@ -139,65 +146,69 @@
         + " lost="
         + losses.byKey.size()
         + " requests="
-        + losses.byKey.keySet().stream().limit(MAX_NAMED).toList()
+        + losses.byKey.keySet().stream().limit(MAX_LOGGED).toList()
         + " ms="
         + Duration.between(losses.firstAt, now).toMillis();
   }
 
-  /** Returns whether anything is kept that was lost, so that answers matter. */
+  /** Returns whether any losses are retained, so that answers must be recorded. */
   public boolean hasLosses() {
     return !losses.isEmpty();
   }
 
-  /** Takes note that a request was answered whole: it has ended no upstream. */
+  /** Records that a request was answered completely and so has crashed no upstream. */
   public void recordServed(RequestKey key, Output output) {
     boolean suspected = false;
-    for (Losses one : losses.values()) {
-      suspected |= one.byKey.remove(key) != null && one.endedAt != null;
+    for (Losses upstreamLosses : losses.values()) {
+      suspected |= upstreamLosses.byKey.remove(key) != null && upstreamLosses.endedAt != null;
     }
     if (suspected) {
-      judges.report(new RequestServed(key), output);
+      reviewers.report(new RequestServed(key), output);
     }
   }
 
-  /** Tells ends again where that is due, and forgets old ones. */
+  /** Repeats the reports of ends that are due and removes expired losses. */
   public void tick(Instant now, Output output) {
-    Iterator<Losses> all = losses.values().iterator();
-    while (all.hasNext()) {
-      Losses one = all.next();
-      Duration age = Duration.between(one.firstAt, now);
-      if (age.compareTo(one.endedAt == null ? SAME_END : KEPT) >= 0) {
-        all.remove();
-      } else if (isDue(one, now)) {
-        tellAll(one, now, output);
+    Iterator<Losses> iterator = losses.values().iterator();
+    while (iterator.hasNext()) {
+      Losses upstreamLosses = iterator.next();
+      Duration age = Duration.between(upstreamLosses.firstAt, now);
+      if (age.compareTo(upstreamLosses.endedAt == null ? ATTRIBUTION_WINDOW : RETENTION) >= 0) {
+        iterator.remove();
+      } else if (isReportDue(upstreamLosses, now)) {
+        reportAll(upstreamLosses, now, output);
       }
     }
   }
 
-  private boolean isDue(Losses one, Instant now) {
-    Instant endedAt = one.endedAt;
-    if (endedAt == null || judges.peers().isEmpty()) {
+  private boolean isReportDue(Losses upstreamLosses, Instant now) {
+    Instant endedAt = upstreamLosses.endedAt;
+    if (endedAt == null || reviewers.peers().isEmpty()) {
       return false;
     }
-    boolean again = now.isBefore(endedAt.plus(REPEATED)) && !now.isBefore(one.toldAt.plus(AGAIN));
-    return again || !one.toldTo.containsAll(judges.peers());
+    boolean repeat =
+        now.isBefore(endedAt.plus(REPORT_PERIOD))
+            && !now.isBefore(upstreamLosses.reportedAt.plus(REPORT_INTERVAL));
+    return repeat || !upstreamLosses.reportedTo.containsAll(reviewers.peers());
   }
 
-  private void tellAll(Losses one, Instant now, Output output) {
-    one.toldAt = now;
-    one.toldTo = List.copyOf(judges.peers());
-    tell(one, one.byKey.keySet(), now, output);
+  private void reportAll(Losses upstreamLosses, Instant now, Output output) {
+    upstreamLosses.reportedAt = now;
+    upstreamLosses.reportedTo = List.copyOf(reviewers.peers());
+    report(upstreamLosses, upstreamLosses.byKey.keySet(), now, output);
   }
 
-  private void tell(Losses one, Collection<RequestKey> keys, Instant now, Output output) {
+  private void report(
+      Losses upstreamLosses, Collection<RequestKey> keys, Instant now, Output output) {
     if (keys.isEmpty()) {
       return;
     }
-    List<LostRequest> lost = keys.stream().map(key -> told(key, one.byKey.get(key), now)).toList();
-    judges.report(new UpstreamEnded(one.upstream.run(), lost), output);
+    List<LostRequest> lost =
+        keys.stream().map(key -> lostRequest(key, upstreamLosses.byKey.get(key), now)).toList();
+    reviewers.report(new UpstreamEnded(upstreamLosses.upstream.run(), lost), output);
   }
 
-  private static LostRequest told(RequestKey key, @Nullable Lost lost, Instant now) {
+  private static LostRequest lostRequest(RequestKey key, @Nullable Lost lost, Instant now) {
     Instant sentAt = lost == null ? now : lost.sentAt;
     Instant lostAt = lost == null ? now : lost.lostAt;
     return new LostRequest(key, millis(sentAt, now), millis(lostAt, now));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashReview.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashReview.java
@@ -12,102 +12,102 @@
 import org.skylarkfork.core.message.CrashMessage.UpstreamEnded;
 
 /**
- * The leader's work on requests that end their upstreams: has them refused by all entries, and let
- * through again after a time.
+ * Quarantines crashing requests on the leader: all entries refuse them until the quarantine is
+ * lifted after a fixed time.
  *
- * <p>Attempts and repeats are bounded for each request and entry, and a caller that sends its
- * request again begins anew at any of them: without a word between entries it ends every upstream
- * there is. What is found goes through the replicated log, so that it outlives the leader and every
- * entry that knew it.
+ * <p>Attempts and retries are bounded only for each request and entry, and these bounds start over
+ * when a caller resends its request to any entry. Without coordination between entries, such a
+ * caller would crash every upstream. Decisions go through the replicated log, so that they survive
+ * the loss of the leader and of every entry that knew them.
  */
 public final class CrashReview {
 
   /**
-   * Time after which a request is let through again, since its upstreams may have been mended. If
-   * they weren't, one end is enough to have it refused again.
+   * Time after which the quarantine of a request is lifted, since its upstreams may have been
+   * fixed. If they were not, one more crash suffices to quarantine the request again.
    */
-  private static final Duration QUARANTINE = Duration.ofMinutes(10);
+  private static final Duration QUARANTINE_TIME = Duration.ofMinutes(10);
 
-  /** Time after which a command that was not agreed on is tried again. */
-  private static final Duration AGAIN = Duration.ofSeconds(1);
+  /** Time after which a command that was not committed is submitted again. */
+  private static final Duration RESUBMIT_INTERVAL = Duration.ofSeconds(1);
 
   private final QuarantineList list;
-  private final CrashCorrelator ledger = new CrashCorrelator();
-  private final Set<RequestKey> found = new LinkedHashSet<>();
-  private final Map<RequestKey, Instant> refusedSince = new HashMap<>();
-  private final Map<RequestKey, Instant> askedAt = new HashMap<>();
+  private final CrashCorrelator correlator = new CrashCorrelator();
+  private final Set<RequestKey> crashing = new LinkedHashSet<>();
+  private final Map<RequestKey, Instant> quarantinedSince = new HashMap<>();
+  private final Map<RequestKey, Instant> submittedAt = new HashMap<>();
 
   /**
-   * Makes a review that was told nothing.
+   * Creates a review without any reports.
    *
-   * @param list the requests that are refused
+   * @param list the quarantined requests
    */
   public CrashReview(QuarantineList list) {
     this.list = list;
   }
 
-  /** Takes an entry's word on an upstream that ended. */
+  /** Processes an entry's report of an upstream that ended. */
   public void onUpstreamEnded(UpstreamEnded ended, Instant now) {
     for (LostRequest lost : ended.lost()) {
-      ledger.recordLoss(
+      correlator.recordLoss(
           ended.upstream(),
           lost.key(),
           now.minusMillis(lost.sentMillis()),
           now.minusMillis(lost.lostMillis()),
           now);
     }
-    list.keys().forEach(ledger::markExplained);
+    list.keys().forEach(correlator::markExplained);
   }
 
-  /** Takes an entry's word that a request was answered whole. */
+  /** Processes an entry's report that a request was answered completely. */
   public void onRequestServed(RequestKey key, Instant now) {
-    ledger.recordServed(key, now);
-    found.remove(key);
+    correlator.recordServed(key, now);
+    crashing.remove(key);
   }
 
-  /** Takes note that a request is refused from now on. */
+  /** Processes the committed quarantine of a request. */
   public void onQuarantined(RequestKey key) {
-    ledger.markExplained(key);
-    found.remove(key);
+    correlator.markExplained(key);
+    crashing.remove(key);
   }
 
-  /** Takes note that a request is let through again. */
+  /** Processes the committed lifting of a quarantine. */
   public void onLifted(RequestKey key) {
-    ledger.putOnProbation(key);
+    correlator.putOnProbation(key);
   }
 
-  /** Forgets what entries told: another control VM leads, or this one begins to. */
+  /** Discards all reports of entries; called at each change of leader. */
   public void clear() {
-    ledger.clear();
-    found.clear();
-    refusedSince.clear();
-    askedAt.clear();
+    correlator.clear();
+    crashing.clear();
+    quarantinedSince.clear();
+    submittedAt.clear();
   }
 
-  /** Has requests refused that were found, and let through whose time is over. */
+  /** Quarantines crashing requests and lifts the quarantines that have expired. */
   public void tick(Instant now, Output output) {
-    askedAt.values().removeIf(at -> !now.isBefore(at.plus(AGAIN)));
-    found.addAll(ledger.findCrashing(now));
-    for (RequestKey key : found) {
-      if (mayAsk(key, now)) {
+    submittedAt.values().removeIf(submitted -> !now.isBefore(submitted.plus(RESUBMIT_INTERVAL)));
+    crashing.addAll(correlator.findCrashing(now));
+    for (RequestKey key : crashing) {
+      if (maySubmit(key, now)) {
         list.refuse(key, now, output);
       }
     }
-    lift(now, output);
+    liftExpired(now, output);
   }
 
-  private void lift(Instant now, Output output) {
-    List<RequestKey> refused = list.keys();
-    refusedSince.keySet().retainAll(refused);
-    for (RequestKey key : refused) {
-      Instant since = refusedSince.computeIfAbsent(key, unknown -> now);
-      if (!now.isBefore(since.plus(QUARANTINE)) && mayAsk(key, now)) {
+  private void liftExpired(Instant now, Output output) {
+    List<RequestKey> quarantined = list.keys();
+    quarantinedSince.keySet().retainAll(quarantined);
+    for (RequestKey key : quarantined) {
+      Instant since = quarantinedSince.computeIfAbsent(key, unknown -> now);
+      if (!now.isBefore(since.plus(QUARANTINE_TIME)) && maySubmit(key, now)) {
         list.lift(key, now, output);
       }
     }
   }
 
-  private boolean mayAsk(RequestKey key, Instant now) {
-    return askedAt.putIfAbsent(key, now) == null;
+  private boolean maySubmit(RequestKey key, Instant now) {
+    return submittedAt.putIfAbsent(key, now) == null;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashReviewers.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashReviewers.java
@@ -4,17 +4,17 @@
 import org.skylarkfork.core.Output;
 import org.skylarkfork.core.message.CrashMessage;
 
-/** The daemons that judge which requests end their upstreams. */
+/** The daemons that decide which requests crash the upstreams that run them. */
 public interface CrashReviewers {
 
-  /** Returns the peer names of those that are to be told now; empty while none is known. */
+  /** Returns the peer names of the present reviewers; empty while none is known. */
   List<String> peers();
 
   /**
-   * Tells all of them.
+   * Sends a message to all reviewers.
    *
-   * @param message what they are told
-   * @param output takes what is to be done
+   * @param message the message
+   * @param output receives the effects
    */
   void report(CrashMessage message, Output output);
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/QuarantineList.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/QuarantineList.java
@@ -7,24 +7,24 @@
 /** The replicated list of requests that all entries refuse. */
 public interface QuarantineList {
 
-  /** Returns the requests on the list, as far as this daemon knows. */
+  /** Returns the requests on the list, as of this daemon's replica. */
   List<RequestKey> keys();
 
   /**
-   * Asks for a request to be refused by all entries; may be asked again.
+   * Submits a command by which all entries refuse a request. The command is idempotent.
    *
    * @param key the request
    * @param now the present time
-   * @param output takes what is to be done
+   * @param output receives the effects
    */
   void refuse(RequestKey key, Instant now, Output output);
 
   /**
-   * Asks for a request to be let through again; may be asked again.
+   * Submits a command that lifts the quarantine of a request. The command is idempotent.
    *
    * @param key the request
    * @param now the present time
-   * @param output takes what is to be done
+   * @param output receives the effects
    */
   void lift(RequestKey key, Instant now, Output output);
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/package-info.java
@@ -1,10 +1,11 @@
 /**
- * Requests that end the upstreams which run them: how they are told from those that were there by
- * chance, and refused by all entries.
+ * Identification and quarantine of requests that crash the upstreams which run them, as opposed to
+ * requests that were lost in such a crash by chance.
  *
- * <p>Entries say which requests they lost with an upstream that ended ({@code CrashWatch}), one
- * daemon judges ({@code CrashReview}). It knows neither how requests are passed on nor how a
- * finding is replicated ({@code QuarantineList}).
+ * <p>Each entry reports the requests that it lost when an upstream ended ({@code CrashDetector}).
+ * One daemon decides which of these requests crash upstreams ({@code CrashReview}), and all entries
+ * refuse them. The package depends neither on how requests are forwarded nor on how a decision is
+ * replicated ({@code QuarantineList}).
  */
 @NullMarked
 package org.skylarkfork.core.crash;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryIdentity.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryIdentity.java
@@ -1,10 +1,10 @@
 package org.skylarkfork.core.relay;
 
 /**
- * An entry as the control VMs see it.
+ * Identifies an entry to the control VMs.
  *
  * @param callerAddress IP number and port where callers connect
  * @param zone its availability zone
- * @param incarnation number of its process, new at each start
+ * @param incarnation number of its process, different for each start
  */
 public record EntryIdentity(String callerAddress, String zone, long incarnation) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/Evacuation.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/Evacuation.java
@@ -3,9 +3,9 @@
 import java.time.Instant;
 
 /**
- * An availability zone whose upstreams get no requests until it is taken back.
+ * An availability zone whose upstreams receive no requests until it is reinstated.
  *
  * @param zone the availability zone
- * @param since when that was agreed on, by the leader's clock
+ * @param since when the evacuation was committed, by the leader's clock
  */
 public record Evacuation(String zone, Instant since) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeaderCrashReviewers.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeaderCrashReviewers.java
@@ -6,7 +6,7 @@
 import org.skylarkfork.core.effect.PeerEffect.SendToPeer;
 import org.skylarkfork.core.message.CrashMessage;
 
-/** The control VM that leads judges which requests end their upstreams. */
+/** Sends crash reports to the control VM that leads, the only crash reviewer. */
 final class LeaderCrashReviewers implements CrashReviewers {
 
   private final RelayView view;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ReplicatedQuarantine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ReplicatedQuarantine.java
@@ -11,11 +11,11 @@
 import org.skylarkfork.core.crash.RequestKey;
 import org.skylarkfork.core.effect.TraceEffect;
 
-/** The requests that the relay's entries refuse, in the log of its group. */
+/** The list of quarantined requests, replicated in the log of the relay's group. */
 final class ReplicatedQuarantine implements QuarantineList {
 
-  /** Time after which a command that was not agreed on is given up. */
-  private static final Duration LIMIT = Duration.ofSeconds(1);
+  /** Time after which a command that was not committed is abandoned. */
+  private static final Duration COMMAND_TIMEOUT = Duration.ofSeconds(1);
 
   private final RelayMachine machine;
   private final ConsensusPart consensus;
@@ -32,15 +32,15 @@
 
   @Override
   public void refuse(RequestKey key, Instant now, Output output) {
-    ask(new RelayCommand.QuarantineRequest(key), now, output);
+    submitCommand(new RelayCommand.QuarantineRequest(key), now, output);
   }
 
   @Override
   public void lift(RequestKey key, Instant now, Output output) {
-    ask(new RelayCommand.LiftQuarantine(key), now, output);
+    submitCommand(new RelayCommand.LiftQuarantine(key), now, output);
   }
 
-  private void ask(RelayCommand command, Instant now, Output output) {
+  private void submitCommand(RelayCommand command, Instant now, Output output) {
     output.effect(new TraceEffect.LogLine(true, "relay", "event=crash_review asks=" + command));
     consensus
         .submitter()
@@ -48,7 +48,7 @@
             GroupId.RELAY,
             command,
             consensus.submitter().newSubmissionId(),
-            now.plus(LIMIT),
+            now.plus(COMMAND_TIMEOUT),
             now,
             output);
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/crash/CrashCorrelatorTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/crash/CrashCorrelatorTest.java
@@ -12,15 +12,15 @@
 public final class CrashCorrelatorTest {
 
   private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
-  private static final int SETTLED = 200;
+  private static final int SETTLING_MILLIS = 200;
 
-  private CrashCorrelator ledger = new CrashCorrelator();
+  private CrashCorrelator correlator = new CrashCorrelator();
   private Instant now = START;
 
-  /** Each test begins anew. */
+  /** Creates a new fixture for each test. */
   @BeforeMethod
   public void setUp() {
-    ledger = new CrashCorrelator();
+    correlator = new CrashCorrelator();
     now = START;
   }
 
@@ -28,144 +28,144 @@
     return new RequestKey("team", content);
   }
 
-  /** Lets an upstream end under requests that were sent 100 ms before, and all be told. */
-  private List<RequestKey> ends(String upstream, long... contents) {
+  /** Ends an upstream with requests that were sent 100 ms before, and reports all losses. */
+  private List<RequestKey> endUpstream(String upstream, long... contents) {
     now = now.plusMillis(300);
-    lost(upstream, contents);
-    now = now.plusMillis(SETTLED);
-    return ledger.findCrashing(now);
+    reportLosses(upstream, contents);
+    now = now.plusMillis(SETTLING_MILLIS);
+    return correlator.findCrashing(now);
   }
 
-  private void lost(String upstream, long... contents) {
+  private void reportLosses(String upstream, long... contents) {
     for (long content : contents) {
       UpstreamRun run = new UpstreamRun(upstream, 0);
-      ledger.recordLoss(run, key(content), now.minusMillis(100), now.minusMillis(2), now);
+      correlator.recordLoss(run, key(content), now.minusMillis(100), now.minusMillis(2), now);
     }
   }
 
   /**
-   * Three upstreams end one after the other under one request; others are lost with it, each at one
-   * or two of them. Only the one is found, and no sooner.
+   * Three upstreams end in sequence while they run one request. Other requests are lost in one or
+   * two of the ends. Only the first request is identified, and not before the third end.
    */
   @Test
-  public void requestUnderWhichThreeUpstreamsEndedIsFound() {
-    assertEquals(ends("up-1", 1, 10, 11), List.of());
-    assertEquals(ends("up-2", 12, 10, 1), List.of());
-    assertEquals(ends("up-3", 13, 1), List.of(key(1)));
+  public void requestLostInThreeSequentialEndsIsIdentified() {
+    assertEquals(endUpstream("up-1", 1, 10, 11), List.of());
+    assertEquals(endUpstream("up-2", 12, 10, 1), List.of());
+    assertEquals(endUpstream("up-3", 13, 1), List.of(key(1)));
   }
 
-  /** Entries tell an end again, for a message may be lost; it counts once. */
+  /** Entries repeat the report of an end, since messages may be lost. The end counts once. */
   @Test
-  public void endThatIsToldAgainCountsOnce() {
+  public void repeatedReportOfAnEndCountsOnce() {
     for (int time = 0; time < 5; time++) {
-      assertEquals(ends("up-1", 1), List.of());
+      assertEquals(endUpstream("up-1", 1), List.of());
     }
   }
 
   /**
-   * A good request travels with one that ends its upstreams, and is lost as often. Neither is
-   * refused yet; at the next end it isn't there.
+   * A harmless request is lost as often as a crashing request that runs beside it. Neither is
+   * identified until an end in which the harmless request is not lost.
    */
   @Test
-  public void requestsThatAreLostTogetherAreToldApartByTheNextEnd() {
-    ends("up-1", 1, 2);
-    ends("up-2", 1, 2);
-    assertEquals(ends("up-3", 1, 2), List.of());
-    assertEquals(ends("up-4", 1), List.of(key(1)));
+  public void requestsLostTogetherAreDistinguishedByTheNextEnd() {
+    endUpstream("up-1", 1, 2);
+    endUpstream("up-2", 1, 2);
+    assertEquals(endUpstream("up-3", 1, 2), List.of());
+    assertEquals(endUpstream("up-4", 1), List.of(key(1)));
   }
 
-  /** Of two that were lost together each time, one is answered: the other has ended upstreams. */
+  /** Of two requests that were lost together each time, one is answered: the other is crashing. */
   @Test
-  public void requestsThatAreLostTogetherAreToldApartByAnAnswer() {
-    ends("up-1", 1, 2);
-    ends("up-2", 1, 2);
-    assertEquals(ends("up-3", 1, 2), List.of());
-    assertEquals(ledger.findCrashing(now), List.of());
-    ledger.recordServed(key(2), now);
-    assertEquals(ledger.findCrashing(now), List.of(key(1)));
+  public void requestsLostTogetherAreDistinguishedByAnAnswer() {
+    endUpstream("up-1", 1, 2);
+    endUpstream("up-2", 1, 2);
+    assertEquals(endUpstream("up-3", 1, 2), List.of());
+    assertEquals(correlator.findCrashing(now), List.of());
+    correlator.recordServed(key(2), now);
+    assertEquals(correlator.findCrashing(now), List.of(key(1)));
   }
 
-  /** Many callers send the same lookup; a zone is lost and takes all that run it at once. */
+  /** Many callers send the same lookup, and a lost zone ends all upstreams that run it at once. */
   @Test
-  public void upstreamsThatEndTogetherCountOnceForWhatRanOnAllOfThem() {
+  public void concurrentEndsCountOnceForARequestOnAllUpstreams() {
     for (int upstream = 1; upstream <= 10; upstream++) {
-      lost("up-" + upstream, 1);
+      reportLosses("up-" + upstream, 1);
     }
-    now = now.plusMillis(SETTLED);
-    assertEquals(ledger.findCrashing(now), List.of());
+    now = now.plusMillis(SETTLING_MILLIS);
+    assertEquals(correlator.findCrashing(now), List.of());
   }
 
   /**
-   * A caller sends a request that ends upstreams to several entries at once, so that most ends come
-   * under attempts that were under way together. Good requests that moved on from each end to the
-   * next were lost in turn more often, but less often in all.
+   * A caller sends a crashing request to several entries at once, so that most ends happen during
+   * concurrent attempts. Harmless requests that failed over from each end to the next were lost in
+   * sequence more often, but less often in total.
    */
   @Test
-  public void requestThatIsSentManyTimesAtOnceIsFoundBeforeItsVictims() {
+  public void requestSentConcurrentlyIsIdentifiedBeforeItsVictims() {
     for (int upstream = 1; upstream <= 5; upstream++) {
-      lost("up-" + upstream, 1);
+      reportLosses("up-" + upstream, 1);
     }
-    lost("up-1", 2);
+    reportLosses("up-1", 2);
     now = now.plusMillis(150);
-    lost("up-2", 2);
+    reportLosses("up-2", 2);
     now = now.plusMillis(150);
-    lost("up-3", 2);
+    reportLosses("up-3", 2);
     now = now.plusMillis(150);
-    lost("up-6", 2, 1);
-    now = now.plusMillis(SETTLED);
-    assertEquals(ledger.findCrashing(now), List.of(key(1)));
+    reportLosses("up-6", 2, 1);
+    now = now.plusMillis(SETTLING_MILLIS);
+    assertEquals(correlator.findCrashing(now), List.of(key(1)));
   }
 
-  /** A request that is unlucky twice and then answered begins from nothing. */
+  /** Two losses of a request that is answered afterwards no longer count. */
   @Test
   public void answerClearsRequest() {
-    ends("up-1", 1);
-    ends("up-2", 1);
-    ledger.recordServed(key(1), now);
-    lost("up-2", 1);
-    assertEquals(ends("up-3", 1), List.of());
+    endUpstream("up-1", 1);
+    endUpstream("up-2", 1);
+    correlator.recordServed(key(1), now);
+    reportLosses("up-2", 1);
+    assertEquals(endUpstream("up-3", 1), List.of());
   }
 
-  /** What was lost beside a request that is refused needs no other reason. */
+  /** Requests that were lost beside a quarantined request are not suspected for the same ends. */
   @Test
-  public void endsUnderRefusedRequestCountAgainstNoOther() {
-    ends("up-1", 1, 2);
-    ends("up-2", 1, 2);
-    ends("up-3", 1, 2);
-    assertEquals(ends("up-4", 1), List.of(key(1)));
-    ledger.markExplained(key(1));
-    assertEquals(ledger.findCrashing(now), List.of());
+  public void endsOfQuarantinedRequestCountAgainstNoOther() {
+    endUpstream("up-1", 1, 2);
+    endUpstream("up-2", 1, 2);
+    endUpstream("up-3", 1, 2);
+    assertEquals(endUpstream("up-4", 1), List.of(key(1)));
+    correlator.markExplained(key(1));
+    assertEquals(correlator.findCrashing(now), List.of());
     now = now.plusSeconds(1);
-    assertEquals(ledger.findCrashing(now), List.of());
+    assertEquals(correlator.findCrashing(now), List.of());
   }
 
   /**
-   * Two requests that end upstreams come at once, and each is lost at the other's too. Once one is
-   * refused, the next end shows the other.
+   * Two crashing requests run at the same time, and each is lost in the ends that the other one
+   * causes. Once the first is quarantined, the next end identifies the second.
    */
   @Test
-  public void secondRequestIsFoundAtItsNextEnd() {
-    ends("up-1", 1, 2);
-    ends("up-2", 1, 2);
-    ends("up-3", 1, 2);
-    assertEquals(ends("up-4", 1), List.of(key(1)));
-    ledger.markExplained(key(1));
-    assertEquals(ends("up-5", 2, 3), List.of(key(2)));
+  public void secondCrashingRequestIsIdentifiedAtItsNextEnd() {
+    endUpstream("up-1", 1, 2);
+    endUpstream("up-2", 1, 2);
+    endUpstream("up-3", 1, 2);
+    assertEquals(endUpstream("up-4", 1), List.of(key(1)));
+    correlator.markExplained(key(1));
+    assertEquals(endUpstream("up-5", 2, 3), List.of(key(2)));
   }
 
-  /** A request that is let through again is refused after one more end. */
+  /** A request whose quarantine was lifted is identified again after one more end. */
   @Test
-  public void requestOnProbationIsFoundAtItsNextEnd() {
-    ledger.putOnProbation(key(1));
-    assertEquals(ends("up-1", 1, 2), List.of(key(1)));
+  public void requestOnProbationIsIdentifiedAtItsNextEnd() {
+    correlator.putOnProbation(key(1));
+    assertEquals(endUpstream("up-1", 1, 2), List.of(key(1)));
   }
 
-  /** Ends of long ago say nothing of today's upstreams. */
+  /** Ends older than the retention time do not count. */
   @Test
-  public void oldEndsAreForgotten() {
-    ends("up-1", 1);
-    ends("up-2", 1);
+  public void expiredEndsAreRemoved() {
+    endUpstream("up-1", 1);
+    endUpstream("up-2", 1);
     now = now.plusSeconds(601);
-    assertEquals(ends("up-3", 1), List.of());
+    assertEquals(endUpstream("up-3", 1), List.of());
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashDetectorTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashDetectorTest.java
@@ -24,7 +24,7 @@
 
   private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
   private static final UpstreamInstance UPSTREAM = RelayFixture.instance("up-1", "v1");
-  private static final SuspectedUpstream WATCHED =
+  private static final SuspectedUpstream SUSPECTED =
       new SuspectedUpstream(
           UPSTREAM.run(),
           UPSTREAM.service(),
@@ -32,20 +32,20 @@
           new RelayEffect.ProbeUpstream(UPSTREAM));
 
   private RelayFixture.FakeView view = new RelayFixture.FakeView();
-  private CrashDetector watch =
+  private CrashDetector detector =
       new CrashDetector(new LeaderCrashReviewers(view), "upstreams_ended");
   private RecordedOutput output = new RecordedOutput();
 
-  /** Each test begins anew. */
+  /** Creates a new fixture for each test. */
   @BeforeMethod
   public void setUp() {
     view = new RelayFixture.FakeView();
-    watch = new CrashDetector(new LeaderCrashReviewers(view), "upstreams_ended");
+    detector = new CrashDetector(new LeaderCrashReviewers(view), "upstreams_ended");
     output = new RecordedOutput();
   }
 
-  private void lost(long content) {
-    watch.recordLoss(WATCHED, new RequestKey("team", content), START, START, output);
+  private void recordLoss(long content) {
+    detector.recordLoss(SUSPECTED, new RequestKey("team", content), START, START, output);
   }
 
   private List<String> lines() {
@@ -55,15 +55,15 @@
   }
 
   /**
-   * Operators read in one line which requests were lost as an upstream ended. Two requests lose
-   * their connections to it, one probe is made, and finds that it takes none any more.
+   * Two requests lose their connections to an upstream, and one probe finds that it accepts no
+   * connection any more. One log line names the requests that were lost.
    */
   @Test
-  public void endOfAnUpstreamIsToldWithTheRequestsThatItRan() {
-    lost(1);
-    lost(0xabc);
+  public void endOfAnUpstreamIsLoggedWithItsLostRequests() {
+    recordLoss(1);
+    recordLoss(0xabc);
     assertEquals(output.effects(RelayEffect.ProbeUpstream.class).size(), 1);
-    watch.onProbeResult(UPSTREAM.run(), false, START.plusMillis(3), output);
+    detector.onProbeResult(UPSTREAM.run(), false, START.plusMillis(3), output);
     assertEquals(lines().size(), 1);
     String line = lines().get(0);
     assertTrue(line.startsWith("event=upstream_ended id=up-1 service=service"), line);
@@ -72,79 +72,81 @@
     assertEquals(output.effects(TraceEffect.Count.class).size(), 1);
   }
 
-  /** A connection is reset, but the upstream takes new ones: nothing has ended. */
+  /** A connection is reset, but the upstream accepts new ones, so it has not ended. */
   @Test
-  public void upstreamThatTakesConnectionsHasNotEnded() {
-    lost(1);
-    watch.onProbeResult(UPSTREAM.run(), true, START.plusMillis(3), output);
+  public void reachableUpstreamHasNotEnded() {
+    recordLoss(1);
+    detector.onProbeResult(UPSTREAM.run(), true, START.plusMillis(3), output);
     assertEquals(lines(), List.of());
-    lost(2);
+    recordLoss(2);
     assertEquals(output.effects(RelayEffect.ProbeUpstream.class).size(), 2);
   }
 
-  /** Losses are kept for a few seconds only, so that what is kept stays bounded. */
+  /** Losses without an end are retained for a few seconds only, so that memory stays bounded. */
   @Test
-  public void oldLossesAreForgotten() {
-    lost(1);
-    watch.tick(START.plusSeconds(6), output);
-    watch.onProbeResult(UPSTREAM.run(), false, START.plusSeconds(7), output);
+  public void expiredLossesAreRemoved() {
+    recordLoss(1);
+    detector.tick(START.plusSeconds(6), output);
+    detector.onProbeResult(UPSTREAM.run(), false, START.plusSeconds(7), output);
     assertEquals(lines(), List.of());
   }
 
-  private List<SendToPeer> told(Class<? extends CrashMessage> type) {
+  private List<SendToPeer> sentToLeader(Class<? extends CrashMessage> type) {
     return output.effects(SendToPeer.class).stream()
         .filter(sent -> type.isInstance(sent.message()))
         .toList();
   }
 
   /**
-   * A message to the leader is lost, and then the leader itself. What was lost with an upstream is
-   * told again for two seconds, and once more to each new leader; unknown there, the request would
-   * end as many upstreams again.
+   * Guards against the loss of a report, and of the leader that received it: the crashing request
+   * would end as many upstreams again. Losses are reported repeatedly for two seconds, and once
+   * more to each new leader.
    */
   @Test
-  public void endIsToldAgainAndToNewLeaders() {
-    lost(1);
-    watch.onProbeResult(UPSTREAM.run(), false, START, output);
-    assertEquals(told(UpstreamEnded.class).size(), 1);
-    assertEquals(told(UpstreamEnded.class).get(0).node(), "control-1");
+  public void endIsReportedRepeatedlyAndToNewLeaders() {
+    recordLoss(1);
+    detector.onProbeResult(UPSTREAM.run(), false, START, output);
+    assertEquals(sentToLeader(UpstreamEnded.class).size(), 1);
+    assertEquals(sentToLeader(UpstreamEnded.class).get(0).node(), "control-1");
     for (int tick = 1; tick <= 100; tick++) {
-      watch.tick(START.plusMillis(100L * tick), output);
+      detector.tick(START.plusMillis(100L * tick), output);
     }
-    assertEquals(told(UpstreamEnded.class).size(), 4);
+    assertEquals(sentToLeader(UpstreamEnded.class).size(), 4);
     view.leader = null;
-    watch.tick(START.plusSeconds(11), output);
-    assertEquals(told(UpstreamEnded.class).size(), 4);
+    detector.tick(START.plusSeconds(11), output);
+    assertEquals(sentToLeader(UpstreamEnded.class).size(), 4);
     view.leader = "control-2";
-    watch.tick(START.plusSeconds(12), output);
-    watch.tick(START.plusSeconds(13), output);
-    assertEquals(told(UpstreamEnded.class).size(), 5);
-    SendToPeer last = told(UpstreamEnded.class).get(4);
+    detector.tick(START.plusSeconds(12), output);
+    detector.tick(START.plusSeconds(13), output);
+    assertEquals(sentToLeader(UpstreamEnded.class).size(), 5);
+    SendToPeer last = sentToLeader(UpstreamEnded.class).get(4);
     assertEquals(last.node(), "control-2");
     UpstreamEnded ended = (UpstreamEnded) last.message();
     assertEquals(ended.lost(), List.of(new LostRequest(new RequestKey("team", 1), 12000, 12000)));
   }
 
-  /** One that is lost a little later, or was left for its silence, belongs to the same end. */
+  /**
+   * A request that is lost a little later, or abandoned after a timeout, belongs to the same end.
+   */
   @Test
-  public void laterLossIsToldAtOnce() {
-    lost(1);
-    watch.onProbeResult(UPSTREAM.run(), false, START, output);
-    lost(2);
-    UpstreamEnded last = (UpstreamEnded) told(UpstreamEnded.class).get(1).message();
+  public void laterLossIsReportedAtOnce() {
+    recordLoss(1);
+    detector.onProbeResult(UPSTREAM.run(), false, START, output);
+    recordLoss(2);
+    UpstreamEnded last = (UpstreamEnded) sentToLeader(UpstreamEnded.class).get(1).message();
     assertEquals(last.lost().size(), 1);
     assertEquals(last.lost().get(0).key().content(), 2);
   }
 
-  /** A request that is answered in the end is cleared at the leader; others aren't named. */
+  /** The answer of a lost request is reported to the leader; answers of other requests are not. */
   @Test
-  public void answerIsToldOfLostRequestsOnly() {
-    lost(1);
-    watch.onProbeResult(UPSTREAM.run(), false, START, output);
-    watch.recordServed(new RequestKey("team", 2), output);
-    assertEquals(told(RequestServed.class), List.of());
-    watch.recordServed(new RequestKey("team", 1), output);
-    watch.recordServed(new RequestKey("team", 1), output);
-    assertEquals(told(RequestServed.class).size(), 1);
+  public void onlyAnswersOfLostRequestsAreReported() {
+    recordLoss(1);
+    detector.onProbeResult(UPSTREAM.run(), false, START, output);
+    detector.recordServed(new RequestKey("team", 2), output);
+    assertEquals(sentToLeader(RequestServed.class), List.of());
+    detector.recordServed(new RequestKey("team", 1), output);
+    detector.recordServed(new RequestKey("team", 1), output);
+    assertEquals(sentToLeader(RequestServed.class).size(), 1);
   }
 }
