--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRegistry.java
@@ -15,89 +15,100 @@
 /** The entries that poll this control VM. */
 final class EntryRegistry {
 
-  /** Addresses that a caller is given at the most; enough to spread any number of callers. */
-  private static final int MOST_ADDRESSES = 64;
+  /**
+   * Maximum number of addresses in one answer to a caller; enough to spread any number of callers.
+   */
+  private static final int MAX_ADDRESSES = 64;
 
   /**
-   * Other entries that one entry tells of its load. With 8 times 100 bytes ten times a second it
-   * stays within the 5 KB a second of a daemon's control. Where there are more, telling some would
-   * leave each entry with a tenth of the truth: in virtual time with 75 entries, engines read 20
-   * million tokens of shared parts again in place of 6.5 million if all hear all. Schedulers place
-   * prompts then.
+   * Maximum number of other entries to which one entry reports its load. With 8 messages of 100
+   * bytes ten times a second, the reports stay within the control traffic of a daemon, 5 KB a
+   * second. With more entries, reports to some of them would give each entry a tenth of the load
+   * only: in a simulation of 75 entries, engines prefilled 20 million tokens of shared prefixes
+   * again, compared with 6.5 million if all entries report to all. Schedulers place prompts in such
+   * a deployment.
    */
-  private static final int MOST_PEERS = 8;
+  private static final int MAX_PEERS = 8;
 
   /**
-   * Engines that one scheduler places prompts on at the least. Fewer engines would be loaded too
-   * unevenly, since prompts are spread over groups by their names.
+   * Minimum number of engines in the group of one scheduler. Smaller groups would be loaded too
+   * unevenly, since prompts are assigned to groups by hash.
    */
-  private static final int LEAST_GROUP = 16;
+  private static final int MIN_GROUP_SIZE = 16;
 
   private final RelayTimes times;
-  private boolean takeChanged;
-  private final Map<String, Known> entries = new LinkedHashMap<>();
+  private boolean changed;
+  private final Map<String, PolledEntry> entries = new LinkedHashMap<>();
 
   /**
-   * What each entry is to know of the others, until one of them or the engines change. Made anew at
-   * each poll it takes time with the square of the entries.
+   * Neighbourhood of each entry, cached until an entry or the number of engines changes. Without
+   * the cache, the cost of all polls would be quadratic in the number of entries.
    */
   private final Map<String, Neighbourhood> neighbourhoods = new HashMap<>();
 
   private int neighbourhoodEngines;
-  private int lookUps;
+  private int lookups;
 
   EntryRegistry(RelayTimes times) {
     this.times = times;
   }
 
-  /** Takes note of a poll and returns the one before it from the same process, or the same. */
+  /**
+   * Records a poll and returns the previous poll of the same process, or this one if there is none.
+   */
   EntryPoll recordPoll(String node, EntryPoll poll, Instant now) {
-    Known before = entries.put(node, new Known(poll, now));
-    boolean same = before != null && before.poll.incarnation() == poll.incarnation();
-    if (!same || before.poll.serving() != poll.serving() || before.poll.busy() != poll.busy()) {
-      noteChange();
+    PolledEntry before = entries.put(node, new PolledEntry(poll, now));
+    boolean sameProcess = before != null && before.poll.incarnation() == poll.incarnation();
+    if (!sameProcess
+        || before.poll.serving() != poll.serving()
+        || before.poll.busy() != poll.busy()) {
+      markChanged();
     }
-    return same ? before.poll : poll;
+    return sameProcess ? before.poll : poll;
   }
 
   void tick(Instant now) {
-    if (entries.values().removeIf(known -> now.isAfter(known.heardAt.plus(times.entrySilence())))) {
-      noteChange();
+    if (entries
+        .values()
+        .removeIf(polled -> now.isAfter(polled.polledAt.plus(times.entrySilence())))) {
+      markChanged();
     }
   }
 
-  private void noteChange() {
-    takeChanged = true;
+  private void markChanged() {
+    changed = true;
     neighbourhoods.clear();
   }
 
-  /** Returns whether entries have come, gone or changed since this was last asked. */
+  /**
+   * Returns whether entries were added, removed or changed since the last call, and resets that.
+   */
   boolean takeChanged() {
-    boolean since = takeChanged;
-    takeChanged = false;
-    return since;
+    boolean wasChanged = changed;
+    changed = false;
+    return wasChanged;
   }
 
   /**
-   * Returns what an entry is to know of the others.
+   * Returns the addresses, peers, schedulers and ordinal that an entry receives.
    *
    * @param node the entry, one of {@link #nodes}
-   * @param engines how many engines prompts are placed on
+   * @param engines number of engines on which prompts are placed
    */
   Neighbourhood neighbourhood(String node, int engines) {
     if (engines != neighbourhoodEngines) {
       neighbourhoods.clear();
       neighbourhoodEngines = engines;
     }
-    return neighbourhoods.computeIfAbsent(node, missing -> neighbourhoodNow(node, engines));
+    return neighbourhoods.computeIfAbsent(node, missing -> computeNeighbourhood(node, engines));
   }
 
-  private Neighbourhood neighbourhoodNow(String node, int engines) {
+  private Neighbourhood computeNeighbourhood(String node, int engines) {
     List<String> sorted = new ArrayList<>(new TreeSet<>(entries.keySet()));
     int own = sorted.indexOf(node);
     List<String> addresses = addresses(newestPoll(node).zone(), sorted, own);
-    boolean few = sorted.size() <= MOST_PEERS + 1;
-    List<String> peers = few ? others(sorted, own) : List.of();
+    boolean few = sorted.size() <= MAX_PEERS + 1;
+    List<String> peers = few ? othersInOrder(sorted, own) : List.of();
     List<String> schedulers = few ? List.of() : schedulers(sorted, engines);
     EntryPlace place = new EntryPlace(own, sorted.size());
     long version =
@@ -110,35 +121,39 @@
     return new Neighbourhood(version, addresses, peers, schedulers, place);
   }
 
-  /** Returns the entries that come next in the order of names, around its end. */
-  private static List<String> others(List<String> sorted, int own) {
-    List<String> next = new ArrayList<>();
+  /**
+   * Returns the other entries in the order of names, starting after the entry and wrapping around.
+   */
+  private static List<String> othersInOrder(List<String> sorted, int own) {
+    List<String> others = new ArrayList<>();
     for (int step = 1; step < sorted.size(); step++) {
-      next.add(sorted.get((own + step) % sorted.size()));
+      others.add(sorted.get((own + step) % sorted.size()));
     }
-    return next;
+    return others;
   }
 
   /**
-   * Returns the entries that place prompts, one for each group of engines.
+   * Returns the entries that place prompts, one for each group of engines; empty if too few entries
+   * are available.
    *
-   * <p>The number of groups is a power of two, so that it changes seldom, and each change moves
-   * half of the prompts at least. Each group has its own order of entries, of which the first
-   * serves it that has time and serves no other: if one is lost, only its group changes hands.
+   * <p>The number of groups is a power of two, so that it changes seldom; each change moves at
+   * least half of the prompts. Each group ranks the entries by rendezvous hashing and gets the
+   * first one that is not busy and serves no other group, so that the loss of one scheduler changes
+   * only its own group.
    */
   private List<String> schedulers(List<String> sorted, int engines) {
-    int most = Math.min(engines / LEAST_GROUP, sorted.size() / 2);
-    int groups = Math.max(1, Integer.highestOneBit(Math.max(1, most)));
-    List<String> free = new ArrayList<>();
+    int maxGroups = Math.min(engines / MIN_GROUP_SIZE, sorted.size() / 2);
+    int groups = Math.max(1, Integer.highestOneBit(Math.max(1, maxGroups)));
+    List<String> available = new ArrayList<>();
     for (String node : sorted) {
       if (newestPoll(node).serving() && !newestPoll(node).busy()) {
-        free.add(node);
+        available.add(node);
       }
     }
     List<String> schedulers = new ArrayList<>();
-    for (int group = 0; group < groups && schedulers.size() < free.size(); group++) {
+    for (int group = 0; group < groups && schedulers.size() < available.size(); group++) {
       String number = Integer.toString(group);
-      free.stream()
+      available.stream()
           .filter(node -> !schedulers.contains(node))
           .max(Comparator.comparingLong(node -> StableHash.of(node, number)))
           .ifPresent(schedulers::add);
@@ -147,41 +162,42 @@
   }
 
   /**
-   * Returns where a caller may connect; entries of its zone first.
+   * Returns the addresses to which a caller may connect, entries of its zone first.
    *
-   * <p>Where there are more entries than a caller takes, each look-up is told of others. Told of
-   * the same ones, callers would leave a third of 91 entries with a fifth of the others' load.
+   * <p>If there are more entries than {@link #MAX_ADDRESSES}, each look-up receives a different
+   * selection. With the same selection for all callers, a third of 91 entries received a fifth of
+   * the load of the others.
    */
   List<String> callerAddresses(String zone) {
     List<String> sorted = new ArrayList<>(new TreeSet<>(entries.keySet()));
-    lookUps++;
-    return addresses(zone, sorted, lookUps);
+    lookups++;
+    return addresses(zone, sorted, lookups);
   }
 
   /**
-   * Returns callers' addresses of the entries from a place on in the order of names.
+   * Returns the caller addresses of entries, starting at an index in the order of names.
    *
-   * <p>Busy entries are left out while most are not: a few slow ones can be spared, but if all are
-   * busy, leaving some out would only make the others slower.
+   * <p>Busy entries are left out unless more than half of the serving entries are busy: leaving out
+   * a few slow entries is harmless, but if most are busy, it would only slow down the others.
    */
-  private List<String> addresses(String zone, List<String> sorted, int from) {
+  private List<String> addresses(String zone, List<String> sorted, int offset) {
     List<EntryPoll> serving =
         sorted.stream().map(this::newestPoll).filter(EntryPoll::serving).toList();
-    List<EntryPoll> free = serving.stream().filter(poll -> !poll.busy()).toList();
-    List<EntryPoll> named = free.size() * 2 >= serving.size() ? free : serving;
-    int first = named.size() > MOST_ADDRESSES ? from : 0;
-    List<String> near = new ArrayList<>();
-    List<String> far = new ArrayList<>();
-    for (int step = 0; step < Math.min(MOST_ADDRESSES, named.size()); step++) {
-      EntryPoll poll = named.get((first + step) % named.size());
-      (poll.zone().equals(zone) ? near : far).add(poll.callerAddress());
+    List<EntryPoll> available = serving.stream().filter(poll -> !poll.busy()).toList();
+    List<EntryPoll> offered = available.size() * 2 >= serving.size() ? available : serving;
+    int first = offered.size() > MAX_ADDRESSES ? offset : 0;
+    List<String> sameZone = new ArrayList<>();
+    List<String> otherZones = new ArrayList<>();
+    for (int step = 0; step < Math.min(MAX_ADDRESSES, offered.size()); step++) {
+      EntryPoll poll = offered.get((first + step) % offered.size());
+      (poll.zone().equals(zone) ? sameZone : otherZones).add(poll.callerAddress());
     }
-    near.addAll(far);
-    return near;
+    sameZone.addAll(otherZones);
+    return sameZone;
   }
 
   int servingCount() {
-    return (int) entries.values().stream().filter(known -> known.poll.serving()).count();
+    return (int) entries.values().stream().filter(polled -> polled.poll.serving()).count();
   }
 
   List<String> nodes() {
@@ -190,21 +206,21 @@
 
   /** Returns the newest poll of an entry, which must be one of {@link #nodes}. */
   EntryPoll newestPoll(String node) {
-    return known(node).poll;
+    return polledEntry(node).poll;
   }
 
-  /** Returns when an entry, which must be one of {@link #nodes}, last polled. */
+  /** Returns the time of the newest poll of an entry, which must be one of {@link #nodes}. */
   Instant lastPollAt(String node) {
-    return known(node).heardAt;
+    return polledEntry(node).polledAt;
   }
 
-  private Known known(String node) {
-    Known known = entries.get(node);
-    if (known == null) {
-      throw new IllegalArgumentException(node + " does not poll");
+  private PolledEntry polledEntry(String node) {
+    PolledEntry polled = entries.get(node);
+    if (polled == null) {
+      throw new IllegalArgumentException(node + " has not polled this control VM");
     }
-    return known;
+    return polled;
   }
 
-  private record Known(EntryPoll poll, Instant heardAt) {}
+  private record PolledEntry(EntryPoll poll, Instant polledAt) {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdateSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdateSender.java
@@ -20,7 +20,7 @@
 import org.skylarkfork.core.message.RelayMessage.Neighbourhood;
 import org.skylarkfork.core.message.RelayMessage.SharedState;
 
-/** What a control VM tells entries: the answers to their polls, and what is new. */
+/** Sends updates from a control VM to entries: answers to their polls, and changes. */
 final class EntryUpdateSender {
 
   private final RelayMachine machine;
@@ -28,10 +28,10 @@
   private final UpstreamRegistry upstreams;
   private final EntryRegistry entries;
   private final RelayTimes times;
-  private final Map<String, EntryPoll> unproven = new HashMap<>();
-  private final Map<String, Instant> unprovenSince = new HashMap<>();
+  private final Map<String, EntryPoll> pendingPolls = new HashMap<>();
+  private final Map<String, Instant> pendingSince = new HashMap<>();
   private long term;
-  private Instant leadsSince = Instant.EPOCH;
+  private Instant leaderSince = Instant.EPOCH;
 
   EntryUpdateSender(
       RelayMachine machine,
@@ -46,115 +46,116 @@
     this.times = times;
   }
 
-  /** Forgets the polls that wait for a proof; their senders ask the new leader. */
+  /** Discards the polls that wait for a proof; their senders poll the new leader. */
   void clear() {
-    unproven.clear();
-    unprovenSince.clear();
+    pendingPolls.clear();
+    pendingSince.clear();
   }
 
-  /** Begins to lead: the newest poll of each entry is to be answered. */
+  /** Starts a term as leader, in which the newest poll of each entry waits for an answer. */
   void startLeading(long newTerm, Instant now) {
     term = newTerm;
-    leadsSince = now;
+    leaderSince = now;
     entries.nodes().forEach(entry -> awaitProof(entry, entries.lastPollAt(entry)));
   }
 
   /**
-   * Lets an entry's newest poll wait for a proof.
+   * Queues an entry's newest poll until the leadership is confirmed for a time after the poll.
    *
-   * <p>Polls that came before this control VM was elected wait as well: what was accepted before
-   * they came is in the log of each later leader. An entry needn't poll again then, which took it a
-   * quarter of a second after each election.
+   * <p>Polls that arrived before this control VM was elected are queued as well: the log of each
+   * later leader contains all changes that were accepted before these polls. Otherwise entries
+   * would have to poll again, which took a quarter of a second after each election.
    */
   void awaitProof(String entry, Instant polledAt) {
-    unproven.put(entry, entries.newestPoll(entry));
-    unprovenSince.put(entry, polledAt);
+    pendingPolls.put(entry, entries.newestPoll(entry));
+    pendingSince.put(entry, polledAt);
   }
 
   /**
-   * Names the control VMs to an entry that searches for the leader.
+   * Sends the list of control VMs to an entry that searches for the leader.
    *
-   * <p>A restarted entry knows the seeds only. Once another control VM leads, none of them would
-   * answer it, and it would refuse its callers for good.
+   * <p>A restarted entry knows the seeds only. If none of them leads, no control VM would answer
+   * its polls, and it would refuse its callers permanently.
    */
   void sendControlNodes(String entry, Output output) {
     if (!controlNodes().isEmpty()) {
-      DirectoryChanges nothing = new DirectoryChanges(0, 0, false, false, List.of());
+      DirectoryChanges noChanges = new DirectoryChanges(0, 0, false, false, List.of());
       output.effect(
           new SendToPeer(
-              entry, new EntryUpdate(null, 0, null, null, nothing, controlNodes(), 0, null)));
+              entry, new EntryUpdate(null, 0, null, null, noChanges, controlNodes(), 0, null)));
     }
   }
 
   /**
-   * Answers polls and tells the entries what is new, once it is certain that this control VM leads.
+   * Answers polls and sends changes to the entries, once this control VM's leadership is confirmed.
    *
-   * <p>What is new within a tick goes out together. Each upstream that was heard after an election
-   * went to all entries by itself before, and the configuration twice, an old one first.
+   * <p>All changes within a tick are sent in one message. Sent one by one after an election, each
+   * upstream went to all entries in a message of its own, and the configuration twice, an outdated
+   * one first.
    *
-   * @param news whether there is anything new
-   * @param stateIndex log index that this rests on
+   * @param changed whether there are changes to send
+   * @param stateIndex log index of the state that is sent
    * @param now the present time
-   * @param output takes the messages
-   * @return whether what is new was told
+   * @param output receives the messages
+   * @return whether changes were sent
    */
-  boolean sendUpdates(boolean news, long stateIndex, Instant now, Output output) {
+  boolean sendUpdates(boolean changed, long stateIndex, Instant now, Output output) {
     if (consensus.provenAt(GroupId.RELAY).equals(Instant.EPOCH)) {
       return false;
     }
-    Set<String> told = answerProven(stateIndex, now, output);
-    if (news) {
+    Set<String> updated = answerProven(stateIndex, now, output);
+    if (changed) {
       entries.nodes().stream()
-          .filter(entry -> !told.contains(entry))
-          .forEach(entry -> update(entry, null, stateIndex, now, output));
+          .filter(entry -> !updated.contains(entry))
+          .forEach(entry -> sendUpdate(entry, null, stateIndex, now, output));
     }
-    return news;
+    return changed;
   }
 
   /**
-   * Answers polls that came before the newest moment at which a majority still followed this
-   * leader.
+   * Answers the polls that arrived before the newest time at which a majority confirmed this
+   * leadership.
    *
-   * <p>A leader that was cut off and replaced doesn't know it. Answering at once it would prolong
-   * the right to use a key that its successor has removed. A majority's answer to something sent
-   * after the poll came shows that no successor had been elected by then.
+   * <p>A leader that was partitioned and replaced does not know it. If it answered polls at once,
+   * it would extend the validity of a key that its successor has removed. A majority's answer to a
+   * message that was sent after the poll arrived shows that no successor had been elected by then.
    */
   private Set<String> answerProven(long stateIndex, Instant now, Output output) {
-    Set<String> told = new HashSet<>();
+    Set<String> updated = new HashSet<>();
     Instant proven = consensus.provenAt(GroupId.RELAY);
-    unproven.keySet().retainAll(entries.nodes());
-    for (String entry : List.copyOf(unproven.keySet())) {
-      if (unprovenSince.getOrDefault(entry, Instant.MAX).isBefore(proven)) {
-        EntryPoll poll = unproven.remove(entry);
-        update(entry, poll.sentAt(), stateIndex, now, output);
-        told.add(entry);
+    pendingPolls.keySet().retainAll(entries.nodes());
+    for (String entry : List.copyOf(pendingPolls.keySet())) {
+      if (pendingSince.getOrDefault(entry, Instant.MAX).isBefore(proven)) {
+        EntryPoll poll = pendingPolls.remove(entry);
+        sendUpdate(entry, poll.sentAt(), stateIndex, now, output);
+        updated.add(entry);
       }
     }
-    return told;
+    return updated;
   }
 
-  private void update(
+  private void sendUpdate(
       String entry, @Nullable Instant provenAt, long stateIndex, Instant now, Output output) {
-    EntryPoll known = entries.newestPoll(entry);
+    EntryPoll lastPoll = entries.newestPoll(entry);
     RelayConfiguration newest = machine.configuration();
-    boolean sharedKnown = known.stateIndex() >= stateIndex;
-    boolean settled = leadsSince.plus(times.settling()).isBefore(now);
+    boolean hasSharedState = lastPoll.stateIndex() >= stateIndex;
+    boolean settled = leaderSince.plus(times.settling()).isBefore(now);
     output.effect(
         new SendToPeer(
             entry,
             new EntryUpdate(
                 provenAt,
                 stateIndex,
-                newest.version() > known.version() ? newest : null,
-                sharedKnown ? null : shared(),
+                newest.version() > lastPoll.version() ? newest : null,
+                hasSharedState ? null : sharedState(),
                 upstreams.changes(
-                    term, settled, known.directoryEpoch(), known.directorySequence(), now),
+                    term, settled, lastPoll.directoryEpoch(), lastPoll.directorySequence(), now),
                 controlNodes(),
                 entries.servingCount(),
-                neighbourhood(entry, known, now))));
+                neighbourhood(entry, lastPoll, now))));
   }
 
-  private SharedState shared() {
+  private SharedState sharedState() {
     List<String> evacuated = machine.evacuations().stream().map(Evacuation::zone).toList();
     List<RequestKey> quarantined =
         machine.quarantined().stream().map(QuarantinedRequest::key).toList();
@@ -162,18 +163,19 @@
   }
 
   /**
-   * Returns what an entry lacks of the other entries, or null.
+   * Returns the neighbourhood of an entry, or null if the entry has the newest one.
    *
-   * <p>A control VM that has just become the leader may not have heard each entry yet. Its list
-   * would take callers from the others, so for a while only an entry without any list gets it.
+   * <p>A new leader may not have received a poll of each entry yet. Its incomplete list would draw
+   * callers away from the missing entries, so for one background poll interval the list is sent
+   * only to entries without any.
    */
-  private @Nullable Neighbourhood neighbourhood(String entry, EntryPoll known, Instant now) {
-    boolean early = now.isBefore(leadsSince.plus(times.backgroundPoll()));
-    if (early && known.neighbourhoodVersion() != 0) {
+  private @Nullable Neighbourhood neighbourhood(String entry, EntryPoll lastPoll, Instant now) {
+    boolean isNewLeader = now.isBefore(leaderSince.plus(times.backgroundPoll()));
+    if (isNewLeader && lastPoll.neighbourhoodVersion() != 0) {
       return null;
     }
     Neighbourhood newest = entries.neighbourhood(entry, upstreams.largestPool());
-    return newest.version() == known.neighbourhoodVersion() ? null : newest;
+    return newest.version() == lastPoll.neighbourhoodVersion() ? null : newest;
   }
 
   private List<String> controlNodes() {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayConfiguration.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayConfiguration.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * All that operators decide about the relay.
+ * The relay's configuration as set by operators.
  *
- * @param version the operators' number; a higher one replaces a lower one
- * @param routes where requests go
- * @param services the services that routes name
- * @param teams who may send keyed requests; empty if no request needs a key
- * @param limits bounds on what callers send
+ * @param version version number set by operators; a higher version replaces a lower one
+ * @param routes the routes by host and path
+ * @param services the services that routes refer to
+ * @param teams the teams that may send requests with a key; empty if no request needs a key
+ * @param limits limits on requests of callers
  */
 public record RelayConfiguration(
     long version,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayConfigurationValidator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayConfigurationValidator.java
@@ -7,26 +7,27 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Finds what is wrong with a configuration of the relay. */
+/** Validates configurations of the relay. */
 public final class RelayConfigurationValidator {
 
   private RelayConfigurationValidator() {}
 
   /**
-   * Checks a configuration as a whole.
+   * Validates a configuration.
    *
-   * @param configuration what an operator sent
-   * @return what is wrong, a sentence each with its remedy; empty if it is valid
+   * @param configuration the configuration that an operator sent
+   * @return the problems, one sentence each with its remedy; empty if the configuration is valid
    */
   public static List<String> problems(RelayConfiguration configuration) {
     List<String> problems = new ArrayList<>();
-    Set<String> services = services(configuration, problems);
-    routes(configuration, services, problems);
-    teams(configuration, problems);
+    Set<String> services = checkServices(configuration, problems);
+    checkRoutes(configuration, services, problems);
+    checkTeams(configuration, problems);
     return problems;
   }
 
-  private static Set<String> services(RelayConfiguration configuration, List<String> problems) {
+  private static Set<String> checkServices(
+      RelayConfiguration configuration, List<String> problems) {
     Set<String> names = new HashSet<>();
     for (RelayService service : configuration.services()) {
       if (service.name().isEmpty()) {
@@ -38,19 +39,19 @@
     return names;
   }
 
-  private static void routes(
+  private static void checkRoutes(
       RelayConfiguration configuration, Set<String> services, List<String> problems) {
-    Set<String> places = new HashSet<>();
+    Set<String> hostsAndPrefixes = new HashSet<>();
     for (RelayRoute route : configuration.routes()) {
-      if (!places.add(route.host() + " " + route.pathPrefix())) {
+      if (!hostsAndPrefixes.add(route.host() + " " + route.pathPrefix())) {
         problems.add(
             "two routes share " + route.host() + route.pathPrefix() + "; give one another prefix");
       }
-      route(route, services, problems);
+      checkRoute(route, services, problems);
     }
   }
 
-  private static void route(RelayRoute route, Set<String> services, List<String> problems) {
+  private static void checkRoute(RelayRoute route, Set<String> services, List<String> problems) {
     String name = "route " + route.name();
     if (!route.pathPrefix().startsWith("/") || !route.pathPrefix().endsWith("/")) {
       problems.add(name + ": begin and end the path prefix with a slash");
@@ -76,7 +77,7 @@
     }
   }
 
-  private static void teams(RelayConfiguration configuration, List<String> problems) {
+  private static void checkTeams(RelayConfiguration configuration, List<String> problems) {
     Map<String, String> owners = new HashMap<>();
     Set<String> names = new HashSet<>();
     for (RelayTeam team : configuration.teams()) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
@@ -27,45 +27,48 @@
 import org.skylarkfork.core.message.RelayMessage.EntryPoll;
 import org.skylarkfork.core.message.RelayMessage.HeardLimit;
 
-/** A control VM's work for the relay: operators' commands, the directory and its spreading. */
+/**
+ * Runs a control VM's part of the relay: operators' commands, and the directory of upstreams with
+ * its distribution to entries.
+ */
 public final class RelayControlPart implements Part {
 
-  private static final Duration JUDGE = Duration.ofMillis(200);
+  private static final Duration EVALUATION_INTERVAL = Duration.ofMillis(200);
 
-  /** Longest time after the start without a leader for which no calls are taken. */
-  private static final Duration LONGEST_QUIET = Duration.ofMillis(1200);
+  /** Maximum time after the start for which calls are not accepted while there is no leader. */
+  private static final Duration MAX_WAIT_FOR_LEADER = Duration.ofMillis(1200);
 
-  /** Age of a command from which on it is one that a restart replays. */
-  private static final Duration REPLAYED = Duration.ofSeconds(5);
+  /** Age from which a committed command is considered replayed after a restart. */
+  private static final Duration MIN_REPLAYED_AGE = Duration.ofSeconds(5);
 
   private final String node;
   private final RelayMachine machine;
   private final ConsensusPart consensus;
   private final RelayTimes times;
-  private final RollOutEvaluator judge;
+  private final RollOutEvaluator evaluator;
   private final UpstreamRegistry upstreams;
   private final EntryRegistry entries;
   private final EntryUpdateSender updates;
   private final CrashReview crashes;
-  private final Map<Long, AskedCall> callBySubmission = new HashMap<>();
+  private final Map<Long, PendingCall> callBySubmission = new HashMap<>();
   private @Nullable String leader;
   private long stateIndex;
-  private Instant judgedAt = Instant.EPOCH;
+  private Instant evaluatedAt = Instant.EPOCH;
   private @Nullable Instant startedAt;
-  private boolean takesCalls;
-  private boolean news;
+  private boolean acceptsCalls;
+  private boolean hasChanges;
 
-  /** A call that waits until its command was agreed on. */
-  private record AskedCall(long id, RelayCommand command, Instant askedAt) {}
+  /** A call that waits until its command is committed. */
+  private record PendingCall(long id, RelayCommand command, Instant submittedAt) {}
 
   /**
-   * Makes the part.
+   * Creates the part.
    *
    * @param node peer name of this daemon
-   * @param machine the replica's state, touched by the reducer's thread only
+   * @param machine the replica's state, accessed by the reducer's thread only
    * @param consensus the replica of the relay's group
-   * @param times when to do what
-   * @param rollOuts how roll-outs go on
+   * @param times intervals and timeouts
+   * @param rollOuts settings of roll-outs
    */
   public RelayControlPart(
       String node,
@@ -77,7 +80,7 @@
     this.machine = machine;
     this.consensus = consensus;
     this.times = times;
-    this.judge = new RollOutEvaluator(rollOuts);
+    this.evaluator = new RollOutEvaluator(rollOuts);
     this.upstreams = new UpstreamRegistry(times);
     this.entries = new EntryRegistry(times);
     this.updates = new EntryUpdateSender(machine, consensus, upstreams, entries, times);
@@ -85,7 +88,7 @@
   }
 
   /**
-   * Returns where callers may connect, entries of a zone first.
+   * Returns the addresses to which callers may connect, entries of a zone first.
    *
    * @param zone the caller's availability zone
    */
@@ -93,22 +96,22 @@
     return entries.callerAddresses(zone);
   }
 
-  /** Returns the upstreams that this control VM has heard of, as of a time. */
+  /** Returns the upstreams that are known to this control VM, as of a time. */
   public List<UpstreamStatus> upstreams(Instant now) {
     return upstreams.all(now);
   }
 
-  /** Returns the upstreams that name a rate limit; only the leader is told of them. */
+  /** Returns the upstreams that report a rate limit; known to the leader only. */
   public List<LimitedUpstream> limitedUpstreams() {
     return upstreams.limitedUpstreams();
   }
 
-  /** Returns what this control VM's replica knows of its group, or null before it has one. */
+  /** Returns the status of the group at this control VM's replica, or null before it has one. */
   public @Nullable GroupStatus group() {
     return consensus.status(GroupId.RELAY);
   }
 
-  /** Returns the leader that this control VM knows, or null. */
+  /** Returns the peer name of the leader known to this control VM, or null. */
   public @Nullable String leader() {
     return leader;
   }
@@ -117,8 +120,8 @@
   public void apply(Event event, Instant now, Output output) {
     if (event instanceof LifecycleEvent.Tick) {
       tick(now, output);
-    } else if (event instanceof RelayEvent.CommandAsked asked) {
-      submit(asked, now, output);
+    } else if (event instanceof RelayEvent.CommandAsked requested) {
+      submit(requested, now, output);
     } else if (event instanceof RelayEvent.HeartbeatReceived heartbeat) {
       onHeartbeat(heartbeat.instance(), now, output);
     } else if (event instanceof PeerEvent.MessageReceived received) {
@@ -129,30 +132,31 @@
   }
 
   /**
-   * Takes calls from the first leader on.
+   * Starts to accept calls, once a leader is known for the first time.
    *
-   * <p>Before, there is nothing to answer. After a crash of everything all callers and upstreams
-   * call at once, and a control VM that answers them delays its own votes: with less than half a
-   * core the election took 0.83 s in place of 0.49. One that finds no leader in time is cut off and
-   * tells callers at least which entries it hears.
+   * <p>Calls cannot be answered before. When the whole deployment restarts after a crash, all
+   * callers and upstreams connect at once, and a control VM that answers them delays its own votes:
+   * with less than half a core, the election took 0.83 s instead of 0.49 s. A control VM that finds
+   * no leader in time is partitioned, and then serves callers with the addresses of the entries
+   * that poll it.
    */
-  private void takeCalls(Output output) {
-    if (!takesCalls) {
-      takesCalls = true;
+  private void acceptCalls(Output output) {
+    if (!acceptsCalls) {
+      acceptsCalls = true;
       output.effect(new RelayEffect.TakeCalls());
     }
   }
 
-  private void submit(RelayEvent.CommandAsked asked, Instant now, Output output) {
+  private void submit(RelayEvent.CommandAsked requested, Instant now, Output output) {
     long submission = consensus.submitter().newSubmissionId();
-    callBySubmission.put(submission, new AskedCall(asked.callId(), asked.command(), now));
+    callBySubmission.put(submission, new PendingCall(requested.callId(), requested.command(), now));
     consensus
         .submitter()
         .submit(
             GroupId.RELAY,
-            asked.command(),
+            requested.command(),
             submission,
-            now.plusMillis(asked.limitMillis()),
+            now.plusMillis(requested.limitMillis()),
             now,
             output);
   }
@@ -163,18 +167,18 @@
     } else if (event instanceof ConsensusEvent.SubmissionFailed failed) {
       reply(failed.submissionId(), null, failed.remedy(), now, output);
     } else if (event instanceof ConsensusEvent.CommandCommitted committed) {
-      committed(committed, now, output);
+      onCommitted(committed, now, output);
     } else if (event instanceof ConsensusEvent.GroupRestored restored) {
       stateIndex = restored.index();
       machine.leaving().forEach(upstreams::markLeaving);
     } else if (event instanceof ConsensusEvent.LeaderChanged changed) {
-      leaderChanged(changed, now, output);
+      onLeaderChanged(changed, now, output);
     }
   }
 
   private void reply(
       long submission, @Nullable CommandResult result, String remedy, Instant now, Output output) {
-    AskedCall call = callBySubmission.remove(submission);
+    PendingCall call = callBySubmission.remove(submission);
     if (call != null) {
       String facts =
           "call="
@@ -184,13 +188,13 @@
               + " outcome="
               + (result == null ? "none: " + remedy : result.getClass().getSimpleName())
               + " ms="
-              + Duration.between(call.askedAt, now).toMillis();
+              + Duration.between(call.submittedAt, now).toMillis();
       log(output, "call_answered", facts);
       output.effect(new RelayEffect.ReplyToCall(call.id, result, remedy));
     }
   }
 
-  private void committed(ConsensusEvent.CommandCommitted committed, Instant now, Output output) {
+  private void onCommitted(ConsensusEvent.CommandCommitted committed, Instant now, Output output) {
     if (!(committed.command() instanceof RelayCommand command) || isRead(command)) {
       return;
     }
@@ -204,11 +208,11 @@
     } else if (command instanceof RelayCommand.LiftQuarantine lift) {
       crashes.onLifted(lift.key());
     }
-    // A restart replays the log, as fast as it can; only what is new is told.
-    if (Duration.between(committed.stampedAt(), now).compareTo(REPLAYED) < 0) {
+    // A restart replays the log; only new commands are logged.
+    if (Duration.between(committed.stampedAt(), now).compareTo(MIN_REPLAYED_AGE) < 0) {
       logState(committed, command, output);
     }
-    news = true;
+    hasChanges = true;
   }
 
   private long longestColdMillis() {
@@ -237,7 +241,7 @@
     return command.toString();
   }
 
-  private void leaderChanged(ConsensusEvent.LeaderChanged changed, Instant now, Output output) {
+  private void onLeaderChanged(ConsensusEvent.LeaderChanged changed, Instant now, Output output) {
     leader = changed.node();
     updates.clear();
     crashes.clear();
@@ -251,7 +255,7 @@
     log(output, "leader_changed", "node=" + leader + " term=" + changed.term());
   }
 
-  /** Returns whether this control VM leads, as far as it knows. */
+  /** Returns whether this control VM considers itself the leader. */
   public boolean leads() {
     return node.equals(leader);
   }
@@ -261,17 +265,18 @@
       log(output, "heartbeat_ignored", "id=" + instance.id() + " service=" + instance.service());
       return;
     }
-    heard(instance, now, output);
+    updateUpstream(instance, now, output);
     if (leader != null && !leads()) {
       send(leader, new RelayMessage.UpstreamHeard(instance), output);
     }
   }
 
   /**
-   * Returns whether a service is none of the configuration's.
+   * Returns whether a service is missing from the configuration.
    *
-   * <p>A heartbeat of such a one is another writer's. Believed, it could take the address of an
-   * upstream that serves. A real one whose service is added just now comes again with its next.
+   * <p>A heartbeat for such a service comes from a foreign sender and could claim the address of an
+   * upstream that serves. An upstream whose service was added just now is accepted with its next
+   * heartbeat.
    */
   private boolean isUnknown(String service) {
     RelayConfiguration known = machine.configuration();
@@ -279,11 +284,11 @@
         && known.services().stream().noneMatch(one -> one.name().equals(service));
   }
 
-  private void heard(UpstreamInstance instance, Instant now, Output output) {
+  private void updateUpstream(UpstreamInstance instance, Instant now, Output output) {
     long before = upstreams.sequence();
     upstreams.recordHeartbeat(instance, machine.isLeaving(instance.run()), now);
     if (upstreams.sequence() != before) {
-      news = true;
+      hasChanges = true;
       log(
           output,
           "upstream_heard",
@@ -302,7 +307,7 @@
     if (received.message() instanceof EntryPoll poll) {
       onPoll(received.node(), poll, now, output);
     } else if (received.message() instanceof RelayMessage.UpstreamHeard heard) {
-      heard(heard.instance(), now, output);
+      updateUpstream(heard.instance(), now, output);
     } else if (leads() && received.message() instanceof CrashMessage.UpstreamEnded ended) {
       crashes.onUpstreamEnded(ended, now);
     } else if (leads() && received.message() instanceof CrashMessage.RequestServed served) {
@@ -312,12 +317,12 @@
 
   private void onPoll(String entry, EntryPoll poll, Instant now, Output output) {
     EntryPoll before = entries.recordPoll(entry, poll, now);
-    news |= entries.takeChanged();
+    hasChanges |= entries.takeChanged();
     for (VersionCounts counts : poll.counts()) {
-      judge.add(counts, find(before, counts));
+      evaluator.add(counts, find(before, counts));
     }
     for (HeardLimit heard : poll.limits()) {
-      limitHeard(entry, heard, now, output);
+      onRateLimit(entry, heard, now, output);
     }
     if (leads()) {
       updates.awaitProof(entry, now);
@@ -326,9 +331,9 @@
     }
   }
 
-  private void limitHeard(String entry, HeardLimit heard, Instant now, Output output) {
+  private void onRateLimit(String entry, HeardLimit heard, Instant now, Output output) {
     if (upstreams.recordRateLimit(heard.upstream(), heard.named(), entry, now)) {
-      news = true;
+      hasChanges = true;
       String facts =
           "id="
               + heard.upstream().id()
@@ -353,36 +358,39 @@
 
   private void tick(Instant now, Output output) {
     entries.tick(now);
-    news |= entries.takeChanged();
+    hasChanges |= entries.takeChanged();
     long before = upstreams.sequence();
     upstreams.tick(now);
-    news |= upstreams.sequence() != before;
+    hasChanges |= upstreams.sequence() != before;
     if (startedAt == null) {
       startedAt = now;
     }
-    if (leader != null || !now.isBefore(startedAt.plus(LONGEST_QUIET))) {
-      takeCalls(output);
+    if (leader != null || !now.isBefore(startedAt.plus(MAX_WAIT_FOR_LEADER))) {
+      acceptCalls(output);
     }
     if (!leads()) {
       return;
     }
     crashes.tick(now, output);
-    if (updates.sendUpdates(news, stateIndex, now, output)) {
-      news = false;
+    if (updates.sendUpdates(hasChanges, stateIndex, now, output)) {
+      hasChanges = false;
     }
-    if (!now.isBefore(judgedAt.plus(JUDGE))) {
-      judge.age(judgedAt.equals(Instant.EPOCH) ? JUDGE : Duration.between(judgedAt, now));
-      judgedAt = now;
-      judgeRollOuts(now, output);
+    if (!now.isBefore(evaluatedAt.plus(EVALUATION_INTERVAL))) {
+      evaluator.age(
+          evaluatedAt.equals(Instant.EPOCH)
+              ? EVALUATION_INTERVAL
+              : Duration.between(evaluatedAt, now));
+      evaluatedAt = now;
+      evaluateRollOuts(now, output);
     }
   }
 
-  private void judgeRollOuts(Instant now, Output output) {
+  private void evaluateRollOuts(Instant now, Output output) {
     for (ServiceRollOut rollOut : machine.rollOuts()) {
       if (!rollOut.isRunning()) {
         continue;
       }
-      RollOutPhase next = judge.nextPhase(rollOut, now);
+      RollOutPhase next = evaluator.nextPhase(rollOut, now);
       if (next != null) {
         log(
             output,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayMachine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayMachine.java
@@ -16,18 +16,19 @@
 import org.skylarkfork.core.upstream.UpstreamRun;
 
 /**
- * Applies the relay's commands: configuration, roll-outs, leaving upstreams, evacuated zones,
- * requests that are refused.
+ * State machine of the relay's group: configuration, roll-outs, leaving upstreams, evacuated zones
+ * and quarantined requests.
  */
 public final class RelayMachine implements StateMachine {
 
   /**
-   * Leaving upstreams that are remembered. An upstream stays a few seconds after it said so, and
-   * far fewer than this many leave in that time even where 12,000 are replaced in a day.
+   * Maximum number of retained leaving upstreams. An upstream stays a few seconds after it
+   * announced that it leaves, and far fewer than this many leave in that time even if 12,000 are
+   * replaced in a day.
    */
   private static final int MAX_LEAVING = 512;
 
-  /** Refused requests that are remembered: 6 KB in each message that tells them. */
+  /** Maximum number of quarantined requests; they take 6 KB in each message that contains them. */
   private static final int MAX_QUARANTINED = 256;
 
   private static final byte[] NO_DOCUMENT = new byte[0];
@@ -49,7 +50,7 @@
     return List.copyOf(rollOuts.values());
   }
 
-  /** Returns the upstreams that leave, oldest first. */
+  /** Returns the runs of upstreams that leave, oldest first. */
   public List<UpstreamRun> leaving() {
     return List.copyOf(leaving.values());
   }
@@ -59,17 +60,17 @@
     return List.copyOf(evacuations.values());
   }
 
-  /** Returns the requests that are refused, oldest first. */
+  /** Returns the quarantined requests, oldest first. */
   public List<QuarantinedRequest> quarantined() {
     return List.copyOf(quarantined.values());
   }
 
-  /** Returns what these requests have in common with the same ones sent again. */
+  /** Returns the keys of the quarantined requests, oldest first. */
   List<RequestKey> quarantinedKeys() {
     return List.copyOf(quarantined.keySet());
   }
 
-  /** Returns whether a start of an upstream said that it leaves. */
+  /** Returns whether a run of an upstream has announced that it leaves. */
   public boolean isLeaving(UpstreamRun run) {
     UpstreamRun left = leaving.get(run.id());
     return left != null && left.covers(run);
@@ -134,8 +135,8 @@
 
   private CommandResult advance(RelayCommand.AdvanceRollOut advance) {
     @Nullable ServiceRollOut known = rollOuts.get(advance.service());
-    boolean meant = known != null && known.target().equals(advance.target()) && known.isRunning();
-    if (meant && advance.phase().compareTo(known.phase()) > 0) {
+    boolean matches = known != null && known.target().equals(advance.target()) && known.isRunning();
+    if (matches && advance.phase().compareTo(known.phase()) > 0) {
       rollOuts.put(advance.service(), known.withPhase(advance.phase()));
     }
     return new CommandResult.Done();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayService.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayService.java
@@ -3,13 +3,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A service whose upstreams announce themselves.
+ * A service whose upstreams register by heartbeats.
  *
  * @param name name of the service
  * @param healthPath path of its health check
- * @param maxConnections connections that one upstream takes from all entries together
- * @param engine what its engines can do, or null for a plain service
- * @param cold what its upstreams bear after their start; null is {@link ColdStart#NONE}
+ * @param maxConnections maximum number of connections of all entries together to one upstream
+ * @param engine capabilities of its engines, or null for a service without engines
+ * @param cold cold-start rate limit of its upstreams; null means {@link ColdStart#NONE}
  */
 public record RelayService(
     String name,
@@ -18,12 +18,12 @@
     @Nullable EngineProfile engine,
     ColdStart cold) {
 
-  /** Fills in what was left out. */
+  /** Replaces a missing cold-start limit by the default. */
   public RelayService {
     cold = ColdStart.orNone(cold);
   }
 
-  /** Makes a service whose upstreams serve in full from their start on. */
+  /** Creates a service whose upstreams serve at full rate from their start. */
   public RelayService(
       String name, String healthPath, int maxConnections, @Nullable EngineProfile engine) {
     this(name, healthPath, maxConnections, engine, ColdStart.NONE);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RollOutEvaluator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RollOutEvaluator.java
@@ -7,41 +7,44 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Decides on the running roll-outs from what the entries see of each version.
+ * Decides on running roll-outs from the entries' statistics of each version.
  *
- * <p>A new version is compared with the old one over the newest seconds, so that one that turns bad
- * late isn't hidden by its good past. The old version is judged over all of its past, since it gets
- * little work at the end.
+ * <p>The new version's statistics are weighted towards the last seconds, so that a late failure is
+ * not hidden by earlier good results. The old version's statistics cover its whole time, since it
+ * gets few requests at the end.
  */
 final class RollOutEvaluator {
 
   private static final double HALF_LIFE_SECONDS = 3.0;
 
-  /** Failures from which on a verdict is given; fewer are chance too often. */
-  private static final double LEAST_FAILURES = 4.0;
+  /** Minimum number of failures for a rollback; fewer are too often due to chance. */
+  private static final double MIN_FAILURES = 4.0;
 
-  /** Answers from which on times are compared. */
-  private static final double LEAST_TIMED = 14.0;
+  /** Minimum number of timed answers of each version for a comparison of latency. */
+  private static final double MIN_TIMED_ANSWERS = 14.0;
 
-  /** How many times slower than the old version counts as bad; a new engine is cold at first. */
-  private static final double SLOWER = 2.5;
+  /** Ratio of mean latencies above which the new version is bad; a new engine is cold at first. */
+  private static final double MAX_LATENCY_RATIO = 2.5;
 
-  /** Failures of a version with no past, as a share. */
-  private static final double ASSUMED_FAILURES = 0.02;
+  /** Minimum expected failure rate, which also stands in for an old version without statistics. */
+  private static final double MIN_EXPECTED_FAILURE_RATE = 0.02;
 
-  private static final double DEVIATIONS = 3.0;
+  private static final double MAX_STANDARD_DEVIATIONS = 3.0;
 
-  private final Map<String, Sums> newest = new HashMap<>();
-  private final Map<String, Sums> past = new HashMap<>();
-  private final Map<String, Instant> begun = new HashMap<>();
-  private final Map<String, Instant> moving = new HashMap<>();
+  private final Map<String, Statistics> recentByVersion = new HashMap<>();
+  private final Map<String, Statistics> totalByVersion = new HashMap<>();
+  private final Map<String, Instant> startedAtByRollOut = new HashMap<>();
+  private final Map<String, Instant> movedAtByRollOut = new HashMap<>();
   private final RollOutSettings settings;
 
   RollOutEvaluator(RollOutSettings settings) {
     this.settings = settings;
   }
 
-  /** Adds what an entry saw since its poll before. */
+  /**
+   * Adds the difference between two successive polls of an entry; {@code before} is null for the
+   * first.
+   */
   void add(VersionCounts now, @Nullable VersionCounts before) {
     long answers = now.answers() - (before == null ? 0 : before.answers());
     if (answers <= 0) {
@@ -50,72 +53,74 @@
     long failures = now.failures() - (before == null ? 0 : before.failures());
     long millis = now.firstByteMillis() - (before == null ? 0 : before.firstByteMillis());
     String key = key(now.service(), now.version());
-    newest.computeIfAbsent(key, missing -> new Sums()).add(answers, failures, millis);
-    past.computeIfAbsent(key, missing -> new Sums()).add(answers, failures, millis);
+    recentByVersion
+        .computeIfAbsent(key, missing -> new Statistics())
+        .add(answers, failures, millis);
+    totalByVersion.computeIfAbsent(key, missing -> new Statistics()).add(answers, failures, millis);
   }
 
-  /** Lets what was seen before count less. */
+  /** Decays the recent statistics for the time that has passed. */
   void age(Duration passed) {
-    double kept = Math.pow(0.5, passed.toMillis() / 1000.0 / HALF_LIFE_SECONDS);
-    newest.values().forEach(sums -> sums.scale(kept));
+    double decay = Math.pow(0.5, passed.toMillis() / 1000.0 / HALF_LIFE_SECONDS);
+    recentByVersion.values().forEach(statistics -> statistics.scale(decay));
   }
 
-  /** Returns the phase that a running roll-out should enter now, or null to stay. */
+  /** Returns the phase that a running roll-out should enter, or null if it stays in its phase. */
   @Nullable RollOutPhase nextPhase(ServiceRollOut rollOut, Instant now) {
     String id = key(rollOut.service(), rollOut.target());
-    Instant begunAt = begun.computeIfAbsent(id, missing -> now);
-    if (bad(rollOut)) {
+    Instant startedAt = startedAtByRollOut.computeIfAbsent(id, missing -> now);
+    if (isBad(rollOut)) {
       return RollOutPhase.ROLLED_BACK;
     }
-    Duration age = Duration.between(begunAt, now);
+    Duration age = Duration.between(startedAt, now);
     if (rollOut.phase() == RollOutPhase.CANARY) {
       return age.toMillis() >= settings.moveAfterMillis(rollOut.deadlineMillis())
           ? RollOutPhase.MOVING
           : null;
     }
-    Instant movingAt = moving.computeIfAbsent(id, missing -> now);
-    boolean drained = !now.isBefore(movingAt.plus(settings.drain()));
+    Instant movedAt = movedAtByRollOut.computeIfAbsent(id, missing -> now);
+    boolean drained = !now.isBefore(movedAt.plus(settings.drain()));
     return drained ? RollOutPhase.SUCCEEDED : null;
   }
 
-  private boolean bad(ServiceRollOut rollOut) {
-    Sums target = newest.get(key(rollOut.service(), rollOut.target()));
+  private boolean isBad(ServiceRollOut rollOut) {
+    Statistics target = recentByVersion.get(key(rollOut.service(), rollOut.target()));
     if (target == null) {
       return false;
     }
-    Sums others = new Sums();
+    Statistics others = new Statistics();
     String prefix = key(rollOut.service(), "");
-    past.forEach(
-        (key, sums) -> {
+    totalByVersion.forEach(
+        (key, statistics) -> {
           if (key.startsWith(prefix) && !key.equals(prefix + rollOut.target())) {
-            others.add(sums.answers, sums.failures, sums.millis);
+            others.add(statistics.answers, statistics.failures, statistics.millis);
           }
         });
-    return failsMore(target, others) || slower(target, others);
+    return failsMoreOften(target, others) || isSlower(target, others);
   }
 
-  private static boolean failsMore(Sums target, Sums others) {
-    double share =
+  private static boolean failsMoreOften(Statistics target, Statistics others) {
+    double failureRate =
         others.answers < 1
-            ? ASSUMED_FAILURES
-            : Math.max(ASSUMED_FAILURES, others.failures / others.answers);
-    double expected = target.answers * share;
-    return target.failures >= LEAST_FAILURES
-        && target.failures > expected + DEVIATIONS * Math.sqrt(expected);
+            ? MIN_EXPECTED_FAILURE_RATE
+            : Math.max(MIN_EXPECTED_FAILURE_RATE, others.failures / others.answers);
+    double expected = target.answers * failureRate;
+    return target.failures >= MIN_FAILURES
+        && target.failures > expected + MAX_STANDARD_DEVIATIONS * Math.sqrt(expected);
   }
 
-  private static boolean slower(Sums target, Sums others) {
-    if (target.timed() < LEAST_TIMED || others.timed() < LEAST_TIMED) {
+  private static boolean isSlower(Statistics target, Statistics others) {
+    if (target.timedAnswers() < MIN_TIMED_ANSWERS || others.timedAnswers() < MIN_TIMED_ANSWERS) {
       return false;
     }
-    return target.meanMillis() > SLOWER * others.meanMillis();
+    return target.meanMillis() > MAX_LATENCY_RATIO * others.meanMillis();
   }
 
   private static String key(String service, String version) {
     return service + "\n" + version;
   }
 
-  private static final class Sums {
+  private static final class Statistics {
     private double answers;
     private double failures;
     private double millis;
@@ -132,12 +137,12 @@
       millis *= factor;
     }
 
-    private double timed() {
+    private double timedAnswers() {
       return answers - failures;
     }
 
     private double meanMillis() {
-      return millis / timed();
+      return millis / timedAnswers();
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RollOutPhase.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RollOutPhase.java
@@ -1,13 +1,13 @@
 package org.skylarkfork.core.relay;
 
-/** How far the roll-out of a service's version is. */
+/** Phase of the roll-out of a service's version. */
 public enum RollOutPhase {
-  /** A small part of new work goes to the new version. */
+  /** A small share of new requests goes to the new version. */
   CANARY,
-  /** All new work goes to the new version; work on the old one ends. */
+  /** All new requests go to the new version, while requests on the old version finish. */
   MOVING,
   /** The old version is no longer needed. */
   SUCCEEDED,
-  /** The new version was bad and gets no work. */
+  /** The new version was bad and receives no requests. */
   ROLLED_BACK
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ServiceRollOut.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ServiceRollOut.java
@@ -4,19 +4,20 @@
  * The newest roll-out of a service.
  *
  * @param service the service
- * @param target version that it moves to
- * @param deadlineMillis time from the order by which it should be decided, in milliseconds
- * @param phase how far it is
+ * @param target the new version
+ * @param deadlineMillis time from the command in which the roll-out should be decided, in
+ *     milliseconds
+ * @param phase the present phase
  */
 public record ServiceRollOut(
     String service, String target, long deadlineMillis, RollOutPhase phase) {
 
   /** Returns this roll-out in another phase. */
-  public ServiceRollOut withPhase(RollOutPhase next) {
-    return new ServiceRollOut(service, target, deadlineMillis, next);
+  public ServiceRollOut withPhase(RollOutPhase newPhase) {
+    return new ServiceRollOut(service, target, deadlineMillis, newPhase);
   }
 
-  /** Returns whether it isn't decided yet. */
+  /** Returns whether this roll-out is not decided yet. */
   public boolean isRunning() {
     return phase == RollOutPhase.CANARY || phase == RollOutPhase.MOVING;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
@@ -17,32 +17,35 @@
 import org.skylarkfork.core.message.RelayMessage.HeardLimit;
 import org.skylarkfork.core.upstream.UpstreamRun;
 
-/** The upstreams that an entry knows of, as the leader tells of them. */
+/** An entry's replica of the leader's directory of upstreams. */
 final class UpstreamDirectory {
 
-  /** Rate limits in one poll, some 30 bytes each; the others come with the next. */
-  private static final int MOST_LIMITS = 64;
+  /**
+   * Maximum number of rate limits in one poll, some 30 bytes each; the others follow with the next
+   * poll.
+   */
+  private static final int MAX_LIMITS = 64;
 
   private final Map<String, UpstreamTrack> byId = new LinkedHashMap<>();
   private final Map<String, List<UpstreamTrack>> byService = new HashMap<>();
-  private final Map<String, String> usualVersions = new HashMap<>();
-  private final Map<String, UpstreamRun> updateLeaving = new HashMap<>();
+  private final Map<String, String> stableVersions = new HashMap<>();
+  private final Map<String, UpstreamRun> leaving = new HashMap<>();
   private Set<String> evacuated = Set.of();
   private long epoch;
   private long sequence;
   private boolean settled;
 
-  /** Returns the epoch of the leader's directory that this one has; 0 for none. */
+  /** Returns the epoch of the leader's directory that was applied last; 0 for none. */
   long epoch() {
     return epoch;
   }
 
-  /** Returns the newest change of that directory that this one has. */
+  /** Returns the sequence number of the last change that was applied. */
   long sequence() {
     return sequence;
   }
 
-  /** Returns whether all upstreams that live are known. */
+  /** Returns whether all live upstreams are known. */
   boolean settled() {
     return settled;
   }
@@ -59,17 +62,19 @@
     return byId.get(id);
   }
 
-  /** Returns the version of a service that is used apart from roll-outs, or null if none is. */
+  /**
+   * Returns the stable version of a service, which serves outside of roll-outs, or null if unknown.
+   */
   @Nullable String stableVersion(String service) {
-    return usualVersions.get(service);
+    return stableVersions.get(service);
   }
 
-  /** Takes note that a version of a service has come into use with a roll-out. */
+  /** Sets the stable version of a service after a roll-out. */
   void stableVersion(String service, String version) {
-    usualVersions.put(service, version);
+    stableVersions.put(service, version);
   }
 
-  /** Returns the availability zones whose upstreams get nothing. */
+  /** Returns the evacuated availability zones, whose upstreams receive no requests. */
   Set<String> evacuated() {
     return evacuated;
   }
@@ -84,26 +89,29 @@
   }
 
   /**
-   * Takes the starts of upstreams that leave, all that are agreed on.
+   * Replaces the set of upstream runs that leave.
    *
-   * @param runs the starts
-   * @param index log index that this rests on
-   * @param output takes a line for each that is new
+   * @param runs all runs whose leaving is committed
+   * @param index log index of that set
+   * @param output receives a log line for each upstream that newly leaves
    */
   void updateLeaving(List<UpstreamRun> runs, long index, Output output) {
-    updateLeaving.clear();
-    runs.forEach(run -> updateLeaving.put(run.id(), run));
-    for (UpstreamRun run : updateLeaving.values()) {
+    leaving.clear();
+    runs.forEach(run -> leaving.put(run.id(), run));
+    for (UpstreamRun run : leaving.values()) {
       UpstreamTrack track = byId.get(run.id());
-      boolean meant = track != null && run.covers(track.instance().run());
-      if (meant && track.condition() != UpstreamCondition.LEAVING) {
+      boolean matches = track != null && run.covers(track.instance().run());
+      if (matches && track.condition() != UpstreamCondition.LEAVING) {
         track.leaves();
         log("event=upstream_leaves id=" + run.id() + " index=" + index, output);
       }
     }
   }
 
-  /** Takes what the leader tells, unless it is older than what is known or doesn't follow it. */
+  /**
+   * Applies changes from the leader, unless they are outdated or do not follow the last change
+   * applied.
+   */
   void apply(DirectoryChanges changes, Instant now, Output output) {
     if (changes.epoch() < epoch) {
       return;
@@ -119,9 +127,10 @@
     epoch = changes.epoch();
     sequence = changes.sequence();
     if (changes.whole() && changes.settled()) {
-      forgetOthers(changes.upstreams());
+      retainOnly(changes.upstreams());
     } else if (changes.whole()) {
-      // An unsettled leader may not know every upstream yet; ask again for the whole later.
+      // An unsettled leader may not know every upstream yet; request the whole directory again
+      // later.
       epoch = changes.epoch() - 1;
     }
   }
@@ -130,56 +139,54 @@
     UpstreamInstance instance = status.instance();
     UpstreamTrack known = byId.get(instance.id());
     if (known == null || instance.bornMillis() > known.instance().bornMillis()) {
-      takeRun(status, known, output);
+      addRun(status, known, output);
     } else if (instance.bornMillis() != known.instance().bornMillis()) {
       return;
     } else if (known.condition() != status.condition() || instance.isNewerThan(known.instance())) {
       known.told(status);
     }
     UpstreamTrack track = byId.get(instance.id());
-    takeCold(track, instance, now, output);
-    takeLimit(track, status.named(), now, output);
+    applyCold(track, instance, now, output);
+    applyRateLimit(track, status.named(), now, output);
   }
 
-  /**
-   * Takes over how long an upstream is cold; the way of the message makes it longer, never less.
-   */
-  private static void takeCold(
-      UpstreamTrack track, UpstreamInstance told, Instant now, Output output) {
-    if (told.sequence() < track.instance().sequence()) {
+  /** Updates until when an upstream is cold; message delay can only lengthen that time. */
+  private static void applyCold(
+      UpstreamTrack track, UpstreamInstance instance, Instant now, Output output) {
+    if (instance.sequence() < track.instance().sequence()) {
       return;
     }
-    boolean was = track.isCold(now);
-    track.coldUntil(now.plusMillis(told.coldMillis()));
-    if (was != track.isCold(now)) {
-      log("event=upstream_cold id=" + told.id() + " cold_ms=" + told.coldMillis(), output);
+    boolean wasCold = track.isCold(now);
+    track.coldUntil(now.plusMillis(instance.coldMillis()));
+    if (wasCold != track.isCold(now)) {
+      log("event=upstream_cold id=" + instance.id() + " cold_ms=" + instance.coldMillis(), output);
     }
   }
 
   /**
-   * Takes a start of an upstream that is not known yet; what was learned of the one before goes.
+   * Adds a new run of an upstream and discards the statistics of the run before.
    *
-   * <p>Kept, its failures would turn work away from a sound process, and prompts would be sent to
-   * where they were kept before.
+   * <p>If they were retained, failures of the run before would divert requests from a healthy
+   * process, and prompts would be placed by cached prefixes that the new process does not have.
    */
-  private void takeRun(UpstreamStatus status, @Nullable UpstreamTrack before, Output output) {
+  private void addRun(UpstreamStatus status, @Nullable UpstreamTrack before, Output output) {
     UpstreamInstance instance = status.instance();
     if (before != null) {
       byService.getOrDefault(before.instance().service(), List.of()).remove(before);
     }
     UpstreamTrack track = new UpstreamTrack(status);
-    UpstreamRun left = updateLeaving.get(instance.id());
+    UpstreamRun left = leaving.get(instance.id());
     if (left != null && left.covers(instance.run())) {
       track.leaves();
     }
     markEvacuated(track);
     byId.put(instance.id(), track);
     byService.computeIfAbsent(instance.service(), service -> new ArrayList<>()).add(track);
-    usualVersions.putIfAbsent(instance.service(), instance.version());
+    stableVersions.putIfAbsent(instance.service(), instance.version());
     log("event=upstream_taken " + facts(status), output);
   }
 
-  private static void takeLimit(
+  private static void applyRateLimit(
       UpstreamTrack track, @Nullable NamedLimit named, Instant now, Output output) {
     RateLimit before = track.rateLimit();
     track.rate().leaderKnows(named);
@@ -197,20 +204,23 @@
     }
   }
 
-  /** Returns what upstreams named to this entry and the leader doesn't know. */
+  /**
+   * Returns the rate limits that upstreams reported to this entry and that the leader does not
+   * know.
+   */
   List<HeardLimit> limitsUnknownToLeader(Instant now) {
     List<HeardLimit> limits = new ArrayList<>();
     for (UpstreamTrack track : byId.values()) {
       TrackedRateLimit rate = track.rate();
       NamedLimit named = rate.isNewsToLeader() ? rate.toTell(now) : null;
-      if (named != null && limits.size() < MOST_LIMITS) {
+      if (named != null && limits.size() < MAX_LIMITS) {
         limits.add(new HeardLimit(track.instance().run(), named));
       }
     }
     return limits;
   }
 
-  private void forgetOthers(List<UpstreamStatus> all) {
+  private void retainOnly(List<UpstreamStatus> all) {
     Set<String> ids = new HashSet<>();
     all.forEach(status -> ids.add(status.instance().id()));
     byId.keySet().retainAll(ids);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamInstance.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamInstance.java
@@ -3,17 +3,18 @@
 import org.skylarkfork.core.upstream.UpstreamRun;
 
 /**
- * One run of an upstream's process, as its newest heartbeat told it.
+ * One run of an upstream's process, as of its newest heartbeat.
  *
- * @param id id of the upstream; it may start again under the same one
+ * @param id id of the upstream; a restarted process may have the same id
  * @param service service that it belongs to
  * @param address IP number and port
  * @param zone its availability zone
  * @param version version of its software
- * @param slots requests that it runs at once; 0 if it doesn't say
- * @param sequence number of the heartbeat that told this, rising with each of a start
- * @param bornMillis when the process started, in milliseconds since 1970; 0 if it doesn't say
- * @param coldMillis how long it stayed cold when this was told, in milliseconds; 0 for a warm one
+ * @param slots number of requests that it runs at once; 0 if unknown
+ * @param sequence number of the heartbeat, which increases with each heartbeat of a run
+ * @param bornMillis when the process started, in milliseconds since 1970; 0 if unknown
+ * @param coldMillis remaining time for which it is cold, as of the message, in milliseconds; 0 if
+ *     it is warm
  */
 public record UpstreamInstance(
     String id,
@@ -26,7 +27,7 @@
     long bornMillis,
     long coldMillis) {
 
-  /** Makes a warm upstream. */
+  /** Creates a warm upstream. */
   public UpstreamInstance(
       String id,
       String service,
@@ -39,18 +40,18 @@
     this(id, service, address, zone, version, slots, sequence, bornMillis, 0);
   }
 
-  /** Returns the same state as it is to be told when the upstream stays cold for some time. */
+  /** Returns this instance with another remaining cold time, in milliseconds. */
   public UpstreamInstance withColdMillis(long millis) {
     return new UpstreamInstance(
         id, service, address, zone, version, slots, sequence, bornMillis, millis);
   }
 
-  /** Returns which start of the upstream this is. */
+  /** Returns the run of the upstream. */
   public UpstreamRun run() {
     return new UpstreamRun(id, bornMillis);
   }
 
-  /** Returns whether this was told later than another state of the same id. */
+  /** Returns whether this is a newer state than another one of the same id. */
   public boolean isNewerThan(UpstreamInstance other) {
     return bornMillis == other.bornMillis
         ? sequence > other.sequence
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
@@ -13,19 +13,19 @@
 import org.skylarkfork.core.message.RelayMessage.DirectoryChanges;
 import org.skylarkfork.core.upstream.UpstreamRun;
 
-/** The upstreams that a control VM has heard of, with a number for each change. */
+/** The upstreams that are known to a control VM, with a sequence number for each change. */
 final class UpstreamRegistry {
 
   private static final int MAX_SUPERSEDED = 4096;
 
   /**
-   * Least change of the end of a cold time that entries are told of; two heartbeats tell the same
-   * end with a difference by their ways.
+   * Minimum change of the end of a cold period that is sent to entries; message delay makes two
+   * heartbeats report the same end with a difference.
    */
   private static final Duration COLD_STEP = Duration.ofMillis(300);
 
   private final RelayTimes times;
-  private final Map<String, Entry> byId = new LinkedHashMap<>();
+  private final Map<String, Registration> byId = new LinkedHashMap<>();
   private final Map<String, String> idByAddress = new HashMap<>();
   private final Map<String, UpstreamRun> superseded = new HashMap<>();
   private final Map<String, Instant> zoneColdUntil = new HashMap<>();
@@ -36,107 +36,110 @@
   }
 
   /**
-   * Takes note of a heartbeat.
+   * Records a heartbeat.
    *
-   * <p>A heartbeat that was held up can come after its sender has crashed and another upstream has
-   * taken the address. Believed, it would send that upstream's address the work of another service,
-   * so a start that lost its address never gets it back. A later start of the same id may: it is
-   * another process, of which nothing that was known of the earlier one holds.
+   * <p>A delayed heartbeat can arrive after its sender has crashed and another upstream has taken
+   * the address. If it were accepted, that upstream would receive the requests of another service,
+   * so a run that lost its address never gets it back. A later run of the same id may get it: it is
+   * another process, to which no state of the earlier run applies.
    */
   void recordHeartbeat(UpstreamInstance instance, boolean leaving, Instant now) {
     if (isSuperseded(instance.run())) {
       return;
     }
-    Entry known = byId.get(instance.id());
-    if (known != null && !instance.isNewerThan(known.instance())) {
+    Registration current = byId.get(instance.id());
+    if (current != null && !instance.isNewerThan(current.instance())) {
       return;
     }
-    if (!takeAddress(instance, known)) {
+    if (!claimAddress(instance, current)) {
       return;
     }
-    boolean sameRun = known != null && known.instance().run().equals(instance.run());
-    boolean left = sameRun && known.condition == UpstreamCondition.LEAVING;
+    boolean sameRun = current != null && current.instance().run().equals(instance.run());
+    boolean wasLeaving = sameRun && current.condition == UpstreamCondition.LEAVING;
     UpstreamCondition condition =
-        leaving || left ? UpstreamCondition.LEAVING : UpstreamCondition.READY;
-    Entry entry = known == null ? new Entry() : known;
+        leaving || wasLeaving ? UpstreamCondition.LEAVING : UpstreamCondition.READY;
+    Registration registration = current == null ? new Registration() : current;
     Instant coldUntil = now.plusMillis(instance.coldMillis());
-    boolean cold = sameRun && isOtherCold(known.coldUntil, coldUntil, now);
-    if (!sameRun || known.condition != condition || cold) {
-      entry.changedAt = ++sequence;
+    boolean cold = sameRun && isColdChanged(current.coldUntil, coldUntil, now);
+    if (!sameRun || current.condition != condition || cold) {
+      registration.changedAt = ++sequence;
     }
     if (!sameRun) {
-      entry.forgetLimit();
+      registration.clearLimit();
     }
-    entry.instance = instance;
-    entry.coldUntil = coldUntil;
-    entry.lastHeard = now;
-    entry.condition = condition;
-    byId.put(instance.id(), entry);
+    registration.instance = instance;
+    registration.coldUntil = coldUntil;
+    registration.lastHeartbeat = now;
+    registration.condition = condition;
+    byId.put(instance.id(), registration);
   }
 
   /**
-   * Takes note of what an upstream said of its rate limit to an entry; the newest word counts.
+   * Records a rate limit that an upstream reported to an entry; the newest report applies.
    *
-   * @param run the start of the upstream
-   * @param recordRateLimit what it said
-   * @param by the entry that got that answer
+   * @param run the run of the upstream
+   * @param reported the reported limit
+   * @param entryName the entry that received the limit with an answer
    * @param now the present time
-   * @return whether entries are to be told
+   * @return whether the change must be sent to entries
    */
-  boolean recordRateLimit(UpstreamRun run, NamedLimit named, String by, Instant now) {
-    Entry entry = byId.get(run.id());
-    boolean meant = entry != null && entry.instance().run().equals(run);
-    if (!meant || !entry.rate.told(named, now) || named.limit().isNear(entry.toldLimit)) {
+  boolean recordRateLimit(UpstreamRun run, NamedLimit reported, String entryName, Instant now) {
+    Registration registration = byId.get(run.id());
+    boolean matches = registration != null && registration.instance().run().equals(run);
+    if (!matches
+        || !registration.rate.told(reported, now)
+        || reported.limit().isNear(registration.sentLimit)) {
       return false;
     }
-    entry.toldLimit = named.limit();
-    entry.limitBy = by;
-    entry.limitSince = entry.rate.namedAt();
-    entry.changedAt = ++sequence;
+    registration.sentLimit = reported.limit();
+    registration.limitReportedTo = entryName;
+    registration.limitSince = registration.rate.namedAt();
+    registration.changedAt = ++sequence;
     return true;
   }
 
-  /** Returns the upstreams that name a rate limit. */
+  /** Returns the upstreams that report a rate limit. */
   List<LimitedUpstream> limitedUpstreams() {
     return byId.values().stream()
-        .filter(entry -> entry.rate.limit().isBounded())
+        .filter(registration -> registration.rate.limit().isBounded())
         .map(
-            entry ->
+            registration ->
                 new LimitedUpstream(
-                    entry.instance().id(),
-                    entry.instance().service(),
-                    entry.instance().address(),
-                    entry.rate.limit().perSecond(),
-                    entry.limitSince,
-                    entry.limitBy))
+                    registration.instance().id(),
+                    registration.instance().service(),
+                    registration.instance().address(),
+                    registration.rate.limit().perSecond(),
+                    registration.limitSince,
+                    registration.limitReportedTo))
         .toList();
   }
 
-  /** Returns whether it makes a difference until when of two times an upstream is cold. */
-  private static boolean isOtherCold(Instant before, Instant after, Instant now) {
-    boolean matters = before.isAfter(now) || after.isAfter(now);
-    return matters && Duration.between(before, after).abs().compareTo(COLD_STEP) > 0;
+  /** Returns whether two ends of a cold period differ enough to be sent to entries. */
+  private static boolean isColdChanged(Instant before, Instant after, Instant now) {
+    boolean relevant = before.isAfter(now) || after.isAfter(now);
+    return relevant && Duration.between(before, after).abs().compareTo(COLD_STEP) > 0;
   }
 
   private boolean isSuperseded(UpstreamRun run) {
-    UpstreamRun gone = superseded.get(run.id());
-    return gone != null && gone.covers(run);
+    UpstreamRun supersededRun = superseded.get(run.id());
+    return supersededRun != null && supersededRun.covers(run);
   }
 
-  /** Gives an address to its newest holder; returns whether that is the one that was heard. */
-  private boolean takeAddress(UpstreamInstance instance, @Nullable Entry known) {
+  /** Assigns an address to its youngest holder; returns whether that is the given instance. */
+  private boolean claimAddress(UpstreamInstance instance, @Nullable Registration current) {
     String holder = idByAddress.get(instance.address());
-    Entry held = holder == null || holder.equals(instance.id()) ? null : byId.get(holder);
-    if (held != null && held.isYoungerThan(instance)) {
+    Registration holderRegistration =
+        holder == null || holder.equals(instance.id()) ? null : byId.get(holder);
+    if (holderRegistration != null && holderRegistration.startedAfter(instance)) {
       supersede(instance.run());
       return false;
     }
-    if (held != null) {
-      supersede(held.instance().run());
-      markLeaving(held.instance().run());
+    if (holderRegistration != null) {
+      supersede(holderRegistration.instance().run());
+      markLeaving(holderRegistration.instance().run());
     }
-    if (known != null) {
-      idByAddress.remove(known.instance().address(), instance.id());
+    if (current != null) {
+      idByAddress.remove(current.instance().address(), instance.id());
     }
     idByAddress.put(instance.address(), instance.id());
     return true;
@@ -148,47 +151,50 @@
     }
   }
 
-  /** Takes note that a start of an upstream, and each one before it, gets no new work any more. */
+  /**
+   * Marks a run of an upstream, and each run before it, as leaving, so that it gets no new
+   * requests.
+   */
   void markLeaving(UpstreamRun run) {
-    Entry entry = byId.get(run.id());
-    boolean meant = entry != null && run.covers(entry.instance().run());
-    if (meant && entry.condition != UpstreamCondition.LEAVING) {
-      entry.condition = UpstreamCondition.LEAVING;
-      entry.changedAt = ++sequence;
+    Registration registration = byId.get(run.id());
+    boolean matches = registration != null && run.covers(registration.instance().run());
+    if (matches && registration.condition != UpstreamCondition.LEAVING) {
+      registration.condition = UpstreamCondition.LEAVING;
+      registration.changedAt = ++sequence;
     }
   }
 
   /**
-   * Takes note that an availability zone gets work again after an evacuation.
+   * Reinstates an availability zone after an evacuation.
    *
-   * <p>Its upstreams may have turned cold shortly before, which their heartbeats tell up to a
-   * second too late. Sent their share of the work until then, they would fall over.
+   * <p>Its upstreams may have turned cold shortly before, which their heartbeats report up to a
+   * second too late. Full load until then would overload them, so they count as cold.
    *
    * @param zone the availability zone
-   * @param coldMillis how long they count as cold, in milliseconds
+   * @param coldMillis time for which its upstreams count as cold, in milliseconds
    * @param now the present time
    */
   void reinstateZone(String zone, long coldMillis, Instant now) {
     zoneColdUntil.put(zone, now.plusMillis(coldMillis));
-    for (Entry entry : byId.values()) {
-      if (entry.instance().zone().equals(zone)) {
-        entry.changedAt = ++sequence;
+    for (Registration registration : byId.values()) {
+      if (registration.instance().zone().equals(zone)) {
+        registration.changedAt = ++sequence;
       }
     }
   }
 
-  /** Marks upstreams that fell silent and forgets those that are long gone. */
+  /** Marks upstreams whose heartbeats have timed out and removes expired ones. */
   void tick(Instant now) {
-    Iterator<Entry> entries = byId.values().iterator();
-    while (entries.hasNext()) {
-      Entry entry = entries.next();
-      if (now.isAfter(entry.lastHeard.plus(times.upstreamForgotten()))) {
-        idByAddress.remove(entry.instance().address(), entry.instance().id());
-        entries.remove();
-      } else if (entry.condition == UpstreamCondition.READY
-          && now.isAfter(entry.lastHeard.plus(times.upstreamSilence()))) {
-        entry.condition = UpstreamCondition.SILENT;
-        entry.changedAt = ++sequence;
+    Iterator<Registration> registrations = byId.values().iterator();
+    while (registrations.hasNext()) {
+      Registration registration = registrations.next();
+      if (now.isAfter(registration.lastHeartbeat.plus(times.upstreamForgotten()))) {
+        idByAddress.remove(registration.instance().address(), registration.instance().id());
+        registrations.remove();
+      } else if (registration.condition == UpstreamCondition.READY
+          && now.isAfter(registration.lastHeartbeat.plus(times.upstreamSilence()))) {
+        registration.condition = UpstreamCondition.SILENT;
+        registration.changedAt = ++sequence;
       }
     }
   }
@@ -198,16 +204,16 @@
   }
 
   /**
-   * Returns how many upstreams the largest version of a service has that can be used.
+   * Returns the number of ready upstreams of the largest version of a service.
    *
-   * <p>While a roll-out is on there are twice as many upstreams; each version counts alone, so that
-   * their number doesn't seem to have doubled.
+   * <p>During a roll-out there are twice as many upstreams. Each version is counted separately, so
+   * that the number does not seem to have doubled.
    */
   int largestPool() {
     Map<String, Integer> pools = new HashMap<>();
-    for (Entry entry : byId.values()) {
-      if (entry.condition == UpstreamCondition.READY) {
-        UpstreamInstance instance = entry.instance();
+    for (Registration registration : byId.values()) {
+      if (registration.condition == UpstreamCondition.READY) {
+        UpstreamInstance instance = registration.instance();
         pools.merge(instance.service() + '/' + instance.version(), 1, Integer::sum);
       }
     }
@@ -219,29 +225,34 @@
   }
 
   private List<UpstreamStatus> statuses(long after, Instant now) {
-    List<Entry> changed = new ArrayList<>();
-    for (Entry entry : byId.values()) {
-      if (entry.changedAt > after) {
-        changed.add(entry);
+    List<Registration> changed = new ArrayList<>();
+    for (Registration registration : byId.values()) {
+      if (registration.changedAt > after) {
+        changed.add(registration);
       }
     }
-    changed.sort(Comparator.comparingLong(entry -> entry.changedAt));
+    changed.sort(Comparator.comparingLong(registration -> registration.changedAt));
     return changed.stream()
         .map(
-            entry ->
-                new UpstreamStatus(toldAt(entry, now), entry.condition, entry.rate.toTell(now)))
+            registration ->
+                new UpstreamStatus(
+                    instanceAt(registration, now),
+                    registration.condition,
+                    registration.rate.toTell(now)))
         .toList();
   }
 
-  /** Returns an upstream with what is left of its cold time, or of its zone's. */
-  private UpstreamInstance toldAt(Entry entry, Instant now) {
-    UpstreamInstance instance = entry.instance();
+  /**
+   * Returns an upstream with the remaining cold time of itself or of its zone, whichever is longer.
+   */
+  private UpstreamInstance instanceAt(Registration registration, Instant now) {
+    UpstreamInstance instance = registration.instance();
     Instant zoneCold = zoneColdUntil.getOrDefault(instance.zone(), Instant.EPOCH);
-    Instant until = entry.coldUntil.isAfter(zoneCold) ? entry.coldUntil : zoneCold;
+    Instant until = registration.coldUntil.isAfter(zoneCold) ? registration.coldUntil : zoneCold;
     return instance.withColdMillis(Math.max(0, Duration.between(now, until).toMillis()));
   }
 
-  /** Returns what an entry lacks that has this much of the directory of the epoch. */
+  /** Returns the changes that an entry with a given epoch and sequence number lacks. */
   DirectoryChanges changes(
       long epoch, boolean settled, long knownEpoch, long knownSequence, Instant now) {
     boolean whole = knownEpoch != epoch;
@@ -249,29 +260,30 @@
         epoch, sequence, whole, settled, statuses(whole ? 0 : knownSequence, now));
   }
 
-  private static final class Entry {
+  private static final class Registration {
     private @Nullable UpstreamInstance instance;
-    private Instant lastHeard = Instant.EPOCH;
+    private Instant lastHeartbeat = Instant.EPOCH;
     private UpstreamCondition condition = UpstreamCondition.READY;
     private Instant coldUntil = Instant.EPOCH;
     private long changedAt;
     private TrackedRateLimit rate = new TrackedRateLimit();
-    private RateLimit toldLimit = RateLimit.NONE;
+    private RateLimit sentLimit = RateLimit.NONE;
     private Instant limitSince = Instant.EPOCH;
-    private String limitBy = "";
+    private String limitReportedTo = "";
 
-    private void forgetLimit() {
+    private void clearLimit() {
       rate = new TrackedRateLimit();
-      toldLimit = RateLimit.NONE;
+      sentLimit = RateLimit.NONE;
     }
 
-    private boolean isYoungerThan(UpstreamInstance other) {
+    private boolean startedAfter(UpstreamInstance other) {
       return instance().bornMillis() > other.bornMillis();
     }
 
     private UpstreamInstance instance() {
       if (instance == null) {
-        throw new IllegalStateException("an entry is kept only once it was heard");
+        throw new IllegalStateException(
+            "a registration has an instance only after its first heartbeat");
       }
       return instance;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamStatus.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamStatus.java
@@ -3,16 +3,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * An upstream as the control VMs tell entries of it.
+ * Status of an upstream as sent by control VMs to entries.
  *
  * @param instance the upstream
- * @param condition what is believed of it
- * @param named what it said of its rate limit, or null if it never named one
+ * @param condition its condition as seen by the control VM
+ * @param named the rate limit that it reported last, or null if it never reported one
  */
 public record UpstreamStatus(
     UpstreamInstance instance, UpstreamCondition condition, @Nullable NamedLimit named) {
 
-  /** Makes the status of an upstream that never named a rate limit. */
+  /** Creates the status of an upstream that never reported a rate limit. */
   public UpstreamStatus(UpstreamInstance instance, UpstreamCondition condition) {
     this(instance, condition, null);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionSelector.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionSelector.java
@@ -3,7 +3,7 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.routing.StableHash;
 
-/** Decides which versions of a service may get a request while a roll-out is on or after it. */
+/** Selects the versions of a service that may receive a request, during and after a roll-out. */
 final class VersionSelector {
 
   private static final int BUCKETS = 10_000;
@@ -16,28 +16,28 @@
     this.canaryShare = canaryShare;
   }
 
-  /** Tells the allowed versions from the others. */
+  /** Tests whether a version is allowed. */
   interface VersionFilter {
 
-    /** Returns whether a version may get the request. */
+    /** Returns whether a version may receive the request. */
     boolean allows(String version);
   }
 
   /**
-   * Returns the versions for a request.
+   * Returns the filter of versions for a request.
    *
-   * @param service service that it goes to
+   * @param service the service of the request
    * @param request the request
    */
   VersionFilter filterFor(String service, RelayRequest request) {
     ServiceRollOut rollOut = rollOut(service);
     if (rollOut == null) {
-      String usual = view.usualVersion(service);
-      return version -> usual == null || version.equals(usual);
+      String stable = view.usualVersion(service);
+      return version -> stable == null || version.equals(stable);
     }
     String target = rollOut.target();
     return switch (rollOut.phase()) {
-      case CANARY -> canary(request) ? target::equals : version -> !version.equals(target);
+      case CANARY -> isCanary(request) ? target::equals : version -> !version.equals(target);
       case MOVING, SUCCEEDED -> target::equals;
       case ROLLED_BACK -> version -> !version.equals(target);
     };
@@ -53,12 +53,12 @@
   }
 
   /**
-   * Returns whether a request tries the new version.
+   * Returns whether a request goes to the new version in the canary phase.
    *
-   * <p>A session that moves to the new version and back would change its version under way, so only
-   * requests without a session try it.
+   * <p>A session that moved to the new version and back would change its version midway, so only
+   * requests without a session go to the new version.
    */
-  private boolean canary(RelayRequest request) {
+  private boolean isCanary(RelayRequest request) {
     if (request.session() != null) {
       return false;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionStatistics.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionStatistics.java
@@ -4,17 +4,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** Counts what this entry sees of each version of each service. */
+/**
+ * Counts answers, failures and times to the first byte by version of each service at this entry.
+ */
 public final class VersionStatistics {
 
   private final Map<String, VersionCounts> counts = new LinkedHashMap<>();
 
-  /** Adds a good answer and the time to its first byte, in milliseconds. */
+  /** Records a successful answer and the time to its first byte, in milliseconds. */
   public void recordAnswer(UpstreamInstance upstream, long firstByteMillis) {
     add(upstream, 0, firstByteMillis);
   }
 
-  /** Adds a failure. */
+  /** Records a failure. */
   public void recordFailure(UpstreamInstance upstream) {
     add(upstream, 1, 0);
   }
@@ -35,7 +37,7 @@
         one.firstByteMillis() + other.firstByteMillis());
   }
 
-  /** Returns the counts. */
+  /** Returns the counts by version. */
   List<VersionCounts> allCounts() {
     return List.copyOf(counts.values());
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/package-info.java
@@ -1,7 +1,8 @@
 /**
- * The relay: passes opaque requests on to upstreams by host and path, and what it needs for that.
+ * The relay: forwards opaque requests to upstreams by host and path, with the state and the
+ * coordination that this requires.
  *
- * <p>Bodies never reach this package. It decides on heads, event numbers and moments.
+ * <p>Bodies never reach this package. Its decisions depend on request heads, event ids and times.
  */
 @NullMarked
 package org.skylarkfork.core.relay;
