--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestSimulation.java
@@ -15,29 +15,29 @@
 import org.skylarkfork.core.event.RelayEvent;
 
 /**
- * Control VMs, entries, upstreams and callers in virtual time, where some contents end each
- * upstream that runs them.
+ * Simulates control VMs, entries, upstreams and callers in virtual time, where some requests crash
+ * each upstream that runs them.
  *
- * <p>An upstream that ends takes all its requests with it, takes no connection for three seconds,
- * and comes back under a new id at the same address. Such a content comes again for as long as the
- * run lasts, at any entry, whatever it is answered.
+ * <p>An upstream that crashes loses all its requests, accepts no connection for three seconds, and
+ * starts again under a new id at the same address. A crashing request is resent until the end of
+ * the simulation, to random entries, regardless of the answer.
  */
 final class CrashingRequestSimulation extends EmulatedDeployment {
 
-  /** Ends after which a content is known to end what runs it. */
+  /** Number of crashes after which a request should be identified as crashing. */
   static final int ENDS_UNTIL_FOUND = 3;
 
-  private static final Duration DOWN = Duration.ofSeconds(3);
-  private static final int WAIT_MILLIS = 150;
-  private static final int ANSWER_MILLIS = 600;
-  private static final int CRASH_MILLIS = 100;
-  private static final int REPEAT_MILLIS = 150;
+  private static final Duration RESTART_DELAY = Duration.ofSeconds(3);
+  private static final int MAX_WAIT_MILLIS = 150;
+  private static final int MAX_ANSWER_MILLIS = 600;
+  private static final int MAX_CRASH_MILLIS = 100;
+  private static final int RETRY_MILLIS = 150;
   private static final List<String> PATHS = List.of("/stream/x", "/lookup/x", "/book/x");
 
-  /** What became of each content that ends upstreams. */
+  /** Counts for each crashing request, by its content. */
   final Map<Long, CrashRecord> recordsByContent = new LinkedHashMap<>();
 
-  /** Good requests, and those of them that were refused, by the reason. */
+  /** Number of refused ordinary requests, by reason. */
   final Map<Refusal, Integer> ordinaryRefused = new HashMap<>();
 
   int ordinarySent;
@@ -49,22 +49,25 @@
   private long lastNumber;
   private long lastContent = 1_000_000;
 
-  /** A request of a caller, as an entry has it. */
-  private record Caller(long content, String path, int repeatsLeft) {}
+  /** A request of a caller that an entry processes. */
+  private record Caller(long content, String path, int retriesLeft) {}
 
-  /** An attempt at an upstream. */
+  /** An attempt that runs at an upstream. */
   private record Run(String entry, long request, int attempt, long content, Instant sentAt) {}
 
-  /** The ends of upstreams under one content, and the sends that came too late. */
+  /**
+   * The upstreams that one request crashed, its refusals, and its sends; late ones are counted
+   * apart.
+   */
   static final class CrashRecord {
     final Set<String> ended = new LinkedHashSet<>();
     final Map<Refusal, Integer> refused = new HashMap<>();
-    @Nullable Instant knownAt;
+    @Nullable Instant identifiedAt;
     int sends;
     int lateSends;
   }
 
-  /** One start of an upstream. */
+  /** One run of an upstream. */
   private static final class Upstream {
     private final UpstreamInstance instance;
     private final Map<Run, Boolean> begunByRun = new LinkedHashMap<>();
@@ -76,11 +79,11 @@
   }
 
   /**
-   * Makes and starts all, with a configuration in force and every upstream known.
+   * Creates and starts all daemons, applies a configuration and registers every upstream.
    *
-   * @param seed seed of all chance
-   * @param entryCount how many entries there are
-   * @param upstreamCount how many upstreams there are
+   * @param seed seed of the random numbers
+   * @param entryCount number of entries
+   * @param upstreamCount number of upstreams
    */
   CrashingRequestSimulation(long seed, int entryCount, int upstreamCount) {
     super(seed, entryCount);
@@ -106,7 +109,7 @@
     announce(instance, () -> upstream.up);
   }
 
-  /** Sends good requests, each of another content, for as long as the run lasts. */
+  /** Sends ordinary requests, each with a different content, until the end of the simulation. */
   void sendOrdinaryRequests(int requestsPerSecond) {
     after(
         Math.max(1, upTo(2 * 1000 / requestsPerSecond) - 1),
@@ -118,7 +121,9 @@
         });
   }
 
-  /** Sends one and the same good lookup for as long as the run lasts, as many callers do. */
+  /**
+   * Sends the same ordinary lookup repeatedly until the end of the simulation, as many callers do.
+   */
   void sendPopularLookups(long content, int requestsPerSecond) {
     after(
         upTo(2 * 1000 / requestsPerSecond),
@@ -129,7 +134,7 @@
         });
   }
 
-  /** Sends a content that ends upstreams, again and again, at most so long after its last end. */
+  /** Sends a crashing request repeatedly, with random pauses up to a maximum in milliseconds. */
   void sendCrashingRequest(long content, int pauseMillis) {
     recordsByContent.computeIfAbsent(content, unknown -> new CrashRecord());
     send(content, path(content), 0);
@@ -140,13 +145,13 @@
     return PATHS.get((int) (content % PATHS.size()));
   }
 
-  private void send(long content, String path, int repeatsLeft) {
+  private void send(long content, String path, int retriesLeft) {
     String entry = anyEntry();
     if (entry == null) {
       return;
     }
     long number = ++lastNumber;
-    callers.put(number, new Caller(content, path, repeatsLeft));
+    callers.put(number, new Caller(content, path, retriesLeft));
     inject(entry, new RelayEvent.RequestArrived(request(number, path, content)));
   }
 
@@ -170,13 +175,13 @@
   @Override
   void onEffect(String node, Effect effect) {
     if (effect instanceof RelayEffect.SendAttempt sent) {
-      after(1, () -> arrives(node, sent));
+      after(1, () -> onArrival(node, sent));
     } else if (effect instanceof RelayEffect.DropAttempt drop) {
-      dropped(node, drop);
+      onDropped(node, drop);
     } else if (effect instanceof RelayEffect.Refuse refuse) {
-      refused(refuse);
+      onRefused(refuse);
     } else if (effect instanceof RelayEffect.BreakOff broken) {
-      lost(callers.remove(broken.request()));
+      retry(callers.remove(broken.request()));
     } else if (effect instanceof RelayEffect.ProbeUpstream probe) {
       Upstream upstream = upstreams.get(probe.upstream().id());
       after(
@@ -189,7 +194,7 @@
     }
   }
 
-  private void arrives(String entry, RelayEffect.SendAttempt sent) {
+  private void onArrival(String entry, RelayEffect.SendAttempt sent) {
     Caller caller = callers.get(sent.request());
     Upstream upstream = upstreams.get(sent.target().upstream().id());
     if (caller == null) {
@@ -203,21 +208,21 @@
     upstream.begunByRun.put(run, false);
     CrashRecord record = recordsByContent.get(caller.content());
     if (record != null) {
-      count(record, entry);
+      countSend(record, entry);
     }
-    after(upTo(WAIT_MILLIS), () -> begins(upstream, run, caller));
+    after(upTo(MAX_WAIT_MILLIS), () -> onBegin(upstream, run, caller));
   }
 
-  private void count(CrashRecord record, String entry) {
+  private void countSend(CrashRecord record, String entry) {
     record.sends++;
-    Instant known = record.knownAt;
-    boolean late = known != null && network.now().isAfter(known.plus(CONTACT));
-    if (late && isInTouch(entry)) {
+    Instant identified = record.identifiedAt;
+    boolean isLate = identified != null && network.now().isAfter(identified.plus(CONTACT));
+    if (isLate && isInTouch(entry)) {
       record.lateSends++;
     }
   }
 
-  private void begins(Upstream upstream, Run run, Caller caller) {
+  private void onBegin(Upstream upstream, Run run, Caller caller) {
     if (!upstream.begunByRun.containsKey(run)) {
       return;
     }
@@ -227,20 +232,20 @@
       if (streams && random.nextBoolean()) {
         answer(run);
       }
-      after(upTo(CRASH_MILLIS) - 1, () -> crashUnder(upstream, run));
+      after(upTo(MAX_CRASH_MILLIS) - 1, () -> crashUnder(upstream, run));
       return;
     }
     if (streams) {
       answer(run);
     }
-    after(upTo(ANSWER_MILLIS), () -> ends(upstream, run, streams));
+    after(upTo(MAX_ANSWER_MILLIS), () -> onEnd(upstream, run, streams));
   }
 
   private void answer(Run run) {
     inject(run.entry(), new RelayEvent.AnswerBegan(run.request(), run.attempt(), 200, false, null));
   }
 
-  private void ends(Upstream upstream, Run run, boolean streams) {
+  private void onEnd(Upstream upstream, Run run, boolean streams) {
     if (upstream.begunByRun.remove(run) == null) {
       return;
     }
@@ -259,16 +264,16 @@
     CrashRecord record = recordsByContent.get(run.content());
     record.ended.add(upstream.instance.id());
     if (record.ended.size() == ENDS_UNTIL_FOUND) {
-      record.knownAt = network.now();
+      record.identifiedAt = network.now();
     }
     crash(upstream);
   }
 
-  /** Ends upstreams that run, each by itself; other contents have no part in it. */
-  void crashUpstreams(double share) {
-    List<Upstream> running = upstreams.values().stream().filter(one -> one.up).toList();
+  /** Crashes each running upstream with a probability, independently of its requests. */
+  void crashUpstreams(double probability) {
+    List<Upstream> running = upstreams.values().stream().filter(candidate -> candidate.up).toList();
     for (Upstream upstream : running) {
-      if (random.nextDouble() < share) {
+      if (random.nextDouble() < probability) {
         crash(upstream);
       }
     }
@@ -285,10 +290,10 @@
                 run.attempt(),
                 begun ? AttemptFailure.BROKEN_OFF : AttemptFailure.NO_ANSWER));
     upstream.begunByRun.clear();
-    String[] words = upstream.instance.id().substring("up-".length()).split("\\.");
-    int number = Integer.parseInt(words[0]);
-    int start = Integer.parseInt(words[1]);
-    after(DOWN.toMillis(), () -> startUpstream(number, start + 1));
+    String[] idParts = upstream.instance.id().substring("up-".length()).split("\\.");
+    int number = Integer.parseInt(idParts[0]);
+    int start = Integer.parseInt(idParts[1]);
+    after(RESTART_DELAY.toMillis(), () -> startUpstream(number, start + 1));
   }
 
   private void fail(String entry, long request, int attempt, AttemptFailure failure) {
@@ -297,7 +302,7 @@
         () -> inject(entry, new RelayEvent.AttemptFailed(request, attempt, failure, null)));
   }
 
-  private void dropped(String entry, RelayEffect.DropAttempt drop) {
+  private void onDropped(String entry, RelayEffect.DropAttempt drop) {
     for (Upstream upstream : upstreams.values()) {
       upstream
           .begunByRun
@@ -310,7 +315,7 @@
     }
   }
 
-  private void refused(RelayEffect.Refuse refuse) {
+  private void onRefused(RelayEffect.Refuse refuse) {
     Caller caller = callers.remove(refuse.request());
     if (caller == null) {
       return;
@@ -322,14 +327,14 @@
     }
     ordinaryRefused.merge(refuse.refusal(), 1, Integer::sum);
     if (refuse.refusal() != Refusal.QUARANTINED) {
-      lost(caller);
+      retry(caller);
     }
   }
 
-  /** Lets a caller whose request failed send it once more. */
-  private void lost(@Nullable Caller caller) {
-    if (caller != null && caller.repeatsLeft() > 0) {
-      after(REPEAT_MILLIS, () -> send(caller.content(), caller.path(), caller.repeatsLeft() - 1));
+  /** Resends the failed request of a caller while it has retries left. */
+  private void retry(@Nullable Caller caller) {
+    if (caller != null && caller.retriesLeft() > 0) {
+      after(RETRY_MILLIS, () -> send(caller.content(), caller.path(), caller.retriesLeft() - 1));
     }
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestTest.java
@@ -10,32 +10,32 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.testng.annotations.Test;
 
-/** Tests with requests that end each upstream which runs them. */
+/** Tests the quarantine of requests that crash each upstream which runs them. */
 public final class CrashingRequestTest {
 
-  /** Property with the number of seeds; more are run by hand. */
+  /** System property with the number of seeds; higher numbers are for manual runs. */
   private static final String SEEDS_PROPERTY = "skylarkfork.relay.seeds";
 
-  /** Property with the first seed. */
+  /** System property with the first seed. */
   private static final String FIRST_PROPERTY = "skylarkfork.relay.first";
 
-  private static final int USUAL_SEEDS = 15;
-  private static final int STRIKES = 5;
+  private static final int DEFAULT_SEEDS = 15;
+  private static final int FAULTS = 5;
 
-  /** Sends that may still reach upstreams once all entries in touch can know. */
-  private static final int MOST_LATE_SENDS = 3;
+  /** Maximum number of sends once all connected entries can have the quarantine. */
+  private static final int MAX_LATE_SENDS = 3;
 
   /**
-   * A caller sends the same request again and again, to any of seven entries, and each upstream
-   * that begins to run it ends; callers of all requests beside it lose their answers. Attempts and
-   * repeats were bounded for each request and entry, and nothing that a request had done to
-   * upstreams outlived it, so it was sent on for good: 180 sends here later than all entries could
-   * know, 121 upstreams ended in 30 s. Logs of such a day: 406 requests lost an upstream within 5.4
-   * s, 44 of them three. With the content refused, the same day had no such send, and 954 of 1,000
-   * requests were served in place of 818.
+   * Guards against a caller that resends a crashing request to any of seven entries, where each
+   * upstream that runs it ends and all other requests there lose their answers.
+   *
+   * <p>With attempts and retries bounded only for each request and entry, this simulation had 180
+   * late sends, and 121 upstreams ended in 30 s. The logs of another run show 406 requests that
+   * lost an upstream within 5.4 s, 44 of them three upstreams. With the content quarantined, that
+   * run had no late sends, and 954 of 1,000 requests were served instead of 818.
    */
   @Test
-  public void requestThatEndsItsUpstreamsIsNotSentOnForGood() {
+  public void crashingRequestIsQuarantined() {
     CrashingRequestSimulation run = new CrashingRequestSimulation(1, 7, 13);
     run.sendOrdinaryRequests(130);
     run.run(Duration.ofSeconds(2));
@@ -44,16 +44,16 @@
     CrashingRequestSimulation.CrashRecord record = run.recordsByContent.get(1L);
     assertTrue(record.ended.size() >= CrashingRequestSimulation.ENDS_UNTIL_FOUND);
     assertTrue(
-        record.lateSends <= MOST_LATE_SENDS,
+        record.lateSends <= MAX_LATE_SENDS,
         record.lateSends + " late sends, " + record.ended.size() + " upstreams ended");
   }
 
   /**
-   * No caller of a good request is refused as if its request ended upstreams, though a tenth of
-   * them end each second by themselves, and many callers send one and the same lookup.
+   * Guards against the quarantine of ordinary requests, while a tenth of the upstreams crash each
+   * second for other reasons and many callers send the same lookup.
    */
   @Test
-  public void goodRequestsAreServedWhereUpstreamsEndByThemselves() {
+  public void ordinaryRequestsAreNotQuarantinedWhenUpstreamsCrash() {
     CrashingRequestSimulation run = new CrashingRequestSimulation(1, 7, 13);
     run.sendOrdinaryRequests(400);
     run.sendPopularLookups(7, 100);
@@ -67,9 +67,9 @@
         run.ordinaryRefused.containsKey(Refusal.QUARANTINED), run.ordinaryRefused.toString());
   }
 
-  /** All daemons are killed after a request was found; they refuse it from their start on. */
+  /** A quarantine survives a crash of all daemons: they refuse the request from their start. */
   @Test
-  public void whatWasFoundOutlivesAllDaemons() {
+  public void quarantineSurvivesACrashOfAllDaemons() {
     CrashingRequestSimulation run = new CrashingRequestSimulation(2, 7, 13);
     run.sendOrdinaryRequests(60);
     run.sendCrashingRequest(1, 400);
@@ -87,14 +87,14 @@
   }
 
   /**
-   * Requests that end their upstreams come while daemons are killed, wiped, frozen and cut off, a
-   * new one with each fault. Each is sent to three more upstreams at most by entries that are in
-   * touch, once these can know of it.
+   * Sends a new crashing request with each fault, while daemons are killed, wiped, frozen and
+   * partitioned. Connected entries send each request to at most three more upstreams once they can
+   * have its quarantine.
    */
   @Test
   public void crashingRequestsAreBoundedInRandomRuns() {
     long first = Long.getLong(FIRST_PROPERTY, 1);
-    int seeds = Integer.getInteger(SEEDS_PROPERTY, USUAL_SEEDS);
+    int seeds = Integer.getInteger(SEEDS_PROPERTY, DEFAULT_SEEDS);
     int ended = 0;
     for (long seed = first; seed < first + seeds; seed++) {
       try {
@@ -110,12 +110,12 @@
     CrashingRequestSimulation run = new CrashingRequestSimulation(seed, 7, 13);
     run.network.weather(0.01, 0.01, 3);
     run.sendOrdinaryRequests(60);
-    for (int strike = 1; strike <= STRIKES; strike++) {
-      run.sendCrashingRequest(strike, 600);
+    for (int fault = 1; fault <= FAULTS; fault++) {
+      run.sendCrashingRequest(fault, 600);
       run.run(Duration.ofMillis(run.random.nextInt(1500)));
-      List<String> struck = strike(run);
+      List<String> downDaemons = injectFault(run);
       run.run(Duration.ofMillis(500 + run.random.nextInt(3000)));
-      recover(run, struck);
+      recover(run, downDaemons);
       run.run(Duration.ofSeconds(9));
     }
     run.recordsByContent.forEach((content, record) -> check(content, record));
@@ -123,24 +123,24 @@
   }
 
   private static void check(long content, CrashingRequestSimulation.CrashRecord record) {
-    String what =
+    String counts =
         content + ": " + record.lateSends + " late sends, " + record.ended.size() + " ended";
-    assertTrue(record.lateSends <= MOST_LATE_SENDS, what);
-    assertTrue(record.refused.containsKey(Refusal.QUARANTINED), what);
+    assertTrue(record.lateSends <= MAX_LATE_SENDS, counts);
+    assertTrue(record.refused.containsKey(Refusal.QUARANTINED), counts);
   }
 
-  private static List<String> strike(CrashingRequestSimulation run) {
+  private static List<String> injectFault(CrashingRequestSimulation run) {
     UniformRandomProvider random = run.random;
     String leader = run.leader();
     String control = run.controls.get(random.nextInt(run.controls.size()));
-    List<String> struck = new ArrayList<>();
+    List<String> downDaemons = new ArrayList<>();
     switch (random.nextInt(6)) {
-      case 0 -> struck.add(leader == null ? control : leader);
-      case 1 -> struck.addAll(run.controls);
-      case 2 -> struck.addAll(run.entries.subList(0, 1 + random.nextInt(run.entries.size())));
+      case 0 -> downDaemons.add(leader == null ? control : leader);
+      case 1 -> downDaemons.addAll(run.controls);
+      case 2 -> downDaemons.addAll(run.entries.subList(0, 1 + random.nextInt(run.entries.size())));
       case 3 -> {
         run.network.wipe(control);
-        struck.add(control);
+        downDaemons.add(control);
       }
       case 4 -> {
         String frozen = random.nextBoolean() || leader == null ? run.entries.get(0) : leader;
@@ -154,12 +154,12 @@
         return List.of();
       }
     }
-    struck.forEach(run.network::crash);
-    struck.forEach(run::disturbed);
-    return struck;
+    downDaemons.forEach(run.network::crash);
+    downDaemons.forEach(run::disturbed);
+    return downDaemons;
   }
 
-  private static void recover(CrashingRequestSimulation run, List<String> struck) {
+  private static void recover(CrashingRequestSimulation run, List<String> downDaemons) {
     run.network.heal();
     List<String> all = new ArrayList<>(run.controls);
     all.addAll(run.entries);
@@ -168,7 +168,7 @@
         run.network.thaw(name);
       }
     }
-    struck.forEach(run.network::start);
+    downDaemons.forEach(run.network::start);
     all.forEach(run::disturbed);
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EntryRegistryTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EntryRegistryTest.java
@@ -38,9 +38,12 @@
     return registry;
   }
 
-  /** An entry is told of callers' addresses as they stand in its zone, and of all other entries. */
+  /**
+   * The neighbourhood lists caller addresses, those of the entry's zone first, and all other
+   * entries.
+   */
   @Test
-  public void neighbourhoodNamesTheOthers() {
+  public void neighbourhoodListsTheOtherEntries() {
     EntryRegistry registry = registry(false, false, false);
     RelayMessage.Neighbourhood told = registry.neighbourhood("entry-1", 6);
     assertEquals(told.callerAddresses(), List.of("10.0.0.1", "10.0.0.0", "10.0.0.2"));
@@ -51,9 +54,9 @@
         registry(false, true, false).neighbourhood("entry-1", 6).version(), told.version());
   }
 
-  /** What an entry was told before it is told anew once another one comes, changes or goes. */
+  /** The neighbourhood of an entry changes when another entry is added, changes or is removed. */
   @Test
-  public void neighbourhoodChangesWithTheOthers() {
+  public void neighbourhoodChangesWithTheOtherEntries() {
     EntryRegistry registry = registry(false, false, false);
     assertEquals(registry.neighbourhood("entry-1", 6).callerAddresses().size(), 3);
     registry.recordPoll("entry-2", poll(2, "a", false, false), START);
@@ -67,25 +70,25 @@
         registry.neighbourhood("entry-1", 6).callerAddresses(), List.of("10.0.0.1", "10.0.0.3"));
   }
 
-  /** Up to nine entries, each is told by all others and tells all others, and none schedules. */
+  /** With up to nine entries, all report their load to all others, and there is no scheduler. */
   @Test
-  public void fewEntriesHearEachOther() {
+  public void fewEntriesReportToEachOther() {
     EntryRegistry registry = registry(new boolean[9]);
-    Map<String, Integer> heard = new HashMap<>();
+    Map<String, Integer> reportsByPeer = new HashMap<>();
     for (String node : registry.nodes()) {
       RelayMessage.Neighbourhood told = registry.neighbourhood(node, 60);
       assertEquals(Set.copyOf(told.peers()).size(), 8);
       assertFalse(told.peers().contains(node));
       assertEquals(told.schedulers(), List.of());
-      told.peers().forEach(peer -> heard.merge(peer, 1, Integer::sum));
+      told.peers().forEach(peer -> reportsByPeer.merge(peer, 1, Integer::sum));
     }
-    assertEquals(heard.size(), 9);
-    assertEquals(Set.copyOf(heard.values()), Set.of(8));
+    assertEquals(reportsByPeer.size(), 9);
+    assertEquals(Set.copyOf(reportsByPeer.values()), Set.of(8));
   }
 
   /**
-   * With more entries than can hear each other, all are told of the same schedulers, one for each
-   * group of engines, and nobody tells others of its load.
+   * With more entries, all receive the same schedulers, one for each group of engines, and none
+   * reports its load to others.
    */
   @Test
   public void manyEntriesHaveTheSameSchedulers() {
@@ -105,10 +108,10 @@
   }
 
   /**
-   * One entry stands still: its group of engines gets another scheduler, the others keep theirs.
+   * If one scheduler is busy, its group gets another scheduler and the other groups keep theirs.
    */
   @Test
-  public void lostSchedulerIsReplacedAlone() {
+  public void busySchedulerIsReplacedWithoutChangingOthers() {
     boolean[] busy = new boolean[75];
     List<String> before = registry(busy).neighbourhood("entry-0", 200).schedulers();
     assertEquals(before.size(), 8);
@@ -120,18 +123,18 @@
   }
 
   /**
-   * Callers of 91 entries take 64 addresses. All look-ups together name each entry as often as any
-   * other, those that control VMs answer and those that entries answer.
+   * Callers of 91 entries receive 64 addresses. All look-ups together return each entry equally
+   * often, both at control VMs and at entries.
    */
   @Test
-  public void moreEntriesThanCallersTakeAreNamedEvenly() {
+  public void addressesAreSpreadEvenlyOverManyEntries() {
     EntryRegistry registry = registry(new boolean[91]);
     Map<String, Integer> atControl = new HashMap<>();
     Map<String, Integer> atEntries = new HashMap<>();
     for (String node : registry.nodes()) {
-      List<String> looked = registry.callerAddresses("b");
-      assertEquals(Set.copyOf(looked).size(), 64);
-      looked.forEach(address -> atControl.merge(address, 1, Integer::sum));
+      List<String> addresses = registry.callerAddresses("b");
+      assertEquals(Set.copyOf(addresses).size(), 64);
+      addresses.forEach(address -> atControl.merge(address, 1, Integer::sum));
       List<String> told = registry.neighbourhood(node, 29).callerAddresses();
       told.forEach(address -> atEntries.merge(address, 1, Integer::sum));
     }
@@ -141,9 +144,9 @@
     assertEquals(Set.copyOf(atEntries.values()), Set.of(64));
   }
 
-  /** Callers must not be sent to a stopped entry for half a second: entries are told at once. */
+  /** Guards against callers that connect to a stopped entry because a change goes unnoticed. */
   @Test
-  public void comingAndGoingIsNoticed() {
+  public void changesOfEntriesAreDetected() {
     EntryRegistry registry = registry(false);
     assertTrue(registry.takeChanged());
     assertFalse(registry.takeChanged());
@@ -155,7 +158,7 @@
     assertTrue(registry.takeChanged(), "it is gone");
   }
 
-  /** Callers of a zone get its entries first, and the others as well. */
+  /** Callers of a zone receive the entries of the zone first, then the others. */
   @Test
   public void entriesOfTheZoneComeFirst() {
     assertEquals(
@@ -163,20 +166,25 @@
         List.of("10.0.0.1", "10.0.0.0", "10.0.0.2"));
   }
 
-  /** Callers aren't sent to the one entry whose VM was slowed down. */
+  /** Callers do not receive the address of a single busy entry. */
   @Test
   public void busyEntryIsLeftOut() {
     assertEquals(
         registry(false, true, false).callerAddresses("a"), List.of("10.0.0.0", "10.0.0.2"));
   }
 
-  /** Callers are spread over all entries when most are busy; the rest couldn't serve them all. */
+  /**
+   * Callers receive all entries when most are busy, since the others could not serve all callers.
+   */
   @Test
-  public void allEntriesStayWhenMostAreBusy() {
+  public void allEntriesAreListedWhenMostAreBusy() {
     assertEquals(registry(true, true, false).callerAddresses("a").size(), 3);
   }
 
-  /** An entry is busy soon after its ticks come late, and free again soon after they don't. */
+  /**
+   * An entry becomes busy soon after its ticks are late, and stops being busy soon after they are
+   * not.
+   */
   @Test
   public void lateTicksShowBusyEntry() {
     TickLag lag = new TickLag(TICK);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EvacuatedZoneTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EvacuatedZoneTest.java
@@ -10,23 +10,23 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of what an entry sends while availability zones are evacuated. */
+/** Tests of an entry's choice of upstreams while availability zones are evacuated. */
 public final class EvacuatedZoneTest {
 
   private RelayFixture entry = new RelayFixture();
 
-  /** Each test begins anew. */
+  /** Creates a new fixture for each test. */
   @BeforeMethod
   public void setUp() {
     entry = new RelayFixture();
   }
 
   /**
-   * Nothing reaches an evacuated zone, not even where no other upstream is left: the caller is told
-   * at once that its request has not run, and when to come back.
+   * No request is sent to an evacuated zone, even if no other upstream is left: the caller receives
+   * an immediate refusal, with a time after which to retry.
    */
   @Test
-  public void evacuatedUpstreamIsNoLastResort() {
+  public void evacuatedUpstreamIsNotAFallback() {
     entry.view.tracks.get(0).evacuated(true);
     entry.view.tracks.get(1).evacuated(true);
     for (long number = 1; number <= 10; number++) {
@@ -38,9 +38,9 @@
     assertEquals(refused.retryAfterMillis(), 1000);
   }
 
-  /** A stream whose upstream dies goes on elsewhere, but not in a zone that is evacuated. */
+  /** A stream whose upstream fails is not resumed in an evacuated zone. */
   @Test
-  public void cutStreamDoesNotGoOnInAnEvacuatedZone() {
+  public void brokenStreamIsNotResumedInAnEvacuatedZone() {
     String first = entry.sent(1, "/stream/x").target().upstream().id();
     entry.answers(1, 1, 200, false);
     entry.view.tracks.stream()
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayMachineTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayMachineTest.java
@@ -19,7 +19,7 @@
 
   private RelayMachine machine = new RelayMachine();
 
-  /** Each test begins anew. */
+  /** Creates a new fixture for each test. */
   @BeforeMethod
   public void setUp() {
     machine = new RelayMachine();
@@ -43,14 +43,14 @@
   }
 
   /**
-   * Both operators are told that their change is taken, and a reader sees the higher one. The lower
-   * one came late, or again, or with other content under the number in force.
+   * A configuration with a lower or equal version is accepted without effect: it may arrive late,
+   * be resent, or have other content under the version in force.
    */
   @Test
   public void highestVersionWinsAndResendsChangeNothing() {
     apply(put(7, "seven"));
-    for (RelayCommand late : new RelayCommand[] {put(5, "five"), put(7, "other")}) {
-      assertEquals(apply(late), new RelayResult.ConfigurationAccepted(7));
+    for (RelayCommand superseded : new RelayCommand[] {put(5, "five"), put(7, "other")}) {
+      assertEquals(apply(superseded), new RelayResult.ConfigurationAccepted(7));
       assertEquals(document(), "7 seven");
     }
     apply(put(9, "nine"));
@@ -58,7 +58,7 @@
   }
 
   @Test
-  public void rollOutIsBegunOnceAndEndsOnce() {
+  public void rollOutBeginsOnceAndEndsOnce() {
     RelayCommand begin = new RelayCommand.BeginRollOut("service", "v2", 10_000);
     apply(begin);
     apply(new RelayCommand.AdvanceRollOut("service", "v2", RollOutPhase.ROLLED_BACK));
@@ -79,26 +79,27 @@
   }
 
   /**
-   * A server that started again under its id would get no work, although it serves: its earlier
-   * start had said that it leaves.
+   * Guards against a restarted upstream that gets no requests because an earlier run of the same id
+   * announced that it leaves.
    */
   @Test
-  public void laterStartIsNotLeaving() {
+  public void laterRunIsNotLeaving() {
     apply(new RelayCommand.UpstreamLeaves(new UpstreamRun("up-1", 1000)));
     assertTrue(machine.isLeaving(new UpstreamRun("up-1", 999)));
     assertFalse(machine.isLeaving(new UpstreamRun("up-1", 1001)));
     apply(new RelayCommand.UpstreamLeaves(new UpstreamRun("up-1", 2000)));
     apply(new RelayCommand.UpstreamLeaves(new UpstreamRun("up-1", 1000)));
-    assertTrue(machine.isLeaving(new UpstreamRun("up-1", 2000)), "said first, heard again late");
+    assertTrue(
+        machine.isLeaving(new UpstreamRun("up-1", 2000)), "an outdated command arrives again");
   }
 
   /**
-   * The operator's answer is lost, and it sends the same order to another control VM. It is taken
-   * again and changes nothing; the evacuation keeps its first time.
+   * An operator whose answer is lost resends the command to another control VM. The command is
+   * idempotent, and the evacuation keeps its first time.
    */
   @Test
-  public void evacuationIsTakenAgainAndTakenBack() {
-    for (int time = 0; time < 2; time++) {
+  public void evacuationCommandsAreIdempotent() {
+    for (int repetition = 0; repetition < 2; repetition++) {
       assertEquals(apply(new RelayCommand.EvacuateZone("a")), new CommandResult.Done());
       index++;
     }
@@ -108,25 +109,23 @@
         new RelayResult.EvacuationsRead(
             List.of(
                 new Evacuation("a", RelayFixture.START), new Evacuation("b", RelayFixture.START))));
-    for (int time = 0; time < 2; time++) {
+    for (int repetition = 0; repetition < 2; repetition++) {
       assertEquals(apply(new RelayCommand.TakeZoneBack("a")), new CommandResult.Done());
     }
     assertEquals(machine.evacuations(), List.of(new Evacuation("b", RelayFixture.START)));
   }
 
-  /**
-   * A request is refused once and let through once, whoever asks how often; the list is bounded.
-   */
+  /** Quarantine commands are idempotent, and the list is bounded. */
   @Test
-  public void quarantineIsTakenAgainLiftedAndBounded() {
+  public void quarantineCommandsAreIdempotentAndBounded() {
     RequestKey first = new RequestKey("team", 0);
-    for (int time = 0; time < 2; time++) {
+    for (int repetition = 0; repetition < 2; repetition++) {
       apply(new RelayCommand.QuarantineRequest(first));
     }
     assertEquals(
         apply(new RelayCommand.ReadQuarantine()),
         new RelayResult.QuarantineRead(List.of(new QuarantinedRequest(first, RelayFixture.START))));
-    for (int time = 0; time < 2; time++) {
+    for (int repetition = 0; repetition < 2; repetition++) {
       assertEquals(apply(new RelayCommand.LiftQuarantine(first)), new CommandResult.Done());
     }
     assertEquals(machine.quarantined(), List.of());
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRandomRunTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRandomRunTest.java
@@ -13,29 +13,29 @@
 /**
  * Random runs of control VMs and entries with the invariants of {@link RelaySimulation}.
  *
- * <p>Callers never see a removed key work past its time, a configuration that goes back, or one
- * that was not the accepted one. Meanwhile daemons crash, freeze, lose their disks, are replaced
- * and cut off, clocks differ by up to an hour, and operators race.
+ * <p>No entry accepts a removed key after its bound, reverts to an older configuration, or uses a
+ * configuration that was not accepted. Meanwhile daemons crash, freeze, lose their disks, are
+ * replaced and partitioned, clocks differ by up to an hour, and operators send conflicting changes.
  */
 public final class RelayRandomRunTest {
 
-  /** Property with the number of seeds; more are run by hand. */
+  /** System property with the number of seeds; higher numbers are for manual runs. */
   private static final String SEEDS_PROPERTY = "skylarkfork.relay.seeds";
 
-  /** Property with the first seed. */
+  /** System property with the first seed. */
   private static final String FIRST_PROPERTY = "skylarkfork.relay.first";
 
-  private static final int USUAL_SEEDS = 100;
+  private static final int DEFAULT_SEEDS = 100;
   private static final int EVACUATION_SEEDS = 30;
   private static final int STEPS = 10;
   private static final int ENTRIES = 20;
   private static final List<Integer> VOTERS = List.of(3, 3, 5, 5, 7, 9);
 
-  /** Runs the seeds and tells how much happened in them. */
+  /** Runs the seeds and prints the numbers of events, accepted changes and reads. */
   @Test
-  public void promisesHoldInRandomRuns() {
+  public void invariantsHoldInRandomRuns() {
     long first = Long.getLong(FIRST_PROPERTY, 1);
-    int seeds = Integer.getInteger(SEEDS_PROPERTY, USUAL_SEEDS);
+    int seeds = Integer.getInteger(SEEDS_PROPERTY, DEFAULT_SEEDS);
     long events = 0;
     int accepted = 0;
     int reads = 0;
@@ -55,8 +55,8 @@
   }
 
   /**
-   * Nothing goes to an evacuated zone later than the bound, and a zone that was taken back gets
-   * work again, at each entry that may serve. Orders come under the same faults as above.
+   * Each entry that may serve applies evacuations and reinstatements of zones within the bound,
+   * while the same faults happen.
    */
   @Test
   public void evacuationsHoldInRandomRuns() {
@@ -66,7 +66,7 @@
     for (long seed = first; seed < first + seeds; seed++) {
       try {
         UniformRandomProvider orders = RandomSource.XO_SHI_RO_256_PP.create(seed);
-        ordersAccepted += run(seed, run -> order(run, orders)).ordersAccepted;
+        ordersAccepted += run(seed, run -> sendOrder(run, orders)).ordersAccepted;
       } catch (AssertionError | RuntimeException failed) {
         throw new AssertionError("seed " + seed, failed);
       }
@@ -75,7 +75,7 @@
     System.out.println(seeds + " seeds, " + ordersAccepted + " orders on zones accepted");
   }
 
-  private static void order(RelaySimulation run, UniformRandomProvider random) {
+  private static void sendOrder(RelaySimulation run, UniformRandomProvider random) {
     List<String> running = run.runningControls();
     if (!running.isEmpty()) {
       run.orderOnZone(
@@ -91,35 +91,36 @@
     int voters = VOTERS.get((int) Math.floorMod(seed, (long) VOTERS.size()));
     RelaySimulation run = new RelaySimulation(seed, voters, (int) (seed % 2), ENTRIES);
     run.network.weather(0.01, 0.01, 3);
-    assertTrue(run.runUntilRepaired(), "the group is founded and grows" + run.describeGroups());
+    assertTrue(
+        run.runUntilRepaired(), "the group is bootstrapped and grows" + run.describeGroups());
     run.putNext(run.controls.get(0));
     UniformRandomProvider random = run.random();
     for (int step = 0; step < STEPS; step++) {
-      final List<String> struck = strike(run, random);
+      final List<String> downDaemons = injectFault(run, random);
       orders.accept(run);
-      disturb(run, random);
+      sendCommands(run, random);
       orders.accept(run);
-      recover(run, struck);
+      recover(run, downDaemons);
     }
     run.assertAcceptsChanges();
     return run;
   }
 
-  /** Strikes some daemons and returns those that need help to come back. */
-  private static List<String> strike(RelaySimulation run, UniformRandomProvider random) {
-    List<String> struck = new ArrayList<>();
+  /** Injects a fault and returns the daemons that must be restarted afterwards. */
+  private static List<String> injectFault(RelaySimulation run, UniformRandomProvider random) {
+    List<String> downDaemons = new ArrayList<>();
     switch (random.nextInt(9)) {
-      case 0 -> struck.addAll(crash(run, run.controls, 1 + random.nextInt(3)));
-      case 1 -> struck.addAll(crash(run, run.entries, 1 + random.nextInt(6)));
-      case 2 -> struck.addAll(crash(run, run.controls, run.controls.size()));
-      case 3 -> struck.addAll(wipe(run));
+      case 0 -> downDaemons.addAll(crash(run, run.controls, 1 + random.nextInt(3)));
+      case 1 -> downDaemons.addAll(crash(run, run.entries, 1 + random.nextInt(6)));
+      case 2 -> downDaemons.addAll(crash(run, run.controls, run.controls.size()));
+      case 3 -> downDaemons.addAll(wipe(run));
       case 4 -> freeze(run, run.controls, 1 + random.nextInt(3));
       case 5 -> freeze(run, run.entries, 1 + random.nextInt(6));
-      case 6 -> halves(run, random);
+      case 6 -> partition(run, random);
       case 7 -> pick(run, run.entries, 1 + random.nextInt(4)).forEach(run.network::isolate);
       default -> replace(run);
     }
-    return struck;
+    return downDaemons;
   }
 
   private static List<String> pick(RelaySimulation run, List<String> from, int count) {
@@ -148,25 +149,25 @@
     pick(run, from, count).forEach(run.network::freeze);
   }
 
-  private static void halves(RelaySimulation run, UniformRandomProvider random) {
-    List<String> one = pick(run, run.controls, 1 + random.nextInt(run.controls.size() / 2));
-    for (String cut : one) {
+  private static void partition(RelaySimulation run, UniformRandomProvider random) {
+    List<String> partitioned = pick(run, run.controls, 1 + random.nextInt(run.controls.size() / 2));
+    for (String isolated : partitioned) {
       for (String other : run.controls) {
-        if (!one.contains(other)) {
-          run.network.cut(cut, other);
+        if (!partitioned.contains(other)) {
+          run.network.cut(isolated, other);
         }
       }
     }
   }
 
-  /** A control VM is gone for good and an empty one comes at another address. */
+  /** Removes a control VM permanently and adds an empty one at another address. */
   private static void replace(RelaySimulation run) {
     List<String> gone = crash(run, run.controls, 1);
     run.controls.removeAll(gone);
     run.addControl("control-" + (100 + run.events));
   }
 
-  private static void disturb(RelaySimulation run, UniformRandomProvider random) {
+  private static void sendCommands(RelaySimulation run, UniformRandomProvider random) {
     int calls = 2 + random.nextInt(6);
     for (int call = 0; call < calls; call++) {
       List<String> running = run.runningControls();
@@ -182,12 +183,12 @@
     }
   }
 
-  private static void recover(RelaySimulation run, List<String> struck) {
+  private static void recover(RelaySimulation run, List<String> downDaemons) {
     run.network.heal();
     List<String> all = new ArrayList<>(run.controls);
     all.addAll(run.entries);
     all.stream().filter(run.network::isFrozen).forEach(run.network::thaw);
-    struck.stream().filter(name -> !run.network.isUp(name)).forEach(run::start);
-    assertTrue(run.runUntilRepaired(), "all voters are there again" + run.describeGroups());
+    downDaemons.stream().filter(name -> !run.network.isUp(name)).forEach(run::start);
+    assertTrue(run.runUntilRepaired(), "all voters have recovered" + run.describeGroups());
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
@@ -35,14 +35,14 @@
 import org.skylarkfork.core.testing.MiniNetwork;
 
 /**
- * Control VMs and entries of the relay in virtual time, and what must hold for them at each moment.
+ * Simulates control VMs and entries of the relay in virtual time and checks their invariants after
+ * each event.
  *
- * <p>Each configuration has a key of its own, so that each one takes the key of the one before
- * away.
+ * <p>Each configuration has a different key, so that each one removes the key of the one before.
  */
 final class RelaySimulation {
 
-  /** Time after the acceptance of a change in which a key that it takes away must be dead. */
+  /** Time from the acceptance of a change until entries must reject a key that it removes. */
   static final Duration KEY_BOUND = Duration.ofSeconds(5);
 
   private static final Duration HEARTBEAT = Duration.ofMillis(1200);
@@ -78,7 +78,7 @@
   int reads;
   int ordersAccepted;
 
-  /** An operator's newest order on an availability zone. */
+  /** An operator's newest evacuation or reinstatement of an availability zone. */
   private static final class Order {
     private final long call;
     private final boolean evacuates;
@@ -92,16 +92,19 @@
     }
   }
 
-  /** What an operator asked for, and what had been accepted before. */
+  /**
+   * A call of an operator, with the version that it puts (null for other calls) and the version
+   * accepted before.
+   */
   private record Call(@Nullable Long version, long acceptedBefore) {}
 
   /**
-   * Makes control VMs and entries and starts them.
+   * Creates and starts control VMs and entries.
    *
-   * @param seed seed of all chance
-   * @param voters control VMs that are to vote
-   * @param spares control VMs beyond these
-   * @param entryCount how many entries there are
+   * @param seed seed of the random numbers
+   * @param voters number of voters among the control VMs
+   * @param spares number of further control VMs
+   * @param entryCount number of entries
    */
   RelaySimulation(long seed, int voters, int spares, int entryCount) {
     this.network = new MiniNetwork(seed);
@@ -120,7 +123,7 @@
     }
   }
 
-  /** Adds a control VM with an empty disk at an address of its own and starts it. */
+  /** Adds a control VM with an empty disk at a new address and starts it. */
   void addControl(String name) {
     controls.add(name);
     network.add(name, List.of(GroupId.RELAY), start -> bootControl(name, start));
@@ -135,10 +138,10 @@
   }
 
   /**
-   * Returns the control VMs that the settings name at a start.
+   * Returns the seeds in the settings of a daemon that starts.
    *
-   * <p>Settings are written anew as control VMs are replaced. A daemon whose settings name only
-   * ones that are gone for good can't find the group, whatever it does.
+   * <p>Settings are updated as control VMs are replaced. A daemon whose seeds have all been removed
+   * permanently cannot find the group.
    */
   private List<String> seeds() {
     boolean founding = network.now().equals(START);
@@ -164,12 +167,15 @@
     return new Reducer(List.of(consensus, control, new AgreementCheck(name)));
   }
 
-  /** Returns the times of daemons whose keys are dead within {@link #KEY_BOUND}. */
+  /** Returns the timings of daemons that reject removed keys within {@link #KEY_BOUND}. */
   static RelayTimes times() {
     return RelayTimes.of(KEY_BOUND, HEARTBEAT);
   }
 
-  /** Times of a deployment, with few entries between snapshots, so that every path is taken. */
+  /**
+   * Returns the consensus timings of a deployment, with few log entries between snapshots, so that
+   * snapshots are exercised.
+   */
   static RaftSettings settings() {
     return new RaftSettings(
         Duration.ofMillis(350),
@@ -202,20 +208,20 @@
     return new Reducer(List.of(part));
   }
 
-  /** Returns a configuration with a key of its own. */
+  /** Returns a configuration with a given key. */
   private RelayConfiguration configuration(long version, String key) {
-    RelayConfiguration usual = RelayFixture.configuration(version, key);
+    RelayConfiguration base = RelayFixture.configuration(version, key);
     return new RelayConfiguration(
-        version, usual.routes(), usual.services(), usual.teams(), usual.limits());
+        version, base.routes(), base.services(), base.teams(), base.limits());
   }
 
-  /** Lets an operator put the next configuration. */
+  /** Sends the next configuration as an operator. */
   void putNext(String control) {
     lastVersion++;
     send(control, lastVersion);
   }
 
-  /** Lets an operator put other content under the newest number, as two operators may. */
+  /** Sends other content under the newest version, as two concurrent operators may. */
   void putConflicting(String control) {
     if (lastVersion > 0) {
       send(control, lastVersion);
@@ -227,12 +233,12 @@
     String key = "key-" + contentsSent;
     RelayConfiguration configuration = configuration(version, key);
     byte[] document = (version + " " + key).getBytes(StandardCharsets.UTF_8);
-    ask(control, version, new RelayCommand.PutConfiguration(configuration, document));
+    call(control, version, new RelayCommand.PutConfiguration(configuration, document));
   }
 
   /**
-   * Lets an operator evacuate an availability zone or take it back, by turns, unless its last order
-   * for that zone may still be on its way.
+   * Evacuates or reinstates an availability zone by turns, unless the last command for that zone
+   * may still be pending.
    */
   void orderOnZone(String control, String zone) {
     Order before = orders.get(zone);
@@ -241,13 +247,13 @@
     }
     boolean evacuates = before == null || !before.evacuates;
     orders.put(zone, new Order(lastCall + 1, evacuates, network.now()));
-    ask(
+    call(
         control,
         null,
         evacuates ? new RelayCommand.EvacuateZone(zone) : new RelayCommand.TakeZoneBack(zone));
   }
 
-  private void orderAnswered(long call, CommandResult result) {
+  private void onOrderReply(long call, CommandResult result) {
     for (Order order : orders.values()) {
       if (order.call == call && result instanceof CommandResult.Done) {
         order.acceptedAt = network.now();
@@ -256,24 +262,24 @@
     }
   }
 
-  /** An entry that may serve acts on an accepted order in time, whatever it missed. */
+  /** Checks that an entry that may serve has applied each accepted order within the bound. */
   private void checkOrders(String name, RelayEntryPart part) {
     for (Map.Entry<String, Order> zone : orders.entrySet()) {
       Order order = zone.getValue();
-      boolean due = network.now().isAfter(order.acceptedAt.plus(KEY_BOUND));
+      boolean isDue = network.now().isAfter(order.acceptedAt.plus(KEY_BOUND));
       boolean serves = part.configured() && part.proven(network.timeOf(name));
-      if (due && serves && part.evacuated().contains(zone.getKey()) != order.evacuates) {
+      if (isDue && serves && part.evacuated().contains(zone.getKey()) != order.evacuates) {
         throw new AssertionError(name + " missed the order on " + zone.getKey());
       }
     }
   }
 
-  /** Lets an operator read the configuration. */
+  /** Reads the configuration as an operator. */
   void read(String control) {
-    ask(control, null, new RelayCommand.ReadConfiguration());
+    call(control, null, new RelayCommand.ReadConfiguration());
   }
 
-  private void ask(String control, @Nullable Long version, RelayCommand command) {
+  private void call(String control, @Nullable Long version, RelayCommand command) {
     lastCall++;
     calls.put(lastCall, new Call(version, acceptedVersion));
     network.inject(control, new RelayEvent.CommandAsked(lastCall, command, CALL_MILLIS));
@@ -283,19 +289,19 @@
     if (effect instanceof RelayEffect.ReplyToCall reply) {
       Call call = calls.remove(reply.callId());
       if (call != null && reply.result() != null) {
-        orderAnswered(reply.callId(), reply.result());
+        onOrderReply(reply.callId(), reply.result());
       }
-      if (call != null && reply.result() instanceof RelayResult.ConfigurationAccepted taken) {
-        accepted(call, taken);
+      if (call != null && reply.result() instanceof RelayResult.ConfigurationAccepted acceptance) {
+        accepted(call, acceptance);
       } else if (call != null && reply.result() instanceof RelayResult.ConfigurationRead read) {
-        wasRead(call, read);
+        checkRead(call, read);
       }
     }
   }
 
-  private void accepted(Call call, RelayResult.ConfigurationAccepted taken) {
-    if (call.version() == null || taken.version() < call.version()) {
-      throw new AssertionError(call + " was accepted as " + taken);
+  private void accepted(Call call, RelayResult.ConfigurationAccepted acceptance) {
+    if (call.version() == null || acceptance.version() < call.version()) {
+      throw new AssertionError(call + " was accepted as " + acceptance);
     }
     accepted++;
     if (call.version() > acceptedVersion) {
@@ -304,18 +310,18 @@
     }
   }
 
-  private void wasRead(Call call, RelayResult.ConfigurationRead read) {
+  private void checkRead(Call call, RelayResult.ConfigurationRead read) {
     reads++;
     if (read.version() < call.acceptedBefore()) {
       throw new AssertionError(read.version() + " was read after " + call);
     }
     String text = new String(read.document(), StandardCharsets.UTF_8);
     if (read.version() > 0) {
-      sameContent(read.version(), text.substring(text.indexOf(' ') + 1));
+      checkSameContent(read.version(), text.substring(text.indexOf(' ') + 1));
     }
   }
 
-  private void sameContent(long version, String key) {
+  private void checkSameContent(long version, String key) {
     String known = contents.putIfAbsent(version, key);
     if (known != null && !known.equals(key)) {
       throw new AssertionError("version " + version + " is both " + known + " and " + key);
@@ -333,21 +339,21 @@
 
   private void checkEntry(String name, RelayEntryPart part) {
     checkOrders(name, part);
-    RelayConfiguration believed = part.table().configuration();
-    Long before = versions.put(name, believed.version());
-    if (before != null && believed.version() < before) {
-      throw new AssertionError(name + " fell from " + before + " to " + believed.version());
+    RelayConfiguration current = part.table().configuration();
+    Long before = versions.put(name, current.version());
+    if (before != null && current.version() < before) {
+      throw new AssertionError(name + " reverted from " + before + " to " + current.version());
     }
-    if (before == null || believed.version() != before) {
-      believed.teams().forEach(team -> sameContent(believed.version(), team.keys().get(0)));
+    if (before == null || current.version() != before) {
+      current.teams().forEach(team -> checkSameContent(current.version(), team.keys().get(0)));
     }
-    boolean old = believed.version() < acceptedVersion;
-    boolean late = network.now().isAfter(acceptedAt.plus(KEY_BOUND));
-    if (old && late && part.configured() && part.proven(network.timeOf(name))) {
+    boolean isOutdated = current.version() < acceptedVersion;
+    boolean isOverdue = network.now().isAfter(acceptedAt.plus(KEY_BOUND));
+    if (isOutdated && isOverdue && part.configured() && part.proven(network.timeOf(name))) {
       throw new AssertionError(
           name
-              + " takes keys of "
-              + believed.version()
+              + " accepts keys of version "
+              + current.version()
               + " though "
               + acceptedVersion
               + " was accepted at "
@@ -355,57 +361,59 @@
     }
   }
 
-  /** Returns the control VMs that run and are awake. */
+  /** Returns the control VMs that run and are not frozen. */
   List<String> runningControls() {
     return controls.stream().filter(name -> network.isUp(name) && !network.isFrozen(name)).toList();
   }
 
-  /** Lets time pass until all voters are there again. */
+  /** Runs until all voters have recovered; returns whether they have. */
   boolean runUntilRepaired() {
-    return network.runUntil(Duration.ofSeconds(40), this::whole);
+    return network.runUntil(Duration.ofSeconds(40), this::hasRecovered);
   }
 
-  private boolean whole() {
+  private boolean hasRecovered() {
     for (String name : runningControls()) {
       GroupStatus status = groups.get(name).status(GroupId.RELAY);
       if (name.equals(status.leader())) {
-        List<Member> voting = status.members().voters();
-        // A change of members that isn't committed yet can still be lost with its leader's disk.
+        List<Member> votingMembers = status.members().voters();
+        // An uncommitted change of members can still be lost with its leader's disk.
         return status.commitIndex() > 0
             && status.commitIndex() == status.lastIndex()
-            && voting.size() == voters
-            && voting.stream().allMatch(voter -> hasAll(voter.node(), status.commitIndex()));
+            && votingMembers.size() == voters
+            && votingMembers.stream()
+                .allMatch(voter -> hasCommitted(voter.node(), status.commitIndex()));
       }
     }
     return false;
   }
 
-  /** Returns whether a daemon runs and knows what is committed; a wiped one knows nothing yet. */
-  private boolean hasAll(String name, long commitIndex) {
+  /** Returns whether a daemon runs and knows the commit index; a wiped one does not know it yet. */
+  private boolean hasCommitted(String name, long commitIndex) {
     return network.isUp(name)
         && groups.get(name).status(GroupId.RELAY).commitIndex() >= commitIndex;
   }
 
-  /** Checks that a change is accepted and reaches every entry once all faults are over. */
+  /** Checks that a change is accepted and reaches every entry after all faults have ended. */
   void assertAcceptsChanges() {
-    long wanted = lastVersion + 1;
-    lastVersion = wanted;
-    boolean taken = false;
-    for (int tries = 0; tries < 20 && !taken; tries++) {
+    long target = lastVersion + 1;
+    lastVersion = target;
+    boolean isAccepted = false;
+    for (int tries = 0; tries < 20 && !isAccepted; tries++) {
       List<String> running = runningControls();
-      send(running.get(network.random().nextInt(running.size())), wanted);
-      taken = network.runUntil(Duration.ofSeconds(2), () -> acceptedVersion >= wanted);
+      send(running.get(network.random().nextInt(running.size())), target);
+      isAccepted = network.runUntil(Duration.ofSeconds(2), () -> acceptedVersion >= target);
     }
-    if (!taken) {
-      throw new AssertionError("no change is accepted any more " + describeGroups());
+    if (!isAccepted) {
+      throw new AssertionError("no change was accepted " + describeGroups());
     }
-    boolean known = network.runUntil(Duration.ofSeconds(4), () -> everyEntryHas(wanted));
+    boolean known = network.runUntil(Duration.ofSeconds(4), () -> everyEntryHasVersion(target));
     if (!known) {
-      throw new AssertionError(wanted + " didn't reach every entry " + versions + describeGroups());
+      throw new AssertionError(
+          target + " did not reach every entry " + versions + describeGroups());
     }
   }
 
-  private boolean everyEntryHas(long version) {
+  private boolean everyEntryHasVersion(long version) {
     return entries.stream()
         .allMatch(
             name -> {
@@ -425,7 +433,9 @@
     return network.random();
   }
 
-  /** Checks that all control VMs apply the same commands, under one leader a term. */
+  /**
+   * Checks that all control VMs apply the same commands and that each term has at most one leader.
+   */
   private final class AgreementCheck implements Part {
     private final String name;
 
@@ -451,7 +461,7 @@
     }
   }
 
-  /** Keeps snapshots in memory under a number. */
+  /** Keeps snapshots in memory and encodes each one as its number. */
   static final class InMemorySnapshotCodec implements GroupCodec {
     private final Map<String, Snapshot> snapshots = new LinkedHashMap<>();
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RollOutEvaluatorTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RollOutEvaluatorTest.java
@@ -13,62 +13,63 @@
   private static final ServiceRollOut ROLL_OUT =
       new ServiceRollOut("service", "v2", 24_000, RollOutPhase.CANARY);
 
-  private RollOutEvaluator judge = new RollOutEvaluator(RollOutSettings.DEFAULT);
+  private RollOutEvaluator evaluator = new RollOutEvaluator(RollOutSettings.DEFAULT);
 
-  /** Each test begins anew. */
+  /** Creates a new fixture for each test. */
   @BeforeMethod
   public void setUp() {
-    judge = new RollOutEvaluator(RollOutSettings.DEFAULT);
+    evaluator = new RollOutEvaluator(RollOutSettings.DEFAULT);
   }
 
-  private void seen(String version, long answers, long failures, long meanMillis) {
-    long good = answers - failures;
-    judge.add(new VersionCounts("service", version, answers, failures, good * meanMillis), null);
+  private void addCounts(String version, long answers, long failures, long meanMillis) {
+    long successes = answers - failures;
+    evaluator.add(
+        new VersionCounts("service", version, answers, failures, successes * meanMillis), null);
   }
 
   @Test
   public void goodVersionMovesAndSucceeds() {
-    seen("v1", 1000, 10, 100);
-    seen("v2", 50, 1, 110);
-    assertNull(judge.nextPhase(ROLL_OUT, RelayFixture.START));
+    addCounts("v1", 1000, 10, 100);
+    addCounts("v2", 50, 1, 110);
+    assertNull(evaluator.nextPhase(ROLL_OUT, RelayFixture.START));
     assertEquals(
-        judge.nextPhase(ROLL_OUT, RelayFixture.START.plusSeconds(15)), RollOutPhase.MOVING);
+        evaluator.nextPhase(ROLL_OUT, RelayFixture.START.plusSeconds(15)), RollOutPhase.MOVING);
     ServiceRollOut moving = ROLL_OUT.withPhase(RollOutPhase.MOVING);
-    assertNull(judge.nextPhase(moving, RelayFixture.START.plusSeconds(16)));
+    assertNull(evaluator.nextPhase(moving, RelayFixture.START.plusSeconds(16)));
     assertEquals(
-        judge.nextPhase(moving, RelayFixture.START.plusSeconds(22)), RollOutPhase.SUCCEEDED);
+        evaluator.nextPhase(moving, RelayFixture.START.plusSeconds(22)), RollOutPhase.SUCCEEDED);
   }
 
   @Test
   public void failingVersionIsRolledBack() {
-    seen("v1", 1000, 10, 100);
-    seen("v2", 12, 6, 100);
-    assertEquals(judge.nextPhase(ROLL_OUT, RelayFixture.START), RollOutPhase.ROLLED_BACK);
+    addCounts("v1", 1000, 10, 100);
+    addCounts("v2", 12, 6, 100);
+    assertEquals(evaluator.nextPhase(ROLL_OUT, RelayFixture.START), RollOutPhase.ROLLED_BACK);
   }
 
-  /** Callers wait several times longer for the new version, which fails none. */
+  /** The new version is several times slower but does not fail. */
   @Test
   public void slowVersionIsRolledBack() {
-    seen("v1", 1000, 10, 100);
-    seen("v2", 20, 0, 500);
-    assertEquals(judge.nextPhase(ROLL_OUT, RelayFixture.START), RollOutPhase.ROLLED_BACK);
+    addCounts("v1", 1000, 10, 100);
+    addCounts("v2", 20, 0, 500);
+    assertEquals(evaluator.nextPhase(ROLL_OUT, RelayFixture.START), RollOutPhase.ROLLED_BACK);
   }
 
-  /** A version with a good past turns bad; its past must not hide that. */
+  /** Guards against a version that turns bad and stays, hidden by its earlier good results. */
   @Test
   public void versionThatTurnsBadIsRolledBack() {
-    seen("v1", 1000, 10, 100);
-    seen("v2", 400, 2, 100);
-    judge.age(Duration.ofSeconds(30));
-    seen("v2", 12, 6, 100);
-    assertEquals(judge.nextPhase(ROLL_OUT, RelayFixture.START), RollOutPhase.ROLLED_BACK);
+    addCounts("v1", 1000, 10, 100);
+    addCounts("v2", 400, 2, 100);
+    evaluator.age(Duration.ofSeconds(30));
+    addCounts("v2", 12, 6, 100);
+    assertEquals(evaluator.nextPhase(ROLL_OUT, RelayFixture.START), RollOutPhase.ROLLED_BACK);
   }
 
-  /** A service that fails anyway gets its new version all the same. */
+  /** A new version that fails as often as the old one is not rolled back. */
   @Test
-  public void versionThatFailsLikeTheOldOneIsKept() {
-    seen("v1", 1000, 150, 100);
-    seen("v2", 40, 7, 100);
-    assertNull(judge.nextPhase(ROLL_OUT, RelayFixture.START));
+  public void versionThatFailsLikeTheOldOneIsNotRolledBack() {
+    addCounts("v1", 1000, 150, 100);
+    addCounts("v2", 40, 7, 100);
+    assertNull(evaluator.nextPhase(ROLL_OUT, RelayFixture.START));
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UpstreamRegistryTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UpstreamRegistryTest.java
@@ -20,17 +20,17 @@
   private UpstreamRegistry registry =
       new UpstreamRegistry(RelayTimes.of(Duration.ofSeconds(5), Duration.ofSeconds(1)));
 
-  /** Each test begins anew. */
+  /** Creates a new fixture for each test. */
   @BeforeMethod
   public void setUp() {
     registry = new UpstreamRegistry(RelayTimes.of(Duration.ofSeconds(5), Duration.ofSeconds(1)));
   }
 
-  private static UpstreamInstance beat(String id, String service, long sequence) {
+  private static UpstreamInstance heartbeat(String id, String service, long sequence) {
     return new UpstreamInstance(id, service, "10.0.0.1:80", "a", "v1", 1, sequence, 0);
   }
 
-  private static UpstreamInstance started(
+  private static UpstreamInstance instanceOfRun(
       String id, String address, long sequence, long bornMillis) {
     return new UpstreamInstance(id, "one", address, "a", "v1", 1, sequence, bornMillis);
   }
@@ -44,90 +44,100 @@
   }
 
   /**
-   * Callers of one service would reach another. An upstream crashed, another service took its
-   * address, and only then a held-up heartbeat of the first one arrives.
+   * Guards against requests that reach another service: an upstream crashes, an upstream of another
+   * service takes its address, and a delayed heartbeat of the first one arrives.
    */
   @Test
-  public void lateHeartbeatDoesNotBringAnEarlierRunBack() {
-    registry.recordHeartbeat(beat("old", "one", 4), false, RelayFixture.START);
-    registry.recordHeartbeat(beat("new", "two", 1), false, RelayFixture.START);
-    registry.recordHeartbeat(beat("old", "one", 5), false, RelayFixture.START);
+  public void delayedHeartbeatDoesNotRestoreAnEarlierRun() {
+    registry.recordHeartbeat(heartbeat("old", "one", 4), false, RelayFixture.START);
+    registry.recordHeartbeat(heartbeat("new", "two", 1), false, RelayFixture.START);
+    registry.recordHeartbeat(heartbeat("old", "one", 5), false, RelayFixture.START);
     assertEquals(conditions(), "old=LEAVING new=READY");
   }
 
   /**
-   * Callers would get nothing from an upstream that has come back. It crashed, started again under
-   * its id and counts its heartbeats anew, so that their numbers are below the last one known.
+   * Guards against a restarted upstream that gets no requests: it has the same id, and the sequence
+   * numbers of its heartbeats start again below the last known one.
    */
   @Test
-  public void laterStartUnderTheSameIdIsHeardAndLeavesAnew() {
-    registry.recordHeartbeat(started("up", "10.0.0.1:80", 40, 1000), false, RelayFixture.START);
+  public void laterRunOfTheSameIdIsRecordedAndCanLeave() {
+    registry.recordHeartbeat(
+        instanceOfRun("up", "10.0.0.1:80", 40, 1000), false, RelayFixture.START);
     registry.markLeaving(new UpstreamRun("up", 1000));
-    registry.recordHeartbeat(started("up", "10.0.0.1:80", 1, 2000), false, RelayFixture.START);
+    registry.recordHeartbeat(
+        instanceOfRun("up", "10.0.0.1:80", 1, 2000), false, RelayFixture.START);
     assertEquals(conditions(), "up=READY");
     registry.markLeaving(new UpstreamRun("up", 1000));
-    assertEquals(conditions(), "up=READY", "it was said of the earlier start");
+    assertEquals(conditions(), "up=READY", "only the earlier run leaves");
     registry.markLeaving(new UpstreamRun("up", 2000));
     assertEquals(conditions(), "up=LEAVING");
   }
 
   /**
-   * A late heartbeat of the start before must not take the place of the one that serves: it has the
-   * higher number, and the address that the upstream had then may be another's by now.
+   * Guards against a delayed heartbeat of an earlier run that replaces the present run: it has a
+   * higher sequence number, and its address may belong to another upstream by now.
    */
   @Test
-  public void lateHeartbeatOfAnEarlierStartChangesNothing() {
-    registry.recordHeartbeat(started("up", "10.0.0.2:80", 1, 2000), false, RelayFixture.START);
+  public void delayedHeartbeatOfAnEarlierRunChangesNothing() {
+    registry.recordHeartbeat(
+        instanceOfRun("up", "10.0.0.2:80", 1, 2000), false, RelayFixture.START);
     long before = registry.sequence();
-    registry.recordHeartbeat(started("up", "10.0.0.1:80", 41, 1000), true, RelayFixture.START);
+    registry.recordHeartbeat(
+        instanceOfRun("up", "10.0.0.1:80", 41, 1000), true, RelayFixture.START);
     assertEquals(registry.sequence(), before);
     assertEquals(registry.all(RelayFixture.START).get(0).instance().address(), "10.0.0.2:80");
   }
 
   /**
-   * A new leader hears the present holder of an address first and the dead one's held-up heartbeat
-   * after it. Callers of the present one must still reach it; only the starts tell the two apart.
+   * Guards against an address that goes back to a dead upstream: a new leader receives the
+   * heartbeat of the present holder first and a delayed one of the earlier holder after it. Only
+   * the start times distinguish the two.
    */
   @Test
   public void addressStaysWithItsYoungestHolder() {
-    registry.recordHeartbeat(started("new", "10.0.0.1:80", 1, 2000), false, RelayFixture.START);
-    registry.recordHeartbeat(started("old", "10.0.0.1:80", 9, 1000), false, RelayFixture.START);
+    registry.recordHeartbeat(
+        instanceOfRun("new", "10.0.0.1:80", 1, 2000), false, RelayFixture.START);
+    registry.recordHeartbeat(
+        instanceOfRun("old", "10.0.0.1:80", 9, 1000), false, RelayFixture.START);
     assertEquals(conditions(), "new=READY");
-    registry.recordHeartbeat(started("old", "10.0.0.3:80", 1, 3000), false, RelayFixture.START);
-    assertEquals(conditions(), "new=READY old=READY", "started again elsewhere");
+    registry.recordHeartbeat(
+        instanceOfRun("old", "10.0.0.3:80", 1, 3000), false, RelayFixture.START);
+    assertEquals(conditions(), "new=READY old=READY", "restarted at another address");
   }
 
   @Test
-  public void heartbeatWithoutStartDoesNotReplaceOneThatSaysIt() {
-    registry.recordHeartbeat(started("up", "10.0.0.1:80", 1, 2000), false, RelayFixture.START);
-    registry.recordHeartbeat(started("up", "10.0.0.9:80", 50, 0), false, RelayFixture.START);
-    registry.recordHeartbeat(started("other", "10.0.0.1:80", 50, 0), false, RelayFixture.START);
+  public void heartbeatWithoutStartTimeDoesNotReplaceOneWithStartTime() {
+    registry.recordHeartbeat(
+        instanceOfRun("up", "10.0.0.1:80", 1, 2000), false, RelayFixture.START);
+    registry.recordHeartbeat(instanceOfRun("up", "10.0.0.9:80", 50, 0), false, RelayFixture.START);
+    registry.recordHeartbeat(
+        instanceOfRun("other", "10.0.0.1:80", 50, 0), false, RelayFixture.START);
     assertEquals(registry.all(RelayFixture.START).size(), 1);
     assertEquals(registry.all(RelayFixture.START).get(0).instance().address(), "10.0.0.1:80");
   }
 
   @Test
   public void lateHeartbeatDoesNotUndoLeaving() {
-    registry.recordHeartbeat(beat("up", "one", 4), false, RelayFixture.START);
+    registry.recordHeartbeat(heartbeat("up", "one", 4), false, RelayFixture.START);
     registry.markLeaving(new UpstreamRun("up", 0));
-    registry.recordHeartbeat(beat("up", "one", 5), false, RelayFixture.START);
+    registry.recordHeartbeat(heartbeat("up", "one", 5), false, RelayFixture.START);
     assertEquals(conditions(), "up=LEAVING");
   }
 
   @Test
-  public void silentUpstreamIsMarkedAndComesBack() {
-    registry.recordHeartbeat(beat("up", "one", 1), false, RelayFixture.START);
+  public void silentUpstreamIsMarkedAndRecovers() {
+    registry.recordHeartbeat(heartbeat("up", "one", 1), false, RelayFixture.START);
     registry.tick(RelayFixture.START.plusSeconds(4));
     assertEquals(conditions(), "up=SILENT");
-    registry.recordHeartbeat(beat("up", "one", 2), false, RelayFixture.START.plusSeconds(5));
+    registry.recordHeartbeat(heartbeat("up", "one", 2), false, RelayFixture.START.plusSeconds(5));
     assertEquals(conditions(), "up=READY");
     registry.tick(RelayFixture.START.plusSeconds(70));
     assertEquals(conditions(), "");
   }
 
   @Test
-  public void changesSinceKnownNumberAreOnlyThose() {
-    registry.recordHeartbeat(beat("up", "one", 1), false, RelayFixture.START);
+  public void changesContainOnlyThoseAfterTheKnownSequence() {
+    registry.recordHeartbeat(heartbeat("up", "one", 1), false, RelayFixture.START);
     long known = registry.sequence();
     assertEquals(registry.changes(7, true, 7, known, RelayFixture.START).upstreams(), List.of());
     registry.markLeaving(new UpstreamRun("up", 0));
@@ -136,37 +146,37 @@
   }
 
   /**
-   * Entries would send a cold upstream as much as a warm one. It turned cold under way, so that
-   * neither its start nor its condition tells; its heartbeat does, and entries are told what is
-   * left of that time.
+   * Guards against full load on an upstream that turned cold while it ran. Neither its run nor its
+   * condition changes; its heartbeat reports the cold time, and entries receive what remains of it.
    */
   @Test
-  public void upstreamThatTurnsColdIsToldWithWhatIsLeft() {
-    registry.recordHeartbeat(beat("up", "one", 1), false, RelayFixture.START);
+  public void remainingColdTimeIsSent() {
+    registry.recordHeartbeat(heartbeat("up", "one", 1), false, RelayFixture.START);
     long known = registry.sequence();
-    registry.recordHeartbeat(beat("up", "one", 2).withColdMillis(3000), false, RelayFixture.START);
+    registry.recordHeartbeat(
+        heartbeat("up", "one", 2).withColdMillis(3000), false, RelayFixture.START);
     assertEquals(coldMillis(known, RelayFixture.START.plusMillis(1000)), 2000);
     long cold = registry.sequence();
     Instant next = RelayFixture.START.plusMillis(1200);
-    registry.recordHeartbeat(beat("up", "one", 3).withColdMillis(1790), false, next);
-    assertEquals(registry.sequence(), cold, "the same end is no news");
-    registry.recordHeartbeat(beat("up", "one", 4), false, next);
-    assertEquals(coldMillis(cold, next), 0, "warm earlier than it said");
+    registry.recordHeartbeat(heartbeat("up", "one", 3).withColdMillis(1790), false, next);
+    assertEquals(registry.sequence(), cold, "the same end is not a change");
+    registry.recordHeartbeat(heartbeat("up", "one", 4), false, next);
+    assertEquals(coldMillis(cold, next), 0, "warm earlier than reported");
   }
 
   /**
-   * Upstreams of a zone that is taken back fall over under their share of the work. They turned
-   * cold while they got nothing, and their heartbeats tell it only later.
+   * Guards against full load on the upstreams of a reinstated zone: they turned cold without
+   * requests, and their heartbeats report it only later.
    */
   @Test
-  public void upstreamsOfZoneThatIsTakenBackCountAsCold() {
-    registry.recordHeartbeat(beat("up", "one", 1), false, RelayFixture.START);
+  public void upstreamsOfReinstatedZoneCountAsCold() {
+    registry.recordHeartbeat(heartbeat("up", "one", 1), false, RelayFixture.START);
     long known = registry.sequence();
     registry.reinstateZone("b", 3000, RelayFixture.START);
     assertEquals(registry.sequence(), known, "another zone");
     registry.reinstateZone("a", 3000, RelayFixture.START);
     assertEquals(coldMillis(known, RelayFixture.START.plusMillis(500)), 2500);
-    registry.recordHeartbeat(beat("up", "one", 2), false, RelayFixture.START.plusMillis(600));
+    registry.recordHeartbeat(heartbeat("up", "one", 2), false, RelayFixture.START.plusMillis(600));
     assertEquals(coldMillis(known, RelayFixture.START.plusMillis(1000)), 2000, "a late heartbeat");
     assertEquals(coldMillis(known, RelayFixture.START.plusMillis(4000)), 0);
   }
@@ -177,45 +187,46 @@
     return changes.upstreams().get(0).instance().coldMillis();
   }
 
-  private boolean named(double perSecond, long ageMillis, Instant now) {
+  private boolean reportLimit(double perSecond, long ageMillis, Instant now) {
     NamedLimit named = new NamedLimit(new RateLimit(perSecond), ageMillis);
     return registry.recordRateLimit(new UpstreamRun("up", 0), named, "entry-1", now);
   }
 
-  private @Nullable NamedLimit told() {
+  private @Nullable NamedLimit sentLimit() {
     return registry.all(RelayFixture.START.plusSeconds(9)).get(0).named();
   }
 
-  /** Guards against entries that go on by a limit which fell by steps too small to be told. */
+  /** Guards against entries with an outdated limit that fell by steps too small to be sent. */
   @Test
-  public void limitThatFallsBySmallStepsIsTold() {
-    registry.recordHeartbeat(beat("up", "one", 1), false, RelayFixture.START);
-    assertTrue(named(10, 0, RelayFixture.START));
-    assertFalse(named(9.5, 0, RelayFixture.START.plusSeconds(1)), "not worth a word");
-    assertTrue(named(8.9, 0, RelayFixture.START.plusSeconds(2)));
+  public void limitThatFallsBySmallStepsIsSent() {
+    registry.recordHeartbeat(heartbeat("up", "one", 1), false, RelayFixture.START);
+    assertTrue(reportLimit(10, 0, RelayFixture.START));
+    assertFalse(reportLimit(9.5, 0, RelayFixture.START.plusSeconds(1)), "too small a change");
+    assertTrue(reportLimit(8.9, 0, RelayFixture.START.plusSeconds(2)));
     assertEquals(registry.limitedUpstreams().get(0).perSecond(), 8.9);
     assertEquals(registry.limitedUpstreams().get(0).heardBy(), "entry-1");
   }
 
-  /** Guards against a word that was held up and takes the place of a newer one. */
+  /** Guards against a delayed report that replaces a newer one. */
   @Test
-  public void newestWordOnLimitCounts() {
-    registry.recordHeartbeat(beat("up", "one", 1), false, RelayFixture.START);
-    assertTrue(named(2, 0, RelayFixture.START.plusSeconds(5)));
-    assertFalse(named(30, 700, RelayFixture.START.plusMillis(5200)));
-    assertEquals(told(), new NamedLimit(new RateLimit(2), 4000));
-    assertTrue(named(Double.POSITIVE_INFINITY, 100, RelayFixture.START.plusSeconds(6)));
+  public void newestReportOfLimitApplies() {
+    registry.recordHeartbeat(heartbeat("up", "one", 1), false, RelayFixture.START);
+    assertTrue(reportLimit(2, 0, RelayFixture.START.plusSeconds(5)));
+    assertFalse(reportLimit(30, 700, RelayFixture.START.plusMillis(5200)));
+    assertEquals(sentLimit(), new NamedLimit(new RateLimit(2), 4000));
+    assertTrue(reportLimit(Double.POSITIVE_INFINITY, 100, RelayFixture.START.plusSeconds(6)));
     assertEquals(registry.limitedUpstreams(), List.of());
   }
 
-  /** Guards against an upstream that starts again and counts as limited as it was before. */
+  /** Guards against a restarted upstream that keeps the rate limit of its earlier run. */
   @Test
-  public void laterStartNamesNoLimit() {
-    registry.recordHeartbeat(beat("up", "one", 1), false, RelayFixture.START);
-    assertTrue(named(2, 0, RelayFixture.START));
+  public void laterRunHasNoLimit() {
+    registry.recordHeartbeat(heartbeat("up", "one", 1), false, RelayFixture.START);
+    assertTrue(reportLimit(2, 0, RelayFixture.START));
     registry.recordHeartbeat(
-        started("up", "10.0.0.1:80", 1, 1000), false, RelayFixture.START.plusSeconds(3));
-    assertNull(told());
-    assertFalse(named(2, 0, RelayFixture.START.plusSeconds(4)), "of the start before");
+        instanceOfRun("up", "10.0.0.1:80", 1, 1000), false, RelayFixture.START.plusSeconds(3));
+    assertNull(sentLimit());
+    assertFalse(
+        reportLimit(2, 0, RelayFixture.START.plusSeconds(4)), "a report of the earlier run");
   }
 }
