--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
@@ -202,7 +202,7 @@
     if (command instanceof RelayCommand.UpstreamLeaves leaves) {
       upstreams.markLeaving(leaves.run());
     } else if (command instanceof RelayCommand.TakeZoneBack back) {
-      upstreams.reinstateZone(back.zone(), longestColdMillis(), now);
+      upstreams.restoreZone(back.zone(), longestColdMillis(), now);
     } else if (command instanceof RelayCommand.QuarantineRequest request) {
       crashes.onQuarantined(request.key());
     } else if (command instanceof RelayCommand.LiftQuarantine lift) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
@@ -174,7 +174,7 @@
    * @param coldMillis time for which its upstreams count as cold, in milliseconds
    * @param now the present time
    */
-  void reinstateZone(String zone, long coldMillis, Instant now) {
+  void restoreZone(String zone, long coldMillis, Instant now) {
     zoneColdUntil.put(zone, now.plusMillis(coldMillis));
     for (Registration registration : byId.values()) {
       if (registration.instance().zone().equals(zone)) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UpstreamRegistryTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UpstreamRegistryTest.java
@@ -172,9 +172,9 @@
   public void upstreamsOfReinstatedZoneCountAsCold() {
     registry.recordHeartbeat(heartbeat("up", "one", 1), false, RelayFixture.START);
     long known = registry.sequence();
-    registry.reinstateZone("b", 3000, RelayFixture.START);
+    registry.restoreZone("b", 3000, RelayFixture.START);
     assertEquals(registry.sequence(), known, "another zone");
-    registry.reinstateZone("a", 3000, RelayFixture.START);
+    registry.restoreZone("a", 3000, RelayFixture.START);
     assertEquals(coldMillis(known, RelayFixture.START.plusMillis(500)), 2500);
     registry.recordHeartbeat(heartbeat("up", "one", 2), false, RelayFixture.START.plusMillis(600));
     assertEquals(coldMillis(known, RelayFixture.START.plusMillis(1000)), 2000, "a late heartbeat");
