--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
@@ -50,7 +50,7 @@
   private final EntryRegistry entries;
   private final EntryUpdateSender updates;
   private final CrashReview crashes;
-  private final Map<Long, PendingCall> callBySubmission = new HashMap<>();
+  private final Map<Long, PendingCall> callsBySubmission = new HashMap<>();
   private @Nullable String leader;
   private long stateIndex;
   private Instant evaluatedAt = Instant.EPOCH;
@@ -149,7 +149,8 @@
 
   private void submit(RelayEvent.CommandAsked requested, Instant now, Output output) {
     long submission = consensus.submitter().newSubmissionId();
-    callBySubmission.put(submission, new PendingCall(requested.callId(), requested.command(), now));
+    callsBySubmission.put(
+        submission, new PendingCall(requested.callId(), requested.command(), now));
     consensus
         .submitter()
         .submit(
@@ -178,7 +179,7 @@
 
   private void reply(
       long submission, @Nullable CommandResult result, String remedy, Instant now, Output output) {
-    PendingCall call = callBySubmission.remove(submission);
+    PendingCall call = callsBySubmission.remove(submission);
     if (call != null) {
       String facts =
           "call="
@@ -306,8 +307,8 @@
   private void onMessage(PeerEvent.MessageReceived received, Instant now, Output output) {
     if (received.message() instanceof EntryPoll poll) {
       onPoll(received.node(), poll, now, output);
-    } else if (received.message() instanceof RelayMessage.UpstreamHeard heard) {
-      updateUpstream(heard.instance(), now, output);
+    } else if (received.message() instanceof RelayMessage.UpstreamHeard forwarded) {
+      updateUpstream(forwarded.instance(), now, output);
     } else if (leads() && received.message() instanceof CrashMessage.UpstreamEnded ended) {
       crashes.onUpstreamEnded(ended, now);
     } else if (leads() && received.message() instanceof CrashMessage.RequestServed served) {
@@ -321,8 +322,8 @@
     for (VersionCounts counts : poll.counts()) {
       evaluator.add(counts, find(before, counts));
     }
-    for (HeardLimit heard : poll.limits()) {
-      onRateLimit(entry, heard, now, output);
+    for (HeardLimit reported : poll.limits()) {
+      onRateLimit(entry, reported, now, output);
     }
     if (leads()) {
       updates.awaitProof(entry, now);
@@ -331,18 +332,18 @@
     }
   }
 
-  private void onRateLimit(String entry, HeardLimit heard, Instant now, Output output) {
-    if (upstreams.recordRateLimit(heard.upstream(), heard.named(), entry, now)) {
+  private void onRateLimit(String entry, HeardLimit reported, Instant now, Output output) {
+    if (upstreams.recordRateLimit(reported.upstream(), reported.named(), entry, now)) {
       hasChanges = true;
       String facts =
           "id="
-              + heard.upstream().id()
+              + reported.upstream().id()
               + " per_second="
-              + heard.named().limit()
+              + reported.named().limit()
               + " entry="
               + entry
               + " age_ms="
-              + heard.named().ageMillis();
+              + reported.named().ageMillis();
       log(output, "rate_limit_heard", facts);
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayMachine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayMachine.java
@@ -72,24 +72,24 @@
 
   /** Returns whether a run of an upstream has announced that it leaves. */
   public boolean isLeaving(UpstreamRun run) {
-    UpstreamRun left = leaving.get(run.id());
-    return left != null && left.covers(run);
+    UpstreamRun leavingRun = leaving.get(run.id());
+    return leavingRun != null && leavingRun.covers(run);
   }
 
   @Override
   public CommandResult apply(long index, Instant stampedAt, Command command) {
     if (command instanceof RelayCommand.PutConfiguration put) {
-      return put(put);
+      return putConfiguration(put);
     } else if (command instanceof RelayCommand.ReadConfiguration) {
       return new RelayResult.ConfigurationRead(configuration.version(), document);
     } else if (command instanceof RelayCommand.BeginRollOut begin) {
-      return begin(begin);
+      return beginRollOut(begin);
     } else if (command instanceof RelayCommand.AdvanceRollOut advance) {
-      return advance(advance);
+      return advanceRollOut(advance);
     } else if (command instanceof RelayCommand.ReadRollOut read) {
       return new RelayResult.RollOutRead(rollOuts.get(read.service()));
     } else if (command instanceof RelayCommand.UpstreamLeaves leaves) {
-      return leave(leaves.run());
+      return markLeaving(leaves.run());
     } else if (command instanceof RelayCommand.EvacuateZone evacuate) {
       evacuations.putIfAbsent(evacuate.zone(), new Evacuation(evacuate.zone(), stampedAt));
       return new CommandResult.Done();
@@ -109,7 +109,7 @@
     return new CommandResult.Rejected("submit this command to the group of its family");
   }
 
-  private CommandResult put(RelayCommand.PutConfiguration put) {
+  private CommandResult putConfiguration(RelayCommand.PutConfiguration put) {
     if (put.configuration().version() > configuration.version()) {
       configuration = put.configuration();
       document = put.document();
@@ -117,7 +117,7 @@
     return new RelayResult.ConfigurationAccepted(configuration.version());
   }
 
-  private CommandResult begin(RelayCommand.BeginRollOut begin) {
+  private CommandResult beginRollOut(RelayCommand.BeginRollOut begin) {
     ServiceRollOut known = rollOuts.get(begin.service());
     if (known != null && known.target().equals(begin.target())) {
       return new RelayResult.RollOutRead(known);
@@ -126,14 +126,14 @@
       return new CommandResult.Rejected(
           "a roll-out to " + known.target() + " is running; wait until it is decided");
     }
-    ServiceRollOut begun =
+    ServiceRollOut started =
         new ServiceRollOut(
             begin.service(), begin.target(), begin.deadlineMillis(), RollOutPhase.CANARY);
-    rollOuts.put(begin.service(), begun);
-    return new RelayResult.RollOutRead(begun);
+    rollOuts.put(begin.service(), started);
+    return new RelayResult.RollOutRead(started);
   }
 
-  private CommandResult advance(RelayCommand.AdvanceRollOut advance) {
+  private CommandResult advanceRollOut(RelayCommand.AdvanceRollOut advance) {
     @Nullable ServiceRollOut known = rollOuts.get(advance.service());
     boolean matches = known != null && known.target().equals(advance.target()) && known.isRunning();
     if (matches && advance.phase().compareTo(known.phase()) > 0) {
@@ -142,7 +142,7 @@
     return new CommandResult.Done();
   }
 
-  private CommandResult leave(UpstreamRun run) {
+  private CommandResult markLeaving(UpstreamRun run) {
     UpstreamRun known = leaving.remove(run.id());
     leaving.put(run.id(), known != null && known.covers(run) ? known : run);
     if (leaving.size() > MAX_LEAVING) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
@@ -165,7 +165,7 @@
   }
 
   /**
-   * Reinstates an availability zone after an evacuation.
+   * Restores an availability zone after an evacuation.
    *
    * <p>Its upstreams may have turned cold shortly before, which their heartbeats report up to a
    * second too late. Full load until then would overload them, so they count as cold.
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestTest.java
@@ -22,7 +22,7 @@
   private static final int DEFAULT_SEEDS = 15;
   private static final int FAULTS = 5;
 
-  /** Maximum number of sends once all connected entries can have the quarantine. */
+  /** Maximum number of sends after all connected entries should have received the quarantine. */
   private static final int MAX_LATE_SENDS = 3;
 
   /**
@@ -88,8 +88,8 @@
 
   /**
    * Sends a new crashing request with each fault, while daemons are killed, wiped, frozen and
-   * partitioned. Connected entries send each request to at most three more upstreams once they can
-   * have its quarantine.
+   * partitioned. Connected entries send each request to at most three more upstreams after they
+   * should have received its quarantine.
    */
   @Test
   public void crashingRequestsAreBoundedInRandomRuns() {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRandomRunTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRandomRunTest.java
@@ -55,8 +55,8 @@
   }
 
   /**
-   * Each entry that may serve applies evacuations and reinstatements of zones within the bound,
-   * while the same faults happen.
+   * Each entry that may serve applies evacuations of zones and their ends within the bound, while
+   * the same faults happen.
    */
   @Test
   public void evacuationsHoldInRandomRuns() {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
@@ -78,7 +78,7 @@
   int reads;
   int ordersAccepted;
 
-  /** An operator's newest evacuation or reinstatement of an availability zone. */
+  /** An operator's newest command that evacuates or restores an availability zone. */
   private static final class Order {
     private final long call;
     private final boolean evacuates;
@@ -237,8 +237,8 @@
   }
 
   /**
-   * Evacuates or reinstates an availability zone by turns, unless the last command for that zone
-   * may still be pending.
+   * Evacuates or restores an availability zone by turns, unless the last command for that zone may
+   * still be pending.
    */
   void orderOnZone(String control, String zone) {
     Order before = orders.get(zone);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UpstreamRegistryTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UpstreamRegistryTest.java
@@ -165,11 +165,11 @@
   }
 
   /**
-   * Guards against full load on the upstreams of a reinstated zone: they turned cold without
+   * Guards against full load on the upstreams of a restored zone: they turned cold without
    * requests, and their heartbeats report it only later.
    */
   @Test
-  public void upstreamsOfReinstatedZoneCountAsCold() {
+  public void upstreamsOfRestoredZoneCountAsCold() {
     registry.recordHeartbeat(heartbeat("up", "one", 1), false, RelayFixture.START);
     long known = registry.sequence();
     registry.restoreZone("b", 3000, RelayFixture.START);
