--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashCorrelator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashCorrelator.java
@@ -22,9 +22,10 @@
  * is therefore identified only if
  *
  * <ul>
- *   <li>{@link #ENDS} upstreams have ended while they ran it, and {@link #ENDS_IN_TURN} of them in
- *       sequence, the later one during an attempt that was sent after the earlier one had ended. A
- *       request that ran on many upstreams of a zone that was lost at once is not identified;
+ *   <li>{@link #MIN_ENDS} upstreams have ended while they ran it, and {@link #MIN_ENDS_IN_SEQUENCE}
+ *       of them in sequence, the later one during an attempt that was sent after the earlier one
+ *       had ended. A request that ran on many upstreams of a zone that was lost at once is not
+ *       identified;
  *   <li>at least one of these ends is not explained by a request that was identified before;
  *   <li>no other request that was lost in the last of these ends was lost as often. The next end
  *       distinguishes two such requests, or both are identified after {@link #CERTAIN_ENDS};
@@ -33,11 +34,11 @@
  */
 final class CrashCorrelator {
 
-  /** Ends of upstreams after which a request that ran on them is identified. */
-  static final int ENDS = 3;
+  /** Minimum number of ends of upstreams after which a request that ran on them is identified. */
+  static final int MIN_ENDS = 3;
 
-  /** Number of these ends that must have happened in sequence. */
-  private static final int ENDS_IN_TURN = 2;
+  /** Minimum number of these ends that happened in sequence. */
+  private static final int MIN_ENDS_IN_SEQUENCE = 2;
 
   /**
    * Ends after which a request is identified although others were lost as often, but none more
@@ -91,7 +92,7 @@
   /** Counts of a request's losses, and the requests that were lost in its last unexplained end. */
   private static final class Suspicion {
     private int ends;
-    private int inTurn;
+    private int endsInSequence;
     private Instant lastAt = Instant.EPOCH;
     private Set<RequestKey> lostWith = Set.of();
   }
@@ -229,7 +230,7 @@
           Suspicion suspicion = suspicions.computeIfAbsent(key, this::initialSuspicion);
           suspicion.ends++;
           if (!sentAt.plus(SKEW).isBefore(suspicion.lastAt)) {
-            suspicion.inTurn++;
+            suspicion.endsInSequence++;
             suspicion.lastAt = end.at;
           }
           if (!end.explained) {
@@ -240,14 +241,15 @@
 
   private Suspicion initialSuspicion(RequestKey key) {
     Suspicion suspicion = new Suspicion();
-    suspicion.ends = onProbation.contains(key) ? ENDS - 1 : 0;
-    suspicion.inTurn = suspicion.ends;
+    suspicion.ends = onProbation.contains(key) ? MIN_ENDS - 1 : 0;
+    suspicion.endsInSequence = suspicion.ends;
     return suspicion;
   }
 
   private static boolean isCrashing(
       RequestKey key, Suspicion suspicion, Map<RequestKey, Suspicion> suspicions) {
-    boolean suspected = suspicion.ends >= ENDS && suspicion.inTurn >= ENDS_IN_TURN;
+    boolean suspected =
+        suspicion.ends >= MIN_ENDS && suspicion.endsInSequence >= MIN_ENDS_IN_SEQUENCE;
     if (!suspected || suspicion.lostWith.isEmpty()) {
       return false;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashDetector.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashDetector.java
@@ -58,7 +58,7 @@
   /**
    * Creates a detector without any losses.
    *
-   * @param judges the daemons that receive the reports
+   * @param reviewers the daemons that receive the reports
    * @param counter name of the metric that counts upstreams that ended, by service
    */
   public CrashDetector(CrashReviewers reviewers, String counter) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/crash/CrashCorrelatorTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/crash/CrashCorrelatorTest.java
@@ -56,7 +56,7 @@
 
   /** Entries repeat the report of an end, since messages may be lost. The end counts once. */
   @Test
-  public void repeatedReportOfAnEndCountsOnce() {
+  public void repeatedReportOfEndCountsOnce() {
     for (int time = 0; time < 5; time++) {
       assertEquals(endUpstream("up-1", 1), List.of());
     }
@@ -76,7 +76,7 @@
 
   /** Of two requests that were lost together each time, one is answered: the other is crashing. */
   @Test
-  public void requestsLostTogetherAreDistinguishedByAnAnswer() {
+  public void requestsLostTogetherAreDistinguishedByAnswer() {
     endUpstream("up-1", 1, 2);
     endUpstream("up-2", 1, 2);
     assertEquals(endUpstream("up-3", 1, 2), List.of());
@@ -87,7 +87,7 @@
 
   /** Many callers send the same lookup, and a lost zone ends all upstreams that run it at once. */
   @Test
-  public void concurrentEndsCountOnceForARequestOnAllUpstreams() {
+  public void concurrentEndsCountOnceForTheirCommonRequest() {
     for (int upstream = 1; upstream <= 10; upstream++) {
       reportLosses("up-" + upstream, 1);
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestTest.java
@@ -69,7 +69,7 @@
 
   /** A quarantine survives a crash of all daemons: they refuse the request from their start. */
   @Test
-  public void quarantineSurvivesACrashOfAllDaemons() {
+  public void quarantineSurvivesCrashOfAllDaemons() {
     CrashingRequestSimulation run = new CrashingRequestSimulation(2, 7, 13);
     run.sendOrdinaryRequests(60);
     run.sendCrashingRequest(1, 400);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EvacuatedZoneTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EvacuatedZoneTest.java
@@ -26,7 +26,7 @@
    * an immediate refusal, with a time after which to retry.
    */
   @Test
-  public void evacuatedUpstreamIsNotAFallback() {
+  public void evacuatedUpstreamIsNoFallback() {
     entry.view.tracks.get(0).evacuated(true);
     entry.view.tracks.get(1).evacuated(true);
     for (long number = 1; number <= 10; number++) {
@@ -40,7 +40,7 @@
 
   /** A stream whose upstream fails is not resumed in an evacuated zone. */
   @Test
-  public void brokenStreamIsNotResumedInAnEvacuatedZone() {
+  public void brokenStreamIsNotResumedInEvacuatedZone() {
     String first = entry.sent(1, "/stream/x").target().upstream().id();
     entry.answers(1, 1, 200, false);
     entry.view.tracks.stream()
