--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
@@ -209,7 +209,7 @@
     } else if (command instanceof RelayCommand.LiftQuarantine lift) {
       crashes.onLifted(lift.key());
     }
-    // A restart replays the log; only new commands are logged.
+    // A restart replays the whole log quickly; only recent commands get a log line.
     if (Duration.between(committed.stampedAt(), now).compareTo(MIN_REPLAYED_AGE) < 0) {
       logState(committed, command, output);
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EntryRegistryTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EntryRegistryTest.java
@@ -45,13 +45,14 @@
   @Test
   public void neighbourhoodListsTheOtherEntries() {
     EntryRegistry registry = registry(false, false, false);
-    RelayMessage.Neighbourhood told = registry.neighbourhood("entry-1", 6);
-    assertEquals(told.callerAddresses(), List.of("10.0.0.1", "10.0.0.0", "10.0.0.2"));
-    assertEquals(told.peers(), List.of("entry-2", "entry-0"));
-    assertEquals(registry.neighbourhood("entry-1", 6).version(), told.version());
+    RelayMessage.Neighbourhood neighbourhood = registry.neighbourhood("entry-1", 6);
+    assertEquals(neighbourhood.callerAddresses(), List.of("10.0.0.1", "10.0.0.0", "10.0.0.2"));
+    assertEquals(neighbourhood.peers(), List.of("entry-2", "entry-0"));
+    assertEquals(registry.neighbourhood("entry-1", 6).version(), neighbourhood.version());
     assertNotEquals(registry(false, true, false).neighbourhood("entry-1", 6).version(), 0);
     assertNotEquals(
-        registry(false, true, false).neighbourhood("entry-1", 6).version(), told.version());
+        registry(false, true, false).neighbourhood("entry-1", 6).version(),
+        neighbourhood.version());
   }
 
   /** The neighbourhood of an entry changes when another entry is added, changes or is removed. */
@@ -76,11 +77,11 @@
     EntryRegistry registry = registry(new boolean[9]);
     Map<String, Integer> reportsByPeer = new HashMap<>();
     for (String node : registry.nodes()) {
-      RelayMessage.Neighbourhood told = registry.neighbourhood(node, 60);
-      assertEquals(Set.copyOf(told.peers()).size(), 8);
-      assertFalse(told.peers().contains(node));
-      assertEquals(told.schedulers(), List.of());
-      told.peers().forEach(peer -> reportsByPeer.merge(peer, 1, Integer::sum));
+      RelayMessage.Neighbourhood neighbourhood = registry.neighbourhood(node, 60);
+      assertEquals(Set.copyOf(neighbourhood.peers()).size(), 8);
+      assertFalse(neighbourhood.peers().contains(node));
+      assertEquals(neighbourhood.schedulers(), List.of());
+      neighbourhood.peers().forEach(peer -> reportsByPeer.merge(peer, 1, Integer::sum));
     }
     assertEquals(reportsByPeer.size(), 9);
     assertEquals(Set.copyOf(reportsByPeer.values()), Set.of(8));
@@ -93,13 +94,13 @@
   @Test
   public void manyEntriesHaveTheSameSchedulers() {
     EntryRegistry registry = registry(new boolean[75]);
-    Set<List<String>> told = new HashSet<>();
+    Set<List<String>> distinctSchedulers = new HashSet<>();
     for (String node : registry.nodes()) {
       assertEquals(registry.neighbourhood(node, 63).peers(), List.of());
-      told.add(registry.neighbourhood(node, 63).schedulers());
+      distinctSchedulers.add(registry.neighbourhood(node, 63).schedulers());
     }
-    assertEquals(told.size(), 1);
-    List<String> schedulers = told.iterator().next();
+    assertEquals(distinctSchedulers.size(), 1);
+    List<String> schedulers = distinctSchedulers.iterator().next();
     assertEquals(schedulers.size(), 2, "a third group would have less than sixteen engines");
     assertEquals(Set.copyOf(schedulers).size(), 2);
     assertEquals(registry.neighbourhood("entry-1", 64).schedulers().size(), 4);
@@ -135,8 +136,8 @@
       List<String> addresses = registry.callerAddresses("b");
       assertEquals(Set.copyOf(addresses).size(), 64);
       addresses.forEach(address -> atControl.merge(address, 1, Integer::sum));
-      List<String> told = registry.neighbourhood(node, 29).callerAddresses();
-      told.forEach(address -> atEntries.merge(address, 1, Integer::sum));
+      List<String> entryAddresses = registry.neighbourhood(node, 29).callerAddresses();
+      entryAddresses.forEach(address -> atEntries.merge(address, 1, Integer::sum));
     }
     assertEquals(atControl.size(), 91);
     assertEquals(Set.copyOf(atControl.values()), Set.of(64));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RollOutEvaluatorTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RollOutEvaluatorTest.java
@@ -55,7 +55,7 @@
     assertEquals(evaluator.nextPhase(ROLL_OUT, RelayFixture.START), RollOutPhase.ROLLED_BACK);
   }
 
-  /** Guards against a version that turns bad and stays, hidden by its earlier good results. */
+  /** Guards against a version that turns bad but is kept because of its earlier good results. */
   @Test
   public void versionThatTurnsBadIsRolledBack() {
     addCounts("v1", 1000, 10, 100);
