--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -34,7 +34,7 @@
 
   private final ModelPolicy models;
   private final VersionStatistics counts;
-  private final StopPlan stopPlan;
+  private final ShutdownPolicy stopPlan;
   private final RequestTrace trace;
   private final FirstByteTimeout patience = new FirstByteTimeout();
   private final SentPrompts prompts = new SentPrompts();
@@ -80,7 +80,7 @@
         new VersionSelector(entry, settings.canaryShare()),
         new RetryBudget(settings.retryRatio()),
         counts,
-        new StopPlan(settings.grace()),
+        new ShutdownPolicy(settings.grace()),
         seed);
   }
 
@@ -93,7 +93,7 @@
       VersionSelector versions,
       RetryBudget budget,
       VersionStatistics counts,
-      StopPlan stopPlan,
+      ShutdownPolicy stopPlan,
       long seed) {
     this.models = models;
     this.counts = counts;
