--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -25,7 +25,7 @@
 
   private final AttemptSender sender;
   private final AttemptStarter starter;
-  private final RequestEndings endings;
+  private final RequestCompleter endings;
   private final VersionStatistics counts;
   private final FirstByteTimeout patience;
   private final CrashDetector crashes;
@@ -34,7 +34,7 @@
   AttemptFailureHandler(
       AttemptSender sender,
       AttemptStarter starter,
-      RequestEndings endings,
+      RequestCompleter endings,
       VersionStatistics counts,
       FirstByteTimeout patience,
       CrashDetector crashes,
