--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRegistry.java
@@ -36,7 +36,7 @@
    */
   private static final int MIN_GROUP_SIZE = 16;
 
-  private final RelayTimes times;
+  private final RelayTimings times;
   private boolean changed;
   private final Map<String, PolledEntry> entries = new LinkedHashMap<>();
 
@@ -49,7 +49,7 @@
   private int neighbourhoodEngines;
   private int lookups;
 
-  EntryRegistry(RelayTimes times) {
+  EntryRegistry(RelayTimings times) {
     this.times = times;
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
@@ -44,7 +44,7 @@
   private final String node;
   private final RelayMachine machine;
   private final ConsensusPart consensus;
-  private final RelayTimes times;
+  private final RelayTimings times;
   private final RollOutEvaluator evaluator;
   private final UpstreamRegistry upstreams;
   private final EntryRegistry entries;
@@ -74,7 +74,7 @@
       String node,
       RelayMachine machine,
       ConsensusPart consensus,
-      RelayTimes times,
+      RelayTimings times,
       RollOutSettings rollOuts) {
     this.node = node;
     this.machine = machine;
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
@@ -168,8 +168,8 @@
   }
 
   /** Returns the timings of daemons that reject removed keys within {@link #KEY_BOUND}. */
-  static RelayTimes times() {
-    return RelayTimes.of(KEY_BOUND, HEARTBEAT);
+  static RelayTimings times() {
+    return RelayTimings.of(KEY_BOUND, HEARTBEAT);
   }
 
   /**
