--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionSelector.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionSelector.java
@@ -32,7 +32,7 @@
   VersionFilter filterFor(String service, RelayRequest request) {
     ServiceRollOut rollOut = rollOut(service);
     if (rollOut == null) {
-      String stable = view.usualVersion(service);
+      String stable = view.stableVersion(service);
       return version -> stable == null || version.equals(stable);
     }
     String target = rollOut.target();
