--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
@@ -268,7 +268,7 @@
       Order order = zone.getValue();
       boolean isDue = network.now().isAfter(order.acceptedAt.plus(KEY_BOUND));
       boolean serves = part.configured() && part.proven(network.timeOf(name));
-      if (isDue && serves && part.evacuated().contains(zone.getKey()) != order.evacuates) {
+      if (isDue && serves && part.evacuatedZones().contains(zone.getKey()) != order.evacuates) {
         throw new AssertionError(name + " missed the order on " + zone.getKey());
       }
     }
