--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
@@ -5,56 +5,56 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.Output;
 
-/** Starts the next attempt of a request, or ends the request if there can be none. */
+/** Starts the next attempt of a request, or ends the request if no further attempt is possible. */
 final class AttemptStarter {
 
   /**
-   * When to come back where every upstream of a service is in an evacuated zone, in milliseconds.
-   * Nobody knows when operators take a zone back; entries hear of it within half a second.
+   * Retry delay if every upstream of a service is in an evacuated zone, in milliseconds. The time
+   * at which operators restore a zone is unknown; entries learn of it within half a second.
    */
   private static final long EVACUATED_RETRY_MILLIS = 1000;
 
-  /** When to come back at the latest where upstreams take little, in milliseconds. */
-  private static final long LONGEST_RETRY_MILLIS = 10_000;
+  /** Maximum retry delay if the upstreams are rate limited, in milliseconds. */
+  private static final long MAX_RETRY_MILLIS = 10_000;
 
   private final AttemptSender sender;
-  private final RequestCompleter endings;
+  private final RequestCompleter completer;
   private final RetryBudget budget;
 
-  AttemptStarter(AttemptSender sender, RequestCompleter endings, RetryBudget budget) {
+  AttemptStarter(AttemptSender sender, RequestCompleter completer, RetryBudget budget) {
     this.sender = sender;
-    this.endings = endings;
+    this.completer = completer;
     this.budget = budget;
   }
 
   /** Starts the first attempt of a request. */
-  void first(ActiveRelay relay, Instant now, Output output) {
-    budget.requested(relay.service.name(), now);
-    next(relay, now, output);
+  void startFirst(ActiveRelay relay, Instant now, Output output) {
+    budget.recordRequest(relay.service.name(), now);
+    startNext(relay, now, output);
   }
 
-  /** Goes on with a request whose scheduler has answered, or kept silent. */
-  void placed(SchedulerClient.Placed placed, Instant now, Output output) {
+  /** Continues a request whose placement query was answered or timed out. */
+  void onPlacement(SchedulerClient.Placed placed, Instant now, Output output) {
     ActiveRelay relay = placed.relay();
     Placement chosen = placed.placement();
     Placement placement = chosen == null ? sender.place(relay, now) : chosen;
     send(relay, placement, placed.grant(), now, output);
   }
 
-  /** Starts an attempt that is allowed. */
-  void next(ActiveRelay relay, Instant now, Output output) {
+  /** Starts an attempt without checking the retry budget. */
+  void startNext(ActiveRelay relay, Instant now, Output output) {
     if (sender.isQuarantined(relay)) {
-      quarantined(relay, now, output);
+      endQuarantined(relay, now, output);
       return;
     }
-    boolean inTime = leftMillis(relay, now) > 0;
-    if (inTime && sender.askScheduler(relay, now, output)) {
+    boolean inTime = remainingMillis(relay, now) > 0;
+    if (inTime && sender.queryScheduler(relay, now, output)) {
       return;
     }
     send(relay, inTime ? sender.place(relay, now) : null, null, now, output);
   }
 
-  /** Sends an attempt if that is not in vain; else ends the request and gives the place back. */
+  /** Sends an attempt if it can meet the deadline; else releases the grant and ends the request. */
   private void send(
       ActiveRelay relay,
       @Nullable Placement placement,
@@ -62,96 +62,96 @@
       Instant now,
       Output output) {
     if (sender.isQuarantined(relay)) {
-      sender.giveBack(grant, output);
-      quarantined(relay, now, output);
-    } else if (placement == null || leftMillis(relay, now) <= 0) {
-      sender.giveBack(grant, output);
-      untakenOrLate(relay, now, output);
-    } else if (isInVain(relay, placement, now)) {
-      sender.giveBack(grant, output);
-      long drained = (long) placement.waitMillis();
-      endings.giveUp(relay, Refusal.OVERLOADED, drained, now, output);
+      sender.releaseGrant(grant, output);
+      endQuarantined(relay, now, output);
+    } else if (placement == null || remainingMillis(relay, now) <= 0) {
+      sender.releaseGrant(grant, output);
+      endUnplaced(relay, now, output);
+    } else if (wouldMissDeadline(relay, placement, now)) {
+      sender.releaseGrant(grant, output);
+      long retryAfterMillis = (long) placement.waitMillis();
+      completer.endWithRefusal(relay, Refusal.OVERLOADED, retryAfterMillis, now, output);
     } else {
       sender.send(relay, placement, grant, now, output);
     }
   }
 
   /**
-   * Returns whether a request would wait at its upstream until its caller is gone.
+   * Returns whether the request would wait at its upstream beyond its deadline.
    *
-   * <p>Sent nevertheless, it would take the upstream's time from requests that can be answered, and
-   * its caller would learn nothing until its deadline.
+   * <p>If it were sent, it would use upstream time that other requests need, and its caller would
+   * get no answer before the deadline.
    */
-  private static boolean isInVain(ActiveRelay relay, Placement placement, Instant now) {
-    return relay.attempt == 0 && placement.waitMillis() > leftMillis(relay, now);
+  private static boolean wouldMissDeadline(ActiveRelay relay, Placement placement, Instant now) {
+    return relay.attempt == 0 && placement.waitMillis() > remainingMillis(relay, now);
   }
 
   /**
-   * Ends a request that became known to end upstreams while it was worked on.
+   * Ends a request that was quarantined while it was in progress.
    *
-   * <p>Looked at on arrival only, a request that was let in a moment before would still end an
-   * upstream with each attempt that is left to it, and those that its answer's model asks for.
+   * <p>If the quarantine were checked on arrival only, a request admitted shortly before would
+   * crash another upstream with each remaining attempt, including escalations to a larger model.
    */
-  private void quarantined(ActiveRelay relay, Instant now, Output output) {
-    if (relay.passing) {
-      endings.breakOff(relay, now, output);
+  private void endQuarantined(ActiveRelay relay, Instant now, Output output) {
+    if (relay.forwarding) {
+      completer.abortAnswer(relay, now, output);
     } else {
-      endings.giveUp(relay, Refusal.QUARANTINED, now, output);
+      completer.endWithRefusal(relay, Refusal.QUARANTINED, now, output);
     }
   }
 
-  private void untakenOrLate(ActiveRelay relay, Instant now, Output output) {
-    if (leftMillis(relay, now) <= 0) {
-      Refusal late = relay.mayHaveRun ? Refusal.TIME_OUT : Refusal.TOO_LATE;
-      endings.giveUp(relay, late, now, output);
-    } else if (relay.passing) {
-      endings.breakOff(relay, now, output);
+  private void endUnplaced(ActiveRelay relay, Instant now, Output output) {
+    if (remainingMillis(relay, now) <= 0) {
+      Refusal refusal = relay.mayHaveRun ? Refusal.TIME_OUT : Refusal.TOO_LATE;
+      completer.endWithRefusal(relay, refusal, now, output);
+    } else if (relay.forwarding) {
+      completer.abortAnswer(relay, now, output);
     } else if (relay.mayHaveRun) {
-      endings.giveUp(relay, Refusal.OUTCOME_UNKNOWN, now, output);
+      completer.endWithRefusal(relay, Refusal.OUTCOME_UNKNOWN, now, output);
     } else if (sender.isEvacuated(relay)) {
-      endings.giveUp(relay, Refusal.NO_UPSTREAM, EVACUATED_RETRY_MILLIS, now, output);
+      completer.endWithRefusal(relay, Refusal.NO_UPSTREAM, EVACUATED_RETRY_MILLIS, now, output);
     } else {
-      limitedOrNone(relay, now, output);
+      endWithoutUpstream(relay, now, output);
     }
   }
 
-  private void limitedOrNone(ActiveRelay relay, Instant now, Output output) {
-    long waitMillis = sender.untilTaken(relay, now).toMillis();
+  private void endWithoutUpstream(ActiveRelay relay, Instant now, Output output) {
+    long waitMillis = sender.retryDelay(relay, now).toMillis();
     if (waitMillis > 0) {
-      long retryMillis = Math.min(waitMillis, LONGEST_RETRY_MILLIS);
-      endings.giveUp(relay, Refusal.NO_UPSTREAM, retryMillis, now, output);
+      long retryMillis = Math.min(waitMillis, MAX_RETRY_MILLIS);
+      completer.endWithRefusal(relay, Refusal.NO_UPSTREAM, retryMillis, now, output);
     } else {
-      endings.giveUp(relay, Refusal.NO_UPSTREAM, now, output);
+      completer.endWithRefusal(relay, Refusal.NO_UPSTREAM, now, output);
     }
   }
 
-  /** Starts one more attempt if the route and the budget allow it, else ends the request. */
-  void again(ActiveRelay relay, Instant now, Output output) {
-    boolean safe = !relay.mayHaveRun || relay.route.retryable();
+  /** Starts another attempt if the route and the retry budget allow it, else ends the request. */
+  void retryOrEnd(ActiveRelay relay, Instant now, Output output) {
+    boolean retrySafe = !relay.mayHaveRun || relay.route.retryable();
     if (sender.isQuarantined(relay)) {
-      quarantined(relay, now, output);
-    } else if (safe && mayRepeat(relay, now)) {
-      next(relay, now, output);
-    } else if (relay.passing) {
-      endings.breakOff(relay, now, output);
+      endQuarantined(relay, now, output);
+    } else if (retrySafe && acquireRetry(relay, now)) {
+      startNext(relay, now, output);
+    } else if (relay.forwarding) {
+      completer.abortAnswer(relay, now, output);
     } else {
-      endings.giveUp(relay, untaken(relay), now, output);
+      completer.endWithRefusal(relay, failureRefusal(relay), now, output);
     }
   }
 
-  /** Decides whether one more attempt is allowed, and counts it if so. */
-  boolean mayRepeat(ActiveRelay relay, Instant now) {
+  /** Returns whether another attempt is allowed, and if so charges it to the retry budget. */
+  boolean acquireRetry(ActiveRelay relay, Instant now) {
     return !sender.isQuarantined(relay)
-        && relay.sent < relay.route.maxAttempts()
+        && relay.sentAttempts < relay.route.maxAttempts()
         && now.isBefore(relay.deadline)
-        && budget.repeat(relay.service.name(), now);
+        && budget.tryAcquire(relay.service.name(), now);
   }
 
-  private static Refusal untaken(ActiveRelay relay) {
+  private static Refusal failureRefusal(ActiveRelay relay) {
     return relay.mayHaveRun ? Refusal.OUTCOME_UNKNOWN : Refusal.NO_UPSTREAM;
   }
 
-  private static long leftMillis(ActiveRelay relay, Instant now) {
+  private static long remainingMillis(ActiveRelay relay, Instant now) {
     return Duration.between(now, relay.deadline).toMillis();
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRegistry.java
@@ -70,7 +70,7 @@
   void tick(Instant now) {
     if (entries
         .values()
-        .removeIf(polled -> now.isAfter(polled.polledAt.plus(times.entrySilence())))) {
+        .removeIf(polled -> now.isAfter(polled.polledAt.plus(times.entryTimeout())))) {
       markChanged();
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdateSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdateSender.java
@@ -139,7 +139,7 @@
     EntryPoll lastPoll = entries.newestPoll(entry);
     RelayConfiguration newest = machine.configuration();
     boolean hasSharedState = lastPoll.stateIndex() >= stateIndex;
-    boolean settled = leaderSince.plus(times.settling()).isBefore(now);
+    boolean settled = leaderSince.plus(times.settlingTime()).isBefore(now);
     output.effect(
         new SendToPeer(
             entry,
@@ -170,7 +170,7 @@
    * only to entries without any.
    */
   private @Nullable Neighbourhood neighbourhood(String entry, EntryPoll lastPoll, Instant now) {
-    boolean isNewLeader = now.isBefore(leaderSince.plus(times.backgroundPoll()));
+    boolean isNewLeader = now.isBefore(leaderSince.plus(times.backgroundPollInterval()));
     if (isNewLeader && lastPoll.neighbourhoodVersion() != 0) {
       return null;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
@@ -188,11 +188,11 @@
     Iterator<Registration> registrations = byId.values().iterator();
     while (registrations.hasNext()) {
       Registration registration = registrations.next();
-      if (now.isAfter(registration.lastHeartbeat.plus(times.upstreamForgotten()))) {
+      if (now.isAfter(registration.lastHeartbeat.plus(times.upstreamExpiry()))) {
         idByAddress.remove(registration.instance().address(), registration.instance().id());
         registrations.remove();
       } else if (registration.condition == UpstreamCondition.READY
-          && now.isAfter(registration.lastHeartbeat.plus(times.upstreamSilence()))) {
+          && now.isAfter(registration.lastHeartbeat.plus(times.upstreamTimeout()))) {
         registration.condition = UpstreamCondition.SILENT;
         registration.changedAt = ++sequence;
       }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -177,7 +177,7 @@
       addEntry(parts, settings.caller());
     }
     openMetrics();
-    loop.start(new Reducer(parts), times().tick(), this::afterTick);
+    loop.start(new Reducer(parts), times().tickInterval(), this::afterTick);
     if (storage != null) {
       storage.recover(GroupId.RELAY);
     }
@@ -233,7 +233,7 @@
 
   private RelayTimings times() {
     RelayTimings times = RelayTimings.of(settings.keyBound(), settings.heartbeat());
-    return settings.dataFolder() == null ? times.ofEntry() : times;
+    return settings.dataFolder() == null ? times.forEntry() : times;
   }
 
   private void afterTick() {
@@ -319,7 +319,7 @@
       metrics.set("relay_proof_age_seconds", "", known.proofAge(now).toMillis() / 1000.0);
       metrics.set("relay_evacuated_zones", "", known.evacuatedZones().size());
       metrics.set("relay_quarantined_requests", "", known.quarantinedCount());
-      metrics.set("relay_limited_upstreams", "", known.limitedUpstreams());
+      metrics.set("relay_limited_upstreams", "", known.limitedUpstreamCount());
       metrics.set("relay_ready", "", known.ready(now) ? 1 : 0);
       metrics.set("relay_requests_under_way", "", open.underWay());
       metrics.set("relay_caller_connections", "", open.openConnections());
