--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Outcomes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AttemptOutcomes.java
@@ -9,9 +9,9 @@
 import org.skylarkfork.core.quality.AttemptOutcome.Ending;
 
 /** Puts attempts at drafts into the form in which the evidence on versions takes them. */
-final class Outcomes {
+final class AttemptOutcomes {
 
-  private Outcomes() {}
+  private AttemptOutcomes() {}
 
   static AttemptOutcome of(ActiveRequest active, Attempt attempt, Ending ending, Instant now) {
     // A resumed attempt gave only the rest, so its time tells nothing of a whole answer's.
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallRun.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
@@ -21,7 +21,7 @@
 import org.skylarkfork.core.upstream.Announcement;
 
 /** Runs calls to plain services: idempotent ones with retries and hedges, others at most once. */
-final class CallRun {
+final class CallExecutor {
 
   private static final long CLAIM_RETRY_MILLIS = 1000;
   private static final int SERVER_ERROR = 500;
@@ -38,19 +38,19 @@
   private final RequestCollaborators parts;
   private final RequestSettings settings;
   private final Attempts attempts;
-  private final Retries retries;
-  private final Hedging hedging;
-  private final Ending ending;
+  private final RetryPolicy retries;
+  private final HedgePolicy hedging;
+  private final RequestCompletion ending;
   private final CrashGuard crashes;
 
-  CallRun(
+  CallExecutor(
       ActiveRequests requests,
       RequestCollaborators parts,
       RequestSettings settings,
       Attempts attempts,
-      Retries retries,
-      Hedging hedging,
-      Ending ending,
+      RetryPolicy retries,
+      HedgePolicy hedging,
+      RequestCompletion ending,
       CrashGuard crashes) {
     this.requests = requests;
     this.parts = parts;
@@ -63,7 +63,7 @@
   }
 
   /** Starts an admitted call; a non-idempotent one is claimed first. */
-  void start(ActiveRequest active, Turn turn) {
+  void start(ActiveRequest active, EventContext turn) {
     retries.earn();
     if (active.idempotent) {
       hedging.earn();
@@ -80,7 +80,7 @@
   }
 
   /** Goes on once a claim is decided. */
-  void claimAnswered(ActiveRequest active, LedgerEvent.ClaimAnswered event, Turn turn) {
+  void claimAnswered(ActiveRequest active, LedgerEvent.ClaimAnswered event, EventContext turn) {
     if (active.phase != ActiveRequest.Phase.CLAIM) {
       return;
     }
@@ -118,7 +118,7 @@
     }
   }
 
-  private void recorded(ActiveRequest active, @Nullable ClaimOutcome outcome, Turn turn) {
+  private void recorded(ActiveRequest active, @Nullable ClaimOutcome outcome, EventContext turn) {
     if (outcome instanceof ClaimOutcome.Answered answered) {
       active.ran = true;
       active.costMicros = answered.facts().costMicros();
@@ -146,8 +146,8 @@
   }
 
   /** Dispatches a call, or lets it wait, or gives it up. */
-  void dispatch(ActiveRequest active, Turn turn) {
-    RoutingError refused = crashes.refusal(active);
+  void dispatch(ActiveRequest active, EventContext turn) {
+    RoutingError refused = crashes.quarantineRefusal(active);
     if (refused != null) {
       ending.fail(active, refused, turn);
       return;
@@ -174,14 +174,14 @@
     }
   }
 
-  private Optional<Announcement> choose(ActiveRequest active, Turn turn) {
+  private Optional<Announcement> choose(ActiveRequest active, EventContext turn) {
     List<Announcement> candidates =
         parts.directory().services(active.request.service(), turn.now());
     return parts.chooser().choose(candidates, active.request, active.triedUpstreams, turn.now());
   }
 
   private void send(
-      ActiveRequest active, Announcement upstream, ServiceDefinition service, Turn turn) {
+      ActiveRequest active, Announcement upstream, ServiceDefinition service, EventContext turn) {
     long timeoutMillis = timeoutMillis(active, service, turn.now());
     Duration watchdog = Duration.ofMillis(timeoutMillis).plus(settings.watchdogGrace());
     Attempt attempt = attempts.begin(active, upstream, null, watchdog, turn);
@@ -211,26 +211,26 @@
     return Math.max(1, Math.min(service.timeoutMillis(), left));
   }
 
-  private void planHedge(ActiveRequest active, ServiceDefinition service, Turn turn) {
+  private void planHedge(ActiveRequest active, ServiceDefinition service, EventContext turn) {
     Optional<Duration> delay = hedging.delay(service.name());
     if (delay.isPresent()) {
       active.hedgeAt = turn.now().plus(delay.get());
-      requests.wakeBy(active, active.hedgeAt);
+      requests.scheduleCheck(active, active.hedgeAt);
     }
   }
 
   /** Sends a second attempt of a lookup that takes longer than most, if the budget allows. */
-  void hedge(ActiveRequest active, Turn turn) {
+  void hedge(ActiveRequest active, EventContext turn) {
     Instant due = active.hedgeAt;
     if (due == null || active.running.size() != 1) {
       return;
     }
     if (due.isAfter(turn.now())) {
-      requests.wakeBy(active, due);
+      requests.scheduleCheck(active, due);
       return;
     }
     active.hedgeAt = null;
-    if (crashes.refusal(active) != null) {
+    if (crashes.quarantineRefusal(active) != null) {
       return;
     }
     Optional<Announcement> upstream = choose(active, turn);
@@ -244,14 +244,14 @@
 
   /** Takes a service's answer; the first one wins. */
   void answered(
-      ActiveRequest active, Attempt attempt, UpstreamEvent.ServiceAnswered event, Turn turn) {
+      ActiveRequest active, Attempt attempt, UpstreamEvent.ServiceAnswered event, EventContext turn) {
     hedging.measured(active.request.service(), attempt.dispatchedAt, turn.now());
     attempts.end(active, attempt, true, turn);
     for (Attempt loser : active.running.values()) {
       hedging.measured(active.request.service(), loser.dispatchedAt, turn.now());
     }
     active.ran = true;
-    crashes.served(active, turn);
+    crashes.requestServed(active, turn);
     active.tokens = 0;
     if (event.status() < SERVER_ERROR) {
       active.costMicros = price(active.request.service());
@@ -275,15 +275,15 @@
   }
 
   /** Decides after a failed attempt: another upstream, a pause, or the end. */
-  void failed(ActiveRequest active, Moment moment, String detail, Turn turn) {
+  void failed(ActiveRequest active, Moment moment, String detail, EventContext turn) {
     if (RunStates.after(moment) != RunState.NOT_RUN) {
       active.mayHaveStarted = true;
-      active.neverAgain = !active.idempotent;
+      active.retryForbidden = !active.idempotent;
     }
     if (!active.running.isEmpty()) {
       return;
     }
-    boolean giveUp = active.neverAgain || active.callerGone;
+    boolean giveUp = active.retryForbidden || active.callerGone;
     if (!giveUp && retries.waits(active, moment, turn.now())) {
       return;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashJudgePart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashReviewPart.java
@@ -21,7 +21,7 @@
  * A voter's work on requests that end their upstreams: hears what all entries lost, and has them
  * refused through the configuration while it leads.
  */
-public final class CrashJudgePart implements Part {
+public final class CrashReviewPart implements Part {
 
   private final ConfigurationView configuration;
   private final Predicate<Instant> leads;
@@ -34,7 +34,7 @@
    * @param configuration the configuration in force
    * @param leads whether this daemon leads the configuration's group at a time
    */
-  public CrashJudgePart(ConfigurationView configuration, Predicate<Instant> leads) {
+  public CrashReviewPart(ConfigurationView configuration, Predicate<Instant> leads) {
     this.configuration = configuration;
     this.leads = leads;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftAnswer.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftDelivery.java
@@ -7,20 +7,20 @@
 import org.skylarkfork.core.quality.AttemptOutcome;
 
 /** Gives drafts to their callers: token by token or whole, with the version that answered. */
-final class DraftAnswer {
+final class DraftDelivery {
 
   private final ActiveRequests requests;
   private final RequestCollaborators parts;
-  private final Planning planning;
+  private final DraftPlanner planning;
   private final RatingSampler sampler;
-  private final Ending ending;
+  private final RequestCompletion ending;
 
-  DraftAnswer(
+  DraftDelivery(
       ActiveRequests requests,
       RequestCollaborators parts,
-      Planning planning,
+      DraftPlanner planning,
       RatingSampler sampler,
-      Ending ending) {
+      RequestCompletion ending) {
     this.requests = requests;
     this.parts = parts;
     this.planning = planning;
@@ -33,8 +33,8 @@
   }
 
   /** Adds tokens to the answer, and sends them on if the caller gets them as they come. */
-  void append(ActiveRequest active, Attempt attempt, UpstreamEvent.TokensArrived event, Turn turn) {
-    boolean through = active.streamsThrough();
+  void append(ActiveRequest active, Attempt attempt, UpstreamEvent.TokensArrived event, EventContext turn) {
+    boolean through = active.streamsDirectly();
     if (through) {
       Invariants.check(active.sentTokens == event.offset(), "a caller's tokens have no gap");
       beginStream(active, attempt.version, attempt.upstream, turn);
@@ -44,17 +44,17 @@
     requests.append(active, event.tokens(), event.text(), !through || active.sampled);
   }
 
-  private void beginStream(ActiveRequest active, ModelVersion version, String upstream, Turn turn) {
-    if (active.streamBegun) {
+  private void beginStream(ActiveRequest active, ModelVersion version, String upstream, EventContext turn) {
+    if (active.streamStarted) {
       return;
     }
     pin(active, version, turn);
-    active.streamBegun = true;
+    active.streamStarted = true;
     turn.observe("first_token_seconds", active.request.kind().name(), active.arrivedAt);
     turn.effect(new CallerEffect.BeginStream(active.id(), active.facts(version, upstream)));
   }
 
-  private void pin(ActiveRequest active, ModelVersion version, Turn turn) {
+  private void pin(ActiveRequest active, ModelVersion version, EventContext turn) {
     String session = active.request.session();
     if (session == null || active.sessionToken != null) {
       return;
@@ -67,14 +67,14 @@
   }
 
   /** Has the answer rated afterwards if it was drawn for that. */
-  void sample(ActiveRequest active, HeldAnswer answer, AttemptOutcome outcome, Turn turn) {
+  void sample(ActiveRequest active, HeldAnswer answer, AttemptOutcome outcome, EventContext turn) {
     if (active.sampled) {
-      sampler.ask(active, answer, outcome, turn);
+      sampler.requestRating(active, answer, outcome, turn);
     }
   }
 
   /** Gives the caller an answer; its last frame waits for the bill. */
-  void deliver(ActiveRequest active, HeldAnswer answer, Turn turn) {
+  void deliver(ActiveRequest active, HeldAnswer answer, EventContext turn) {
     pin(active, answer.version(), turn);
     CallerEffect last =
         active.request.stream() ? lastOfStream(active, answer, turn) : whole(active, answer);
@@ -82,8 +82,8 @@
         active, last, null, ending.bill(active, answer.version().model(), answer.version()), turn);
   }
 
-  private CallerEffect lastOfStream(ActiveRequest active, HeldAnswer answer, Turn turn) {
-    if (!active.streamBegun) {
+  private CallerEffect lastOfStream(ActiveRequest active, HeldAnswer answer, EventContext turn) {
+    if (!active.streamStarted) {
       beginStream(active, answer.version(), answer.upstream(), turn);
       if (!answer.text().isEmpty()) {
         turn.effect(new CallerEffect.SendTokens(active.id(), answer.text()));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftRun.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftExecutor.java
@@ -17,7 +17,7 @@
 import org.skylarkfork.core.upstream.Announcement;
 
 /** Runs drafts on engines: plan, attempts, resumed streams and the end of each step. */
-final class DraftRun {
+final class DraftExecutor {
 
   private static final int MOST_PLANS = 3;
   private static final long RETRY_AFTER_MILLIS = 1000;
@@ -25,25 +25,25 @@
   private final ActiveRequests requests;
   private final RequestCollaborators parts;
   private final RequestSettings settings;
-  private final Planning planning;
+  private final DraftPlanner planning;
   private final Attempts attempts;
-  private final Retries retries;
-  private final Cascade cascade;
-  private final DraftAnswer answers;
-  private final Ending ending;
+  private final RetryPolicy retries;
+  private final EscalationPolicy cascade;
+  private final DraftDelivery answers;
+  private final RequestCompletion ending;
   private final CrashGuard crashes;
-  private final FirstTokens firstTokens;
+  private final FirstTokenTimeouts firstTokens;
 
-  DraftRun(
+  DraftExecutor(
       ActiveRequests requests,
       RequestCollaborators parts,
       RequestSettings settings,
-      Planning planning,
+      DraftPlanner planning,
       Attempts attempts,
-      Retries retries,
-      Cascade cascade,
-      DraftAnswer answers,
-      Ending ending,
+      RetryPolicy retries,
+      EscalationPolicy cascade,
+      DraftDelivery answers,
+      RequestCompletion ending,
       CrashGuard crashes) {
     this.requests = requests;
     this.parts = parts;
@@ -55,7 +55,7 @@
     this.answers = answers;
     this.ending = ending;
     this.crashes = crashes;
-    this.firstTokens = new FirstTokens(settings);
+    this.firstTokens = new FirstTokenTimeouts(settings);
   }
 
   static RoutingError teamGone(String team) {
@@ -64,15 +64,15 @@
   }
 
   /** Starts an admitted draft. */
-  void start(ActiveRequest active, Turn turn) {
+  void start(ActiveRequest active, EventContext turn) {
     retries.earn();
     plan(active, turn);
   }
 
-  private void plan(ActiveRequest active, Turn turn) {
+  private void plan(ActiveRequest active, EventContext turn) {
     RoutingError error = planning.plan(active, turn.now());
     if (error != null) {
-      boolean mayPass = error.kind() == ErrorKind.NO_CAPACITY && active.best == null;
+      boolean mayPass = error.kind() == ErrorKind.NO_CAPACITY && active.bestAnswer == null;
       if (!mayPass || !retries.pause(active, turn.now())) {
         giveUp(active, withRunState(active, error), turn);
       }
@@ -91,7 +91,7 @@
   }
 
   /** Goes on after a pause, with a new plan if there was none before it. */
-  void resume(ActiveRequest active, Turn turn) {
+  void resume(ActiveRequest active, EventContext turn) {
     if (active.needsPlan) {
       plan(active, turn);
     } else {
@@ -100,8 +100,8 @@
   }
 
   /** Dispatches the present step, or lets it wait, or gives it up. */
-  void dispatch(ActiveRequest active, Turn turn) {
-    RoutingError refused = crashes.refusal(active);
+  void dispatch(ActiveRequest active, EventContext turn) {
+    RoutingError refused = crashes.quarantineRefusal(active);
     if (refused != null) {
       giveUp(active, refused, turn);
       return;
@@ -125,10 +125,10 @@
    * Plans anew when a version was withdrawn or forbidden while the request waited. A caller that
    * has part of its answer can't get the rest from another version: its stream ends in an error.
    */
-  private void versionGone(ActiveRequest active, ModelVersion version, Turn turn) {
+  private void versionGone(ActiveRequest active, ModelVersion version, EventContext turn) {
     active.replans++;
     turn.timeline("request.replanned", active, null, version + " may not run any more");
-    if (active.streamBegun || active.replans > MOST_PLANS) {
+    if (active.streamStarted || active.replans > MOST_PLANS) {
       String message =
           version + " was withdrawn or forbidden before the answer was whole. Send it again.";
       giveUp(active, new RoutingError(ErrorKind.NOT_ALLOWED, message, active.runState(), 0L), turn);
@@ -139,7 +139,7 @@
     plan(active, turn);
   }
 
-  private void send(ActiveRequest active, Announcement upstream, ModelVersion version, Turn turn) {
+  private void send(ActiveRequest active, Announcement upstream, ModelVersion version, EventContext turn) {
     Duration left = Duration.between(turn.now(), active.request.deadline());
     Duration usual = firstTokens.timeout(version);
     Duration first = left.compareTo(usual) < 0 ? left : usual;
@@ -164,23 +164,23 @@
   }
 
   /** Takes tokens of the running attempt. */
-  void tokens(ActiveRequest active, Attempt attempt, UpstreamEvent.TokensArrived event, Turn turn) {
-    attempt.heardAt = turn.now();
-    AnswerBuffer.Fit fit = active.answer.fit(event.offset(), event.tokens());
-    if (fit == AnswerBuffer.Fit.DUPLICATE) {
+  void tokens(ActiveRequest active, Attempt attempt, UpstreamEvent.TokensArrived event, EventContext turn) {
+    attempt.lastProgressAt = turn.now();
+    AnswerBuffer.ChunkPosition fit = active.answer.classify(event.offset(), event.tokens());
+    if (fit == AnswerBuffer.ChunkPosition.DUPLICATE) {
       turn.count("tokens_duplicate", "");
       return;
     }
-    if (fit == AnswerBuffer.Fit.GAP) {
+    if (fit == AnswerBuffer.ChunkPosition.GAP) {
       turn.count("answers_with_gap", "");
       cut(active, attempt, "tokens are missing from the answer", turn);
       return;
     }
     if (attempt.firstTokenAt == null) {
       attempt.firstTokenAt = turn.now();
-      attempt.timeout = settings.silence().plus(settings.watchdogGrace());
+      attempt.timeout = settings.tokenTimeout().plus(settings.watchdogGrace());
       firstTokens.measured(attempt, turn.now());
-      requests.wakeBy(active, attempt.silentAt());
+      requests.scheduleCheck(active, attempt.timeoutAt());
     }
     attempt.tokens += event.tokens();
     answers.append(active, attempt, event, turn);
@@ -192,8 +192,8 @@
   /**
    * Keeps to the bound on held answers: without the sample if it is one, else without the answer.
    */
-  private void makeRoom(ActiveRequest active, Turn turn) {
-    if (active.streamsThrough()) {
+  private void makeRoom(ActiveRequest active, EventContext turn) {
+    if (active.streamsDirectly()) {
       active.sampled = false;
       requests.dropText(active);
       return;
@@ -205,15 +205,15 @@
   }
 
   /** Gives up an attempt whose answer can't be trusted any more, and goes on elsewhere. */
-  void cut(ActiveRequest active, Attempt attempt, String detail, Turn turn) {
+  void cut(ActiveRequest active, Attempt attempt, String detail, EventContext turn) {
     attempts.cancel(active, attempt, false, turn);
-    crashes.lost(active, attempt, Moment.ANSWER_BEGUN, turn);
+    crashes.attemptLost(active, attempt, Moment.ANSWER_BEGUN, turn);
     failed(active, attempt, Moment.ANSWER_BEGUN, detail, turn);
   }
 
   /** Takes the final frame of the running attempt. */
   void finished(
-      ActiveRequest active, Attempt attempt, UpstreamEvent.DraftFinished event, Turn turn) {
+      ActiveRequest active, Attempt attempt, UpstreamEvent.DraftFinished event, EventContext turn) {
     long tokens = active.answer.tokens();
     // An engine that counted more tokens than came has an answer whose end was lost on the way: to
     // the caller it would look complete. Its own count shows it.
@@ -226,7 +226,7 @@
     active.ran = true;
     active.finishedVersions.add(Objects.requireNonNull(attempt.version));
     AttemptOutcome outcome =
-        Outcomes.of(
+        AttemptOutcomes.of(
             active,
             attempt,
             tokens == 0 ? AttemptOutcome.Ending.EMPTY : AttemptOutcome.Ending.WHOLE,
@@ -234,12 +234,12 @@
     parts.quality().record(outcome, turn.now());
     HeldAnswer answer = wholeAnswer(active, attempt, event);
     ending.charge(active, answer.version(), answer.usage());
-    if (active.isHeldStep()) {
+    if (active.holdsAnswerForRating()) {
       cascade.hold(active, answer, outcome, turn);
       next(active, turn);
       return;
     }
-    crashes.served(active, turn);
+    crashes.requestServed(active, turn);
     answers.sample(active, answer, outcome, turn);
     answers.deliver(active, answer, turn);
   }
@@ -261,20 +261,20 @@
   }
 
   /** Takes a rating of a held answer; null if there will be none. */
-  void rated(ActiveRequest active, String attemptId, @Nullable Double score, Turn turn) {
-    if (cascade.rated(active, attemptId, score, turn)) {
+  void rated(ActiveRequest active, String attemptId, @Nullable Double score, EventContext turn) {
+    if (cascade.onRating(active, attemptId, score, turn)) {
       next(active, turn);
     }
   }
 
   /** Goes on after a held answer was judged: delivers it, or runs the next step. */
-  private void next(ActiveRequest active, Turn turn) {
-    HeldAnswer held = active.held;
+  private void next(ActiveRequest active, EventContext turn) {
+    HeldAnswer held = active.heldAnswer;
     if (active.phase == ActiveRequest.Phase.RATING) {
       return;
     }
     if (held != null) {
-      crashes.served(active, turn);
+      crashes.requestServed(active, turn);
       answers.deliver(active, held, turn);
       return;
     }
@@ -282,13 +282,13 @@
   }
 
   /** Decides after a failed attempt: resume or repeat elsewhere, a pause, or the end. */
-  void failed(ActiveRequest active, Attempt attempt, Moment moment, String detail, Turn turn) {
+  void failed(ActiveRequest active, Attempt attempt, Moment moment, String detail, EventContext turn) {
     if (RunStates.after(moment) != RunState.NOT_RUN) {
       active.mayHaveStarted = true;
     }
-    AttemptOutcome.Ending told = Outcomes.ending(moment);
+    AttemptOutcome.Ending told = AttemptOutcomes.ending(moment);
     if (told != null) {
-      parts.quality().record(Outcomes.of(active, attempt, told, turn.now()), turn.now());
+      parts.quality().record(AttemptOutcomes.of(active, attempt, told, turn.now()), turn.now());
     }
     boolean resuming = active.answer.tokens() > 0;
     if (!resuming && retries.waits(active, moment, turn.now())) {
@@ -307,9 +307,9 @@
   }
 
   /** Ends a draft that can't be finished: with the best held answer if there is one. */
-  void giveUp(ActiveRequest active, RoutingError error, Turn turn) {
-    HeldAnswer best = active.best;
-    if (best != null && !active.streamBegun) {
+  void giveUp(ActiveRequest active, RoutingError error, EventContext turn) {
+    HeldAnswer best = active.bestAnswer;
+    if (best != null && !active.streamStarted) {
       active.notice = "the rating of this answer is below the target; a better one failed";
       answers.deliver(active, best, turn);
       return;
@@ -318,9 +318,9 @@
   }
 
   /** Delivers a held answer at the deadline, and returns whether there was one. */
-  boolean deliverBest(ActiveRequest active, Turn turn) {
-    HeldAnswer best = active.held != null ? active.held : active.best;
-    if (best == null || active.streamBegun || active.phase == ActiveRequest.Phase.BILL) {
+  boolean deliverBest(ActiveRequest active, EventContext turn) {
+    HeldAnswer best = active.heldAnswer != null ? active.heldAnswer : active.bestAnswer;
+    if (best == null || active.streamStarted || active.phase == ActiveRequest.Phase.BILL) {
       return false;
     }
     active.notice = "the deadline came before a rating or a better answer";
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Planning.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftPlanner.java
@@ -17,14 +17,14 @@
 import org.skylarkfork.core.routing.PlanQuery;
 
 /** Gives a draft its plan, under the configuration in force and its session's pins. */
-final class Planning {
+final class DraftPlanner {
 
   private static final long RETRY_AFTER_MILLIS = 1000;
 
   private final RequestCollaborators parts;
-  private final Routes routes;
+  private final RuleMatcher routes;
 
-  Planning(RequestCollaborators parts, Routes routes) {
+  DraftPlanner(RequestCollaborators parts, RuleMatcher routes) {
     this.parts = parts;
     this.routes = routes;
   }
@@ -45,7 +45,7 @@
     Configuration current = parts.configuration().current();
     Optional<Team> team = current.team(active.team);
     if (team.isEmpty()) {
-      return DraftRun.teamGone(active.team);
+      return DraftExecutor.teamGone(active.team);
     }
     RoutingError error = routeAgain(active, current, now);
     if (error != null) {
@@ -97,7 +97,7 @@
     }
     Optional<Rule> rule = routes.match(active.request, active.team, now);
     if (rule.isPresent() && rule.get().then() instanceof Rule.Decision.Route route) {
-      active.take(route);
+      active.applyRoute(route);
       active.revision = current.revision();
       return null;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/FirstTokens.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/FirstTokenTimeouts.java
@@ -15,7 +15,7 @@
  * queues; this one grows with the measured times. A silent engine is still found in a few times
  * what is usual.
  */
-final class FirstTokens {
+final class FirstTokenTimeouts {
 
   private static final double PERCENTILE = 99;
   private static final int SAMPLES = 20;
@@ -23,21 +23,21 @@
 
   private final Duration shortest;
   private final Duration longest;
-  private final Map<ModelVersion, RecentTimes> versions = new HashMap<>();
+  private final Map<ModelVersion, RecentDurations> versions = new HashMap<>();
 
-  FirstTokens(RequestSettings settings) {
-    this.shortest = settings.silence();
-    this.longest = settings.longestFirstToken();
+  FirstTokenTimeouts(RequestSettings settings) {
+    this.shortest = settings.tokenTimeout();
+    this.longest = settings.maxFirstTokenTimeout();
   }
 
   void measured(Attempt attempt, Instant now) {
     versions
-        .computeIfAbsent(Objects.requireNonNull(attempt.version), version -> new RecentTimes())
+        .computeIfAbsent(Objects.requireNonNull(attempt.version), version -> new RecentDurations())
         .add(Duration.between(attempt.dispatchedAt, now));
   }
 
   Duration timeout(ModelVersion version) {
-    RecentTimes times = versions.get(version);
+    RecentDurations times = versions.get(version);
     if (times == null || times.count() < SAMPLES) {
       return longest;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RecentTimes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RecentDurations.java
@@ -5,7 +5,7 @@
 import org.HdrHistogram.Histogram;
 
 /** Measured times of the last one or two windows; older ones no longer count. */
-final class RecentTimes {
+final class RecentDurations {
 
   private static final long LONGEST_MICROS = TimeUnit.MINUTES.toMicros(2);
   private static final int DIGITS = 2;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCollaborators.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCollaborators.java
@@ -27,7 +27,7 @@
  * @param ledger claims and bills
  * @param admission limits and queues
  * @param listing whether this entry takes new work
- * @param judges those that judge which requests end their upstreams
+ * @param crashReviewers those that judge which requests end their upstreams
  */
 public record RequestCollaborators(
     ConfigurationView configuration,
@@ -40,4 +40,4 @@
     Ledger ledger,
     Admission admission,
     EntryListing listing,
-    CrashReviewers judges) {}
+    CrashReviewers crashReviewers) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Ending.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCompletion.java
@@ -25,7 +25,7 @@
  * <p>What is billed: each whole answer of a step, and of a caller that left the tokens that had
  * come by then. Attempts that failed or lost against a hedge cost the team nothing.
  */
-final class Ending {
+final class RequestCompletion {
 
   private static final Duration BILL_PAUSE = Duration.ofMillis(200);
 
@@ -36,14 +36,14 @@
   /** Claims of requests that ended before their claim was decided, by request id. */
   private final Map<String, ActiveRequest> openClaims = new HashMap<>();
 
-  Ending(ActiveRequests requests, RequestCollaborators parts, Attempts attempts) {
+  RequestCompletion(ActiveRequests requests, RequestCollaborators parts, Attempts attempts) {
     this.requests = requests;
     this.parts = parts;
     this.attempts = attempts;
   }
 
   /** Refuses a request of which no state is held. */
-  void refuseAtOnce(CallerRequest request, RoutingError error, Turn turn) {
+  void refuseAtOnce(CallerRequest request, RoutingError error, EventContext turn) {
     ActiveRequest stateless = new ActiveRequest(request, "", true, turn.now());
     send(
         stateless,
@@ -56,7 +56,7 @@
   }
 
   /** Ends a request with an error: a refusal, or a broken stream if the answer had begun. */
-  void fail(ActiveRequest active, RoutingError error, Turn turn) {
+  void fail(ActiveRequest active, RoutingError error, EventContext turn) {
     ClaimOutcome outcome =
         error.runState() == RunState.NOT_RUN
             ? new ClaimOutcome.NotRun(error.message())
@@ -65,7 +65,7 @@
   }
 
   private static CallerEffect failure(ActiveRequest active, RoutingError error) {
-    return active.streamBegun
+    return active.streamStarted
         ? new CallerEffect.BreakStream(active.id(), error, emptyFacts(active))
         : new CallerEffect.Refuse(active.id(), error, emptyFacts(active));
   }
@@ -84,7 +84,7 @@
       @Nullable CallerEffect last,
       @Nullable ClaimOutcome outcome,
       @Nullable Bill bill,
-      Turn turn) {
+      EventContext turn) {
     attempts.cancelAll(active, turn);
     release(active, turn);
     active.lastEffect = last;
@@ -97,7 +97,7 @@
     billOrSend(active, turn);
   }
 
-  private void release(ActiveRequest active, Turn turn) {
+  private void release(ActiveRequest active, EventContext turn) {
     if (active.inAdmission) {
       active.inAdmission = false;
       parts.admission().release(active.id(), active.tokens, turn.now());
@@ -105,7 +105,7 @@
   }
 
   /** Goes on once the outcome is recorded, or can't be: the answer is the caller's all the same. */
-  void recorded(ActiveRequest active, boolean durable, Turn turn) {
+  void recorded(ActiveRequest active, boolean durable, EventContext turn) {
     if (active.phase != ActiveRequest.Phase.RECORD) {
       return;
     }
@@ -115,7 +115,7 @@
     billOrSend(active, turn);
   }
 
-  private void billOrSend(ActiveRequest active, Turn turn) {
+  private void billOrSend(ActiveRequest active, EventContext turn) {
     if (active.bill == null) {
       close(active, turn);
       return;
@@ -132,13 +132,13 @@
    * be lost to the statement if this entry ended now. The key keeps it one bill. A lookup is
    * refused at once instead: it may be sent again, and its caller should not wait.
    */
-  void billed(ActiveRequest active, boolean durable, Turn turn) {
+  void billed(ActiveRequest active, boolean durable, EventContext turn) {
     if (active.phase != ActiveRequest.Phase.BILL) {
       return;
     }
     Bill bill = Objects.requireNonNull(active.bill);
     if (durable) {
-      active.billSafe = true;
+      active.billDurable = true;
       turn.timeline("request.billed", active, null, bill.costMicros() + " micros");
       close(active, turn);
       return;
@@ -150,17 +150,17 @@
       return;
     }
     active.phaseEnd = turn.now().plus(BILL_PAUSE);
-    requests.wakeBy(active, active.phaseEnd);
+    requests.scheduleCheck(active, active.phaseEnd);
   }
 
   /** Hands a bill in again once its pause is over. */
-  void billAgain(ActiveRequest active, Turn turn) {
+  void billAgain(ActiveRequest active, EventContext turn) {
     Instant end = active.phaseEnd;
     if (end == null) {
       return;
     }
     if (end.isAfter(turn.now())) {
-      requests.wakeBy(active, end);
+      requests.scheduleCheck(active, end);
       return;
     }
     billOrSend(active, turn);
@@ -175,7 +175,7 @@
     return failure(active, new RoutingError(ErrorKind.DEADLINE, message, RunState.RAN, null));
   }
 
-  private void close(ActiveRequest active, Turn turn) {
+  private void close(ActiveRequest active, EventContext turn) {
     requests.remove(active);
     CallerEffect last = active.lastEffect;
     if (last != null && !active.callerGone) {
@@ -184,18 +184,18 @@
   }
 
   /** Sends the one answer or refusal of a request. */
-  private void send(ActiveRequest active, CallerEffect last, Turn turn) {
+  private void send(ActiveRequest active, CallerEffect last, EventContext turn) {
     Invariants.check(!active.answered, "a request gets one answer");
     boolean refused =
         last instanceof CallerEffect.Refuse || last instanceof CallerEffect.BreakStream;
-    Invariants.check(refused || active.billSafe, "no last frame goes out before the bill");
+    Invariants.check(refused || active.billDurable, "no last frame goes out before the bill");
     active.answered = true;
     requests.startDelivery(active.id(), turn.now());
     turn.effect(last);
     note(active, last, turn);
   }
 
-  private static void note(ActiveRequest active, CallerEffect last, Turn turn) {
+  private static void note(ActiveRequest active, CallerEffect last, EventContext turn) {
     RoutingError error = null;
     if (last instanceof CallerEffect.Refuse refuse) {
       error = refuse.error();
@@ -208,13 +208,13 @@
       turn.observe("request_seconds", active.request.kind().name(), active.arrivedAt);
       return;
     }
-    String what = active.streamBegun ? "request.broken" : "request.refused";
+    String what = active.streamStarted ? "request.broken" : "request.refused";
     turn.timeline(what, active, null, error.runState().header() + ": " + error.message());
     turn.count("requests_refused", error.kind().name());
   }
 
   /** Ends the wait of a caller whose deadline passed; what may not be lost goes on without it. */
-  void deadline(ActiveRequest active, Turn turn) {
+  void deadline(ActiveRequest active, EventContext turn) {
     if (active.answered || active.callerGone) {
       return;
     }
@@ -251,7 +251,7 @@
   }
 
   /** Takes note that the caller left: stops what is not wanted and bills what was used. */
-  void callerLeft(ActiveRequest active, Turn turn) {
+  void callerLeft(ActiveRequest active, EventContext turn) {
     active.callerGone = true;
     turn.timeline("request.abandoned", active, null, "the caller left");
     turn.count("callers_left", "");
@@ -267,7 +267,7 @@
 
   private @Nullable Bill used(ActiveRequest active) {
     long tokens = active.answer.tokens();
-    boolean partial = tokens > 0 && active.held == null;
+    boolean partial = tokens > 0 && active.heldAnswer == null;
     ModelVersion version = active.plan == null ? null : active.currentStep().version();
     if (version == null || (active.costMicros == 0 && !partial)) {
       return null;
@@ -305,7 +305,7 @@
   }
 
   /** Frees a claim that was granted after its request had ended, so that a resend may run. */
-  void claimAnsweredLate(LedgerEvent.ClaimAnswered event, Turn turn) {
+  void claimAnsweredLate(LedgerEvent.ClaimAnswered event, EventContext turn) {
     ActiveRequest ended = openClaims.remove(event.requestId());
     if (ended != null && event.state() == LedgerEvent.ClaimState.GRANTED) {
       ClaimOutcome notRun = new ClaimOutcome.NotRun("the request ended before it was sent");
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Intake.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestIntake.java
@@ -16,7 +16,7 @@
 import org.skylarkfork.core.session.SessionPins;
 
 /** Takes requests in: checks who may ask for what, matches the rule, and asks for admission. */
-final class Intake {
+final class RequestIntake {
 
   private static final long OTHER_ENTRY_MILLIS = 0;
   private static final long IN_PROGRESS_MILLIS = 1000;
@@ -25,20 +25,20 @@
   private final ActiveRequests requests;
   private final RequestCollaborators parts;
   private final RequestSettings settings;
-  private final Routes routes;
-  private final Ending ending;
-  private final DraftRun drafts;
-  private final CallRun calls;
+  private final RuleMatcher routes;
+  private final RequestCompletion ending;
+  private final DraftExecutor drafts;
+  private final CallExecutor calls;
   private final CrashGuard crashes;
 
-  Intake(
+  RequestIntake(
       ActiveRequests requests,
       RequestCollaborators parts,
       RequestSettings settings,
-      Routes routes,
-      Ending ending,
-      DraftRun drafts,
-      CallRun calls,
+      RuleMatcher routes,
+      RequestCompletion ending,
+      DraftExecutor drafts,
+      CallExecutor calls,
       CrashGuard crashes) {
     this.requests = requests;
     this.parts = parts;
@@ -50,7 +50,7 @@
     this.crashes = crashes;
   }
 
-  void received(CallerRequest request, Turn turn) {
+  void received(CallerRequest request, EventContext turn) {
     turn.count("requests_received", request.kind().name());
     RoutingError error = closed(request, turn);
     if (error != null) {
@@ -66,7 +66,7 @@
     take(request, team.get(), turn);
   }
 
-  private @Nullable RoutingError closed(CallerRequest request, Turn turn) {
+  private @Nullable RoutingError closed(CallerRequest request, EventContext turn) {
     boolean serving =
         parts.configuration().mayServe(turn.now())
             && parts.listing().acceptsNewWork(turn.now())
@@ -90,14 +90,14 @@
     return null;
   }
 
-  private void take(CallerRequest request, Team team, Turn turn) {
+  private void take(CallerRequest request, Team team, EventContext turn) {
     Configuration current = parts.configuration().current();
     RoutingError error =
         request.kind().isDraft()
             ? modelError(request, team, current)
             : serviceError(request, team, current);
     if (error == null) {
-      error = crashes.refusal(team.name(), request);
+      error = crashes.quarantineRefusal(team.name(), request);
     }
     if (error == null && request.idempotencyKey() != null) {
       error = keyError(team, request.idempotencyKey());
@@ -159,7 +159,7 @@
   }
 
   private @Nullable RoutingError keyError(Team team, String key) {
-    if (!requests.runsKey(team.name(), key)) {
+    if (!requests.isKeyActive(team.name(), key)) {
       return null;
     }
     return new RoutingError(
@@ -190,28 +190,28 @@
                 + " Ask your operator to narrow its condition.");
   }
 
-  private void open(CallerRequest request, Team team, Configuration current, Rule rule, Turn turn) {
+  private void open(CallerRequest request, Team team, Configuration current, Rule rule, EventContext turn) {
     boolean idempotent =
         request.kind().isDraft()
             || current.service(request.service()).orElseThrow().isIdempotent(request.method());
     ActiveRequest active = new ActiveRequest(request, team.name(), idempotent, turn.now());
     active.revision = current.revision();
     if (rule.then() instanceof Rule.Decision.Route route) {
-      active.take(route);
+      active.applyRoute(route);
     }
     requests.add(active);
     turn.timeline("request.received", active, null, "team " + team.name());
     turn.timeline("request.matched", active, null, "rule " + rule.name());
     if (mustAskForPins(active, turn)) {
       active.phase = ActiveRequest.Phase.PINS;
-      active.phaseEnd = turn.now().plus(settings.pinWait());
-      requests.wakeBy(active, active.phaseEnd);
+      active.phaseEnd = turn.now().plus(settings.pinTimeout());
+      requests.scheduleCheck(active, active.phaseEnd);
       return;
     }
     admit(active, team, turn);
   }
 
-  private boolean mustAskForPins(ActiveRequest active, Turn turn) {
+  private boolean mustAskForPins(ActiveRequest active, EventContext turn) {
     return active.request.kind().isDraft()
         && active.request.session() != null
         && parts.pins().lookup(active.request, active.team, turn.now())
@@ -219,19 +219,19 @@
   }
 
   /** Goes on once the owners of the session answered, or were asked for long enough. */
-  void pinsResolved(ActiveRequest active, Turn turn) {
+  void pinsResolved(ActiveRequest active, EventContext turn) {
     if (active.phase != ActiveRequest.Phase.PINS) {
       return;
     }
     Optional<Team> team = parts.configuration().current().team(active.team);
     if (team.isEmpty()) {
-      ending.fail(active, DraftRun.teamGone(active.team), turn);
+      ending.fail(active, DraftExecutor.teamGone(active.team), turn);
       return;
     }
     admit(active, team.get(), turn);
   }
 
-  private void admit(ActiveRequest active, Team team, Turn turn) {
+  private void admit(ActiveRequest active, Team team, EventContext turn) {
     active.phase = ActiveRequest.Phase.ADMISSION;
     active.phaseEnd = null;
     Admission.Verdict verdict =
@@ -247,7 +247,7 @@
   }
 
   /** Starts a request that was admitted. */
-  void admitted(ActiveRequest active, Turn turn) {
+  void admitted(ActiveRequest active, EventContext turn) {
     if (active.phase != ActiveRequest.Phase.ADMISSION) {
       return;
     }
@@ -261,7 +261,7 @@
   }
 
   /** Refuses a request whose wait for admission is over. */
-  void waitRefused(ActiveRequest active, RoutingError error, Turn turn) {
+  void waitRefused(ActiveRequest active, RoutingError error, EventContext turn) {
     if (active.phase == ActiveRequest.Phase.ADMISSION) {
       active.inAdmission = false;
       ending.fail(active, error, turn);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Retries.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RetryPolicy.java
@@ -10,7 +10,7 @@
 import org.skylarkfork.core.request.RunState;
 
 /** Decides whether a request whose attempt failed is tried again, and after which pause. */
-final class Retries {
+final class RetryPolicy {
 
   private static final long RETRY_AFTER_MILLIS = 1000;
 
@@ -19,7 +19,7 @@
   private final AttemptBudget budget;
   private final UniformRandomProvider random;
 
-  Retries(ActiveRequests requests, RequestSettings settings, UniformRandomProvider random) {
+  RetryPolicy(ActiveRequests requests, RequestSettings settings, UniformRandomProvider random) {
     this.requests = requests;
     this.settings = settings;
     this.budget = new AttemptBudget(settings.retryShare(), settings.retryReserve());
@@ -28,7 +28,7 @@
 
   /** Takes note of a new request, which earns its share of a retry. */
   void earn() {
-    budget.earn();
+    budget.deposit();
   }
 
   /**
@@ -48,10 +48,10 @@
       return failed(active, detail + "; all attempts are used up");
     }
     if (resuming) {
-      budget.take();
+      budget.withdraw();
       return null;
     }
-    if (RunStates.reachedUpstream(moment) && !budget.tryTake()) {
+    if (RunStates.reachedUpstream(moment) && !budget.tryWithdraw()) {
       return failed(active, detail + "; the retry budget is used up");
     }
     return null;
@@ -108,19 +108,19 @@
    * @return whether it waits; false if it waited often enough or its deadline comes first
    */
   boolean pause(ActiveRequest active, Instant now) {
-    if (active.pauses >= settings.maxPauses()) {
+    if (active.backoffs >= settings.maxBackoffs()) {
       return false;
     }
-    long full = settings.firstPause().toMillis() << active.pauses;
+    long full = settings.firstBackoff().toMillis() << active.backoffs;
     Instant end = now.plus(Duration.ofMillis(full / 2 + random.nextLong(full / 2 + 1)));
     if (!end.isBefore(active.request.deadline())) {
       return false;
     }
-    active.pauses++;
+    active.backoffs++;
     active.triedUpstreams.clear();
     active.phase = ActiveRequest.Phase.PAUSE;
     active.phaseEnd = end;
-    requests.wakeBy(active, end);
+    requests.scheduleCheck(active, end);
     return true;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Routes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RuleMatcher.java
@@ -11,7 +11,7 @@
 import org.skylarkfork.core.routing.RuleBook;
 
 /** The rules of the configuration in force, made ready once a revision. */
-final class Routes {
+final class RuleMatcher {
 
   private static final long NONE = -1;
 
@@ -20,7 +20,7 @@
   private long revision = NONE;
   private @Nullable RuleBook book;
 
-  Routes(ConfigurationView configuration, Function<Configuration, RuleBook> ruleBooks) {
+  RuleMatcher(ConfigurationView configuration, Function<Configuration, RuleBook> ruleBooks) {
     this.configuration = configuration;
     this.ruleBooks = ruleBooks;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/VotersAsJudges.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/VoterCrashReviewers.java
@@ -11,7 +11,7 @@
  * All voters of the configuration's group are told of requests that were lost, and the one that
  * leads judges: the next leader then knows as much.
  */
-public final class VotersAsJudges implements CrashReviewers {
+public final class VoterCrashReviewers implements CrashReviewers {
 
   private final String self;
   private final List<String> voters;
@@ -22,7 +22,7 @@
    * @param self name of this daemon, which may be a voter
    * @param voters names of the voters
    */
-  public VotersAsJudges(String self, List<String> voters) {
+  public VoterCrashReviewers(String self, List<String> voters) {
     this.self = self;
     this.voters = List.copyOf(voters);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdateSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdateSender.java
@@ -100,7 +100,7 @@
    * @return whether changes were sent
    */
   boolean sendUpdates(boolean changed, long stateIndex, Instant now, Output output) {
-    if (consensus.provenAt(GroupId.RELAY).equals(Instant.EPOCH)) {
+    if (consensus.leadershipConfirmedAt(GroupId.RELAY).equals(Instant.EPOCH)) {
       return false;
     }
     Set<String> updated = answerProven(stateIndex, now, output);
@@ -122,7 +122,7 @@
    */
   private Set<String> answerProven(long stateIndex, Instant now, Output output) {
     Set<String> updated = new HashSet<>();
-    Instant proven = consensus.provenAt(GroupId.RELAY);
+    Instant proven = consensus.leadershipConfirmedAt(GroupId.RELAY);
     pendingPolls.keySet().retainAll(entries.nodes());
     for (String entry : List.copyOf(pendingPolls.keySet())) {
       if (pendingSince.getOrDefault(entry, Instant.MAX).isBefore(proven)) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -144,10 +144,10 @@
       if (relay != null) {
         answerBegan(relay, began, now, output);
       }
-    } else if (event instanceof RelayEvent.AttemptFailed failed) {
-      ActiveRelay relay = active.find(failed.request(), failed.attempt());
+    } else if (event instanceof RelayEvent.AttemptFailed serverError) {
+      ActiveRelay relay = active.find(serverError.request(), serverError.attempt());
       if (relay != null) {
-        failures.onAttemptFailed(relay, failed, now, output);
+        failures.onAttemptFailed(relay, serverError, now, output);
       }
     } else if (event instanceof RelayEvent.UpstreamProbed probed) {
       crashes.onProbeResult(probed.upstream(), probed.reachable(), now, output);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
@@ -19,7 +19,7 @@
 import org.skylarkfork.core.consensus.ConsensusPart;
 import org.skylarkfork.core.consensus.GroupSetup;
 import org.skylarkfork.core.consensus.GroupStatus;
-import org.skylarkfork.core.consensus.Growth;
+import org.skylarkfork.core.consensus.MembershipChangePolicy;
 import org.skylarkfork.core.effect.Effect;
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.RelayEvent;
@@ -99,7 +99,7 @@
   private Reducer bootControl(String name, long seed) {
     boolean first = starts.merge(name, 1, Integer::sum) == 1;
     RelayMachine machine = new RelayMachine();
-    Growth growth = new Growth(first, CONTROLS, RelaySimulation.VOTER_TIMEOUT);
+    MembershipChangePolicy growth = new MembershipChangePolicy(first, CONTROLS, RelaySimulation.VOTER_TIMEOUT);
     ConsensusPart consensus =
         new ConsensusPart(
             name,
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
@@ -108,7 +108,7 @@
    * evacuated.
    */
   @Test
-  public void upstreamsOfEvacuatedZoneAreEvacuatedUntilZoneIsRestored() {
+  public void upstreamsOfEvacuatedZoneAreEvacuatedUntilZoneIsReinstated() {
     receiveUpdate(List.of(), newInstance(1, 1000));
     evacuatedZones = List.of("a");
     receiveUpdate(List.of());
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
@@ -25,7 +25,7 @@
 import org.skylarkfork.core.consensus.GroupCodec;
 import org.skylarkfork.core.consensus.GroupSetup;
 import org.skylarkfork.core.consensus.GroupStatus;
-import org.skylarkfork.core.consensus.Growth;
+import org.skylarkfork.core.consensus.MembershipChangePolicy;
 import org.skylarkfork.core.consensus.RaftSettings;
 import org.skylarkfork.core.effect.Effect;
 import org.skylarkfork.core.effect.RelayEffect;
@@ -157,7 +157,7 @@
             name,
             List.of(
                 new GroupSetup(
-                    GroupId.RELAY, seeds(), new Growth(first, voters, VOTER_TIMEOUT), machine)),
+                    GroupId.RELAY, seeds(), new MembershipChangePolicy(first, voters, VOTER_TIMEOUT), machine)),
             settings(),
             codec,
             seed);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -25,7 +25,7 @@
 import org.skylarkfork.core.command.GroupId;
 import org.skylarkfork.core.consensus.ConsensusPart;
 import org.skylarkfork.core.consensus.GroupSetup;
-import org.skylarkfork.core.consensus.Growth;
+import org.skylarkfork.core.consensus.MembershipChangePolicy;
 import org.skylarkfork.core.effect.Effect;
 import org.skylarkfork.core.effect.PeerEffect;
 import org.skylarkfork.core.effect.RelayEffect;
@@ -193,8 +193,8 @@
 
   private void addControl(List<Part> parts) {
     RelayMachine machine = new RelayMachine();
-    Growth growth =
-        new Growth(settings.mayFound(), settings.voters(), RelayPeerLimits.VOTER_SILENCE);
+    MembershipChangePolicy growth =
+        new MembershipChangePolicy(settings.mayFound(), settings.voters(), RelayPeerLimits.VOTER_SILENCE);
     ConsensusPart consensus =
         new ConsensusPart(
             settings.peerName(),
