--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayMachine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayMachine.java
@@ -16,18 +16,19 @@
 import org.skylarkfork.core.upstream.UpstreamRun;
 
 /**
- * Applies the relay's commands: configuration, roll-outs, leaving upstreams, evacuated zones,
- * requests that are refused.
+ * State machine of the relay's group: configuration, roll-outs, leaving upstreams, evacuated zones
+ * and quarantined requests.
  */
 public final class RelayMachine implements StateMachine {
 
   /**
-   * Leaving upstreams that are remembered. An upstream stays a few seconds after it said so, and
-   * far fewer than this many leave in that time even where 12,000 are replaced in a day.
+   * Maximum number of retained leaving upstreams. An upstream stays a few seconds after it
+   * announced that it leaves, and far fewer than this many leave in that time even if 12,000 are
+   * replaced in a day.
    */
   private static final int MAX_LEAVING = 512;
 
-  /** Refused requests that are remembered: 6 KB in each message that tells them. */
+  /** Maximum number of quarantined requests; they take 6 KB in each message that contains them. */
   private static final int MAX_QUARANTINED = 256;
 
   private static final byte[] NO_DOCUMENT = new byte[0];
@@ -49,7 +50,7 @@
     return List.copyOf(rollOuts.values());
   }
 
-  /** Returns the upstreams that leave, oldest first. */
+  /** Returns the runs of upstreams that leave, oldest first. */
   public List<UpstreamRun> leaving() {
     return List.copyOf(leaving.values());
   }
@@ -59,36 +60,36 @@
     return List.copyOf(evacuations.values());
   }
 
-  /** Returns the requests that are refused, oldest first. */
+  /** Returns the quarantined requests, oldest first. */
   public List<QuarantinedRequest> quarantined() {
     return List.copyOf(quarantined.values());
   }
 
-  /** Returns what these requests have in common with the same ones sent again. */
+  /** Returns the keys of the quarantined requests, oldest first. */
   List<RequestKey> quarantinedKeys() {
     return List.copyOf(quarantined.keySet());
   }
 
-  /** Returns whether a start of an upstream said that it leaves. */
+  /** Returns whether a run of an upstream has announced that it leaves. */
   public boolean isLeaving(UpstreamRun run) {
-    UpstreamRun left = leaving.get(run.id());
-    return left != null && left.covers(run);
+    UpstreamRun leavingRun = leaving.get(run.id());
+    return leavingRun != null && leavingRun.covers(run);
   }
 
   @Override
   public CommandResult apply(long index, Instant stampedAt, Command command) {
     if (command instanceof RelayCommand.PutConfiguration put) {
-      return put(put);
+      return putConfiguration(put);
     } else if (command instanceof RelayCommand.ReadConfiguration) {
       return new RelayResult.ConfigurationRead(configuration.version(), document);
     } else if (command instanceof RelayCommand.BeginRollOut begin) {
-      return begin(begin);
+      return beginRollOut(begin);
     } else if (command instanceof RelayCommand.AdvanceRollOut advance) {
-      return advance(advance);
+      return advanceRollOut(advance);
     } else if (command instanceof RelayCommand.ReadRollOut read) {
       return new RelayResult.RollOutRead(rollOuts.get(read.service()));
     } else if (command instanceof RelayCommand.UpstreamLeaves leaves) {
-      return leave(leaves.run());
+      return markLeaving(leaves.run());
     } else if (command instanceof RelayCommand.EvacuateZone evacuate) {
       evacuations.putIfAbsent(evacuate.zone(), new Evacuation(evacuate.zone(), stampedAt));
       return new CommandResult.Done();
@@ -108,7 +109,7 @@
     return new CommandResult.Rejected("submit this command to the group of its family");
   }
 
-  private CommandResult put(RelayCommand.PutConfiguration put) {
+  private CommandResult putConfiguration(RelayCommand.PutConfiguration put) {
     if (put.configuration().version() > configuration.version()) {
       configuration = put.configuration();
       document = put.document();
@@ -116,7 +117,7 @@
     return new RelayResult.ConfigurationAccepted(configuration.version());
   }
 
-  private CommandResult begin(RelayCommand.BeginRollOut begin) {
+  private CommandResult beginRollOut(RelayCommand.BeginRollOut begin) {
     ServiceRollOut known = rollOuts.get(begin.service());
     if (known != null && known.target().equals(begin.target())) {
       return new RelayResult.RollOutRead(known);
@@ -125,23 +126,23 @@
       return new CommandResult.Rejected(
           "a roll-out to " + known.target() + " is running; wait until it is decided");
     }
-    ServiceRollOut begun =
+    ServiceRollOut started =
         new ServiceRollOut(
             begin.service(), begin.target(), begin.deadlineMillis(), RollOutPhase.CANARY);
-    rollOuts.put(begin.service(), begun);
-    return new RelayResult.RollOutRead(begun);
+    rollOuts.put(begin.service(), started);
+    return new RelayResult.RollOutRead(started);
   }
 
-  private CommandResult advance(RelayCommand.AdvanceRollOut advance) {
+  private CommandResult advanceRollOut(RelayCommand.AdvanceRollOut advance) {
     @Nullable ServiceRollOut known = rollOuts.get(advance.service());
-    boolean meant = known != null && known.target().equals(advance.target()) && known.isRunning();
-    if (meant && advance.phase().compareTo(known.phase()) > 0) {
+    boolean matches = known != null && known.target().equals(advance.target()) && known.isRunning();
+    if (matches && advance.phase().compareTo(known.phase()) > 0) {
       rollOuts.put(advance.service(), known.withPhase(advance.phase()));
     }
     return new CommandResult.Done();
   }
 
-  private CommandResult leave(UpstreamRun run) {
+  private CommandResult markLeaving(UpstreamRun run) {
     UpstreamRun known = leaving.remove(run.id());
     leaving.put(run.id(), known != null && known.covers(run) ? known : run);
     if (leaving.size() > MAX_LEAVING) {
