--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PeerWork.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PeerLoads.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** The work that other entries have at one upstream, as they told last. */
-public final class PeerWork {
+public final class PeerLoads {
 
   /** Age at which word of an entry no longer counts; it is repeated three times in this time. */
   private static final Duration OLDEST = Duration.ofMillis(1300);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/ReadingTimes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PrefillTimes.java
@@ -9,7 +9,7 @@
  * <p>For each model the time is a fixed part and one for each token to be read: the straight line
  * through the newest answers with the least squares. Models differ tenfold, deployments too.
  */
-public final class ReadingTimes {
+public final class PrefillTimes {
 
   /** Share that an answer loses with each newer one; the newest 50 count most. */
   private static final double KEPT_WEIGHT = 0.98;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/Slowness.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/RelativeLatency.java
@@ -9,7 +9,7 @@
  * <p>Upstreams of a service differ in speed, and one that turns slow still passes health checks.
  * What was learned fades, or an upstream that was slow once would never be tried again.
  */
-public final class Slowness {
+public final class RelativeLatency {
 
   /** Weight of the newest answer; six of them make most of the mean. */
   private static final double LEARNING = 0.2;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
@@ -9,7 +9,7 @@
 import org.skylarkfork.core.Output;
 import org.skylarkfork.core.effect.RelayEffect;
 import org.skylarkfork.core.message.RelayMessage.AttemptProgress;
-import org.skylarkfork.core.placement.PromptChain;
+import org.skylarkfork.core.placement.PromptPrefixes;
 
 /** Sends attempts to upstreams, and keeps account of what is under way there. */
 final class AttemptSender {
@@ -28,7 +28,7 @@
   private final UpstreamPicker picker;
   private final SchedulerClient schedulers;
   private final VersionRule versions;
-  private final SentPrompts prompts;
+  private final SentPrefixes prompts;
   private final RequestTrace trace;
 
   AttemptSender(
@@ -37,7 +37,7 @@
       UpstreamPicker picker,
       SchedulerClient schedulers,
       VersionRule versions,
-      SentPrompts prompts,
+      SentPrefixes prompts,
       RequestTrace trace) {
     this.view = view;
     this.zone = zone;
@@ -118,11 +118,11 @@
         upstream -> allowed.allows(upstream.version()) && !excluded.contains(upstream.id()));
   }
 
-  private static @Nullable PromptChain chain(ActiveRelay relay, @Nullable String model) {
+  private static @Nullable PromptPrefixes chain(ActiveRelay relay, @Nullable String model) {
     if (relay.service.engine() == null || model == null) {
       return null;
     }
-    return PromptChain.of(model, relay.request.prompt(), relay.request.promptTokens());
+    return PromptPrefixes.of(model, relay.request.prompt(), relay.request.promptTokens());
   }
 
   /** Asks a scheduler where the next attempt goes; returns whether there was one to ask. */
@@ -175,7 +175,7 @@
     if (grant == null) {
       picker.sent(relay.service, placement, now);
     }
-    PromptChain chain = placement.chain();
+    PromptPrefixes chain = placement.chain();
     if (chain != null) {
       track.kept().sent(chain, (double) placement.newTokens() * view.entries());
       prompts.sent(track.instance().id(), chain, now);
@@ -215,7 +215,7 @@
     double millis = Duration.between(relay.sentAt, now).toMillis();
     picker.answered(relay.service, relay.modelName(), placement, millis, now);
     if (relay.grant != null) {
-      NamedLimit named = placement.track().rate().toTell(now);
+      ReportedLimit named = placement.track().rate().toTell(now);
       schedulers.tell(relay.grant, AttemptProgress.BEGUN, (long) millis, named, output);
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
@@ -34,7 +34,7 @@
   }
 
   /** Goes on with a request whose scheduler has answered, or kept silent. */
-  void placed(SchedulerClient.Placed placed, Instant now, Output output) {
+  void placed(SchedulerClient.SchedulerDecision placed, Instant now, Output output) {
     ActiveRelay relay = placed.relay();
     Placement chosen = placed.placement();
     Placement placement = chosen == null ? sender.place(relay, now) : chosen;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/CallEstimates.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/CallLatencyModel.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** Expects times of calls to plain services, from the mean of their answers. */
-final class CallEstimates {
+final class CallLatencyModel {
 
   /** Weight of the newest answer; the newest 20 make most of the mean. */
   private static final double LEARNING = 0.05;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EngineEstimates.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EngineLatencyModel.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.skylarkfork.core.placement.PromptChain;
-import org.skylarkfork.core.placement.ReadingTimes;
+import org.skylarkfork.core.placement.PrefillTimes;
+import org.skylarkfork.core.placement.PromptPrefixes;
 import org.skylarkfork.core.routing.StableHash;
 
 /**
@@ -14,7 +14,7 @@
  * <p>The wait is the reading that is ahead there, of all entries as far as they tell; the reading
  * is what the engine is not believed to keep for that model.
  */
-final class EngineEstimates {
+final class EngineLatencyModel {
 
   /**
    * Least cost to others of reading a shared part where it isn't kept, as a share of that reading.
@@ -62,17 +62,17 @@
   private static final double NO_WAIT_MILLIS = 20;
 
   private final UpstreamSource upstreams;
-  private final Map<String, ReadingTimes> byService = new HashMap<>();
+  private final Map<String, PrefillTimes> byService = new HashMap<>();
 
-  EngineEstimates(UpstreamSource upstreams) {
+  EngineLatencyModel(UpstreamSource upstreams) {
     this.upstreams = upstreams;
   }
 
   /** Returns what is expected of a request at each of some engines. */
-  TimeEstimate of(
+  PlacementEstimator of(
       PlacementQuery query,
       EngineProfile engine,
-      PromptChain chain,
+      PromptPrefixes chain,
       List<UpstreamTrack> engines,
       Instant now) {
     boolean kept =
@@ -85,8 +85,8 @@
     return new AtEngine(query, engine, chain, !kept, now);
   }
 
-  private ReadingTimes times(RelayService service) {
-    return byService.computeIfAbsent(service.name(), missing -> new ReadingTimes());
+  private PrefillTimes times(RelayService service) {
+    return byService.computeIfAbsent(service.name(), missing -> new PrefillTimes());
   }
 
   /** Learns from an answer's first byte; from long waits only how slow the engine is. */
@@ -99,11 +99,11 @@
     }
   }
 
-  private final class AtEngine implements TimeEstimate {
-    private final ReadingTimes times;
+  private final class AtEngine implements PlacementEstimator {
+    private final PrefillTimes times;
     private final EngineProfile engine;
     private final String model;
-    private final PromptChain chain;
+    private final PromptPrefixes chain;
     private final double objectiveMillis;
 
     /** Whether no engine keeps the shared parts yet. */
@@ -114,7 +114,7 @@
     private AtEngine(
         PlacementQuery query,
         EngineProfile engine,
-        PromptChain chain,
+        PromptPrefixes chain,
         boolean firstRead,
         Instant now) {
       this.times = times(query.service());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRateDivision.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRateDivision.java
@@ -21,7 +21,7 @@
 
   @Override
   public RateShare share(RelayService service, UpstreamTrack track, Instant now) {
-    EntryPlace place = view.place();
+    EntryOrdinal place = view.place();
     // Before the leader has told how many entries there are, each would think that it is alone.
     if (!place.isKnown()) {
       return RateShare.NOTHING;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeastTimePicker.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeastTimePicker.java
@@ -44,8 +44,8 @@
   private final ColdStartLimiter coldStarts;
   private final RateLimiter rates;
   private final UniformRandomProvider random;
-  private final EngineEstimates engines;
-  private final CallEstimates calls;
+  private final EngineLatencyModel engines;
+  private final CallLatencyModel calls;
 
   LeastTimePicker(
       UpstreamSource upstreams, ColdStartLimiter coldStarts, RateLimiter rates, long seed) {
@@ -53,8 +53,8 @@
     this.coldStarts = coldStarts;
     this.rates = rates;
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-    this.engines = new EngineEstimates(upstreams);
-    this.calls = new CallEstimates();
+    this.engines = new EngineLatencyModel(upstreams);
+    this.calls = new CallLatencyModel();
   }
 
   @Override
@@ -118,7 +118,7 @@
   }
 
   private @Nullable Placement best(
-      TimeEstimate estimate, PlacementQuery query, List<UpstreamTrack> usable, Instant now) {
+      PlacementEstimator estimate, PlacementQuery query, List<UpstreamTrack> usable, Instant now) {
     String zone = query.zone();
     double distance = distance(zone, usable);
     Placement best = null;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadSharePart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadExchangePart.java
@@ -22,7 +22,7 @@
  * <p>Each entry sees an eighth of the traffic or less. Without the others' part it sends a prompt
  * of a second of reading behind seconds of others' reading, while engines beside it are idle.
  */
-public final class LoadSharePart implements Part {
+public final class LoadExchangePart implements Part {
 
   /** Least time between two tellings; a prompt's reading takes ten times as long. */
   private static final Duration LEAST_PAUSE = Duration.ofMillis(50);
@@ -36,7 +36,7 @@
   private static final int MOST_PROMPTS = 32;
 
   private final RelayEntryPart entry;
-  private final SentPrompts prompts;
+  private final SentPrefixes prompts;
   private List<UpstreamLoad> told = List.of();
   private Instant toldAt = Instant.EPOCH;
 
@@ -46,7 +46,7 @@
    * @param entry what this entry believes
    * @param requests the decisions on requests, whose attempts are told
    */
-  public LoadSharePart(RelayEntryPart entry, RelayRequestPart requests) {
+  public LoadExchangePart(RelayEntryPart entry, RelayRequestPart requests) {
     this.entry = entry;
     this.prompts = requests.prompts();
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/Placement.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/Placement.java
@@ -1,7 +1,7 @@
 package org.skylarkfork.core.relay;
 
 import org.jspecify.annotations.Nullable;
-import org.skylarkfork.core.placement.PromptChain;
+import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
  * Where an attempt goes and what is expected of it.
@@ -19,4 +19,4 @@
     double workMillis,
     double firstByteMillis,
     int newTokens,
-    @Nullable PromptChain chain) {}
+    @Nullable PromptPrefixes chain) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TimeEstimate.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PlacementEstimator.java
@@ -1,7 +1,7 @@
 package org.skylarkfork.core.relay;
 
 /** Expects how long one attempt would take at each upstream. */
-interface TimeEstimate {
+interface PlacementEstimator {
 
   /** Returns what is expected of the attempt at an upstream. */
   Placement at(UpstreamTrack track);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PlacementQuery.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PlacementQuery.java
@@ -2,7 +2,7 @@
 
 import java.util.function.Predicate;
 import org.jspecify.annotations.Nullable;
-import org.skylarkfork.core.placement.PromptChain;
+import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
  * A request for an upstream.
@@ -17,7 +17,7 @@
 record PlacementQuery(
     RelayService service,
     @Nullable String model,
-    @Nullable PromptChain chain,
+    @Nullable PromptPrefixes chain,
     int objectiveMillis,
     String zone,
     Predicate<UpstreamInstance> fits) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimitWatch.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimitRecorder.java
@@ -6,7 +6,7 @@
 import org.skylarkfork.core.event.RelayEvent;
 
 /** Takes note of the rate limits that upstreams name in their answers to this entry. */
-final class RateLimitWatch {
+final class RateLimitRecorder {
 
   private static final int FIRST_NO_SUCCESS = 300;
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -128,7 +128,7 @@
   }
 
   @Override
-  public EntryPlace place() {
+  public EntryOrdinal place() {
     return neighbourhood.place();
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -37,10 +37,10 @@
   private final StopPlan stopPlan;
   private final RequestTrace trace;
   private final Patience patience = new Patience();
-  private final SentPrompts prompts = new SentPrompts();
+  private final SentPrefixes prompts = new SentPrefixes();
   private final ActiveRelays active = new ActiveRelays();
   private final CrashWatch crashes;
-  private final RateLimitWatch rateLimits = new RateLimitWatch();
+  private final RateLimitRecorder rateLimits = new RateLimitRecorder();
   private final RequestIntake intake;
   private final SchedulerClient schedulers;
   private final AttemptSender sender;
@@ -110,7 +110,7 @@
   }
 
   /** Returns what of this entry's prompts other entries are to be told. */
-  SentPrompts prompts() {
+  SentPrefixes prompts() {
     return prompts;
   }
 
@@ -127,7 +127,8 @@
       stopPlan.stop(now);
     } else if (event instanceof PeerEvent.MessageReceived received
         && received.message() instanceof PlacementAnswer answer) {
-      SchedulerClient.Placed placed = schedulers.answered(received.node(), answer, output);
+      SchedulerClient.SchedulerDecision placed =
+          schedulers.answered(received.node(), answer, output);
       if (placed != null) {
         placed(placed, now, output);
       }
@@ -235,7 +236,7 @@
   }
 
   /** Goes on with a request whose scheduler has answered, or kept silent. */
-  private void placed(SchedulerClient.Placed placed, Instant now, Output output) {
+  private void placed(SchedulerClient.SchedulerDecision placed, Instant now, Output output) {
     if (!placed.larger()) {
       starter.placed(placed, now, output);
       return;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayView.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayView.java
@@ -31,7 +31,7 @@
   @Nullable String usualVersion(String service);
 
   /** Returns which one of all entries this one is. */
-  EntryPlace place();
+  EntryOrdinal place();
 
   /** Returns how many entries serve, at least 1. */
   int entries();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
@@ -19,7 +19,7 @@
 import org.skylarkfork.core.message.RelayMessage.PlacementNews;
 import org.skylarkfork.core.message.RelayMessage.PromptBeginning;
 import org.skylarkfork.core.placement.EngineGroups;
-import org.skylarkfork.core.placement.PromptChain;
+import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
  * Asks schedulers where prompts go, and tells them how the attempts go on.
@@ -45,7 +45,7 @@
   private static final int NUMBERS_A_MILLI = 1024;
 
   private final RelayView view;
-  private final Map<Long, Asked> asked = new LinkedHashMap<>();
+  private final Map<Long, OpenQuestion> asked = new LinkedHashMap<>();
   private final Map<String, Instant> pausedUntil = new HashMap<>();
   private long number;
 
@@ -54,8 +54,8 @@
   }
 
   /** A question that is open, and whether it is for a larger model in place of an answer. */
-  private record Asked(
-      ActiveRelay relay, String scheduler, PromptChain chain, Instant at, boolean larger) {}
+  private record OpenQuestion(
+      ActiveRelay relay, String scheduler, PromptPrefixes chain, Instant at, boolean larger) {}
 
   /**
    * A scheduler's word on a request.
@@ -65,7 +65,7 @@
    * @param placement where the attempt goes, or null if the entry is to place it itself
    * @param grant what the scheduler is to be told of, or null
    */
-  record Placed(
+  record SchedulerDecision(
       ActiveRelay relay,
       boolean larger,
       @Nullable Placement placement,
@@ -83,7 +83,7 @@
    */
   boolean ask(ActiveRelay relay, PlacementQuery query, boolean larger, Instant now, Output output) {
     forget(relay);
-    PromptChain chain = query.chain();
+    PromptPrefixes chain = query.chain();
     List<String> schedulers = view.schedulers();
     if (chain == null || schedulers.isEmpty()) {
       return false;
@@ -93,7 +93,7 @@
       if (!now.isBefore(pausedUntil.getOrDefault(scheduler, Instant.EPOCH))) {
         number = Math.max(number + 1, now.toEpochMilli() * NUMBERS_A_MILLI);
         relay.question = number;
-        asked.put(number, new Asked(relay, scheduler, chain, now, larger));
+        asked.put(number, new OpenQuestion(relay, scheduler, chain, now, larger));
         output.effect(new SendToPeer(scheduler, message(relay, query, chain, group, now)));
         return true;
       }
@@ -102,7 +102,7 @@
   }
 
   /** Returns what a prompt has in common with others: its shared parts, else it alone. */
-  private static long family(PromptChain chain, ActiveRelay relay) {
+  private static long family(PromptPrefixes chain, ActiveRelay relay) {
     if (chain.sharedSize() > 0) {
       return chain.key(chain.sharedSize() - 1);
     }
@@ -120,7 +120,7 @@
   }
 
   private PlacementAsk message(
-      ActiveRelay relay, PlacementQuery query, PromptChain chain, int group, Instant now) {
+      ActiveRelay relay, PlacementQuery query, PromptPrefixes chain, int group, Instant now) {
     List<PromptBeginning> beginnings = new ArrayList<>();
     for (int place = 0; place < chain.size(); place++) {
       beginnings.add(new PromptBeginning(chain.key(place), chain.tokens(place)));
@@ -173,8 +173,8 @@
    *
    * @return the request that goes on, or null if none waits for this answer
    */
-  @Nullable Placed answered(String from, PlacementAnswer answer, Output output) {
-    Asked one = asked.remove(answer.number());
+  @Nullable SchedulerDecision answered(String from, PlacementAnswer answer, Output output) {
+    OpenQuestion one = asked.remove(answer.number());
     boolean expected = one != null && one.relay.question == answer.number();
     String upstream = answer.upstream();
     UpstreamTrack track = expected && upstream != null ? find(one.relay, upstream) : null;
@@ -186,7 +186,7 @@
     }
     one.relay.question = 0;
     if (track == null) {
-      return new Placed(one.relay, one.larger, null, null);
+      return new SchedulerDecision(one.relay, one.larger, null, null);
     }
     Placement placement =
         new Placement(
@@ -197,7 +197,7 @@
             answer.newTokens(),
             one.chain);
     SchedulerGrant grant = new SchedulerGrant(from, answer.number());
-    return new Placed(one.relay, one.larger, placement, grant);
+    return new SchedulerDecision(one.relay, one.larger, placement, grant);
   }
 
   private @Nullable UpstreamTrack find(ActiveRelay relay, String upstream) {
@@ -210,10 +210,10 @@
   }
 
   /** Returns the requests whose scheduler keeps silent, which this entry is to place itself. */
-  List<Placed> overdue(Instant now, Output output) {
-    List<Placed> overdue = new ArrayList<>();
-    for (Map.Entry<Long, Asked> open : List.copyOf(asked.entrySet())) {
-      Asked one = open.getValue();
+  List<SchedulerDecision> overdue(Instant now, Output output) {
+    List<SchedulerDecision> overdue = new ArrayList<>();
+    for (Map.Entry<Long, OpenQuestion> open : List.copyOf(asked.entrySet())) {
+      OpenQuestion one = open.getValue();
       if (now.isBefore(one.at.plus(PATIENCE))) {
         break;
       }
@@ -221,7 +221,7 @@
       pause(one.scheduler, now, output);
       if (one.relay.question == open.getKey()) {
         one.relay.question = 0;
-        overdue.add(new Placed(one.relay, one.larger, null, null));
+        overdue.add(new SchedulerDecision(one.relay, one.larger, null, null));
       }
     }
     return overdue;
@@ -253,7 +253,7 @@
       SchedulerGrant grant,
       AttemptProgress progress,
       long millis,
-      @Nullable NamedLimit named,
+      @Nullable ReportedLimit named,
       Output output) {
     output.effect(
         new SendToPeer(
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
@@ -19,7 +19,7 @@
 import org.skylarkfork.core.message.RelayMessage.PlacementNews;
 import org.skylarkfork.core.message.RelayMessage.PromptBeginning;
 import org.skylarkfork.core.placement.EngineGroups;
-import org.skylarkfork.core.placement.PromptChain;
+import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
  * Places the prompts of all entries on a group of engines.
@@ -41,7 +41,7 @@
   private final ScheduledEngines engines;
   private final SchedulerRole role;
   private final LeastTimePicker picker;
-  private final Map<SchedulerGrant, Place> places = new HashMap<>();
+  private final Map<SchedulerGrant, Reservation> places = new HashMap<>();
   private Instant sweptAt = Instant.EPOCH;
 
   /**
@@ -68,7 +68,7 @@
   }
 
   /** A place that an attempt has at an engine. */
-  private static final class Place {
+  private static final class Reservation {
     private final RelayService service;
     private final String model;
     private final Placement placement;
@@ -77,7 +77,7 @@
     private double waitingMillis;
     private boolean begun;
 
-    private Place(
+    private Reservation(
         RelayService service,
         String model,
         Placement placement,
@@ -108,7 +108,7 @@
 
   private PlacementAnswer answer(String entry, PlacementAsk ask, Instant now) {
     RelayService service = view.table().service(ask.service());
-    PromptChain chain = chain(ask);
+    PromptPrefixes chain = chain(ask);
     Placement placement = service == null ? null : place(service, chain, ask, now);
     if (placement == null) {
       return new PlacementAnswer(ask.number(), null, 0, 0, 0, 0);
@@ -120,7 +120,7 @@
     Instant expiresAt = now.plusMillis(ask.lastsMillis()).plus(MARGIN);
     places.put(
         new SchedulerGrant(entry, ask.number()),
-        new Place(service, ask.model(), placement, now, expiresAt));
+        new Reservation(service, ask.model(), placement, now, expiresAt));
     return new PlacementAnswer(
         ask.number(),
         track.instance().id(),
@@ -131,7 +131,7 @@
   }
 
   private @Nullable Placement place(
-      RelayService service, PromptChain chain, PlacementAsk ask, Instant now) {
+      RelayService service, PromptPrefixes chain, PlacementAsk ask, Instant now) {
     Set<String> excluded = Set.copyOf(ask.excluded());
     PlacementQuery query =
         new PlacementQuery(
@@ -147,15 +147,15 @@
     return picker.pick(query, now);
   }
 
-  private static PromptChain chain(PlacementAsk ask) {
+  private static PromptPrefixes chain(PlacementAsk ask) {
     List<PromptBeginning> beginnings = ask.beginnings();
     long[] keys = beginnings.stream().mapToLong(PromptBeginning::key).toArray();
     int[] tokens = beginnings.stream().mapToInt(PromptBeginning::tokens).toArray();
-    return PromptChain.ofKeys(keys, tokens, ask.promptTokens());
+    return PromptPrefixes.ofKeys(keys, tokens, ask.promptTokens());
   }
 
   private void progressed(SchedulerGrant grant, PlacementNews news, Instant now) {
-    Place place = places.get(grant);
+    Reservation place = places.get(grant);
     if (place == null) {
       return;
     }
@@ -179,7 +179,7 @@
     }
   }
 
-  private void begun(Place place, int millis, Instant now) {
+  private void begun(Reservation place, int millis, Instant now) {
     UpstreamTrack track = place.placement.track();
     track.begun(place.waitingMillis);
     place.waitingMillis = 0;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TrackedRateLimit.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TrackedRateLimit.java
@@ -44,12 +44,12 @@
    * @param now the present time
    * @return whether it is newer than what is known here
    */
-  boolean told(@Nullable NamedLimit named, Instant now) {
+  boolean told(@Nullable ReportedLimit named, Instant now) {
     return named != null && told(named.limit(), named.namedAt(now));
   }
 
   /** Takes note of what the leader knows, or null if it knows of no limit. */
-  void leaderKnows(@Nullable NamedLimit named) {
+  void leaderKnows(@Nullable ReportedLimit named) {
     knownToLeader = named == null ? RateLimit.NONE : named.limit();
   }
 
@@ -59,9 +59,9 @@
   }
 
   /** Returns what is to be told to others, or null if the upstream never named a limit. */
-  @Nullable NamedLimit toTell(Instant now) {
+  @Nullable ReportedLimit toTell(Instant now) {
     boolean never = namedAt.equals(Instant.EPOCH);
-    return never ? null : new NamedLimit(limit, Duration.between(namedAt, now).toMillis());
+    return never ? null : new ReportedLimit(limit, Duration.between(namedAt, now).toMillis());
   }
 
   /** Returns the account of sends under the limit, or null before the first. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
@@ -180,7 +180,7 @@
   }
 
   private static void takeLimit(
-      UpstreamTrack track, @Nullable NamedLimit named, Instant now, Output output) {
+      UpstreamTrack track, @Nullable ReportedLimit named, Instant now, Output output) {
     RateLimit before = track.rateLimit();
     track.rate().leaderKnows(named);
     if (track.rate().told(named, now) && !track.rateLimit().isNear(before)) {
@@ -202,7 +202,7 @@
     List<HeardLimit> limits = new ArrayList<>();
     for (UpstreamTrack track : byId.values()) {
       TrackedRateLimit rate = track.rate();
-      NamedLimit named = rate.isNewsToLeader() ? rate.toTell(now) : null;
+      ReportedLimit named = rate.isNewsToLeader() ? rate.toTell(now) : null;
       if (named != null && limits.size() < MOST_LIMITS) {
         limits.add(new HeardLimit(track.instance().run(), named));
       }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
@@ -83,7 +83,7 @@
    * @param now the present time
    * @return whether entries are to be told
    */
-  boolean named(UpstreamRun run, NamedLimit named, String by, Instant now) {
+  boolean named(UpstreamRun run, ReportedLimit named, String by, Instant now) {
     Entry entry = byId.get(run.id());
     boolean meant = entry != null && entry.instance().run().equals(run);
     if (!meant || !entry.rate.told(named, now) || named.limit().isNear(entry.toldLimit)) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamTrack.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamTrack.java
@@ -2,9 +2,9 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import org.skylarkfork.core.placement.KeptPrompts;
-import org.skylarkfork.core.placement.PeerWork;
-import org.skylarkfork.core.placement.Slowness;
+import org.skylarkfork.core.placement.PeerLoads;
+import org.skylarkfork.core.placement.PrefixCacheEstimate;
+import org.skylarkfork.core.placement.RelativeLatency;
 
 /** What an entry knows of one start of an upstream, from its own attempts and other entries. */
 final class UpstreamTrack {
@@ -16,9 +16,9 @@
   private UpstreamStatus status;
   private int running;
   private double waitingMillis;
-  private final KeptPrompts kept = new KeptPrompts();
-  private final Slowness slowness = new Slowness();
-  private final PeerWork peers = new PeerWork();
+  private final PrefixCacheEstimate kept = new PrefixCacheEstimate();
+  private final RelativeLatency slowness = new RelativeLatency();
+  private final PeerLoads peers = new PeerLoads();
   private int failuresInRow;
   private double failureShare;
   private Instant avoidedUntil = Instant.EPOCH;
@@ -112,15 +112,15 @@
     return waitingMillis + peers.waitingMillis(now);
   }
 
-  KeptPrompts kept() {
+  PrefixCacheEstimate kept() {
     return kept;
   }
 
-  Slowness slowness() {
+  RelativeLatency slowness() {
     return slowness;
   }
 
-  PeerWork peers() {
+  PeerLoads peers() {
     return peers;
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/KeptPromptsTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/PrefixCacheEstimateTest.java
@@ -6,17 +6,17 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Tests of {@link KeptPrompts} and {@link PromptChain}. */
-public final class KeptPromptsTest {
+/** Tests of {@link PrefixCacheEstimate} and {@link PromptPrefixes}. */
+public final class PrefixCacheEstimateTest {
 
   private static final long MEMORY = 10_000;
 
   private final PromptPart common = new PromptPart("common", 500);
   private final PromptPart subject = new PromptPart("subject", 1000);
-  private final KeptPrompts kept = new KeptPrompts();
+  private final PrefixCacheEstimate kept = new PrefixCacheEstimate();
 
-  private PromptChain chain(String model, String own) {
-    return PromptChain.of(model, List.of(common, subject, new PromptPart(own, 200)), 1700);
+  private PromptPrefixes chain(String model, String own) {
+    return PromptPrefixes.of(model, List.of(common, subject, new PromptPart(own, 200)), 1700);
   }
 
   @Test
@@ -31,8 +31,8 @@
   @Test
   public void partIsKeptOnlyBehindItsBeginning() {
     kept.sent(chain("small", "first"), 1700);
-    PromptChain other =
-        PromptChain.of("small", List.of(subject, common, new PromptPart("own", 200)), 1700);
+    PromptPrefixes other =
+        PromptPrefixes.of("small", List.of(subject, common, new PromptPart("own", 200)), 1700);
     assertEquals(kept.keptTokens(other, MEMORY), 0);
     assertNotEquals(other.key(1), chain("small", "first").key(1));
   }
@@ -44,10 +44,10 @@
   @Test
   public void beginningCountsAsDroppedOnceTheMemoryIsFull() {
     kept.sent(chain("small", "first"), 1700);
-    PromptChain other = PromptChain.of("small", List.of(new PromptPart("long", 5000)), 5000);
+    PromptPrefixes other = PromptPrefixes.of("small", List.of(new PromptPart("long", 5000)), 5000);
     kept.sent(other, 5000);
     assertEquals(kept.keptTokens(chain("small", "second"), MEMORY), 1500);
-    kept.sent(PromptChain.of("small", List.of(new PromptPart("more", 2000)), 2000), 2000);
+    kept.sent(PromptPrefixes.of("small", List.of(new PromptPart("more", 2000)), 2000), 2000);
     assertEquals(kept.keptTokens(chain("small", "second"), MEMORY), 0);
     assertEquals(kept.keptTokens(chain("small", "second"), 0), 1500, "a memory of unknown size");
   }
@@ -60,7 +60,7 @@
 
   @Test
   public void promptWithoutPartsHasItsTokens() {
-    PromptChain chain = PromptChain.of("small", List.of(), 300);
+    PromptPrefixes chain = PromptPrefixes.of("small", List.of(), 300);
     assertEquals(chain.total(), 300);
     assertEquals(chain.sharedTokens(), 0);
     assertEquals(kept.keptTokens(chain, MEMORY), 0);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/UpstreamKnowledgeTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/UpstreamKnowledgeTest.java
@@ -6,7 +6,7 @@
 import java.time.Instant;
 import org.testng.annotations.Test;
 
-/** Tests of {@link Slowness} and {@link PeerWork}. */
+/** Tests of {@link RelativeLatency} and {@link PeerLoads}. */
 public final class UpstreamKnowledgeTest {
 
   private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
@@ -14,7 +14,7 @@
   /** An upstream that turns slow is told from others by its own times, though it is healthy. */
   @Test
   public void slowUpstreamIsNoticedAndForgiven() {
-    Slowness slowness = new Slowness();
+    RelativeLatency slowness = new RelativeLatency();
     assertEquals(slowness.factor(START), 1.0);
     for (int answer = 0; answer < 10; answer++) {
       slowness.observed(700, 100, START);
@@ -25,7 +25,7 @@
 
   @Test
   public void surpriseIsBounded() {
-    Slowness slowness = new Slowness();
+    RelativeLatency slowness = new RelativeLatency();
     slowness.observed(1_000_000, 1, START);
     assertEquals(slowness.factor(START), 2.4, 1e-9);
   }
@@ -33,7 +33,7 @@
   /** An entry that died must not keep others from an upstream with its last word. */
   @Test
   public void wordOfAnEntryExpires() {
-    PeerWork work = new PeerWork();
+    PeerLoads work = new PeerLoads();
     work.told("entry-1", 2, 300, START);
     work.told("entry-2", 1, 50, START.plusSeconds(1));
     assertEquals(work.running(START.plusSeconds(1)), 3);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedEngine.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedEngine.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
-import org.skylarkfork.core.placement.PromptChain;
+import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
  * An engine in virtual time: reads one prompt after the other, the most urgent first, keeps parts
@@ -38,7 +38,7 @@
     final int attempt;
     final int urgency;
     final String model;
-    final PromptChain chain;
+    final PromptPrefixes chain;
     final int outputTokens;
     boolean cancelled;
     boolean begun;
@@ -50,7 +50,7 @@
         int attempt,
         int urgency,
         String model,
-        PromptChain chain,
+        PromptPrefixes chain,
         int outputTokens) {
       this.entry = entry;
       this.request = request;
@@ -91,7 +91,7 @@
     return next;
   }
 
-  private int read(PromptChain chain) {
+  private int read(PromptPrefixes chain) {
     int from = 0;
     int place = 0;
     while (place < chain.size() && kept.get(chain.key(place)) != null) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
@@ -22,8 +22,8 @@
 import org.skylarkfork.core.event.RelayEvent;
 import org.skylarkfork.core.message.RelayMessage;
 import org.skylarkfork.core.message.RelayMessage.Neighbourhood;
-import org.skylarkfork.core.placement.PromptChain;
 import org.skylarkfork.core.placement.PromptPart;
+import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
  * Replays a load of prompts on entries and engines in virtual time, with the real decisions.
@@ -154,7 +154,8 @@
         new RelayRequestPart(
             entry, new RelayRequestSettings("a", 0.7, 0.05, Duration.ofSeconds(8)), counts, seed);
     List<Part> parts =
-        List.of(entry, part, new LoadSharePart(entry, part), new SchedulerPart(entry, name, seed));
+        List.of(
+            entry, part, new LoadExchangePart(entry, part), new SchedulerPart(entry, name, seed));
     entries.put(name, new Reducer(parts));
     Neighbourhood neighbourhood =
         ReplayedDeployment.neighbourhood(number, entryCount, peers, schedulers);
@@ -309,7 +310,7 @@
             send.attempt(),
             target.urgency() == null ? 0 : target.urgency(),
             String.valueOf(target.model()),
-            PromptChain.of(
+            PromptPrefixes.of(
                 String.valueOf(target.model()), request.prompt(), request.promptTokens()),
             written.getOrDefault(send.request(), request.outputTokens()));
     jobs.put(send.request() + "/" + send.attempt(), job);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadSharePartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadExchangePartTest.java
@@ -18,21 +18,21 @@
 import org.skylarkfork.core.message.RelayMessage.KeptPrompt;
 import org.skylarkfork.core.message.RelayMessage.Neighbourhood;
 import org.skylarkfork.core.message.RelayMessage.UpstreamLoad;
-import org.skylarkfork.core.placement.PromptChain;
 import org.skylarkfork.core.placement.PromptPart;
+import org.skylarkfork.core.placement.PromptPrefixes;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link LoadSharePart}. */
-public final class LoadSharePartTest {
+/** Tests of {@link LoadExchangePart}. */
+public final class LoadExchangePartTest {
 
   private static final String CONTROL = "control-1";
-  private static final PromptChain CHAIN =
-      PromptChain.of("small", List.of(new PromptPart("s", 900), new PromptPart("o", 100)), 1000);
+  private static final PromptPrefixes CHAIN =
+      PromptPrefixes.of("small", List.of(new PromptPart("s", 900), new PromptPart("o", 100)), 1000);
 
   private RelayEntryPart entry = part();
   private Reducer reducer = new Reducer(List.of());
-  private SentPrompts prompts = new SentPrompts();
+  private SentPrefixes prompts = new SentPrefixes();
   private Instant now = RelayFixture.START;
 
   private static RelayEntryPart part() {
@@ -53,7 +53,7 @@
         new RelayRequestPart(
             entry, new RelayRequestSettings("a", 0.7, 0.05, Duration.ofSeconds(8)), counts, 1);
     prompts = requests.prompts();
-    reducer = new Reducer(List.of(entry, new LoadSharePart(entry, requests)));
+    reducer = new Reducer(List.of(entry, new LoadExchangePart(entry, requests)));
     UpstreamStatus status =
         new UpstreamStatus(RelayFixture.instance("up", "v1"), UpstreamCondition.READY);
     receive(
@@ -71,7 +71,7 @@
                 List.of("10.0.0.9:80"),
                 List.of("entry-2", "entry-3"),
                 List.of(),
-                new EntryPlace(0, 3))));
+                new EntryOrdinal(0, 3))));
   }
 
   private void receive(String from, RelayMessage message) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitSimulation.java
@@ -116,7 +116,10 @@
   @Override
   List<Part> parts(String name, RelayEntryPart entry, RelayRequestPart requests, long seed) {
     return List.of(
-        entry, requests, new LoadSharePart(entry, requests), new SchedulerPart(entry, name, seed));
+        entry,
+        requests,
+        new LoadExchangePart(entry, requests),
+        new SchedulerPart(entry, name, seed));
   }
 
   private void startUpstream(int number, int start) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimiterTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimiterTest.java
@@ -21,7 +21,7 @@
 
   private static RelayFixture.FakeView view(int number, int of, String... schedulers) {
     RelayFixture.FakeView view = new RelayFixture.FakeView();
-    view.place = new EntryPlace(number, of);
+    view.place = new EntryOrdinal(number, of);
     view.schedulers = List.of(schedulers);
     return view;
   }
@@ -100,9 +100,9 @@
     UpstreamTrack track = track("up", 1);
     assertFalse(limiter.takes(PLAIN, track, START));
     assertTrue(limiter.takes(PLAIN, track, START.plusSeconds(9)));
-    view.place = EntryPlace.UNKNOWN;
+    view.place = EntryOrdinal.UNKNOWN;
     assertFalse(limiter.takes(PLAIN, track, START.plusSeconds(10)));
-    view.place = new EntryPlace(0, 1);
+    view.place = new EntryOrdinal(0, 1);
     assertFalse(limiter.takes(PLAIN, track, START.plusSeconds(11)));
     assertTrue(limiter.takes(PLAIN, track, START.plusSeconds(12)));
   }
@@ -116,7 +116,7 @@
       if (!knownFromTheStart) {
         limiter.takes(PLAIN, track, START);
       }
-      view.place = new EntryPlace(number, 2);
+      view.place = new EntryOrdinal(number, 2);
       limiter.takes(PLAIN, track, START);
       send += limiter.takes(PLAIN, track, START.plusSeconds(1)) ? 1 : 0;
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
@@ -156,7 +156,7 @@
     @Nullable String usual;
     List<String> schedulers = List.of();
     int entries = 1;
-    EntryPlace place = new EntryPlace(0, 1);
+    EntryOrdinal place = new EntryOrdinal(0, 1);
     Duration proofAge = Duration.ZERO;
     final Set<RequestKey> quarantined = new HashSet<>();
     @Nullable String leader = "control-1";
@@ -218,7 +218,7 @@
     }
 
     @Override
-    public EntryPlace place() {
+    public EntryOrdinal place() {
       return place;
     }
 
