--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PeerLoads.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PeerLoads.java
@@ -23,7 +23,7 @@
    * @param waitingMillis work of those whose answer has not begun
    * @param now the present time
    */
-  public void told(String peer, int running, double waitingMillis, Instant now) {
+  public void update(String peer, int running, double waitingMillis, Instant now) {
     if (running == 0) {
       byPeer.remove(peer);
     } else {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PrefillTimes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PrefillTimes.java
@@ -31,7 +31,7 @@
   private final Map<String, Line> byModel = new HashMap<>();
 
   /** Returns the milliseconds of an engine that reading takes, in which nothing else is read. */
-  public double workMillis(String model, double tokens) {
+  public double prefillMillis(String model, double tokens) {
     return line(model).perToken * tokens;
   }
 
@@ -48,7 +48,7 @@
    * @param tokens tokens that were read for it
    * @param millis time until its first byte
    */
-  public void observed(String model, double tokens, double millis) {
+  public void recordAnswer(String model, double tokens, double millis) {
     double largest = LARGEST_SURPRISE * firstByteMillis(model, tokens);
     line(model).add(tokens, Math.min(millis, largest));
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PrefixCacheEstimate.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PrefixCacheEstimate.java
@@ -29,7 +29,7 @@
    * @param chain the prompt
    * @param memoryTokens tokens that fit into the engine's memory; 0 if unknown
    */
-  public int keptTokens(PromptPrefixes chain, long memoryTokens) {
+  public int cachedTokens(PromptPrefixes chain, long memoryTokens) {
     for (int place = chain.size() - 1; place >= 0; place--) {
       Double used = usedAt.get(chain.key(place));
       boolean fresh =
@@ -47,15 +47,15 @@
    * @param chain the prompt
    * @param newTokens tokens that the engine reads for it and for what else is read meanwhile
    */
-  public void sent(PromptPrefixes chain, double newTokens) {
+  public void recordSent(PromptPrefixes chain, double newTokens) {
     tokensRead += newTokens;
     for (int place = 0; place < chain.size(); place++) {
-      used(chain.key(place));
+      recordUse(chain.key(place));
     }
   }
 
   /** Takes note that a beginning was read or used there for another entry. */
-  public void used(long key) {
+  public void recordUse(long key) {
     usedAt.put(key, tokensRead);
     if (usedAt.size() > MOST) {
       usedAt.remove(usedAt.keySet().iterator().next());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PromptPrefixes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PromptPrefixes.java
@@ -13,12 +13,12 @@
 
   private final long[] keys;
   private final int[] tokens;
-  private final int total;
+  private final int totalTokens;
 
   private PromptPrefixes(long[] keys, int[] tokens, int total) {
     this.keys = keys;
     this.tokens = tokens;
-    this.total = total;
+    this.totalTokens = total;
   }
 
   /**
@@ -47,7 +47,7 @@
    *
    * @param keys keys of the beginnings in order
    * @param tokens tokens of each
-   * @param total tokens of the whole prompt
+   * @param totalTokens tokens of the whole prompt
    */
   public static PromptPrefixes ofKeys(long[] keys, int[] tokens, int total) {
     if (keys.length != tokens.length) {
@@ -72,8 +72,8 @@
   }
 
   /** Returns the tokens of the whole prompt. */
-  public int total() {
-    return total;
+  public int totalTokens() {
+    return totalTokens;
   }
 
   /** Returns how many beginnings are shared with other requests: all but the whole prompt. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/RelativeLatency.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/RelativeLatency.java
@@ -30,7 +30,7 @@
   }
 
   /** Takes note of an answer: the time that it took and the time that was expected. */
-  public void observed(double millis, double expectedMillis, Instant now) {
+  public void recordAnswer(double millis, double expectedMillis, Instant now) {
     double seen = Math.max(LEAST, Math.min(MOST, millis / Math.max(1, expectedMillis)));
     factor = factor(now) + LEARNING * (seen - factor(now));
     learnedAt = now;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailures.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailures.java
@@ -56,7 +56,7 @@
       Instant now,
       Output output) {
     if (began.status() == WRONG_RUN) {
-      track.answeredByOther();
+      track.markReplaced();
     } else {
       sender.failed(relay, AttemptProgress.FAILED, now, output);
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
@@ -70,7 +70,7 @@
   boolean isEvacuated(ActiveRelay relay) {
     List<UpstreamTrack> all = view.upstreams(relay.service.name());
     return all.stream().anyMatch(track -> track.condition() == UpstreamCondition.EVACUATED)
-        && all.stream().allMatch(track -> track.condition().barsNewWork());
+        && all.stream().allMatch(track -> track.condition().rejectsNewWork());
   }
 
   /**
@@ -78,7 +78,7 @@
    * rate limits.
    */
   Duration untilTaken(ActiveRelay relay, Instant now) {
-    return picker.untilTaken(query(relay, relay.modelName(), relay.tried), now);
+    return picker.timeUntilAccepted(query(relay, relay.modelName(), relay.tried), now);
   }
 
   /** Returns where an attempt with another of the route's models would go, or null. */
@@ -140,7 +140,7 @@
   /** Gives a place back that a scheduler has given and that isn't used. */
   void giveBack(@Nullable SchedulerGrant grant, Output output) {
     if (grant != null) {
-      schedulers.tell(grant, AttemptProgress.ENDED, 0, output);
+      schedulers.reportProgress(grant, AttemptProgress.ENDED, 0, output);
     }
   }
 
@@ -171,14 +171,14 @@
     relay.sentAt = now;
     relay.waitingMillis = placement.workMillis();
     UpstreamTrack track = placement.track();
-    track.sent(placement.workMillis(), now);
+    track.recordSent(placement.workMillis(), now);
     if (grant == null) {
-      picker.sent(relay.service, placement, now);
+      picker.recordSent(relay.service, placement, now);
     }
-    PromptPrefixes chain = placement.chain();
+    PromptPrefixes chain = placement.prefixes();
     if (chain != null) {
-      track.kept().sent(chain, (double) placement.newTokens() * view.entries());
-      prompts.sent(track.instance().id(), chain, now);
+      track.prefixCache().recordSent(chain, (double) placement.newTokens() * view.entries());
+      prompts.recordSent(track.instance().id(), chain, now);
     }
     long left = Duration.between(now, relay.deadline).toMillis();
     output.effect(
@@ -210,13 +210,13 @@
     if (placement == null) {
       return;
     }
-    placement.track().begun(relay.waitingMillis);
+    placement.track().recordBegun(relay.waitingMillis);
     relay.waitingMillis = 0;
     double millis = Duration.between(relay.sentAt, now).toMillis();
-    picker.answered(relay.service, relay.modelName(), placement, millis, now);
+    picker.recordFirstByte(relay.service, relay.modelName(), placement, millis, now);
     if (relay.grant != null) {
-      ReportedLimit named = placement.track().rate().toTell(now);
-      schedulers.tell(relay.grant, AttemptProgress.BEGUN, (long) millis, named, output);
+      ReportedLimit named = placement.track().rate().toReport(now);
+      schedulers.reportProgress(relay.grant, AttemptProgress.BEGUN, (long) millis, named, output);
     }
   }
 
@@ -235,10 +235,10 @@
     }
     boolean gone =
         how == AttemptProgress.UNREACHABLE
-            || how == AttemptProgress.SILENT && track.silentSince(relay.sentAt);
-    track.failed(gone, now);
+            || how == AttemptProgress.SILENT && track.isSilentSince(relay.sentAt);
+    track.recordFailure(gone, now);
     if (relay.grant != null) {
-      schedulers.tell(relay.grant, how, 0, track.rate().toTell(now), output);
+      schedulers.reportProgress(relay.grant, how, 0, track.rate().toReport(now), output);
       relay.grant = null;
     }
   }
@@ -253,12 +253,12 @@
 
   /** Takes note that the attempt that was under way is over, and any question with it. */
   void release(ActiveRelay relay, Output output) {
-    schedulers.forget(relay);
+    schedulers.cancel(relay);
     giveBack(relay.grant, output);
     relay.grant = null;
     UpstreamTrack track = relay.upstream();
     if (track != null) {
-      track.ended(relay.waitingMillis);
+      track.recordEnded(relay.waitingMillis);
       relay.tried.add(track.instance().id());
       relay.placement = null;
       relay.waitingMillis = 0;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EngineLatencyModel.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EngineLatencyModel.java
@@ -69,7 +69,7 @@
   }
 
   /** Returns what is expected of a request at each of some engines. */
-  PlacementEstimator of(
+  PlacementEstimator estimatorFor(
       PlacementQuery query,
       EngineProfile engine,
       PromptPrefixes chain,
@@ -80,7 +80,7 @@
             || engines.stream()
                 .anyMatch(
                     track ->
-                        track.kept().keptTokens(chain, engine.memoryTokens())
+                        track.prefixCache().cachedTokens(chain, engine.memoryTokens())
                             >= chain.sharedTokens());
     return new AtEngine(query, engine, chain, !kept, now);
   }
@@ -90,12 +90,12 @@
   }
 
   /** Learns from an answer's first byte; from long waits only how slow the engine is. */
-  void answered(
+  void recordFirstByte(
       RelayService service, String model, Placement placement, double millis, Instant now) {
     double wait = placement.waitMillis();
-    placement.track().slowness().observed(millis, placement.firstByteMillis(), now);
+    placement.track().relativeLatency().recordAnswer(millis, placement.firstByteMillis(), now);
     if (wait <= NO_WAIT_MILLIS + NO_WAIT_SHARE * placement.workMillis()) {
-      times(service).observed(model, placement.newTokens(), Math.max(1, millis - wait));
+      times(service).recordAnswer(model, placement.newTokens(), Math.max(1, millis - wait));
     }
   }
 
@@ -127,24 +127,25 @@
     }
 
     @Override
-    public Placement at(UpstreamTrack track) {
-      int tokens = chain.total() - track.kept().keptTokens(chain, engine.memoryTokens());
-      double slow = track.slowness().factor(now);
+    public Placement estimate(UpstreamTrack track) {
+      int tokens =
+          chain.totalTokens() - track.prefixCache().cachedTokens(chain, engine.memoryTokens());
+      double slow = track.relativeLatency().factor(now);
       double unheard = Math.min(MOST_UNHEARD, 1 / upstreams.loadShare());
       double wait = slow * unheard * track.waitingMillis(now);
-      double work = slow * times.workMillis(model, tokens);
+      double work = slow * times.prefillMillis(model, tokens);
       double firstByte = wait + slow * times.firstByteMillis(model, tokens);
       return new Placement(track, wait, work, firstByte, tokens, chain);
     }
 
     @Override
-    public double extraMillis(Placement placement) {
+    public double costToOthersMillis(Placement placement) {
       UpstreamTrack track = placement.track();
-      int own = chain.total() - chain.sharedTokens();
+      int own = chain.totalTokens() - chain.sharedTokens();
       int copied = Math.max(0, placement.newTokens() - own);
-      double cost = copyMillis(times.workMillis(model, copied));
+      double cost = copyMillis(times.prefillMillis(model, copied));
       if (firstRead) {
-        cost += PREFERENCE_SHARE * times.workMillis(model, chain.sharedTokens()) * rank(track);
+        cost += PREFERENCE_SHARE * times.prefillMillis(model, chain.sharedTokens()) * rank(track);
       }
       return cost + RUNNING_MILLIS * track.running(now);
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryColdStartLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryColdStartLimiter.java
@@ -32,12 +32,12 @@
   }
 
   @Override
-  public boolean takes(RelayService service, UpstreamTrack track, Instant now) {
+  public boolean allows(RelayService service, UpstreamTrack track, Instant now) {
     if (!service.cold().isBounded() || !track.isCold(now)) {
       return true;
     }
     // Before the leader has told how many entries there are, each would think that it is alone.
-    return view.settled() && track.sentLately(now) < most(service, track);
+    return view.settled() && track.recentSends(now) < most(service, track);
   }
 
   private int most(RelayService service, UpstreamTrack track) {
@@ -59,7 +59,7 @@
 
   /** An entry sees too little of the work of warm upstreams to tell. */
   @Override
-  public boolean isCrowded(RelayService service, UpstreamTrack track, Instant now) {
+  public boolean exceedsColdRate(RelayService service, UpstreamTrack track, Instant now) {
     return false;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRateDivision.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRateDivision.java
@@ -24,19 +24,19 @@
     EntryOrdinal place = view.place();
     // Before the leader has told how many entries there are, each would think that it is alone.
     if (!place.isKnown()) {
-      return RateShare.NOTHING;
+      return RateShare.NONE;
     }
     RateLimit limit = track.rateLimit();
     double perSecond = RateDivision.perSecond(limit);
     double burst = RateDivision.burst(limit);
     if (RateDivision.isScheduled(service, view)) {
       perSecond *= 1 - ColdStartLimiter.SCHEDULER_SHARE;
-      burst = RateDivision.holdersBesideScheduler(limit);
+      burst = RateDivision.maxDirectSenders(limit);
     }
     int holders = (int) Math.min(place.of(), burst);
     int rank = Math.floorMod(place.number() - first(track, place.of()), place.of());
     if (rank >= holders) {
-      return RateShare.NOTHING;
+      return RateShare.NONE;
     }
     double staggered = (double) rank / holders;
     return new RateShare(perSecond / holders, burst / holders, staggered, Instant.EPOCH);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeastTimePicker.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeastTimePicker.java
@@ -62,15 +62,16 @@
     RelayService service = query.service();
     List<UpstreamTrack> usable = usable(query, now);
     EngineProfile engine = service.engine();
-    if (engine != null && query.chain() != null) {
-      return best(engines.of(query, engine, query.chain(), usable, now), query, usable, now);
+    if (engine != null && query.prefixes() != null) {
+      return best(
+          engines.estimatorFor(query, engine, query.prefixes(), usable, now), query, usable, now);
     }
-    return best(track -> calls.of(service, track, now), query, usable, now);
+    return best(track -> calls.estimate(service, track, now), query, usable, now);
   }
 
   private List<UpstreamTrack> usable(PlacementQuery query, Instant now) {
     List<UpstreamTrack> ready = candidates(query, UpstreamCondition.READY, now);
-    List<UpstreamTrack> sound = ready.stream().filter(track -> !track.avoided(now)).toList();
+    List<UpstreamTrack> sound = ready.stream().filter(track -> !track.isAvoided(now)).toList();
     if (!sound.isEmpty()) {
       return uncrowded(query.service(), sound, now);
     }
@@ -80,7 +81,7 @@
   private List<UpstreamTrack> uncrowded(
       RelayService service, List<UpstreamTrack> sound, Instant now) {
     List<UpstreamTrack> others =
-        sound.stream().filter(track -> !coldStarts.isCrowded(service, track, now)).toList();
+        sound.stream().filter(track -> !coldStarts.exceedsColdRate(service, track, now)).toList();
     return others.isEmpty() ? sound : others;
   }
 
@@ -89,7 +90,7 @@
     RelayService service = query.service();
     List<UpstreamTrack> found = new ArrayList<>();
     for (UpstreamTrack track : upstreams.upstreams(service.name())) {
-      boolean fits = track.condition() == condition && query.fits().test(track.instance());
+      boolean fits = track.condition() == condition && query.eligible().test(track.instance());
       if (fits && takes(service, track, now)) {
         found.add(track);
       }
@@ -98,21 +99,21 @@
   }
 
   private boolean takes(RelayService service, UpstreamTrack track, Instant now) {
-    return coldStarts.takes(service, track, now) && rates.takes(service, track, now);
+    return coldStarts.allows(service, track, now) && rates.allows(service, track, now);
   }
 
   @Override
-  public void sent(RelayService service, Placement placement, Instant now) {
-    rates.sent(service, placement.track(), now);
+  public void recordSent(RelayService service, Placement placement, Instant now) {
+    rates.recordSent(service, placement.track(), now);
   }
 
   @Override
-  public Duration untilTaken(PlacementQuery query, Instant now) {
+  public Duration timeUntilAccepted(PlacementQuery query, Instant now) {
     RelayService service = query.service();
     return upstreams.upstreams(service.name()).stream()
         .filter(track -> track.condition() == UpstreamCondition.READY)
-        .filter(track -> query.fits().test(track.instance()))
-        .map(track -> rates.untilTaken(service, track, now))
+        .filter(track -> query.eligible().test(track.instance()))
+        .map(track -> rates.timeUntilAllowed(service, track, now))
         .min(Comparator.naturalOrder())
         .orElse(Duration.ZERO);
   }
@@ -124,8 +125,8 @@
     Placement best = null;
     double least = Double.MAX_VALUE;
     for (UpstreamTrack track : usable) {
-      Placement placement = estimate.at(track);
-      double cost = placement.firstByteMillis() + estimate.extraMillis(placement);
+      Placement placement = estimate.estimate(track);
+      double cost = placement.firstByteMillis() + estimate.costToOthersMillis(placement);
       cost += FAILURE_MILLIS * track.failureShare() + random.nextDouble();
       cost += zone.equals(track.instance().zone()) ? 0 : distance;
       cost -= track.rateLimit().isBounded() ? LIMITED_MILLIS : 0;
@@ -143,16 +144,16 @@
   }
 
   @Override
-  public void answered(
+  public void recordFirstByte(
       RelayService service,
       @Nullable String model,
       Placement placement,
       double millis,
       Instant now) {
     if (service.engine() != null && model != null) {
-      engines.answered(service, model, placement, millis, now);
+      engines.recordFirstByte(service, model, placement, millis, now);
     } else {
-      calls.answered(service, placement, millis, now);
+      calls.recordFirstByte(service, placement, millis, now);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadExchangePart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadExchangePart.java
@@ -66,7 +66,7 @@
       return;
     }
     List<UpstreamLoad> loads = loads();
-    List<KeptPrompt> sent = prompts.take(MOST_PROMPTS);
+    List<KeptPrompt> sent = prompts.takeUnreported(MOST_PROMPTS);
     boolean again = !loads.isEmpty() && !now.isBefore(toldAt.plus(AGAIN));
     if (again || !sent.isEmpty() || !loads.equals(told)) {
       told = loads;
@@ -93,12 +93,12 @@
     for (UpstreamTrack track : entry.tracks()) {
       UpstreamLoad load = byUpstream.get(track.instance().id());
       int running = load == null ? 0 : load.running();
-      track.peers().told(peer, running, load == null ? 0 : load.waitingMillis(), now);
+      track.peerLoads().update(peer, running, load == null ? 0 : load.waitingMillis(), now);
     }
     for (KeptPrompt prompt : message.prompts()) {
       UpstreamTrack track = entry.track(prompt.upstream());
       if (track != null) {
-        track.kept().used(prompt.key());
+        track.prefixCache().recordUse(prompt.key());
       }
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/Placement.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/Placement.java
@@ -11,7 +11,7 @@
  * @param workMillis time of the upstream that its reading takes, in milliseconds
  * @param firstByteMillis time until its first byte, the wait included, in milliseconds
  * @param newTokens tokens of its prompt that the upstream has to read
- * @param chain its prompt, or null if it has none
+ * @param prefixes its prompt, or null if it has none
  */
 record Placement(
     UpstreamTrack track,
@@ -19,4 +19,4 @@
     double workMillis,
     double firstByteMillis,
     int newTokens,
-    @Nullable PromptPrefixes chain) {}
+    @Nullable PromptPrefixes prefixes) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PlacementEstimator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PlacementEstimator.java
@@ -4,10 +4,10 @@
 interface PlacementEstimator {
 
   /** Returns what is expected of the attempt at an upstream. */
-  Placement at(UpstreamTrack track);
+  Placement estimate(UpstreamTrack track);
 
   /** Returns what the attempt costs others at that upstream, in milliseconds. */
-  default double extraMillis(Placement placement) {
+  default double costToOthersMillis(Placement placement) {
     return 0;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimitRecorder.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimitRecorder.java
@@ -22,7 +22,7 @@
    * @param now the present time
    * @param output takes a line if the limit is another one than before
    */
-  void heard(
+  void recordAnswer(
       UpstreamTrack track,
       RelayEvent.AnswerBegan answer,
       String request,
@@ -33,7 +33,7 @@
     if (limit == null || !limit.isBounded() && !isLifted(before, answer)) {
       return;
     }
-    track.rate().heard(limit, now);
+    track.rate().recordLimit(limit, now);
     if (!limit.isNear(before)) {
       String facts =
           "event=rate_limit_heard id="
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
@@ -29,7 +29,7 @@
   }
 
   /** Returns whether an upstream may get one more request of this daemon now. */
-  boolean takes(RelayService service, UpstreamTrack track, Instant now) {
+  boolean allows(RelayService service, UpstreamTrack track, Instant now) {
     if (!track.rateLimit().isBounded()) {
       track.rate().account(null);
       return true;
@@ -39,7 +39,7 @@
   }
 
   /** Takes note of a request that this daemon sends to an upstream by its own choice. */
-  void sent(RelayService service, UpstreamTrack track, Instant now) {
+  void recordSent(RelayService service, UpstreamTrack track, Instant now) {
     if (track.rateLimit().isBounded()) {
       TokenBucket bucket = bucket(service, track, now);
       if (bucket != null) {
@@ -49,8 +49,8 @@
   }
 
   /** Returns the time until an upstream takes one more request, of this daemon or another one. */
-  Duration untilTaken(RelayService service, UpstreamTrack track, Instant now) {
-    if (takes(service, track, now)) {
+  Duration timeUntilAllowed(RelayService service, UpstreamTrack track, Instant now) {
+    if (allows(service, track, now)) {
       return Duration.ZERO;
     }
     TokenBucket bucket = bucket(service, track, now);
@@ -67,7 +67,7 @@
     track.rate().account(account);
     RateShare share = division.share(service, track, now);
     TokenBucket bucket = account.bucket;
-    if (share.isNothing()) {
+    if (share.isNone()) {
       bucket = null;
     } else if (bucket != null && account.since.equals(share.since())) {
       bucket.change(share.perSecond(), share.burst(), now);
@@ -75,7 +75,7 @@
       bucket = new TokenBucket(share.perSecond(), share.burst(), now);
       // A part that comes later, with other entries' restarts, begins empty: another entry may
       // have just used it up.
-      bucket.take(share.burst() - (account.settled ? 0 : share.initial()), now);
+      bucket.take(share.burst() - (account.settled ? 0 : share.initialTokens()), now);
       account.since = share.since();
     }
     account.bucket = bucket;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -128,7 +128,7 @@
     } else if (event instanceof PeerEvent.MessageReceived received
         && received.message() instanceof PlacementAnswer answer) {
       SchedulerClient.SchedulerDecision placed =
-          schedulers.answered(received.node(), answer, output);
+          schedulers.handleAnswer(received.node(), answer, output);
       if (placed != null) {
         placed(placed, now, output);
       }
@@ -176,7 +176,7 @@
       return;
     }
     if (began.status() != WRONG_RUN) {
-      rateLimits.heard(track, began, relay.request.id(), now, output);
+      rateLimits.recordAnswer(track, began, relay.request.id(), now, output);
     }
     if (began.notRun() || began.status() == WRONG_RUN) {
       failures.notRun(relay, track, began, now, output);
@@ -186,7 +186,7 @@
     relay.confidence = began.confidence();
     relay.answeredAt = now;
     long millis = Duration.between(relay.sentAt, now).toMillis();
-    track.answered(now);
+    track.recordAnswered(now);
     sender.answered(relay, now, output);
     patience.waited(relay.route, relay.model, millis);
     boolean failed = began.status() >= FIRST_SERVER_ERROR;
@@ -195,7 +195,7 @@
     }
     if (!failed) {
       trace.answered(relay, began.status(), now, output);
-      track.succeeded();
+      track.recordSuccess();
       counts.answered(track.instance(), millis);
     }
     if (relay.passing || failed || relay.model < 0 || !askLarger(relay, now, output)) {
@@ -205,8 +205,8 @@
 
   /** Asks a larger model in place of the answer that has begun; returns whether it does. */
   private boolean askLarger(ActiveRelay relay, Instant now, Output output) {
-    int larger = models.larger(relay.route, relay.model);
-    if (larger < 0 || !models.doubts(relay)) {
+    int larger = models.largerModel(relay.route, relay.model);
+    if (larger < 0 || !models.wouldEscalate(relay)) {
       return false;
     }
     if (sender.askSchedulerForLarger(relay, larger, now, output)) {
@@ -224,7 +224,7 @@
       @Nullable SchedulerGrant grant,
       Instant now,
       Output output) {
-    if (!models.asks(relay, placement, now) || !starter.mayRepeat(relay, now)) {
+    if (!models.shouldEscalate(relay, placement, now) || !starter.mayRepeat(relay, now)) {
       sender.giveBack(grant, output);
       return false;
     }
@@ -237,12 +237,12 @@
 
   /** Goes on with a request whose scheduler has answered, or kept silent. */
   private void placed(SchedulerClient.SchedulerDecision placed, Instant now, Output output) {
-    if (!placed.larger()) {
+    if (!placed.isEscalation()) {
       starter.placed(placed, now, output);
       return;
     }
     ActiveRelay relay = placed.relay();
-    int larger = models.larger(relay.route, relay.model);
+    int larger = models.largerModel(relay.route, relay.model);
     Placement chosen = placed.placement();
     Placement placement = chosen == null ? sender.placeLarger(relay, larger, now) : chosen;
     UpstreamTrack track = relay.upstream();
@@ -264,7 +264,7 @@
   private void tick(Instant now, Output output) {
     crashes.tick(now, output);
     intake.released(now, output).forEach(relay -> begin(relay, now, output));
-    schedulers.overdue(now, output).forEach(placed -> placed(placed, now, output));
+    schedulers.takeTimedOut(now, output).forEach(placed -> placed(placed, now, output));
     for (ActiveRelay relay : active.all()) {
       if (now.isBefore(relay.deadline)) {
         failures.lookAtWait(relay, now, output);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ReportedLimit.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ReportedLimit.java
@@ -14,7 +14,7 @@
 public record ReportedLimit(RateLimit limit, long ageMillis) {
 
   /** Returns when the upstream said so, as of the present time. */
-  Instant namedAt(Instant now) {
+  Instant reportedAt(Instant now) {
     return now.minusMillis(ageMillis);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestEndings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestEndings.java
@@ -102,7 +102,7 @@
 
   private void noteAnswer(ActiveRelay relay, boolean whole, Instant now) {
     if (relay.passing && relay.streams()) {
-      answerTimes.ended(relay, Duration.between(relay.answeredAt, now).toMillis(), whole);
+      answerTimes.recordEnd(relay, Duration.between(relay.answeredAt, now).toMillis(), whole);
     }
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
@@ -82,7 +82,7 @@
     ActiveRelay relay =
         new ActiveRelay(request, route, service, team, arrivedAt, arrivedAt.plusMillis(wait));
     if (!route.models().isEmpty()) {
-      relay.model = models.first(route, request);
+      relay.model = models.firstModel(route, request);
     }
     return relay;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ScheduledEngines.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ScheduledEngines.java
@@ -31,9 +31,9 @@
       UpstreamStatus status = new UpstreamStatus(known.instance(), known.condition());
       UpstreamTrack own =
           tracks.computeIfAbsent(known.instance().run(), run -> new UpstreamTrack(status));
-      own.told(status);
+      own.updateStatus(status);
       own.coldUntil(known.coldUntil());
-      own.rate().told(known.rateLimit(), known.rate().namedAt());
+      own.rate().updateIfNewer(known.rateLimit(), known.rate().reportedAt());
       own.evacuated(known.condition() == UpstreamCondition.EVACUATED);
       found.add(own);
     }
@@ -47,7 +47,7 @@
   }
 
   /** Forgets engines that the directory doesn't name any more. */
-  void forgetGone(Iterable<String> services) {
+  void removeDeparted(Iterable<String> services) {
     Set<UpstreamRun> present = new HashSet<>();
     for (String service : services) {
       view.upstreams(service).forEach(track -> present.add(track.instance().run()));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
@@ -55,19 +55,23 @@
 
   /** A question that is open, and whether it is for a larger model in place of an answer. */
   private record OpenQuestion(
-      ActiveRelay relay, String scheduler, PromptPrefixes chain, Instant at, boolean larger) {}
+      ActiveRelay relay,
+      String scheduler,
+      PromptPrefixes chain,
+      Instant askedAt,
+      boolean isEscalation) {}
 
   /**
    * A scheduler's word on a request.
    *
    * @param relay the request
-   * @param larger whether it was asked for a larger model in place of an answer
+   * @param isEscalation whether it was asked for a larger model in place of an answer
    * @param placement where the attempt goes, or null if the entry is to place it itself
    * @param grant what the scheduler is to be told of, or null
    */
   record SchedulerDecision(
       ActiveRelay relay,
-      boolean larger,
+      boolean isEscalation,
       @Nullable Placement placement,
       @Nullable SchedulerGrant grant) {}
 
@@ -76,19 +80,19 @@
    *
    * @param relay the request
    * @param query what is to be placed
-   * @param larger whether it is a larger model in place of an answer
+   * @param isEscalation whether it is a larger model in place of an answer
    * @param now the present time
    * @param output takes what is to be done
    * @return whether a scheduler was asked; if not, the entry places the prompt itself
    */
   boolean ask(ActiveRelay relay, PlacementQuery query, boolean larger, Instant now, Output output) {
-    forget(relay);
-    PromptPrefixes chain = query.chain();
+    cancel(relay);
+    PromptPrefixes chain = query.prefixes();
     List<String> schedulers = view.schedulers();
     if (chain == null || schedulers.isEmpty()) {
       return false;
     }
-    for (int group : EngineGroups.order(family(chain, relay), weights(query, schedulers.size()))) {
+    for (int group : EngineGroups.rank(family(chain, relay), weights(query, schedulers.size()))) {
       String scheduler = schedulers.get(group);
       if (!now.isBefore(pausedUntil.getOrDefault(scheduler, Instant.EPOCH))) {
         number = Math.max(number + 1, now.toEpochMilli() * NUMBERS_A_MILLI);
@@ -113,7 +117,7 @@
     int[] weights = new int[groups];
     for (UpstreamTrack track : view.upstreams(query.service().name())) {
       boolean usable =
-          track.condition() == UpstreamCondition.READY && query.fits().test(track.instance());
+          track.condition() == UpstreamCondition.READY && query.eligible().test(track.instance());
       weights[EngineGroups.groupOf(track.instance().id(), groups)] += usable ? 1 : 0;
     }
     return weights;
@@ -134,7 +138,7 @@
         String.valueOf(query.model()),
         query.zone(),
         beginnings,
-        chain.total(),
+        chain.totalTokens(),
         query.objectiveMillis(),
         List.copyOf(versions),
         excluded(query, versions),
@@ -144,7 +148,7 @@
   private Set<String> versions(PlacementQuery query) {
     Set<String> versions = new LinkedHashSet<>();
     for (UpstreamTrack track : view.upstreams(query.service().name())) {
-      if (query.fits().test(track.instance())) {
+      if (query.eligible().test(track.instance())) {
         versions.add(track.instance().version());
       }
     }
@@ -156,7 +160,7 @@
     List<String> excluded = new ArrayList<>();
     for (UpstreamTrack track : view.upstreams(query.service().name())) {
       UpstreamInstance engine = track.instance();
-      boolean barred = !query.fits().test(engine) || track.condition().barsNewWork();
+      boolean barred = !query.eligible().test(engine) || track.condition().rejectsNewWork();
       if (barred && versions.contains(engine.version())) {
         excluded.add(engine.id());
       }
@@ -173,20 +177,20 @@
    *
    * @return the request that goes on, or null if none waits for this answer
    */
-  @Nullable SchedulerDecision answered(String from, PlacementAnswer answer, Output output) {
+  @Nullable SchedulerDecision handleAnswer(String from, PlacementAnswer answer, Output output) {
     OpenQuestion one = asked.remove(answer.number());
     boolean expected = one != null && one.relay.question == answer.number();
     String upstream = answer.upstream();
     UpstreamTrack track = expected && upstream != null ? find(one.relay, upstream) : null;
     if (upstream != null && track == null) {
-      tell(new SchedulerGrant(from, answer.number()), AttemptProgress.ENDED, 0, output);
+      reportProgress(new SchedulerGrant(from, answer.number()), AttemptProgress.ENDED, 0, output);
     }
     if (!expected) {
       return null;
     }
     one.relay.question = 0;
     if (track == null) {
-      return new SchedulerDecision(one.relay, one.larger, null, null);
+      return new SchedulerDecision(one.relay, one.isEscalation, null, null);
     }
     Placement placement =
         new Placement(
@@ -197,31 +201,31 @@
             answer.newTokens(),
             one.chain);
     SchedulerGrant grant = new SchedulerGrant(from, answer.number());
-    return new SchedulerDecision(one.relay, one.larger, placement, grant);
+    return new SchedulerDecision(one.relay, one.isEscalation, placement, grant);
   }
 
   private @Nullable UpstreamTrack find(ActiveRelay relay, String upstream) {
     for (UpstreamTrack track : view.upstreams(relay.service.name())) {
       if (track.instance().id().equals(upstream)) {
-        return track.condition().barsNewWork() ? null : track;
+        return track.condition().rejectsNewWork() ? null : track;
       }
     }
     return null;
   }
 
   /** Returns the requests whose scheduler keeps silent, which this entry is to place itself. */
-  List<SchedulerDecision> overdue(Instant now, Output output) {
+  List<SchedulerDecision> takeTimedOut(Instant now, Output output) {
     List<SchedulerDecision> overdue = new ArrayList<>();
     for (Map.Entry<Long, OpenQuestion> open : List.copyOf(asked.entrySet())) {
       OpenQuestion one = open.getValue();
-      if (now.isBefore(one.at.plus(PATIENCE))) {
+      if (now.isBefore(one.askedAt.plus(PATIENCE))) {
         break;
       }
       asked.remove(open.getKey());
       pause(one.scheduler, now, output);
       if (one.relay.question == open.getKey()) {
         one.relay.question = 0;
-        overdue.add(new SchedulerDecision(one.relay, one.larger, null, null));
+        overdue.add(new SchedulerDecision(one.relay, one.isEscalation, null, null));
       }
     }
     return overdue;
@@ -236,7 +240,7 @@
   }
 
   /** Forgets the question of a request that needs no answer any more. */
-  void forget(ActiveRelay relay) {
+  void cancel(ActiveRelay relay) {
     if (relay.question != 0) {
       asked.remove(relay.question);
       relay.question = 0;
@@ -244,12 +248,12 @@
   }
 
   /** Tells a scheduler how an attempt goes on that it placed. */
-  void tell(SchedulerGrant grant, AttemptProgress progress, long millis, Output output) {
-    tell(grant, progress, millis, null, output);
+  void reportProgress(SchedulerGrant grant, AttemptProgress progress, long millis, Output output) {
+    reportProgress(grant, progress, millis, null, output);
   }
 
   /** Tells a scheduler how an attempt goes on, and what its engine said of its rate limit. */
-  void tell(
+  void reportProgress(
       SchedulerGrant grant,
       AttemptProgress progress,
       long millis,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
@@ -114,9 +114,9 @@
       return new PlacementAnswer(ask.number(), null, 0, 0, 0, 0);
     }
     UpstreamTrack track = placement.track();
-    track.sent(placement.workMillis(), now);
-    picker.sent(service, placement, now);
-    track.kept().sent(chain, placement.newTokens());
+    track.recordSent(placement.workMillis(), now);
+    picker.recordSent(service, placement, now);
+    track.prefixCache().recordSent(chain, placement.newTokens());
     Instant expiresAt = now.plusMillis(ask.lastsMillis()).plus(MARGIN);
     places.put(
         new SchedulerGrant(entry, ask.number()),
@@ -160,32 +160,32 @@
       return;
     }
     UpstreamTrack track = place.placement.track();
-    track.rate().told(news.named(), now);
+    track.rate().updateIfNewer(news.named(), now);
     switch (news.progress()) {
       case BEGUN -> begun(place, news.millis(), now);
       case ENDED -> {
         if (place.begun) {
-          track.succeeded();
+          track.recordSuccess();
         }
       }
-      case FAILED -> track.failed(false, now);
-      case UNREACHABLE -> track.failed(true, now);
-      case SILENT -> track.failed(track.silentSince(place.givenAt), now);
+      case FAILED -> track.recordFailure(false, now);
+      case UNREACHABLE -> track.recordFailure(true, now);
+      case SILENT -> track.recordFailure(track.isSilentSince(place.givenAt), now);
       default -> throw new IllegalArgumentException("unknown progress " + news.progress());
     }
     if (news.progress() != AttemptProgress.BEGUN) {
       places.remove(grant);
-      track.ended(place.waitingMillis);
+      track.recordEnded(place.waitingMillis);
     }
   }
 
   private void begun(Reservation place, int millis, Instant now) {
     UpstreamTrack track = place.placement.track();
-    track.begun(place.waitingMillis);
+    track.recordBegun(place.waitingMillis);
     place.waitingMillis = 0;
     place.begun = true;
-    track.answered(now);
-    picker.answered(place.service, place.model, place.placement, millis, now);
+    track.recordAnswered(now);
+    picker.recordFirstByte(place.service, place.model, place.placement, millis, now);
   }
 
   /** Frees places of entries that died, which would count as taken for ever. */
@@ -200,11 +200,11 @@
             place -> {
               boolean over = !now.isBefore(place.expiresAt);
               if (over) {
-                place.placement.track().ended(place.waitingMillis);
+                place.placement.track().recordEnded(place.waitingMillis);
               }
               return over;
             });
-    engines.forgetGone(
+    engines.removeDeparted(
         view.table().configuration().services().stream().map(RelayService::name).toList());
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SentPrefixes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SentPrefixes.java
@@ -25,7 +25,7 @@
   private final List<KeptPrompt> untold = new ArrayList<>();
 
   /** Takes note of a prompt that was sent to an engine. */
-  void sent(String upstream, PromptPrefixes chain, Instant now) {
+  void recordSent(String upstream, PromptPrefixes chain, Instant now) {
     for (int place = 0; place < chain.sharedSize(); place++) {
       KeptPrompt prompt = new KeptPrompt(upstream, chain.key(place));
       Instant told = toldAt.get(prompt);
@@ -46,7 +46,7 @@
   }
 
   /** Hands out the oldest of what is to be told. */
-  List<KeptPrompt> take(int most) {
+  List<KeptPrompt> takeUnreported(int most) {
     List<KeptPrompt> taken = untold.subList(0, Math.min(most, untold.size()));
     List<KeptPrompt> copy = List.copyOf(taken);
     taken.clear();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
@@ -97,7 +97,7 @@
       UpstreamTrack track = byId.get(run.id());
       boolean meant = track != null && run.covers(track.instance().run());
       if (meant && track.condition() != UpstreamCondition.LEAVING) {
-        track.leaves();
+        track.markLeaving();
         log("event=upstream_leaves id=" + run.id() + " index=" + index, output);
       }
     }
@@ -134,7 +134,7 @@
     } else if (instance.bornMillis() != known.instance().bornMillis()) {
       return;
     } else if (known.condition() != status.condition() || instance.follows(known.instance())) {
-      known.told(status);
+      known.updateStatus(status);
     }
     UpstreamTrack track = byId.get(instance.id());
     takeCold(track, instance, now, output);
@@ -170,7 +170,7 @@
     UpstreamTrack track = new UpstreamTrack(status);
     UpstreamRun left = leaving.get(instance.id());
     if (left != null && left.covers(instance.run())) {
-      track.leaves();
+      track.markLeaving();
     }
     markEvacuated(track);
     byId.put(instance.id(), track);
@@ -182,8 +182,8 @@
   private static void takeLimit(
       UpstreamTrack track, @Nullable ReportedLimit named, Instant now, Output output) {
     RateLimit before = track.rateLimit();
-    track.rate().leaderKnows(named);
-    if (track.rate().told(named, now) && !track.rateLimit().isNear(before)) {
+    track.rate().setKnownToLeader(named);
+    if (track.rate().updateIfNewer(named, now) && !track.rateLimit().isNear(before)) {
       String facts =
           "event=rate_limit_told id="
               + track.instance().id()
@@ -192,7 +192,7 @@
               + " before="
               + before
               + " age_ms="
-              + Duration.between(track.rate().namedAt(), now).toMillis();
+              + Duration.between(track.rate().reportedAt(), now).toMillis();
       log(facts, output);
     }
   }
@@ -202,7 +202,7 @@
     List<HeardLimit> limits = new ArrayList<>();
     for (UpstreamTrack track : byId.values()) {
       TrackedRateLimit rate = track.rate();
-      ReportedLimit named = rate.isNewsToLeader() ? rate.toTell(now) : null;
+      ReportedLimit named = rate.differsFromLeader() ? rate.toReport(now) : null;
       if (named != null && limits.size() < MOST_LIMITS) {
         limits.add(new HeardLimit(track.instance().run(), named));
       }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/PrefillTimesTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/PrefillTimesTest.java
@@ -15,7 +15,7 @@
   private void learn(PrefillTimes times, String model, double fixed, double perToken, int answers) {
     for (int answer = 0; answer < answers; answer++) {
       double tokens = 200 + 17_000 * random.nextDouble();
-      times.observed(model, tokens, fixed + perToken * tokens);
+      times.recordAnswer(model, tokens, fixed + perToken * tokens);
     }
   }
 
@@ -27,7 +27,7 @@
     learn(times, "large", 150, 0.05, 60);
     assertEquals(times.firstByteMillis("small", 4000), 140, 15);
     assertEquals(times.firstByteMillis("large", 4000), 350, 40);
-    assertEquals(times.workMillis("large", 10_000), 500, 50);
+    assertEquals(times.prefillMillis("large", 10_000), 500, 50);
   }
 
   /** A deployment whose engines get faster, as after a roll-out, is learned anew. */
@@ -36,7 +36,7 @@
     PrefillTimes times = new PrefillTimes();
     learn(times, "model", 100, 0.1, 100);
     learn(times, "model", 100, 0.01, 150);
-    assertEquals(times.workMillis("model", 10_000), 100, 60);
+    assertEquals(times.prefillMillis("model", 10_000), 100, 60);
   }
 
   /** One answer behind a queue that nobody knew of must not make all engines look slow. */
@@ -45,7 +45,7 @@
     PrefillTimes times = new PrefillTimes();
     learn(times, "model", 100, 0.02, 60);
     double before = times.firstByteMillis("model", 5000);
-    times.observed("model", 5000, 60_000);
+    times.recordAnswer("model", 5000, 60_000);
     assertTrue(times.firstByteMillis("model", 5000) < 1.2 * before);
   }
 
@@ -53,8 +53,8 @@
   public void readingNeverTakesNoTime() {
     PrefillTimes times = new PrefillTimes();
     for (int answer = 0; answer < 50; answer++) {
-      times.observed("model", 1000 * answer, 500 - answer);
+      times.recordAnswer("model", 1000 * answer, 500 - answer);
     }
-    assertTrue(times.workMillis("model", 1000) > 0);
+    assertTrue(times.prefillMillis("model", 1000) > 0);
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/PrefixCacheEstimateTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/PrefixCacheEstimateTest.java
@@ -21,19 +21,19 @@
 
   @Test
   public void sharedBeginningIsNotReadAgainByTheSameModel() {
-    kept.sent(chain("small", "first"), 1700);
-    assertEquals(kept.keptTokens(chain("small", "second"), MEMORY), 1500);
-    assertEquals(kept.keptTokens(chain("small", "first"), MEMORY), 1700);
-    assertEquals(kept.keptTokens(chain("large", "second"), MEMORY), 0);
+    kept.recordSent(chain("small", "first"), 1700);
+    assertEquals(kept.cachedTokens(chain("small", "second"), MEMORY), 1500);
+    assertEquals(kept.cachedTokens(chain("small", "first"), MEMORY), 1700);
+    assertEquals(kept.cachedTokens(chain("large", "second"), MEMORY), 0);
   }
 
   /** The same part behind another beginning is of no use to an engine. */
   @Test
   public void partIsKeptOnlyBehindItsBeginning() {
-    kept.sent(chain("small", "first"), 1700);
+    kept.recordSent(chain("small", "first"), 1700);
     PromptPrefixes other =
         PromptPrefixes.of("small", List.of(subject, common, new PromptPart("own", 200)), 1700);
-    assertEquals(kept.keptTokens(other, MEMORY), 0);
+    assertEquals(kept.cachedTokens(other, MEMORY), 0);
     assertNotEquals(other.key(1), chain("small", "first").key(1));
   }
 
@@ -43,26 +43,26 @@
    */
   @Test
   public void beginningCountsAsDroppedOnceTheMemoryIsFull() {
-    kept.sent(chain("small", "first"), 1700);
+    kept.recordSent(chain("small", "first"), 1700);
     PromptPrefixes other = PromptPrefixes.of("small", List.of(new PromptPart("long", 5000)), 5000);
-    kept.sent(other, 5000);
-    assertEquals(kept.keptTokens(chain("small", "second"), MEMORY), 1500);
-    kept.sent(PromptPrefixes.of("small", List.of(new PromptPart("more", 2000)), 2000), 2000);
-    assertEquals(kept.keptTokens(chain("small", "second"), MEMORY), 0);
-    assertEquals(kept.keptTokens(chain("small", "second"), 0), 1500, "a memory of unknown size");
+    kept.recordSent(other, 5000);
+    assertEquals(kept.cachedTokens(chain("small", "second"), MEMORY), 1500);
+    kept.recordSent(PromptPrefixes.of("small", List.of(new PromptPart("more", 2000)), 2000), 2000);
+    assertEquals(kept.cachedTokens(chain("small", "second"), MEMORY), 0);
+    assertEquals(kept.cachedTokens(chain("small", "second"), 0), 1500, "a memory of unknown size");
   }
 
   @Test
   public void whatOtherEntriesSentIsKeptToo() {
-    kept.used(chain("small", "first").key(1));
-    assertEquals(kept.keptTokens(chain("small", "second"), MEMORY), 1500);
+    kept.recordUse(chain("small", "first").key(1));
+    assertEquals(kept.cachedTokens(chain("small", "second"), MEMORY), 1500);
   }
 
   @Test
   public void promptWithoutPartsHasItsTokens() {
     PromptPrefixes chain = PromptPrefixes.of("small", List.of(), 300);
-    assertEquals(chain.total(), 300);
+    assertEquals(chain.totalTokens(), 300);
     assertEquals(chain.sharedTokens(), 0);
-    assertEquals(kept.keptTokens(chain, MEMORY), 0);
+    assertEquals(kept.cachedTokens(chain, MEMORY), 0);
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/UpstreamKnowledgeTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/UpstreamKnowledgeTest.java
@@ -17,7 +17,7 @@
     RelativeLatency slowness = new RelativeLatency();
     assertEquals(slowness.factor(START), 1.0);
     for (int answer = 0; answer < 10; answer++) {
-      slowness.observed(700, 100, START);
+      slowness.recordAnswer(700, 100, START);
     }
     assertTrue(slowness.factor(START) > 5);
     assertTrue(slowness.factor(START.plusSeconds(40)) < 1.1, "it is tried again later");
@@ -26,7 +26,7 @@
   @Test
   public void surpriseIsBounded() {
     RelativeLatency slowness = new RelativeLatency();
-    slowness.observed(1_000_000, 1, START);
+    slowness.recordAnswer(1_000_000, 1, START);
     assertEquals(slowness.factor(START), 2.4, 1e-9);
   }
 
@@ -34,12 +34,12 @@
   @Test
   public void wordOfAnEntryExpires() {
     PeerLoads work = new PeerLoads();
-    work.told("entry-1", 2, 300, START);
-    work.told("entry-2", 1, 50, START.plusSeconds(1));
+    work.update("entry-1", 2, 300, START);
+    work.update("entry-2", 1, 50, START.plusSeconds(1));
     assertEquals(work.running(START.plusSeconds(1)), 3);
     assertEquals(work.waitingMillis(START.plusSeconds(1)), 350.0);
     assertEquals(work.running(START.plusSeconds(2)), 1);
-    work.told("entry-2", 0, 0, START.plusSeconds(2));
+    work.update("entry-2", 0, 0, START.plusSeconds(2));
     assertEquals(work.running(START.plusSeconds(2)), 0);
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedEngine.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedEngine.java
@@ -106,8 +106,8 @@
         sharedReadAgain += chain.tokens(place) - before;
       }
     }
-    tokensRead += chain.total() - from;
-    return chain.total() - from;
+    tokensRead += chain.totalTokens() - from;
+    return chain.totalTokens() - from;
   }
 
   private void keep(long key, int tokens) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LimitedRequestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LimitedRequestTest.java
@@ -25,7 +25,7 @@
     List<UpstreamTrack> tracks = entry.view.tracks;
     tracks
         .subList(from, tracks.size())
-        .forEach(track -> track.rate().heard(HALF_A_SECOND, RelayFixture.START));
+        .forEach(track -> track.rate().recordLimit(HALF_A_SECOND, RelayFixture.START));
   }
 
   /** Guards against callers that wait for their deadline, or come back before there is a place. */
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadExchangePartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadExchangePartTest.java
@@ -97,8 +97,8 @@
   @Test
   public void peersAreToldOfNewLoadOnceAndAgainBeforeItExpires() {
     assertTrue(tick(100).isEmpty(), "there is none");
-    track().sent(250, RelayFixture.START);
-    prompts.sent("up", CHAIN, now);
+    track().recordSent(250, RelayFixture.START);
+    prompts.recordSent("up", CHAIN, now);
     List<SendToPeer> told = tick(100);
     EntryLoads expected =
         new EntryLoads(
@@ -107,7 +107,7 @@
         told, List.of(new SendToPeer("entry-2", expected), new SendToPeer("entry-3", expected)));
     assertTrue(tick(100).isEmpty(), "nothing is new");
     assertEquals(tick(400).size(), 2, "or it would expire");
-    track().ended(250);
+    track().recordEnded(250);
     assertEquals(((EntryLoads) tick(100).get(0).message()).loads(), List.of());
     assertTrue(tick(400).isEmpty());
   }
@@ -117,7 +117,7 @@
   public void tellingsKeepTheirPause() {
     int messages = 0;
     for (int tick = 0; tick < 40; tick++) {
-      track().sent(10, RelayFixture.START);
+      track().recordSent(10, RelayFixture.START);
       messages += tick(25).size();
     }
     assertEquals(messages, 2 * 20);
@@ -130,7 +130,7 @@
     receive("entry-3", new EntryLoads(List.of(new UpstreamLoad("gone", 9, 9)), List.of()));
     assertEquals(track().waitingMillis(now), 700.0);
     assertEquals(track().running(now), 2);
-    assertEquals(track().kept().keptTokens(CHAIN, 100_000), 900);
+    assertEquals(track().prefixCache().cachedTokens(CHAIN, 100_000), 900);
     receive("entry-2", new EntryLoads(List.of(), List.of()));
     assertEquals(track().running(now), 0);
     receive("entry-2", new EntryLoads(List.of(new UpstreamLoad("up", 2, 700)), List.of()));
@@ -139,12 +139,12 @@
 
   @Test
   public void sameUseIsToldAgainOnlyLater() {
-    prompts.sent("up", CHAIN, now);
-    assertEquals(prompts.take(9).size(), 1);
-    prompts.sent("up", CHAIN, now.plusMillis(1000));
-    assertEquals(prompts.take(9).size(), 0);
-    prompts.sent("up", CHAIN, now.plusMillis(1600));
-    assertEquals(prompts.take(9).size(), 1);
+    prompts.recordSent("up", CHAIN, now);
+    assertEquals(prompts.takeUnreported(9).size(), 1);
+    prompts.recordSent("up", CHAIN, now.plusMillis(1000));
+    assertEquals(prompts.takeUnreported(9).size(), 0);
+    prompts.recordSent("up", CHAIN, now.plusMillis(1600));
+    assertEquals(prompts.takeUnreported(9).size(), 1);
   }
 
   /**
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimiterTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimiterTest.java
@@ -30,7 +30,7 @@
     UpstreamStatus status =
         new UpstreamStatus(RelayFixture.instance(id, "v1"), UpstreamCondition.READY);
     UpstreamTrack track = new UpstreamTrack(status);
-    track.rate().heard(new RateLimit(perSecond), START);
+    track.rate().recordLimit(new RateLimit(perSecond), START);
     return track;
   }
 
@@ -66,9 +66,9 @@
       RateDivision division = new EntryRateDivision(view(number, entries, schedulers));
       RateShare share = division.share(ENGINES, track, START);
       rates += share.perSecond();
-      bursts += share.isNothing() ? 0 : share.burst();
+      bursts += share.isNone() ? 0 : share.burst();
     }
-    double meant = Math.max(perSecond, RateDivision.LEAST_PER_SECOND);
+    double meant = Math.max(perSecond, RateDivision.MIN_PER_SECOND);
     assertEquals(rates, meant, 1e-9 * meant);
     assertTrue(bursts <= (1 + 1e-9) * (4 + 1.5 * perSecond), "at once: " + bursts);
     double inFourSeconds = bursts + 4 * rates;
@@ -78,18 +78,19 @@
   @Test
   public void entryWithoutNumberSendsNothingToLimitedUpstreams() {
     RateLimiter limiter = new RateLimiter(new EntryRateDivision(view(0, 0)));
-    assertFalse(limiter.takes(PLAIN, track("up", 5), START.plusSeconds(60)));
-    assertTrue(limiter.takes(PLAIN, track("up", Double.POSITIVE_INFINITY), START));
+    assertFalse(limiter.allows(PLAIN, track("up", 5), START.plusSeconds(60)));
+    assertTrue(limiter.allows(PLAIN, track("up", Double.POSITIVE_INFINITY), START));
   }
 
   @Test
   public void callersAreToldWhenTheNextRequestIsTaken() {
     RateLimiter limiter = new RateLimiter(new EntryRateDivision(view(0, 1)));
     UpstreamTrack track = track("up", 0.5);
-    assertEquals(limiter.untilTaken(PLAIN, track, START), Duration.ofSeconds(2));
-    assertEquals(limiter.untilTaken(PLAIN, track, START.plusSeconds(2)), Duration.ZERO);
-    limiter.sent(PLAIN, track, START.plusSeconds(2));
-    assertEquals(limiter.untilTaken(PLAIN, track, START.plusMillis(2500)), Duration.ofMillis(1500));
+    assertEquals(limiter.timeUntilAllowed(PLAIN, track, START), Duration.ofSeconds(2));
+    assertEquals(limiter.timeUntilAllowed(PLAIN, track, START.plusSeconds(2)), Duration.ZERO);
+    limiter.recordSent(PLAIN, track, START.plusSeconds(2));
+    assertEquals(
+        limiter.timeUntilAllowed(PLAIN, track, START.plusMillis(2500)), Duration.ofMillis(1500));
   }
 
   /** Guards against sends that are allowed twice as a part comes and goes with other entries. */
@@ -98,13 +99,13 @@
     RelayFixture.FakeView view = view(0, 1);
     RateLimiter limiter = new RateLimiter(new EntryRateDivision(view));
     UpstreamTrack track = track("up", 1);
-    assertFalse(limiter.takes(PLAIN, track, START));
-    assertTrue(limiter.takes(PLAIN, track, START.plusSeconds(9)));
+    assertFalse(limiter.allows(PLAIN, track, START));
+    assertTrue(limiter.allows(PLAIN, track, START.plusSeconds(9)));
     view.place = EntryOrdinal.UNKNOWN;
-    assertFalse(limiter.takes(PLAIN, track, START.plusSeconds(10)));
+    assertFalse(limiter.allows(PLAIN, track, START.plusSeconds(10)));
     view.place = new EntryOrdinal(0, 1);
-    assertFalse(limiter.takes(PLAIN, track, START.plusSeconds(11)));
-    assertTrue(limiter.takes(PLAIN, track, START.plusSeconds(12)));
+    assertFalse(limiter.allows(PLAIN, track, START.plusSeconds(11)));
+    assertTrue(limiter.allows(PLAIN, track, START.plusSeconds(12)));
   }
 
   private static int entriesOfTwoThatSendAfterSecond(boolean knownFromTheStart) {
@@ -114,11 +115,11 @@
       RateLimiter limiter = new RateLimiter(new EntryRateDivision(view));
       UpstreamTrack track = track("up", 1);
       if (!knownFromTheStart) {
-        limiter.takes(PLAIN, track, START);
+        limiter.allows(PLAIN, track, START);
       }
       view.place = new EntryOrdinal(number, 2);
-      limiter.takes(PLAIN, track, START);
-      send += limiter.takes(PLAIN, track, START.plusSeconds(1)) ? 1 : 0;
+      limiter.allows(PLAIN, track, START);
+      send += limiter.allows(PLAIN, track, START.plusSeconds(1)) ? 1 : 0;
     }
     return send;
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
@@ -79,7 +79,7 @@
   public void nothingOfAnEarlierStartIsKept() {
     told(List.of(), started(30, 1000));
     UpstreamTrack first = only();
-    first.failed(true, RelayFixture.START);
+    first.recordFailure(true, RelayFixture.START);
     told(List.of(), started(1, 2000));
     assertNotSame(only(), first);
     assertEquals(only().failureShare(), 0.0);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
@@ -169,8 +169,8 @@
   @Test
   public void lookupGoesBackToTheLastUpstreamOfItsService() {
     busy();
-    entry.view.tracks.get(1).leaves();
-    entry.view.tracks.get(2).leaves();
+    entry.view.tracks.get(1).markLeaving();
+    entry.view.tracks.get(2).markLeaving();
     String only = entry.sent(1, "/lookup/x").target().upstream().id();
     RelayEffect.SendAttempt second =
         RelayFixture.only(
@@ -186,8 +186,8 @@
   @Test
   public void fullUpstreamIsNotAskedAgain() {
     busy();
-    entry.view.tracks.get(1).leaves();
-    entry.view.tracks.get(2).leaves();
+    entry.view.tracks.get(1).markLeaving();
+    entry.view.tracks.get(2).markLeaving();
     entry.sent(1, "/lookup/x");
     RelayEffect.Refuse refuse =
         RelayFixture.only(entry.answers(1, 1, 503, true), RelayEffect.Refuse.class);
@@ -201,8 +201,8 @@
   @Test
   public void failureOfTheOnlyUpstreamIsPassedOn() {
     busy();
-    entry.view.tracks.get(1).leaves();
-    entry.view.tracks.get(2).leaves();
+    entry.view.tracks.get(1).markLeaving();
+    entry.view.tracks.get(2).markLeaving();
     entry.sent(1, "/book/x");
     RelayFixture.only(entry.answers(1, 1, 500, false), RelayEffect.PassAnswer.class);
   }
@@ -241,7 +241,7 @@
   public void requestThatCannotBeServedInTimeIsRefusedAtOnce() {
     busy();
     for (UpstreamTrack track : entry.view.tracks) {
-      track.peers().told("entry-2", 600, 0, RelayFixture.START);
+      track.peerLoads().update("entry-2", 600, 0, RelayFixture.START);
     }
     RelayEffect.Refuse refuse =
         RelayFixture.only(entry.arrives(1, "/lookup/x"), RelayEffect.Refuse.class);
@@ -298,7 +298,7 @@
   public void streamStaysWhereOthersWouldBeLaterStill() {
     busy();
     for (UpstreamTrack track : entry.view.tracks) {
-      track.peers().told("entry-2", 60, 0, RelayFixture.START);
+      track.peerLoads().update("entry-2", 60, 0, RelayFixture.START);
     }
     entry.sent(1, "/stream/x");
     entry.answers(1, 1, 200, false);
