--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/EngineGroups.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/EngineGroups.java
@@ -6,45 +6,45 @@
 import org.skylarkfork.core.routing.StableHash;
 
 /**
- * Which engines belong together, and which of their groups reads a prompt.
+ * Assigns engines to groups and ranks the groups for a prompt.
  *
- * <p>All entries come to the same result from the same directory, so that nothing need be told: a
- * prompt that several requests share is read in one group wherever their callers connect.
+ * <p>All entries compute the same result from the same directory without exchanging messages, so
+ * prompts with shared parts go to the same group from every entry.
  */
 public final class EngineGroups {
 
   private EngineGroups() {}
 
   /**
-   * Returns the group of an engine, from 0 on.
+   * Returns the group of an engine, counted from 0.
    *
    * @param engine id of the engine
-   * @param groups how many groups there are, at least 1
+   * @param groups number of groups, at least 1
    */
   public static int groupOf(String engine, int groups) {
     return Math.floorMod(StableHash.of(engine), groups);
   }
 
   /**
-   * Returns the groups for a prompt, its own first, by weighted rendezvous hashing.
+   * Returns the groups for a prompt, the most preferred first, by weighted rendezvous hashing.
    *
-   * <p>A group gets prompts in proportion to its weight, and if one group loses its weight only the
-   * prompts of that one move.
+   * <p>Each group receives prompts in proportion to its weight. If a group loses its weight, only
+   * the prompts of that group move.
    *
-   * @param prompt what the requests of one group have in common
-   * @param weights engines of each group; a group with none is left out
+   * @param prompt key that related prompts share
+   * @param weights number of engines of each group; groups without engines are omitted
    */
   public static List<Integer> rank(long prompt, int[] weights) {
-    List<Integer> order = new ArrayList<>();
+    List<Integer> ranked = new ArrayList<>();
     double[] scores = new double[weights.length];
     for (int group = 0; group < weights.length; group++) {
       if (weights[group] > 0) {
-        order.add(group);
+        ranked.add(group);
         scores[group] = score(prompt, group, weights[group]);
       }
     }
-    order.sort(Comparator.comparingDouble(group -> -scores[group]));
-    return order;
+    ranked.sort(Comparator.comparingDouble(group -> -scores[group]));
+    return ranked;
   }
 
   private static double score(long prompt, int group, int weight) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PeerLoads.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PeerLoads.java
@@ -5,51 +5,51 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The work that other entries have at one upstream, as they told last. */
+/** The load at one upstream that other entries have last reported. */
 public final class PeerLoads {
 
-  /** Age at which word of an entry no longer counts; it is repeated three times in this time. */
-  private static final Duration OLDEST = Duration.ofMillis(1300);
+  /** Age at which a report expires; entries repeat their reports three times in this time. */
+  private static final Duration MAX_AGE = Duration.ofMillis(1300);
 
-  private final Map<String, Told> byPeer = new HashMap<>();
+  private final Map<String, Report> byPeer = new HashMap<>();
 
-  private record Told(int running, double waitingMillis, Instant at) {}
+  private record Report(int running, double waitingMillis, Instant receivedAt) {}
 
   /**
-   * Takes note of what an entry told.
+   * Replaces the report of an entry.
    *
-   * @param peer the entry
-   * @param running its requests that run or wait there
-   * @param waitingMillis work of those whose answer has not begun
+   * @param peer name of the entry
+   * @param running number of its requests that run or wait at the upstream; 0 removes its report
+   * @param waitingMillis work of those requests whose answer has not begun, in milliseconds
    * @param now the present time
    */
   public void update(String peer, int running, double waitingMillis, Instant now) {
     if (running == 0) {
       byPeer.remove(peer);
     } else {
-      byPeer.put(peer, new Told(running, waitingMillis, now));
+      byPeer.put(peer, new Report(running, waitingMillis, now));
     }
   }
 
-  /** Returns the requests of other entries that run or wait there. */
+  /** Returns the number of requests of other entries that run or wait at the upstream. */
   public int running(Instant now) {
     int sum = 0;
-    for (Told told : byPeer.values()) {
-      sum += counts(told, now) ? told.running : 0;
+    for (Report report : byPeer.values()) {
+      sum += isCurrent(report, now) ? report.running : 0;
     }
     return sum;
   }
 
-  /** Returns the work of other entries whose answer has not begun, in milliseconds. */
+  /** Returns the work of other entries' requests whose answer has not begun, in milliseconds. */
   public double waitingMillis(Instant now) {
     double sum = 0;
-    for (Told told : byPeer.values()) {
-      sum += counts(told, now) ? told.waitingMillis : 0;
+    for (Report report : byPeer.values()) {
+      sum += isCurrent(report, now) ? report.waitingMillis : 0;
     }
     return sum;
   }
 
-  private static boolean counts(Told told, Instant now) {
-    return now.isBefore(told.at.plus(OLDEST));
+  private static boolean isCurrent(Report report, Instant now) {
+    return now.isBefore(report.receivedAt.plus(MAX_AGE));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PrefillTimes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PrefillTimes.java
@@ -4,53 +4,67 @@
 import java.util.Map;
 
 /**
- * How long the engines of a service take until the first byte, learned from answers.
+ * Estimates how long the engines of a service take until the first byte of an answer.
  *
- * <p>For each model the time is a fixed part and one for each token to be read: the straight line
- * through the newest answers with the least squares. Models differ tenfold, deployments too.
+ * <p>For each model the time is a fixed part plus a time per prompt token that the engine has to
+ * read. Both come from a least-squares line through the newest answers. Models differ tenfold, and
+ * so do deployments.
  */
 public final class PrefillTimes {
 
-  /** Share that an answer loses with each newer one; the newest 50 count most. */
-  private static final double KEPT_WEIGHT = 0.98;
+  /**
+   * Factor by which each newer answer reduces the weight of an older one; the newest 50 count most.
+   */
+  private static final double DECAY = 0.98;
 
-  /** Guess before the first answer, which any answers outweigh: milliseconds without reading. */
-  private static final double FIRST_FIXED = 100;
+  /**
+   * Fixed part that is assumed before the first answer, in milliseconds; any answers outweigh it.
+   */
+  private static final double INITIAL_FIXED_MILLIS = 100;
 
-  /** Guess before the first answer: milliseconds for each token; halves of it do as well. */
-  private static final double FIRST_PER_TOKEN = 0.02;
+  /**
+   * Time per token that is assumed before the first answer, in milliseconds; half of it works as
+   * well.
+   */
+  private static final double INITIAL_MILLIS_PER_TOKEN = 0.02;
 
-  private static final double GUESSED_TOKENS = 5000;
+  private static final double INITIAL_TOKENS = 5000;
 
-  /** An answer that took more than this many times what was expected counts as that much. */
-  private static final double LARGEST_SURPRISE = 4;
+  /** Limit of a measured time, as a multiple of the expected time; longer times are cut to it. */
+  private static final double MAX_RATIO = 4;
 
-  /** Least time for a token, so that work never counts as nothing. */
-  private static final double LEAST_PER_TOKEN = 0.0005;
+  /** Minimum time per token in milliseconds, so that no prefill counts as free. */
+  private static final double MIN_MILLIS_PER_TOKEN = 0.0005;
 
   private final Map<String, Line> byModel = new HashMap<>();
 
-  /** Returns the milliseconds of an engine that reading takes, in which nothing else is read. */
+  /**
+   * Returns the engine time that reading takes, in milliseconds; the engine reads nothing else in
+   * it.
+   */
   public double prefillMillis(String model, double tokens) {
-    return line(model).perToken * tokens;
+    return line(model).millisPerToken * tokens;
   }
 
-  /** Returns the milliseconds until the first byte of an answer that needn't wait. */
+  /**
+   * Returns the time until the first byte of an answer to a request that doesn't wait, in
+   * milliseconds.
+   */
   public double firstByteMillis(String model, double tokens) {
     Line line = line(model);
-    return line.fixed + line.perToken * tokens;
+    return line.fixedMillis + line.millisPerToken * tokens;
   }
 
   /**
-   * Takes note of an answer that did not have to wait.
+   * Records an answer to a request that did not wait.
    *
-   * @param model model that gave it
-   * @param tokens tokens that were read for it
-   * @param millis time until its first byte
+   * @param model model that answered
+   * @param tokens tokens that the engine read for the answer
+   * @param millis time until the first byte, in milliseconds
    */
   public void recordAnswer(String model, double tokens, double millis) {
-    double largest = LARGEST_SURPRISE * firstByteMillis(model, tokens);
-    line(model).add(tokens, Math.min(millis, largest));
+    double maxMillis = MAX_RATIO * firstByteMillis(model, tokens);
+    line(model).add(tokens, Math.min(millis, maxMillis));
   }
 
   private Line line(String model) {
@@ -63,24 +77,24 @@
     private double millis;
     private double tokensSquared;
     private double product;
-    private double fixed;
-    private double perToken;
+    private double fixedMillis;
+    private double millisPerToken;
 
     private Line() {
-      add(0, FIRST_FIXED);
-      add(GUESSED_TOKENS, FIRST_FIXED + FIRST_PER_TOKEN * GUESSED_TOKENS);
+      add(0, INITIAL_FIXED_MILLIS);
+      add(INITIAL_TOKENS, INITIAL_FIXED_MILLIS + INITIAL_MILLIS_PER_TOKEN * INITIAL_TOKENS);
     }
 
     private void add(double newTokens, double newMillis) {
-      weight = KEPT_WEIGHT * weight + 1;
-      tokens = KEPT_WEIGHT * tokens + newTokens;
-      millis = KEPT_WEIGHT * millis + newMillis;
-      tokensSquared = KEPT_WEIGHT * tokensSquared + newTokens * newTokens;
-      product = KEPT_WEIGHT * product + newTokens * newMillis;
+      weight = DECAY * weight + 1;
+      tokens = DECAY * tokens + newTokens;
+      millis = DECAY * millis + newMillis;
+      tokensSquared = DECAY * tokensSquared + newTokens * newTokens;
+      product = DECAY * product + newTokens * newMillis;
       double spread = weight * tokensSquared - tokens * tokens;
       double slope = spread <= 0 ? 0 : (weight * product - tokens * millis) / spread;
-      perToken = Math.max(LEAST_PER_TOKEN, slope);
-      fixed = Math.max(0, (millis - perToken * tokens) / weight);
+      millisPerToken = Math.max(MIN_MILLIS_PER_TOKEN, slope);
+      fixedMillis = Math.max(0, (millis - millisPerToken * tokens) / weight);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PrefixCacheEstimate.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PrefixCacheEstimate.java
@@ -4,60 +4,65 @@
 import java.util.Map;
 
 /**
- * What one engine is believed to keep of the prompts that it has read.
+ * Estimates which prompt prefixes one engine has in its cache.
  *
- * <p>Engines don't tell; they drop what was not used for longest once their memory is full. So a
- * beginning counts as kept until about as many tokens as fit into the memory were read after it.
+ * <p>Engines don't report the contents of their cache. They evict the least recently used prefixes
+ * once their memory is full, so a prefix counts as cached until the engine has read about as many
+ * tokens after it as fit into its memory.
  */
 public final class PrefixCacheEstimate {
 
-  /** Beginnings that are remembered; with 40 bytes each a tenth of a megabyte for each engine. */
-  private static final int MOST = 2048;
+  /**
+   * Maximum number of tracked prefixes; at 40 bytes each they take a tenth of a megabyte per
+   * engine.
+   */
+  private static final int MAX_PREFIXES = 2048;
 
   /**
-   * Share of the memory after which a beginning counts as dropped. The rest holds requests under
-   * way, and is the margin for what other entries have read there without telling.
+   * Share of the engine's memory after which a prefix counts as evicted. The rest holds running
+   * requests and is a margin for unreported prompts of other entries.
    */
-  private static final double SAFE_SHARE = 0.6;
+  private static final double CACHED_SHARE = 0.6;
 
   private final Map<Long, Double> usedAt = new LinkedHashMap<>(64, 0.75f, true);
   private double tokensRead;
 
   /**
-   * Returns the tokens of a prompt that need not be read again.
+   * Returns how many tokens of a prompt the engine has cached and needn't read again.
    *
-   * @param chain the prompt
+   * @param prefixes prefixes of the prompt
    * @param memoryTokens tokens that fit into the engine's memory; 0 if unknown
    */
-  public int cachedTokens(PromptPrefixes chain, long memoryTokens) {
-    for (int place = chain.size() - 1; place >= 0; place--) {
-      Double used = usedAt.get(chain.key(place));
-      boolean fresh =
-          used != null && (memoryTokens <= 0 || tokensRead - used < SAFE_SHARE * memoryTokens);
-      if (fresh) {
-        return chain.tokens(place);
+  public int cachedTokens(PromptPrefixes prefixes, long memoryTokens) {
+    for (int index = prefixes.size() - 1; index >= 0; index--) {
+      Double lastUse = usedAt.get(prefixes.key(index));
+      boolean cached =
+          lastUse != null
+              && (memoryTokens <= 0 || tokensRead - lastUse < CACHED_SHARE * memoryTokens);
+      if (cached) {
+        return prefixes.tokens(index);
       }
     }
     return 0;
   }
 
   /**
-   * Takes note that a prompt is sent to the engine.
+   * Records that a prompt is sent to the engine.
    *
-   * @param chain the prompt
-   * @param newTokens tokens that the engine reads for it and for what else is read meanwhile
+   * @param prefixes prefixes of the prompt
+   * @param newTokens tokens that the engine reads for the prompt and for other work meanwhile
    */
-  public void recordSent(PromptPrefixes chain, double newTokens) {
+  public void recordSent(PromptPrefixes prefixes, double newTokens) {
     tokensRead += newTokens;
-    for (int place = 0; place < chain.size(); place++) {
-      recordUse(chain.key(place));
+    for (int index = 0; index < prefixes.size(); index++) {
+      recordUse(prefixes.key(index));
     }
   }
 
-  /** Takes note that a beginning was read or used there for another entry. */
+  /** Records that the engine has read or used a prefix for another entry. */
   public void recordUse(long key) {
     usedAt.put(key, tokensRead);
-    if (usedAt.size() > MOST) {
+    if (usedAt.size() > MAX_PREFIXES) {
       usedAt.remove(usedAt.keySet().iterator().next());
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PromptPrefixes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PromptPrefixes.java
@@ -4,10 +4,11 @@
 import org.skylarkfork.core.routing.StableHash;
 
 /**
- * The beginnings of a prompt that an engine may keep.
+ * The prefixes of a prompt that an engine may have cached.
  *
- * <p>A part is of use only behind all parts before it, and only to the model that read it. So each
- * beginning has one key, made of the model and the parts; all entries make the same.
+ * <p>A cached part is usable only behind the same preceding parts and only by the model that read
+ * it. Each prefix therefore has one key, which is a hash of the model and of all parts up to the
+ * end of the prefix; all entries compute the same key.
  */
 public final class PromptPrefixes {
 
@@ -22,32 +23,33 @@
   }
 
   /**
-   * Makes the chain of a prompt.
+   * Creates the prefixes of a prompt.
    *
-   * @param model model that reads it
-   * @param parts its parts in order, the request's own one last; may be empty
-   * @param promptTokens tokens of the whole prompt, if the parts don't make it up
+   * @param model model that reads the prompt
+   * @param parts parts of the prompt in order, the request's own part last; may be empty
+   * @param promptTokens tokens of the whole prompt; counts if the parts add up to fewer
    */
   public static PromptPrefixes of(String model, List<PromptPart> parts, int promptTokens) {
     long[] keys = new long[parts.size()];
     int[] tokens = new int[parts.size()];
-    String before = model;
+    String preceding = model;
     int sum = 0;
-    for (int place = 0; place < keys.length; place++) {
-      keys[place] = StableHash.of(before, parts.get(place).id());
-      before = Long.toHexString(keys[place]);
-      sum += parts.get(place).tokens();
-      tokens[place] = sum;
+    for (int index = 0; index < keys.length; index++) {
+      keys[index] = StableHash.of(preceding, parts.get(index).id());
+      preceding = Long.toHexString(keys[index]);
+      sum += parts.get(index).tokens();
+      tokens[index] = sum;
     }
     return new PromptPrefixes(keys, tokens, Math.max(sum, promptTokens));
   }
 
   /**
-   * Makes a chain anew from its keys.
+   * Creates prefixes from their keys.
    *
-   * @param keys keys of the beginnings in order
-   * @param tokens tokens of each
-   * @param totalTokens tokens of the whole prompt
+   * @param keys keys of the prefixes in order
+   * @param tokens length of each prefix in tokens
+   * @param total tokens of the whole prompt
+   * @throws IllegalArgumentException if the arrays differ in length
    */
   public static PromptPrefixes ofKeys(long[] keys, int[] tokens, int total) {
     if (keys.length != tokens.length) {
@@ -56,19 +58,19 @@
     return new PromptPrefixes(keys.clone(), tokens.clone(), total);
   }
 
-  /** Returns how many beginnings there are, the whole prompt among them. */
+  /** Returns the number of prefixes, the whole prompt included. */
   public int size() {
     return keys.length;
   }
 
-  /** Returns the key of the beginning that ends with a part. */
-  public long key(int place) {
-    return keys[place];
+  /** Returns the key of the prefix that ends with the part at an index. */
+  public long key(int index) {
+    return keys[index];
   }
 
-  /** Returns the tokens of the beginning that ends with a part. */
-  public int tokens(int place) {
-    return tokens[place];
+  /** Returns the tokens of the prefix that ends with the part at an index. */
+  public int tokens(int index) {
+    return tokens[index];
   }
 
   /** Returns the tokens of the whole prompt. */
@@ -76,12 +78,12 @@
     return totalTokens;
   }
 
-  /** Returns how many beginnings are shared with other requests: all but the whole prompt. */
+  /** Returns the number of prefixes that other requests may share: all but the whole prompt. */
   public int sharedSize() {
     return Math.max(0, keys.length - 1);
   }
 
-  /** Returns the tokens that are shared with other requests. */
+  /** Returns the tokens of the longest prefix that other requests may share; 0 if there is none. */
   public int sharedTokens() {
     return sharedSize() == 0 ? 0 : tokens[sharedSize() - 1];
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/CallLatencyModel.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/CallLatencyModel.java
@@ -4,20 +4,23 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Expects times of calls to plain services, from the mean of their answers. */
+/** Estimates the times of calls to plain services from the mean of their answers. */
 final class CallLatencyModel {
 
-  /** Weight of the newest answer; the newest 20 make most of the mean. */
-  private static final double LEARNING = 0.05;
+  /** Weight of the newest answer; the newest 20 make up most of the mean. */
+  private static final double SMOOTHING = 0.05;
 
-  /** Time of a call before the first answer, in milliseconds; only ranks upstreams until then. */
-  private static final double FIRST_MILLIS = 40;
+  /**
+   * Time of a call that is assumed before the first answer, in milliseconds; only ranks upstreams
+   * until then.
+   */
+  private static final double INITIAL_MILLIS = 40;
 
   private final Map<String, Double> meanMillis = new HashMap<>();
 
-  /** Expects a call to wait once all slots of the upstream are taken. */
+  /** Estimates the times of a call; its wait grows with the requests per slot of the upstream. */
   Placement estimate(RelayService service, UpstreamTrack track, Instant now) {
-    double mean = meanMillis.getOrDefault(service.name(), FIRST_MILLIS);
+    double mean = meanMillis.getOrDefault(service.name(), INITIAL_MILLIS);
     int slots = Math.max(1, track.instance().slots());
     double wait = mean * track.running(now) / slots;
     double work = mean * track.relativeLatency().factor(now);
@@ -25,8 +28,8 @@
   }
 
   void recordFirstByte(RelayService service, Placement placement, double millis, Instant now) {
-    double mean = meanMillis.getOrDefault(service.name(), FIRST_MILLIS);
-    meanMillis.put(service.name(), mean + LEARNING * (millis - mean));
+    double mean = meanMillis.getOrDefault(service.name(), INITIAL_MILLIS);
+    meanMillis.put(service.name(), mean + SMOOTHING * (millis - mean));
     placement.track().relativeLatency().recordAnswer(millis, mean + placement.waitMillis(), now);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ColdStart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ColdStart.java
@@ -3,22 +3,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the upstreams of a service bear for some time after they have started.
+ * The request rate that upstreams of a service can handle for some time after their start.
  *
- * @param millis time for which a start leaves an upstream cold, in milliseconds; 0 for never
- * @param perSecond requests a second that a cold upstream bears; 0 for any number
+ * @param millis time for which an upstream is cold after its start, in milliseconds; 0 for never
+ * @param perSecond requests per second that a cold upstream can handle; 0 for no limit
  */
 public record ColdStart(int millis, double perSecond) {
 
-  /** For services whose upstreams serve in full from their start on. */
+  /** The value for services whose upstreams handle the full load from their start on. */
   public static final ColdStart NONE = new ColdStart(0, 0);
 
-  /** Returns a value, or {@link #NONE} in place of null. */
+  /** Returns the argument, or {@link #NONE} in place of null. */
   static ColdStart orNone(@Nullable ColdStart cold) {
     return cold == null ? NONE : cold;
   }
 
-  /** Returns whether cold upstreams bear only so many requests. */
+  /** Returns whether the request rate of cold upstreams is limited. */
   public boolean isBounded() {
     return perSecond > 0;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EngineLatencyModel.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EngineLatencyModel.java
@@ -9,57 +9,65 @@
 import org.skylarkfork.core.routing.StableHash;
 
 /**
- * Expects times of prompts at engines.
+ * Estimates the times of prompts at engines.
  *
- * <p>The wait is the reading that is ahead there, of all entries as far as they tell; the reading
- * is what the engine is not believed to keep for that model.
+ * <p>The wait is the prefill time of the requests ahead at the engine, of all entries as far as
+ * they report it. The prefill covers the tokens that the engine has probably not cached for the
+ * model.
  */
 final class EngineLatencyModel {
 
   /**
-   * Least cost to others of reading a shared part where it isn't kept, as a share of that reading.
-   * At 0 a short wait makes a new copy, which takes the engine's time from all and memory from
-   * other parts.
+   * Minimum cost to other requests of reading a shared part at an engine that has not cached it, as
+   * a share of its prefill time. At 0 a short wait creates a new copy, which takes engine time from
+   * all requests and memory from other parts.
    */
-  private static final double COPY_SHARE = 1;
+  private static final double MIN_COPY_SHARE = 1;
 
   /**
-   * Wait, as a share of the objective, that is borne to spare a copy. A request that is in time
-   * loses nothing by it. Under a burst of three times the usual load, 75 entries and 63 engines in
-   * virtual time, worth 0.80 at 0, 0.88 at 0.1, 0.92 at 0.2, and 49, 22 and 10 million tokens read
-   * again (four seeds); at the usual load 0.98 at all three. The limit keeps a subject that all ask
-   * for from waiting for one engine: without it, worth 0.94 in place of 0.98 if three of ten
-   * requests are for one subject.
+   * Maximum wait that is accepted to avoid a copy, as a share of the objective. A request that is
+   * still in time loses nothing by it. Under a burst of three times the usual load, with 75 entries
+   * and 63 engines in virtual time, the worth was 0.80 at 0, 0.88 at 0.1 and 0.92 at 0.2, with 49,
+   * 22 and 10 million tokens read again (four seeds); at the usual load it was 0.98 at all three.
+   * The limit keeps requests for one popular subject from all waiting for one engine: without it
+   * the worth was 0.94 instead of 0.98 if three of ten requests were for one subject.
    */
-  private static final double OBJECTIVE_SHARE = 0.2;
+  private static final double MAX_WAIT_SHARE = 0.2;
 
   /**
-   * The same as a share of the reading that is spared, so that no request waits long to spare
-   * little. Between 8 and 32 it makes no difference in virtual time.
+   * Maximum wait that is accepted to avoid a copy, as a multiple of the prefill time that is saved,
+   * so that no request waits long to save little. Values between 8 and 32 make no difference in
+   * virtual time.
    */
-  private static final double MOST_COPY_SHARE = 16;
+  private static final double MAX_COPY_SHARE = 16;
 
   /**
-   * Share of the reading of a part that no engine keeps by which its places differ, so that entries
-   * that see it at the same time choose the same engine while none has much to do. In virtual time
-   * at double load, worth 0.873 at 0 and 0.899 at 1 (six seeds).
+   * Range, as a share of the prefill time, over which the costs of engines differ for a part that
+   * no engine has cached, so that entries that receive it at the same time choose the same engine
+   * while no engine is busy. In virtual time at double load the worth was 0.873 at 0 and 0.899 at 1
+   * (six seeds).
    */
   private static final double PREFERENCE_SHARE = 1;
 
-  /** Milliseconds that a request under way adds to a first byte; each step takes longer by it. */
-  private static final double RUNNING_MILLIS = 1;
+  /**
+   * Delay of a first byte per running request, in milliseconds; each generation step takes longer
+   * by it.
+   */
+  private static final double MILLIS_PER_RUNNING_REQUEST = 1;
 
-  /** Most by which this entry's own work stands for that of entries that it doesn't hear. */
-  private static final double MOST_UNHEARD = 4;
+  /**
+   * Maximum factor by which this entry's own load is scaled up for entries that don't report to it.
+   */
+  private static final double MAX_LOAD_FACTOR = 4;
 
   /**
-   * Wait, as a share of the reading, up to which an answer tells of the reading alone. Longer waits
-   * are known too roughly to be taken off.
+   * Wait, as a share of the prefill time, up to which an answer is used to estimate prefill times.
+   * Longer waits are known too imprecisely to be subtracted.
    */
-  private static final double NO_WAIT_SHARE = 0.3;
+  private static final double IGNORED_WAIT_SHARE = 0.3;
 
-  /** The same for the shortest prompts, in milliseconds; a step of an engine. */
-  private static final double NO_WAIT_MILLIS = 20;
+  /** The same for the shortest prompts, in milliseconds; one step of an engine. */
+  private static final double IGNORED_WAIT_MILLIS = 20;
 
   private final UpstreamSource upstreams;
   private final Map<String, PrefillTimes> byService = new HashMap<>();
@@ -68,97 +76,104 @@
     this.upstreams = upstreams;
   }
 
-  /** Returns what is expected of a request at each of some engines. */
+  /** Returns an estimator of the times of a request at each of some engines. */
   PlacementEstimator estimatorFor(
       PlacementQuery query,
       EngineProfile engine,
-      PromptPrefixes chain,
+      PromptPrefixes prefixes,
       List<UpstreamTrack> engines,
       Instant now) {
-    boolean kept =
-        chain.sharedSize() == 0
+    boolean cached =
+        prefixes.sharedSize() == 0
             || engines.stream()
                 .anyMatch(
                     track ->
-                        track.prefixCache().cachedTokens(chain, engine.memoryTokens())
-                            >= chain.sharedTokens());
-    return new AtEngine(query, engine, chain, !kept, now);
+                        track.prefixCache().cachedTokens(prefixes, engine.memoryTokens())
+                            >= prefixes.sharedTokens());
+    return new EngineEstimator(query, engine, prefixes, !cached, now);
   }
 
   private PrefillTimes times(RelayService service) {
     return byService.computeIfAbsent(service.name(), missing -> new PrefillTimes());
   }
 
-  /** Learns from an answer's first byte; from long waits only how slow the engine is. */
+  /**
+   * Updates the estimates from an answer's first byte. After a long wait only the relative latency
+   * of the engine is updated.
+   */
   void recordFirstByte(
       RelayService service, String model, Placement placement, double millis, Instant now) {
     double wait = placement.waitMillis();
     placement.track().relativeLatency().recordAnswer(millis, placement.firstByteMillis(), now);
-    if (wait <= NO_WAIT_MILLIS + NO_WAIT_SHARE * placement.workMillis()) {
+    if (wait <= IGNORED_WAIT_MILLIS + IGNORED_WAIT_SHARE * placement.workMillis()) {
       times(service).recordAnswer(model, placement.newTokens(), Math.max(1, millis - wait));
     }
   }
 
-  private final class AtEngine implements PlacementEstimator {
+  private final class EngineEstimator implements PlacementEstimator {
     private final PrefillTimes times;
     private final EngineProfile engine;
     private final String model;
-    private final PromptPrefixes chain;
+    private final PromptPrefixes prefixes;
     private final double objectiveMillis;
 
-    /** Whether no engine keeps the shared parts yet. */
-    private final boolean firstRead;
+    /** Whether no engine has cached the shared parts yet. */
+    private final boolean uncached;
 
     private final Instant now;
 
-    private AtEngine(
+    private EngineEstimator(
         PlacementQuery query,
         EngineProfile engine,
-        PromptPrefixes chain,
-        boolean firstRead,
+        PromptPrefixes prefixes,
+        boolean uncached,
         Instant now) {
       this.times = times(query.service());
       this.engine = engine;
       this.model = String.valueOf(query.model());
       this.objectiveMillis = query.objectiveMillis();
-      this.chain = chain;
-      this.firstRead = firstRead;
+      this.prefixes = prefixes;
+      this.uncached = uncached;
       this.now = now;
     }
 
     @Override
     public Placement estimate(UpstreamTrack track) {
       int tokens =
-          chain.totalTokens() - track.prefixCache().cachedTokens(chain, engine.memoryTokens());
-      double slow = track.relativeLatency().factor(now);
-      double unheard = Math.min(MOST_UNHEARD, 1 / upstreams.loadShare());
-      double wait = slow * unheard * track.waitingMillis(now);
-      double work = slow * times.prefillMillis(model, tokens);
-      double firstByte = wait + slow * times.firstByteMillis(model, tokens);
-      return new Placement(track, wait, work, firstByte, tokens, chain);
+          prefixes.totalTokens()
+              - track.prefixCache().cachedTokens(prefixes, engine.memoryTokens());
+      double latencyFactor = track.relativeLatency().factor(now);
+      double loadFactor = Math.min(MAX_LOAD_FACTOR, 1 / upstreams.loadShare());
+      double wait = latencyFactor * loadFactor * track.waitingMillis(now);
+      double prefill = latencyFactor * times.prefillMillis(model, tokens);
+      double firstByte = wait + latencyFactor * times.firstByteMillis(model, tokens);
+      return new Placement(track, wait, prefill, firstByte, tokens, prefixes);
     }
 
     @Override
     public double costToOthersMillis(Placement placement) {
       UpstreamTrack track = placement.track();
-      int own = chain.totalTokens() - chain.sharedTokens();
-      int copied = Math.max(0, placement.newTokens() - own);
-      double cost = copyMillis(times.prefillMillis(model, copied));
-      if (firstRead) {
-        cost += PREFERENCE_SHARE * times.prefillMillis(model, chain.sharedTokens()) * rank(track);
+      int ownTokens = prefixes.totalTokens() - prefixes.sharedTokens();
+      int copiedTokens = Math.max(0, placement.newTokens() - ownTokens);
+      double cost = copyMillis(times.prefillMillis(model, copiedTokens));
+      if (uncached) {
+        cost +=
+            PREFERENCE_SHARE * times.prefillMillis(model, prefixes.sharedTokens()) * rank(track);
       }
-      return cost + RUNNING_MILLIS * track.running(now);
+      return cost + MILLIS_PER_RUNNING_REQUEST * track.running(now);
     }
 
     private double copyMillis(double workMillis) {
-      double worthWaiting =
-          Math.min(MOST_COPY_SHARE * workMillis, OBJECTIVE_SHARE * objectiveMillis);
-      return Math.max(COPY_SHARE * workMillis, worthWaiting);
+      double acceptedWait = Math.min(MAX_COPY_SHARE * workMillis, MAX_WAIT_SHARE * objectiveMillis);
+      return Math.max(MIN_COPY_SHARE * workMillis, acceptedWait);
     }
 
-    /** Returns the place of an engine for this prompt, from 0 to 1, which all entries agree on. */
+    /**
+     * Returns the preference for an engine for this prompt, from 0 (most preferred) to 1, which is
+     * the same on all entries.
+     */
     private double rank(UpstreamTrack track) {
-      long key = chain.key(chain.sharedSize() - 1);
+      long key = prefixes.key(prefixes.sharedSize() - 1);
       long hash = StableHash.of(Long.toHexString(key), track.instance().id());
       return (hash >>> 11) * 0x1.0p-53;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EngineProfile.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EngineProfile.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * What the engines of a service are able to do.
+ * The capacity and the models of the engines of a service.
  *
- * @param slots requests that one engine runs at once
+ * @param slots requests that one engine runs concurrently
  * @param memoryTokens tokens of prompts and answers that fit into one engine's memory
  * @param models the models, the smallest first
  */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryColdStartLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryColdStartLimiter.java
@@ -4,27 +4,31 @@
 import org.skylarkfork.core.routing.StableHash;
 
 /**
- * Keeps an entry's own part of what cold upstreams bear.
+ * Enforces an entry's own part of the request rate of cold upstreams.
  *
- * <p>All entries together may send {@code perSecond}, or the sixth of it that schedulers leave.
- * With few entries each has an equal whole number of it. With more entries than that, each upstream
- * has some of them by a hash of both names, half as many as the bound allows in the mean, and each
- * of these may send one request a second. Of 55 entries and 3 requests a second 1.5 are meant in
- * the mean; that there are more than 12 for one upstream has a chance below one in a million.
+ * <p>All entries together may send {@code perSecond} requests per second, or the sixth of it that
+ * schedulers leave. With few entries each has an equal whole number of requests. With more entries
+ * than requests, a hash of both names assigns some entries to each upstream, on average half as
+ * many as the limit allows, and each of these may send one request per second. With 55 entries and
+ * 3 requests per second the average is 1.5; the probability that more than 12 entries are assigned
+ * to one upstream is below one in a million.
  */
 final class EntryColdStartLimiter implements ColdStartLimiter {
 
-  /** Share of the bound that is meant to be used where a hash spreads it; the rest is for luck. */
+  /**
+   * Average share of the limit that is used if entries are assigned by hash; the rest is a margin
+   * for random variation.
+   */
   private static final double SPREAD_SHARE = 0.5;
 
   private final RelayView view;
   private final String self;
 
   /**
-   * Makes a limiter.
+   * Creates a limiter.
    *
-   * @param view what the entry believes
-   * @param self name of the entry, unlike those of all others
+   * @param view the entry's view of the deployment
+   * @param self unique name of the entry
    */
   EntryColdStartLimiter(RelayView view, String self) {
     this.view = view;
@@ -36,28 +40,34 @@
     if (!service.cold().isBounded() || !track.isCold(now)) {
       return true;
     }
-    // Before the leader has told how many entries there are, each would think that it is alone.
-    return view.settled() && track.recentSends(now) < most(service, track);
+    // Until the leader has reported the number of entries, each entry would assume to be the only
+    // one.
+    return view.settled() && track.recentSends(now) < maxSends(service, track);
   }
 
-  private int most(RelayService service, UpstreamTrack track) {
+  private int maxSends(RelayService service, UpstreamTrack track) {
     double bound = service.cold().perSecond();
     if (service.engine() != null && !view.schedulers().isEmpty()) {
       bound *= 1 - SCHEDULER_SHARE;
     }
-    int each = (int) (bound / view.entries());
-    if (each > 0) {
-      return each;
+    int perEntry = (int) (bound / view.entries());
+    if (perEntry > 0) {
+      return perEntry;
     }
     return hash(track) * view.entries() < SPREAD_SHARE * bound ? 1 : 0;
   }
 
-  /** Returns a number from 0 to 1 that is this entry's for an upstream. */
+  /** Returns a hash of this entry and an upstream, from 0 to 1. */
   private double hash(UpstreamTrack track) {
     return (StableHash.of(self, track.instance().id()) >>> 11) * 0x1.0p-53;
   }
 
-  /** An entry sees too little of the work of warm upstreams to tell. */
+  /**
+   * {@inheritDoc}
+   *
+   * <p>An entry sees too little of the load of warm upstreams to decide, so the result is always
+   * false.
+   */
   @Override
   public boolean exceedsColdRate(RelayService service, UpstreamTrack track, Instant now) {
     return false;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryOrdinal.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryOrdinal.java
@@ -1,20 +1,20 @@
 package org.skylarkfork.core.relay;
 
 /**
- * Which one of all entries an entry is, as the leader counts them.
+ * The position of an entry among all entries, as assigned by the leader.
  *
- * <p>With it, entries divide among themselves what less than all of them can do, without a word
- * between them: each number from 0 is one entry's.
+ * <p>It lets entries divide work that fewer than all of them can do, without any coordination: each
+ * number from 0 on belongs to one entry.
  *
- * @param number its number, from 0
- * @param of how many entries there are; 0 if that isn't known yet
+ * @param number the entry's number, from 0
+ * @param of number of entries; 0 if it isn't known yet
  */
 public record EntryOrdinal(int number, int of) {
 
-  /** Before the leader has told. */
+  /** The value before the leader has assigned a number. */
   public static final EntryOrdinal UNKNOWN = new EntryOrdinal(0, 0);
 
-  /** Returns whether the leader has told. */
+  /** Returns whether the leader has assigned a number. */
   boolean isKnown() {
     return of > 0;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRateDivision.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRateDivision.java
@@ -4,12 +4,12 @@
 import org.skylarkfork.core.routing.StableHash;
 
 /**
- * An entry's part of what limited upstreams take.
+ * Assigns an entry its part of the rate of rate-limited upstreams.
  *
- * <p>Divided over all entries, a limit of two requests a second would be one in a minute for each
- * of a hundred, and a hundred at once after a pause. So only as many entries have a part as may
- * send at once. A hash of the upstream's id gives the number of the first of them; the next numbers
- * follow.
+ * <p>If a limit of two requests per second were divided over a hundred entries, each could send
+ * about one a minute, and after a pause all hundred could send at once. Therefore only as many
+ * entries have a part as may send at once. A hash of the upstream's id determines the number of the
+ * first of them; the others follow in order.
  */
 final class EntryRateDivision implements RateDivision {
 
@@ -21,9 +21,10 @@
 
   @Override
   public RateShare share(RelayService service, UpstreamTrack track, Instant now) {
-    EntryOrdinal place = view.place();
-    // Before the leader has told how many entries there are, each would think that it is alone.
-    if (!place.isKnown()) {
+    EntryOrdinal ordinal = view.place();
+    // Until the leader has reported the number of entries, each entry would assume to be the only
+    // one.
+    if (!ordinal.isKnown()) {
       return RateShare.NONE;
     }
     RateLimit limit = track.rateLimit();
@@ -33,17 +34,17 @@
       perSecond *= 1 - ColdStartLimiter.SCHEDULER_SHARE;
       burst = RateDivision.maxDirectSenders(limit);
     }
-    int holders = (int) Math.min(place.of(), burst);
-    int rank = Math.floorMod(place.number() - first(track, place.of()), place.of());
+    int holders = (int) Math.min(ordinal.of(), burst);
+    int rank = Math.floorMod(ordinal.number() - firstHolder(track, ordinal.of()), ordinal.of());
     if (rank >= holders) {
       return RateShare.NONE;
     }
-    double staggered = (double) rank / holders;
-    return new RateShare(perSecond / holders, burst / holders, staggered, Instant.EPOCH);
+    double initialTokens = (double) rank / holders;
+    return new RateShare(perSecond / holders, burst / holders, initialTokens, Instant.EPOCH);
   }
 
-  /** Returns the number of the first entry that has a part at an upstream. */
-  private static int first(UpstreamTrack track, int entries) {
+  /** Returns the number of the first entry that has a part of an upstream's rate. */
+  private static int firstHolder(UpstreamTrack track, int entries) {
     return Math.floorMod(StableHash.of(track.instance().id()), entries);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeastTimePicker.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeastTimePicker.java
@@ -10,101 +10,115 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Picks the upstream with the least expected time, failures and distance weighed in.
+ * Picks the upstream with the shortest expected time until the first byte, adjusted for failures
+ * and distance.
  *
- * <p>An upstream that failed lately is taken only if no other is there, one that is silent only
- * after those. A cold one is taken as far as {@link ColdStartLimiter} allows, one that names a rate
- * limit as far as {@link RateLimiter} does.
+ * <p>An upstream that has failed recently is picked only if no other is available, and a silent one
+ * only after those. Cold upstreams are picked as far as {@link ColdStartLimiter} allows, and
+ * upstreams that report a rate limit as far as {@link RateLimiter} allows.
  */
 final class LeastTimePicker implements UpstreamPicker {
 
   /**
-   * Milliseconds of wait that the bytes to another zone are worth. A prompt's transfer costs about
-   * a hundredth of the credit of its answer, as much as some milliseconds of a busy engine earn.
+   * Cost of sending to another zone, as milliseconds of wait. Transferring a prompt costs about a
+   * hundredth of the credit of its answer, as much as a busy engine earns in some milliseconds.
    */
   private static final double OTHER_ZONE_MILLIS = 12.0;
 
-  /** The same where a zone has engines enough to keep the shared parts of prompts by itself. */
-  private static final double OTHER_KEEPERS_MILLIS = 60.0;
+  /**
+   * Cost of sending to another zone if the own zone has engines enough to cache the shared parts of
+   * its prompts.
+   */
+  private static final double OTHER_ZONE_CACHED_MILLIS = 60.0;
 
-  /** Engines of a zone from which on their memories hold the shared parts of its requests. */
-  private static final int LEAST_KEEPERS = 4;
+  /**
+   * Number of engines of a zone from which on their memories hold the shared parts of its prompts.
+   */
+  private static final int MIN_CACHING_ENGINES = 4;
 
-  /** Milliseconds of wait that a certain failure is worth. */
+  /** Cost of a certain failure, as milliseconds of wait. */
   private static final double FAILURE_MILLIS = 500.0;
 
   /**
-   * Milliseconds by which an upstream that names a rate limit goes first while it takes a request.
-   * What it takes and doesn't get is lost, while the others have to take all the rest; more than a
-   * tie is not meant.
+   * Preference for an upstream that reports a rate limit while it accepts a request, in
+   * milliseconds. Any part of its limit that isn't used is lost, while the other upstreams have to
+   * take all remaining requests; the value is only large enough to break ties.
    */
-  private static final double LIMITED_MILLIS = 2.0;
+  private static final double LIMITED_PREFERENCE_MILLIS = 2.0;
 
   private final UpstreamSource upstreams;
-  private final ColdStartLimiter coldStarts;
-  private final RateLimiter rates;
+  private final ColdStartLimiter coldStartLimiter;
+  private final RateLimiter rateLimiter;
   private final UniformRandomProvider random;
-  private final EngineLatencyModel engines;
-  private final CallLatencyModel calls;
+  private final EngineLatencyModel engineTimes;
+  private final CallLatencyModel callTimes;
 
   LeastTimePicker(
-      UpstreamSource upstreams, ColdStartLimiter coldStarts, RateLimiter rates, long seed) {
+      UpstreamSource upstreams,
+      ColdStartLimiter coldStartLimiter,
+      RateLimiter rateLimiter,
+      long seed) {
     this.upstreams = upstreams;
-    this.coldStarts = coldStarts;
-    this.rates = rates;
+    this.coldStartLimiter = coldStartLimiter;
+    this.rateLimiter = rateLimiter;
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-    this.engines = new EngineLatencyModel(upstreams);
-    this.calls = new CallLatencyModel();
+    this.engineTimes = new EngineLatencyModel(upstreams);
+    this.callTimes = new CallLatencyModel();
   }
 
   @Override
   public @Nullable Placement pick(PlacementQuery query, Instant now) {
     RelayService service = query.service();
-    List<UpstreamTrack> usable = usable(query, now);
+    List<UpstreamTrack> usableUpstreams = usableUpstreams(query, now);
     EngineProfile engine = service.engine();
     if (engine != null && query.prefixes() != null) {
       return best(
-          engines.estimatorFor(query, engine, query.prefixes(), usable, now), query, usable, now);
+          engineTimes.estimatorFor(query, engine, query.prefixes(), usableUpstreams, now),
+          query,
+          usableUpstreams,
+          now);
     }
-    return best(track -> calls.estimate(service, track, now), query, usable, now);
+    return best(track -> callTimes.estimate(service, track, now), query, usableUpstreams, now);
   }
 
-  private List<UpstreamTrack> usable(PlacementQuery query, Instant now) {
+  private List<UpstreamTrack> usableUpstreams(PlacementQuery query, Instant now) {
     List<UpstreamTrack> ready = candidates(query, UpstreamCondition.READY, now);
-    List<UpstreamTrack> sound = ready.stream().filter(track -> !track.isAvoided(now)).toList();
-    if (!sound.isEmpty()) {
-      return uncrowded(query.service(), sound, now);
+    List<UpstreamTrack> healthy = ready.stream().filter(track -> !track.isAvoided(now)).toList();
+    if (!healthy.isEmpty()) {
+      return belowColdRate(query.service(), healthy, now);
     }
     return ready.isEmpty() ? candidates(query, UpstreamCondition.SILENT, now) : ready;
   }
 
-  private List<UpstreamTrack> uncrowded(
-      RelayService service, List<UpstreamTrack> sound, Instant now) {
+  private List<UpstreamTrack> belowColdRate(
+      RelayService service, List<UpstreamTrack> healthy, Instant now) {
     List<UpstreamTrack> others =
-        sound.stream().filter(track -> !coldStarts.exceedsColdRate(service, track, now)).toList();
-    return others.isEmpty() ? sound : others;
+        healthy.stream()
+            .filter(track -> !coldStartLimiter.exceedsColdRate(service, track, now))
+            .toList();
+    return others.isEmpty() ? healthy : others;
   }
 
   private List<UpstreamTrack> candidates(
       PlacementQuery query, UpstreamCondition condition, Instant now) {
     RelayService service = query.service();
-    List<UpstreamTrack> found = new ArrayList<>();
+    List<UpstreamTrack> matching = new ArrayList<>();
     for (UpstreamTrack track : upstreams.upstreams(service.name())) {
       boolean fits = track.condition() == condition && query.eligible().test(track.instance());
-      if (fits && takes(service, track, now)) {
-        found.add(track);
+      if (fits && isAllowed(service, track, now)) {
+        matching.add(track);
       }
     }
-    return found;
+    return matching;
   }
 
-  private boolean takes(RelayService service, UpstreamTrack track, Instant now) {
-    return coldStarts.allows(service, track, now) && rates.allows(service, track, now);
+  private boolean isAllowed(RelayService service, UpstreamTrack track, Instant now) {
+    return coldStartLimiter.allows(service, track, now) && rateLimiter.allows(service, track, now);
   }
 
   @Override
   public void recordSent(RelayService service, Placement placement, Instant now) {
-    rates.recordSent(service, placement.track(), now);
+    rateLimiter.recordSent(service, placement.track(), now);
   }
 
   @Override
@@ -113,34 +127,38 @@
     return upstreams.upstreams(service.name()).stream()
         .filter(track -> track.condition() == UpstreamCondition.READY)
         .filter(track -> query.eligible().test(track.instance()))
-        .map(track -> rates.timeUntilAllowed(service, track, now))
+        .map(track -> rateLimiter.timeUntilAllowed(service, track, now))
         .min(Comparator.naturalOrder())
         .orElse(Duration.ZERO);
   }
 
   private @Nullable Placement best(
-      PlacementEstimator estimate, PlacementQuery query, List<UpstreamTrack> usable, Instant now) {
+      PlacementEstimator estimate,
+      PlacementQuery query,
+      List<UpstreamTrack> usableUpstreams,
+      Instant now) {
     String zone = query.zone();
-    double distance = distance(zone, usable);
+    double distanceMillis = distanceMillis(zone, usableUpstreams);
     Placement best = null;
-    double least = Double.MAX_VALUE;
-    for (UpstreamTrack track : usable) {
+    double leastCost = Double.MAX_VALUE;
+    for (UpstreamTrack track : usableUpstreams) {
       Placement placement = estimate.estimate(track);
       double cost = placement.firstByteMillis() + estimate.costToOthersMillis(placement);
       cost += FAILURE_MILLIS * track.failureShare() + random.nextDouble();
-      cost += zone.equals(track.instance().zone()) ? 0 : distance;
-      cost -= track.rateLimit().isBounded() ? LIMITED_MILLIS : 0;
-      if (cost < least) {
-        least = cost;
+      cost += zone.equals(track.instance().zone()) ? 0 : distanceMillis;
+      cost -= track.rateLimit().isBounded() ? LIMITED_PREFERENCE_MILLIS : 0;
+      if (cost < leastCost) {
+        leastCost = cost;
         best = placement;
       }
     }
     return best;
   }
 
-  private static double distance(String zone, List<UpstreamTrack> usable) {
-    long near = usable.stream().filter(track -> zone.equals(track.instance().zone())).count();
-    return near >= LEAST_KEEPERS ? OTHER_KEEPERS_MILLIS : OTHER_ZONE_MILLIS;
+  private static double distanceMillis(String zone, List<UpstreamTrack> usableUpstreams) {
+    long sameZone =
+        usableUpstreams.stream().filter(track -> zone.equals(track.instance().zone())).count();
+    return sameZone >= MIN_CACHING_ENGINES ? OTHER_ZONE_CACHED_MILLIS : OTHER_ZONE_MILLIS;
   }
 
   @Override
@@ -151,9 +169,9 @@
       double millis,
       Instant now) {
     if (service.engine() != null && model != null) {
-      engines.recordFirstByte(service, model, placement, millis, now);
+      engineTimes.recordFirstByte(service, model, placement, millis, now);
     } else {
-      calls.recordFirstByte(service, placement, millis, now);
+      callTimes.recordFirstByte(service, placement, millis, now);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadExchangePart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadExchangePart.java
@@ -17,34 +17,42 @@
 import org.skylarkfork.core.message.RelayMessage.UpstreamLoad;
 
 /**
- * Tells other entries what this one has under way at upstreams, and takes their word.
+ * Sends other entries the load that this entry has at upstreams and records the load that they
+ * report.
  *
- * <p>Each entry sees an eighth of the traffic or less. Without the others' part it sends a prompt
- * of a second of reading behind seconds of others' reading, while engines beside it are idle.
+ * <p>Each entry sees an eighth of the traffic or less. Without the other entries' load it would
+ * queue a prompt that takes a second to read behind seconds of their prompts while other engines
+ * are idle.
  */
 public final class LoadExchangePart implements Part {
 
-  /** Least time between two tellings; a prompt's reading takes ten times as long. */
-  private static final Duration LEAST_PAUSE = Duration.ofMillis(50);
+  /** Minimum time between two reports; the prefill of a prompt takes ten times as long. */
+  private static final Duration MIN_INTERVAL = Duration.ofMillis(50);
 
-  /** Time after which an unchanged load is told again, a third of the age at which it expires. */
-  private static final Duration AGAIN = Duration.ofMillis(400);
+  /**
+   * Time after which an unchanged load is reported again, a third of the age at which a report
+   * expires.
+   */
+  private static final Duration REPEAT_INTERVAL = Duration.ofMillis(400);
 
-  /** Upstreams and prompts in one message: 2 KB at the most, far less than an entry's share. */
-  private static final int MOST_LOADS = 64;
+  /**
+   * Maximum number of upstreams in one message. With {@link #MAX_PROMPTS} prefixes the message has
+   * 2 KB at the most, far below an entry's share of the traffic.
+   */
+  private static final int MAX_LOADS = 64;
 
-  private static final int MOST_PROMPTS = 32;
+  private static final int MAX_PROMPTS = 32;
 
   private final RelayEntryPart entry;
   private final SentPrefixes prompts;
-  private List<UpstreamLoad> told = List.of();
-  private Instant toldAt = Instant.EPOCH;
+  private List<UpstreamLoad> reportedLoads = List.of();
+  private Instant reportedAt = Instant.EPOCH;
 
   /**
-   * Makes the part.
+   * Creates the part.
    *
-   * @param entry what this entry believes
-   * @param requests the decisions on requests, whose attempts are told
+   * @param entry this entry's view of the deployment
+   * @param requests handles this entry's requests, whose attempts are reported
    */
   public LoadExchangePart(RelayEntryPart entry, RelayRequestPart requests) {
     this.entry = entry;
@@ -54,23 +62,23 @@
   @Override
   public void apply(Event event, Instant now, Output output) {
     if (event instanceof LifecycleEvent.Tick) {
-      tell(now, output);
+      report(now, output);
     } else if (event instanceof PeerEvent.MessageReceived received
         && received.message() instanceof EntryLoads loads) {
-      take(received.node(), loads, now);
+      recordReport(received.node(), loads, now);
     }
   }
 
-  private void tell(Instant now, Output output) {
-    if (now.isBefore(toldAt.plus(LEAST_PAUSE)) || entry.peers().isEmpty()) {
+  private void report(Instant now, Output output) {
+    if (now.isBefore(reportedAt.plus(MIN_INTERVAL)) || entry.peers().isEmpty()) {
       return;
     }
     List<UpstreamLoad> loads = loads();
-    List<KeptPrompt> sent = prompts.takeUnreported(MOST_PROMPTS);
-    boolean again = !loads.isEmpty() && !now.isBefore(toldAt.plus(AGAIN));
-    if (again || !sent.isEmpty() || !loads.equals(told)) {
-      told = loads;
-      toldAt = now;
+    List<KeptPrompt> sent = prompts.takeUnreported(MAX_PROMPTS);
+    boolean repeat = !loads.isEmpty() && !now.isBefore(reportedAt.plus(REPEAT_INTERVAL));
+    if (repeat || !sent.isEmpty() || !loads.equals(reportedLoads)) {
+      reportedLoads = loads;
+      reportedAt = now;
       EntryLoads message = new EntryLoads(loads, sent);
       entry.peers().forEach(peer -> output.effect(new SendToPeer(peer, message)));
     }
@@ -79,7 +87,7 @@
   private List<UpstreamLoad> loads() {
     List<UpstreamLoad> loads = new ArrayList<>();
     for (UpstreamTrack track : entry.tracks()) {
-      if (track.ownRunning() > 0 && loads.size() < MOST_LOADS) {
+      if (track.ownRunning() > 0 && loads.size() < MAX_LOADS) {
         int waiting = (int) Math.round(track.ownWaitingMillis());
         loads.add(new UpstreamLoad(track.instance().id(), track.ownRunning(), waiting));
       }
@@ -87,7 +95,7 @@
     return loads;
   }
 
-  private void take(String peer, EntryLoads message, Instant now) {
+  private void recordReport(String peer, EntryLoads message, Instant now) {
     Map<String, UpstreamLoad> byUpstream = new HashMap<>();
     message.loads().forEach(load -> byUpstream.put(load.upstream(), load));
     for (UpstreamTrack track : entry.tracks()) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/Placement.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/Placement.java
@@ -4,14 +4,14 @@
 import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
- * Where an attempt goes and what is expected of it.
+ * The upstream of an attempt and the times that are expected there.
  *
  * @param track the upstream
- * @param waitMillis time until the upstream turns to it, in milliseconds
- * @param workMillis time of the upstream that its reading takes, in milliseconds
- * @param firstByteMillis time until its first byte, the wait included, in milliseconds
- * @param newTokens tokens of its prompt that the upstream has to read
- * @param prefixes its prompt, or null if it has none
+ * @param waitMillis time until the upstream starts to process the attempt, in milliseconds
+ * @param workMillis time that the upstream spends on the prefill or the call, in milliseconds
+ * @param firstByteMillis time until the first byte, including the wait, in milliseconds
+ * @param newTokens prompt tokens that the upstream has to read
+ * @param prefixes prefixes of the prompt, or null if there is none
  */
 record Placement(
     UpstreamTrack track,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PlacementEstimator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PlacementEstimator.java
@@ -1,12 +1,12 @@
 package org.skylarkfork.core.relay;
 
-/** Expects how long one attempt would take at each upstream. */
+/** Estimates how long one attempt would take at each upstream. */
 interface PlacementEstimator {
 
-  /** Returns what is expected of the attempt at an upstream. */
+  /** Returns the placement of the attempt at an upstream, with the expected times. */
   Placement estimate(UpstreamTrack track);
 
-  /** Returns what the attempt costs others at that upstream, in milliseconds. */
+  /** Returns the cost of the attempt to other requests at the upstream, in milliseconds. */
   default double costToOthersMillis(Placement placement) {
     return 0;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PlacementQuery.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PlacementQuery.java
@@ -5,14 +5,14 @@
 import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
- * A request for an upstream.
+ * A query for an upstream that an attempt can be sent to.
  *
  * @param service service that the request goes to
  * @param model model that is to answer, or null if there is none
- * @param prefixes the prompt as that model reads it, or null without a model
- * @param objectiveMillis time in which its answer is to begin, in milliseconds
- * @param zone availability zone of the entry that sends it
- * @param eligible tells the upstreams that may get it
+ * @param prefixes prefixes of the prompt for that model, or null without a model
+ * @param objectiveMillis time within which the answer is to begin, in milliseconds
+ * @param zone availability zone of the entry that sends the request
+ * @param eligible accepts the upstreams that may receive the request
  */
 record PlacementQuery(
     RelayService service,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateDivision.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateDivision.java
@@ -3,37 +3,37 @@
 import java.time.Instant;
 
 /**
- * Divides what a limited upstream takes among the daemons that send to it.
+ * Divides the rate limit of an upstream among the daemons that send to it.
  *
- * <p>The parts of all daemons add up to {@link #perSecond} and {@link #burst}, whatever each of
- * them does, so that no word between them is needed before a send.
+ * <p>The parts of all daemons add up to {@link #perSecond} and {@link #burst} whatever each daemon
+ * does, so no coordination is needed before a send.
  */
 interface RateDivision {
 
   /**
-   * Requests that all daemons together may send to a limited upstream at once, however small its
-   * limit; as many entries can have a part of it.
+   * Number of requests that all daemons together may send to a limited upstream at once, however
+   * small its limit is; as many entries can have a part of the limit.
    */
   double BASE_BURST = 4;
 
-  /** Seconds whose requests may come at once beyond {@link #BASE_BURST}. */
+  /** Seconds whose requests may be sent at once in addition to {@link #BASE_BURST}. */
   double BURST_SECONDS = 1.5;
 
   /**
-   * Least rate at which a limited upstream is asked, in requests a second: one that nobody asks
-   * can't say that its limit is lifted.
+   * Minimum request rate to a limited upstream, in requests per second: an upstream that receives
+   * no requests can't report that its limit is lifted.
    */
   double MIN_PER_SECOND = 0.2;
 
-  /** Returns this daemon's part at an upstream that names a limit. */
+  /** Returns this daemon's part of the rate of an upstream that reports a limit. */
   RateShare share(RelayService service, UpstreamTrack track, Instant now);
 
-  /** Returns the requests a second that all daemons together send to an upstream. */
+  /** Returns the requests per second that all daemons together send to an upstream. */
   static double perSecond(RateLimit limit) {
     return Math.max(MIN_PER_SECOND, limit.perSecond());
   }
 
-  /** Returns the requests that all daemons together may send to an upstream at once. */
+  /** Returns the number of requests that all daemons together may send to an upstream at once. */
   static double burst(RateLimit limit) {
     return BASE_BURST + BURST_SECONDS * limit.perSecond();
   }
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Returns how many entries may send to an upstream without asking its scheduler, one request at
-   * once each.
+   * Returns how many entries may send to an upstream without asking its scheduler, each one request
+   * at once.
    */
   static int maxDirectSenders(RateLimit limit) {
     return (int) Math.max(1, (1 - ColdStartLimiter.SCHEDULER_SHARE) * burst(limit));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimit.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimit.java
@@ -3,44 +3,48 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * How many requests a second an upstream says that it takes from all entries together.
+ * The number of requests per second that an upstream accepts from all entries together, as it
+ * reports in its answers.
  *
- * @param perSecond requests a second, at least 0; infinite if the upstream names no limit
+ * @param perSecond requests per second, at least 0; infinite if the upstream reports no limit
  */
 public record RateLimit(double perSecond) {
 
-  /** What an upstream means that names no limit. */
+  /** The value for an upstream that reports no limit. */
   public static final RateLimit NONE = new RateLimit(Double.POSITIVE_INFINITY);
 
-  /** Share by which two limits differ at the least that are told apart in logs and messages. */
-  private static final double STEP = 0.1;
+  /** Relative difference up to which two limits count as equal in logs and messages. */
+  private static final double TOLERANCE = 0.1;
 
   /**
-   * Checks the number.
+   * Validates the rate.
    *
-   * @throws IllegalArgumentException if it is negative or not a number
+   * @throws IllegalArgumentException if the rate is negative or not a number
    */
   public RateLimit {
     if (!(perSecond >= 0)) {
-      throw new IllegalArgumentException("a rate limit is a number from 0, not " + perSecond);
+      throw new IllegalArgumentException(
+          "a rate limit must be a number of at least 0, not " + perSecond);
     }
   }
 
-  /** Returns whether an upstream names a limit. */
+  /** Returns whether the upstream reports a limit. */
   public boolean isBounded() {
     return perSecond < Double.POSITIVE_INFINITY;
   }
 
-  /** Returns whether another limit is so close that the difference isn't worth a word. */
+  /**
+   * Returns whether another limit is so close that the difference isn't reported; false for null.
+   */
   boolean isNear(@Nullable RateLimit other) {
     return other != null
         && isBounded() == other.isBounded()
         && (!isBounded()
             || Math.abs(perSecond - other.perSecond)
-                <= STEP * Math.max(perSecond, other.perSecond));
+                <= TOLERANCE * Math.max(perSecond, other.perSecond));
   }
 
-  /** Returns the number as logs have it: {@code -} if there is no limit. */
+  /** Returns the rate as it is logged: {@code -} if there is no limit. */
   @Override
   public String toString() {
     return isBounded() ? Double.toString(perSecond) : "-";
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimitRecorder.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimitRecorder.java
@@ -5,22 +5,22 @@
 import org.skylarkfork.core.effect.TraceEffect;
 import org.skylarkfork.core.event.RelayEvent;
 
-/** Takes note of the rate limits that upstreams name in their answers to this entry. */
+/** Records the rate limits that upstreams report in their answers to this entry. */
 final class RateLimitRecorder {
 
-  private static final int FIRST_NO_SUCCESS = 300;
+  private static final int MIN_UNSUCCESSFUL_STATUS = 300;
 
   /**
-   * Takes note of an answer.
+   * Records the rate limit of an answer.
    *
-   * <p>A limit is lifted only by a success that names none: a failure may come from something that
-   * stands before the upstream's own work.
+   * <p>A limit is lifted only by a successful answer without a limit: a failure may come from a
+   * component in front of the upstream.
    *
-   * @param track the upstream that gave it
+   * @param track the upstream that answered
    * @param answer the answer
-   * @param request id of the request that it answers
+   * @param request id of the request that the answer belongs to
    * @param now the present time
-   * @param output takes a line if the limit is another one than before
+   * @param output receives a log line if the limit has changed
    */
   void recordAnswer(
       UpstreamTrack track,
@@ -29,26 +29,26 @@
       Instant now,
       Output output) {
     RateLimit limit = answer.rateLimit();
-    RateLimit before = track.rateLimit();
-    if (limit == null || !limit.isBounded() && !isLifted(before, answer)) {
+    RateLimit previous = track.rateLimit();
+    if (limit == null || !limit.isBounded() && !isLifted(previous, answer)) {
       return;
     }
     track.rate().recordLimit(limit, now);
-    if (!limit.isNear(before)) {
+    if (!limit.isNear(previous)) {
       String facts =
           "event=rate_limit_heard id="
               + track.instance().id()
               + " per_second="
               + limit
               + " before="
-              + before
+              + previous
               + " request="
               + request;
       output.effect(new TraceEffect.LogLine(limit.isBounded(), "relay", facts));
     }
   }
 
-  private static boolean isLifted(RateLimit before, RelayEvent.AnswerBegan answer) {
-    return before.isBounded() && answer.status() < FIRST_NO_SUCCESS;
+  private static boolean isLifted(RateLimit previous, RelayEvent.AnswerBegan answer) {
+    return previous.isBounded() && answer.status() < MIN_UNSUCCESSFUL_STATUS;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
@@ -5,10 +5,10 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.admission.TokenBucket;
 
-/** Keeps a daemon's sends to upstreams that name a rate limit within its part of it. */
+/** Keeps a daemon's sends to rate-limited upstreams within the daemon's part of the limits. */
 final class RateLimiter {
 
-  private static final double MILLIS_A_SECOND = 1000;
+  private static final double MILLIS_PER_SECOND = 1000;
 
   private final RateDivision division;
 
@@ -16,19 +16,19 @@
     this.division = division;
   }
 
-  /** A daemon's sends to one upstream for as long as that names a limit. */
+  /** A daemon's quota at one upstream for as long as the upstream reports a limit. */
   static final class Account {
 
-    /** What is left of the daemon's part, or null while it has none. */
+    /** The daemon's remaining part, or null while it has none. */
     private @Nullable TokenBucket bucket;
 
     private Instant since = Instant.EPOCH;
 
-    /** Whether the parts were divided before. */
+    /** Whether the limit has been divided before. */
     private boolean settled;
   }
 
-  /** Returns whether an upstream may get one more request of this daemon now. */
+  /** Returns whether this daemon may send one more request to an upstream now. */
   boolean allows(RelayService service, UpstreamTrack track, Instant now) {
     if (!track.rateLimit().isBounded()) {
       track.rate().account(null);
@@ -38,7 +38,7 @@
     return bucket != null && bucket.has(1, now);
   }
 
-  /** Takes note of a request that this daemon sends to an upstream by its own choice. */
+  /** Records a request that this daemon sends to an upstream of its own choice. */
   void recordSent(RelayService service, UpstreamTrack track, Instant now) {
     if (track.rateLimit().isBounded()) {
       TokenBucket bucket = bucket(service, track, now);
@@ -48,7 +48,9 @@
     }
   }
 
-  /** Returns the time until an upstream takes one more request, of this daemon or another one. */
+  /**
+   * Returns the time until an upstream accepts one more request, from this daemon or another one.
+   */
   Duration timeUntilAllowed(RelayService service, UpstreamTrack track, Instant now) {
     if (allows(service, track, now)) {
       return Duration.ZERO;
@@ -58,7 +60,7 @@
         bucket == null
             ? 1 / RateDivision.perSecond(track.rateLimit())
             : bucket.secondsUntil(1, now);
-    return Duration.ofMillis((long) Math.ceil(seconds * MILLIS_A_SECOND));
+    return Duration.ofMillis((long) Math.ceil(seconds * MILLIS_PER_SECOND));
   }
 
   private @Nullable TokenBucket bucket(RelayService service, UpstreamTrack track, Instant now) {
@@ -73,8 +75,8 @@
       bucket.change(share.perSecond(), share.burst(), now);
     } else {
       bucket = new TokenBucket(share.perSecond(), share.burst(), now);
-      // A part that comes later, with other entries' restarts, begins empty: another entry may
-      // have just used it up.
+      // A part that is assigned later, after other entries' restarts, begins empty: another entry
+      // may have just used it up.
       bucket.take(share.burst() - (account.settled ? 0 : share.initialTokens()), now);
       account.since = share.since();
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ReportedLimit.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ReportedLimit.java
@@ -3,17 +3,18 @@
 import java.time.Instant;
 
 /**
- * What an upstream said of its rate limit, and how long ago; the newest word counts.
+ * The rate limit that an upstream reported, and the age of the report; the newest report counts.
  *
- * <p>Daemons' clocks differ, so a message tells an age. What it takes on its way makes a word seem
- * newer, by less than the next answer of a limited upstream takes to come.
+ * <p>Daemons' clocks differ, so messages carry an age in place of a time. The transit time of a
+ * message makes a report seem newer, but by less than a limited upstream takes to give its next
+ * answer.
  *
- * @param limit the limit, {@link RateLimit#NONE} if it named none
+ * @param limit the limit; {@link RateLimit#NONE} if the upstream reported none
  * @param ageMillis time since that answer, in milliseconds
  */
 public record ReportedLimit(RateLimit limit, long ageMillis) {
 
-  /** Returns when the upstream said so, as of the present time. */
+  /** Returns when the upstream reported the limit, computed from the present time and the age. */
   Instant reportedAt(Instant now) {
     return now.minusMillis(ageMillis);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ScheduledEngines.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ScheduledEngines.java
@@ -9,11 +9,11 @@
 import org.skylarkfork.core.upstream.UpstreamRun;
 
 /**
- * The engines as a scheduler knows them: their state from the directory, their load from what it
- * placed itself.
+ * The engines as a scheduler sees them: their state comes from the directory, their load from the
+ * scheduler's own placements.
  *
- * <p>Kept apart from what the entry knows of its own attempts: a scheduler is an entry as well, and
- * its own requests would count twice.
+ * <p>The load is kept separately from that of the entry's own attempts: a scheduler is an entry as
+ * well, and its own requests would count twice.
  */
 final class ScheduledEngines implements UpstreamSource {
 
@@ -26,27 +26,31 @@
 
   @Override
   public List<UpstreamTrack> upstreams(String service) {
-    List<UpstreamTrack> found = new ArrayList<>();
+    List<UpstreamTrack> engines = new ArrayList<>();
     for (UpstreamTrack known : view.upstreams(service)) {
       UpstreamStatus status = new UpstreamStatus(known.instance(), known.condition());
-      UpstreamTrack own =
+      UpstreamTrack engine =
           tracks.computeIfAbsent(known.instance().run(), run -> new UpstreamTrack(status));
-      own.updateStatus(status);
-      own.coldUntil(known.coldUntil());
-      own.rate().updateIfNewer(known.rateLimit(), known.rate().reportedAt());
-      own.evacuated(known.condition() == UpstreamCondition.EVACUATED);
-      found.add(own);
+      engine.updateStatus(status);
+      engine.coldUntil(known.coldUntil());
+      engine.rate().updateIfNewer(known.rateLimit(), known.rate().reportedAt());
+      engine.evacuated(known.condition() == UpstreamCondition.EVACUATED);
+      engines.add(engine);
     }
-    return found;
+    return engines;
   }
 
-  /** All work at a scheduler's engines goes through it, but for moments when it was silent. */
+  /**
+   * {@inheritDoc}
+   *
+   * <p>All requests to a scheduler's engines go through it, except while it was silent.
+   */
   @Override
   public double loadShare() {
     return 1;
   }
 
-  /** Forgets engines that the directory doesn't name any more. */
+  /** Removes engines that are no longer in the directory. */
   void removeDeparted(Iterable<String> services) {
     Set<UpstreamRun> present = new HashSet<>();
     for (String service : services) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
@@ -22,52 +22,56 @@
 import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
- * Asks schedulers where prompts go, and tells them how the attempts go on.
+ * Asks schedulers for the placement of prompts and reports the progress of the attempts to them.
  *
- * <p>With many entries each one sees a hundredth of the work of the engines. A scheduler sees all
- * work of its group of engines; a request needs one question to it, whatever the number of entries.
+ * <p>With many entries each one sees a hundredth of the load of the engines. A scheduler sees the
+ * whole load of its group of engines, and a request needs one query to it, whatever the number of
+ * entries.
  */
 final class SchedulerClient {
 
   /**
-   * Longest wait for a scheduler's answer, after which the entry places the prompt itself. The way
-   * there and back takes 2 ms between availability zones; a first byte takes some hundreds.
+   * Timeout for a scheduler's answer, after which the entry places the prompt itself. A round trip
+   * between availability zones takes 2 ms, and a first byte some hundreds.
    */
-  private static final Duration PATIENCE = Duration.ofMillis(75);
+  private static final Duration ANSWER_TIMEOUT = Duration.ofMillis(75);
 
   /**
-   * Time for which a scheduler that was silent isn't asked. Control VMs replace a lost one within
-   * three seconds; until then one request a second waits for it in vain.
+   * Time for which a scheduler that did not answer receives no queries. Control VMs replace a lost
+   * scheduler within three seconds; until then one request per second waits for the timeout.
    */
-  private static final Duration PAUSE = Duration.ofSeconds(1);
+  private static final Duration SILENCE_PAUSE = Duration.ofSeconds(1);
 
-  /** Question numbers of one process lie above those of earlier ones by its start. */
-  private static final int NUMBERS_A_MILLI = 1024;
+  /**
+   * Query numbers per millisecond of the clock; basing them on the clock keeps the numbers of a
+   * process above those of earlier processes.
+   */
+  private static final int NUMBERS_PER_MILLI = 1024;
 
   private final RelayView view;
-  private final Map<Long, OpenQuestion> asked = new LinkedHashMap<>();
+  private final Map<Long, OpenQuery> openQueries = new LinkedHashMap<>();
   private final Map<String, Instant> pausedUntil = new HashMap<>();
-  private long number;
+  private long lastNumber;
 
   SchedulerClient(RelayView view) {
     this.view = view;
   }
 
-  /** A question that is open, and whether it is for a larger model in place of an answer. */
-  private record OpenQuestion(
+  /** An open query, and whether it is an escalation to a larger model. */
+  private record OpenQuery(
       ActiveRelay relay,
       String scheduler,
-      PromptPrefixes chain,
+      PromptPrefixes prefixes,
       Instant askedAt,
       boolean isEscalation) {}
 
   /**
-   * A scheduler's word on a request.
+   * A scheduler's decision on a request.
    *
    * @param relay the request
-   * @param isEscalation whether it was asked for a larger model in place of an answer
+   * @param isEscalation whether the query was for an escalation to a larger model
    * @param placement where the attempt goes, or null if the entry is to place it itself
-   * @param grant what the scheduler is to be told of, or null
+   * @param grant the grant to report progress on, or null
    */
   record SchedulerDecision(
       ActiveRelay relay,
@@ -76,41 +80,46 @@
       @Nullable SchedulerGrant grant) {}
 
   /**
-   * Asks for an engine.
+   * Asks a scheduler for an engine.
    *
    * @param relay the request
-   * @param query what is to be placed
-   * @param isEscalation whether it is a larger model in place of an answer
+   * @param query the attempt to place
+   * @param escalates whether the attempt is an escalation to a larger model
    * @param now the present time
-   * @param output takes what is to be done
+   * @param output receives the effects
    * @return whether a scheduler was asked; if not, the entry places the prompt itself
    */
-  boolean ask(ActiveRelay relay, PlacementQuery query, boolean larger, Instant now, Output output) {
+  boolean ask(
+      ActiveRelay relay, PlacementQuery query, boolean escalates, Instant now, Output output) {
     cancel(relay);
-    PromptPrefixes chain = query.prefixes();
+    PromptPrefixes prefixes = query.prefixes();
     List<String> schedulers = view.schedulers();
-    if (chain == null || schedulers.isEmpty()) {
+    if (prefixes == null || schedulers.isEmpty()) {
       return false;
     }
-    for (int group : EngineGroups.rank(family(chain, relay), weights(query, schedulers.size()))) {
+    for (int group :
+        EngineGroups.rank(sharedPrefixKey(prefixes, relay), weights(query, schedulers.size()))) {
       String scheduler = schedulers.get(group);
       if (!now.isBefore(pausedUntil.getOrDefault(scheduler, Instant.EPOCH))) {
-        number = Math.max(number + 1, now.toEpochMilli() * NUMBERS_A_MILLI);
-        relay.question = number;
-        asked.put(number, new OpenQuestion(relay, scheduler, chain, now, larger));
-        output.effect(new SendToPeer(scheduler, message(relay, query, chain, group, now)));
+        lastNumber = Math.max(lastNumber + 1, now.toEpochMilli() * NUMBERS_PER_MILLI);
+        relay.question = lastNumber;
+        openQueries.put(lastNumber, new OpenQuery(relay, scheduler, prefixes, now, escalates));
+        output.effect(new SendToPeer(scheduler, message(relay, query, prefixes, group, now)));
         return true;
       }
     }
     return false;
   }
 
-  /** Returns what a prompt has in common with others: its shared parts, else it alone. */
-  private static long family(PromptPrefixes chain, ActiveRelay relay) {
-    if (chain.sharedSize() > 0) {
-      return chain.key(chain.sharedSize() - 1);
+  /**
+   * Returns a key that a prompt has in common with related ones: the key of its shared parts, or
+   * its own if it shares none.
+   */
+  private static long sharedPrefixKey(PromptPrefixes prefixes, ActiveRelay relay) {
+    if (prefixes.sharedSize() > 0) {
+      return prefixes.key(prefixes.sharedSize() - 1);
     }
-    return chain.size() > 0 ? chain.key(0) : relay.request.number();
+    return prefixes.size() > 0 ? prefixes.key(0) : relay.request.number();
   }
 
   private int[] weights(PlacementQuery query, int groups) {
@@ -124,21 +133,21 @@
   }
 
   private PlacementAsk message(
-      ActiveRelay relay, PlacementQuery query, PromptPrefixes chain, int group, Instant now) {
+      ActiveRelay relay, PlacementQuery query, PromptPrefixes prefixes, int group, Instant now) {
     List<PromptBeginning> beginnings = new ArrayList<>();
-    for (int place = 0; place < chain.size(); place++) {
-      beginnings.add(new PromptBeginning(chain.key(place), chain.tokens(place)));
+    for (int index = 0; index < prefixes.size(); index++) {
+      beginnings.add(new PromptBeginning(prefixes.key(index), prefixes.tokens(index)));
     }
     Set<String> versions = versions(query);
     return new PlacementAsk(
-        number,
+        lastNumber,
         group,
         view.schedulers().size(),
         query.service().name(),
         String.valueOf(query.model()),
         query.zone(),
         beginnings,
-        chain.totalTokens(),
+        prefixes.totalTokens(),
         query.objectiveMillis(),
         List.copyOf(versions),
         excluded(query, versions),
@@ -155,13 +164,16 @@
     return versions;
   }
 
-  /** Returns the engines of some versions that may not get it all the same. */
+  /**
+   * Returns the engines of some versions that may not receive the attempt although their versions
+   * may.
+   */
   private List<String> excluded(PlacementQuery query, Set<String> versions) {
     List<String> excluded = new ArrayList<>();
     for (UpstreamTrack track : view.upstreams(query.service().name())) {
       UpstreamInstance engine = track.instance();
-      boolean barred = !query.eligible().test(engine) || track.condition().rejectsNewWork();
-      if (barred && versions.contains(engine.version())) {
+      boolean ineligible = !query.eligible().test(engine) || track.condition().rejectsNewWork();
+      if (ineligible && versions.contains(engine.version())) {
         excluded.add(engine.id());
       }
     }
@@ -169,28 +181,29 @@
   }
 
   /**
-   * Takes a scheduler's answer.
+   * Handles a scheduler's answer.
    *
-   * <p>An answer that nobody waits for any more has taken an engine's place for nothing, so the
-   * scheduler is told that it is free. The directory here may be newer than the scheduler's: an
-   * engine that leaves, or whose zone is evacuated, gets nothing, whoever names it.
+   * <p>An answer that no request waits for any more has reserved capacity of an engine, so its end
+   * is reported to the scheduler. The directory of this entry may be newer than the scheduler's: an
+   * engine that is leaving, or whose zone is evacuated, receives nothing even if a scheduler
+   * selects it.
    *
-   * @return the request that goes on, or null if none waits for this answer
+   * @return the decision on the request, or null if no request waits for this answer
    */
   @Nullable SchedulerDecision handleAnswer(String from, PlacementAnswer answer, Output output) {
-    OpenQuestion one = asked.remove(answer.number());
-    boolean expected = one != null && one.relay.question == answer.number();
+    OpenQuery pending = openQueries.remove(answer.number());
+    boolean isExpected = pending != null && pending.relay.question == answer.number();
     String upstream = answer.upstream();
-    UpstreamTrack track = expected && upstream != null ? find(one.relay, upstream) : null;
+    UpstreamTrack track = isExpected && upstream != null ? find(pending.relay, upstream) : null;
     if (upstream != null && track == null) {
       reportProgress(new SchedulerGrant(from, answer.number()), AttemptProgress.ENDED, 0, output);
     }
-    if (!expected) {
+    if (!isExpected) {
       return null;
     }
-    one.relay.question = 0;
+    pending.relay.question = 0;
     if (track == null) {
-      return new SchedulerDecision(one.relay, one.isEscalation, null, null);
+      return new SchedulerDecision(pending.relay, pending.isEscalation, null, null);
     }
     Placement placement =
         new Placement(
@@ -199,9 +212,9 @@
             answer.workMillis(),
             answer.firstByteMillis(),
             answer.newTokens(),
-            one.chain);
+            pending.prefixes);
     SchedulerGrant grant = new SchedulerGrant(from, answer.number());
-    return new SchedulerDecision(one.relay, one.isEscalation, placement, grant);
+    return new SchedulerDecision(pending.relay, pending.isEscalation, placement, grant);
   }
 
   private @Nullable UpstreamTrack find(ActiveRelay relay, String upstream) {
@@ -213,46 +226,51 @@
     return null;
   }
 
-  /** Returns the requests whose scheduler keeps silent, which this entry is to place itself. */
+  /**
+   * Returns the requests whose scheduler did not answer in time; this entry is to place them
+   * itself.
+   */
   List<SchedulerDecision> takeTimedOut(Instant now, Output output) {
     List<SchedulerDecision> overdue = new ArrayList<>();
-    for (Map.Entry<Long, OpenQuestion> open : List.copyOf(asked.entrySet())) {
-      OpenQuestion one = open.getValue();
-      if (now.isBefore(one.askedAt.plus(PATIENCE))) {
+    for (Map.Entry<Long, OpenQuery> open : List.copyOf(openQueries.entrySet())) {
+      OpenQuery pending = open.getValue();
+      if (now.isBefore(pending.askedAt.plus(ANSWER_TIMEOUT))) {
         break;
       }
-      asked.remove(open.getKey());
-      pause(one.scheduler, now, output);
-      if (one.relay.question == open.getKey()) {
-        one.relay.question = 0;
-        overdue.add(new SchedulerDecision(one.relay, one.isEscalation, null, null));
+      openQueries.remove(open.getKey());
+      pause(pending.scheduler, now, output);
+      if (pending.relay.question == open.getKey()) {
+        pending.relay.question = 0;
+        overdue.add(new SchedulerDecision(pending.relay, pending.isEscalation, null, null));
       }
     }
     return overdue;
   }
 
   private void pause(String scheduler, Instant now, Output output) {
-    Instant before = pausedUntil.put(scheduler, now.plus(PAUSE));
+    Instant before = pausedUntil.put(scheduler, now.plus(SILENCE_PAUSE));
     if (before == null || before.isBefore(now)) {
       String facts = "event=scheduler_silent node=" + scheduler;
       output.effect(new TraceEffect.LogLine(true, "relay", facts));
     }
   }
 
-  /** Forgets the question of a request that needs no answer any more. */
+  /** Discards the query of a request that needs no answer any more. */
   void cancel(ActiveRelay relay) {
     if (relay.question != 0) {
-      asked.remove(relay.question);
+      openQueries.remove(relay.question);
       relay.question = 0;
     }
   }
 
-  /** Tells a scheduler how an attempt goes on that it placed. */
+  /** Reports to a scheduler the progress of an attempt that it placed. */
   void reportProgress(SchedulerGrant grant, AttemptProgress progress, long millis, Output output) {
     reportProgress(grant, progress, millis, null, output);
   }
 
-  /** Tells a scheduler how an attempt goes on, and what its engine said of its rate limit. */
+  /**
+   * Reports to a scheduler the progress of an attempt, and the rate limit that its engine reported.
+   */
   void reportProgress(
       SchedulerGrant grant,
       AttemptProgress progress,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerColdStartLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerColdStartLimiter.java
@@ -2,11 +2,14 @@
 
 import java.time.Instant;
 
-/** Keeps a scheduler's part of what the cold engines of its group bear. */
+/** Enforces a scheduler's part of the request rate of the cold engines of its group. */
 final class SchedulerColdStartLimiter implements ColdStartLimiter {
 
-  /** Share of what a cold engine bears that a warm one gets before others are preferred. */
-  private static final double CROWDED_SHARE = 1.25;
+  /**
+   * Share of the rate of a cold engine that a warm engine receives before other engines are
+   * preferred.
+   */
+  private static final double MAX_COLD_RATE_SHARE = 1.25;
 
   private final SchedulerRole role;
 
@@ -19,13 +22,13 @@
     if (!service.cold().isBounded() || !track.isCold(now)) {
       return true;
     }
-    int most = (int) (SCHEDULER_SHARE * service.cold().perSecond());
-    return role.ownsEngine(track.instance().id(), now) && track.recentSends(now) < most;
+    int maxSends = (int) (SCHEDULER_SHARE * service.cold().perSecond());
+    return role.ownsEngine(track.instance().id(), now) && track.recentSends(now) < maxSends;
   }
 
   @Override
   public boolean exceedsColdRate(RelayService service, UpstreamTrack track, Instant now) {
     return service.cold().isBounded()
-        && track.recentSends(now) >= CROWDED_SHARE * service.cold().perSecond();
+        && track.recentSends(now) >= MAX_COLD_RATE_SHARE * service.cold().perSecond();
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerGrant.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerGrant.java
@@ -1,9 +1,9 @@
 package org.skylarkfork.core.relay;
 
 /**
- * An engine's place that a scheduler gave to an attempt.
+ * A reservation of an engine that a scheduler granted to an attempt.
  *
  * @param scheduler peer name of the scheduler
- * @param number number of the question that it answered
+ * @param number number of the query that the scheduler answered
  */
 record SchedulerGrant(String scheduler, long number) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
@@ -24,30 +24,33 @@
 /**
  * Places the prompts of all entries on a group of engines.
  *
- * <p>Seventy-five entries that each know a tenth of the work have engines read the same beginnings
- * again and again, behind prompts of which they know nothing. One entry that sees all work of some
- * engines sends a prompt where it is kept, behind the least reading, without a word to others. What
- * it knows is lost with it: its successor learns it from the next answers.
+ * <p>If 75 entries each know a tenth of the load, they let engines read the same prefixes again and
+ * again, behind prompts that they don't know of. An entry that sees the whole load of some engines
+ * sends a prompt to the engine that has its prefix cached and the shortest queue, without messages
+ * to other entries. Its knowledge is lost if it fails; its successor rebuilds it from the next
+ * answers.
  */
 public final class SchedulerPart implements Part {
 
-  /** Time after a request's end at which its place counts as free though nobody told so. */
-  private static final Duration MARGIN = Duration.ofSeconds(1);
+  /**
+   * Time after a request's deadline at which its reservation expires if its end wasn't reported.
+   */
+  private static final Duration EXPIRY_MARGIN = Duration.ofSeconds(1);
 
-  /** Time between two looks for places and engines that nobody told of. */
-  private static final Duration SWEEP = Duration.ofSeconds(1);
+  /** Interval at which expired reservations and engines that are gone are removed. */
+  private static final Duration SWEEP_INTERVAL = Duration.ofSeconds(1);
 
   private final RelayView view;
   private final ScheduledEngines engines;
   private final SchedulerRole role;
   private final LeastTimePicker picker;
-  private final Map<SchedulerGrant, Reservation> places = new HashMap<>();
+  private final Map<SchedulerGrant, Reservation> reservations = new HashMap<>();
   private Instant sweptAt = Instant.EPOCH;
 
   /**
-   * Makes the part.
+   * Creates the part.
    *
-   * @param entry what this entry believes
+   * @param entry this entry's view of the deployment
    * @param self peer name of this daemon
    * @param seed seed of random choices
    */
@@ -67,28 +70,28 @@
             seed);
   }
 
-  /** A place that an attempt has at an engine. */
+  /** A reservation of an attempt at an engine. */
   private static final class Reservation {
     private final RelayService service;
     private final String model;
     private final Placement placement;
-    private final Instant givenAt;
+    private final Instant grantedAt;
     private final Instant expiresAt;
-    private double waitingMillis;
-    private boolean begun;
+    private double pendingMillis;
+    private boolean answerBegun;
 
     private Reservation(
         RelayService service,
         String model,
         Placement placement,
-        Instant givenAt,
+        Instant grantedAt,
         Instant expiresAt) {
       this.service = service;
       this.model = model;
       this.placement = placement;
-      this.givenAt = givenAt;
+      this.grantedAt = grantedAt;
       this.expiresAt = expiresAt;
-      this.waitingMillis = placement.workMillis();
+      this.pendingMillis = placement.workMillis();
     }
   }
 
@@ -100,25 +103,25 @@
     } else if (event instanceof PeerEvent.MessageReceived received) {
       if (received.message() instanceof PlacementAsk ask) {
         output.effect(new SendToPeer(received.node(), answer(received.node(), ask, now)));
-      } else if (received.message() instanceof PlacementNews news) {
-        progressed(new SchedulerGrant(received.node(), news.number()), news, now);
+      } else if (received.message() instanceof PlacementNews report) {
+        handleProgress(new SchedulerGrant(received.node(), report.number()), report, now);
       }
     }
   }
 
   private PlacementAnswer answer(String entry, PlacementAsk ask, Instant now) {
     RelayService service = view.table().service(ask.service());
-    PromptPrefixes chain = chain(ask);
-    Placement placement = service == null ? null : place(service, chain, ask, now);
+    PromptPrefixes prefixes = prefixes(ask);
+    Placement placement = service == null ? null : place(service, prefixes, ask, now);
     if (placement == null) {
       return new PlacementAnswer(ask.number(), null, 0, 0, 0, 0);
     }
     UpstreamTrack track = placement.track();
     track.recordSent(placement.workMillis(), now);
     picker.recordSent(service, placement, now);
-    track.prefixCache().recordSent(chain, placement.newTokens());
-    Instant expiresAt = now.plusMillis(ask.lastsMillis()).plus(MARGIN);
-    places.put(
+    track.prefixCache().recordSent(prefixes, placement.newTokens());
+    Instant expiresAt = now.plusMillis(ask.lastsMillis()).plus(EXPIRY_MARGIN);
+    reservations.put(
         new SchedulerGrant(entry, ask.number()),
         new Reservation(service, ask.model(), placement, now, expiresAt));
     return new PlacementAnswer(
@@ -131,13 +134,13 @@
   }
 
   private @Nullable Placement place(
-      RelayService service, PromptPrefixes chain, PlacementAsk ask, Instant now) {
+      RelayService service, PromptPrefixes prefixes, PlacementAsk ask, Instant now) {
     Set<String> excluded = Set.copyOf(ask.excluded());
     PlacementQuery query =
         new PlacementQuery(
             service,
             ask.model(),
-            chain,
+            prefixes,
             ask.objectiveMillis(),
             ask.zone(),
             engine ->
@@ -147,62 +150,66 @@
     return picker.pick(query, now);
   }
 
-  private static PromptPrefixes chain(PlacementAsk ask) {
+  private static PromptPrefixes prefixes(PlacementAsk ask) {
     List<PromptBeginning> beginnings = ask.beginnings();
     long[] keys = beginnings.stream().mapToLong(PromptBeginning::key).toArray();
     int[] tokens = beginnings.stream().mapToInt(PromptBeginning::tokens).toArray();
     return PromptPrefixes.ofKeys(keys, tokens, ask.promptTokens());
   }
 
-  private void progressed(SchedulerGrant grant, PlacementNews news, Instant now) {
-    Reservation place = places.get(grant);
-    if (place == null) {
+  private void handleProgress(SchedulerGrant grant, PlacementNews report, Instant now) {
+    Reservation reservation = reservations.get(grant);
+    if (reservation == null) {
       return;
     }
-    UpstreamTrack track = place.placement.track();
-    track.rate().updateIfNewer(news.named(), now);
-    switch (news.progress()) {
-      case BEGUN -> begun(place, news.millis(), now);
+    UpstreamTrack track = reservation.placement.track();
+    track.rate().updateIfNewer(report.named(), now);
+    switch (report.progress()) {
+      case BEGUN -> answerBegun(reservation, report.millis(), now);
       case ENDED -> {
-        if (place.begun) {
+        if (reservation.answerBegun) {
           track.recordSuccess();
         }
       }
       case FAILED -> track.recordFailure(false, now);
       case UNREACHABLE -> track.recordFailure(true, now);
-      case SILENT -> track.recordFailure(track.isSilentSince(place.givenAt), now);
-      default -> throw new IllegalArgumentException("unknown progress " + news.progress());
+      case SILENT -> track.recordFailure(track.isSilentSince(reservation.grantedAt), now);
+      default -> throw new IllegalArgumentException("unknown progress " + report.progress());
     }
-    if (news.progress() != AttemptProgress.BEGUN) {
-      places.remove(grant);
-      track.recordEnded(place.waitingMillis);
+    if (report.progress() != AttemptProgress.BEGUN) {
+      reservations.remove(grant);
+      track.recordEnded(reservation.pendingMillis);
     }
   }
 
-  private void begun(Reservation place, int millis, Instant now) {
-    UpstreamTrack track = place.placement.track();
-    track.recordBegun(place.waitingMillis);
-    place.waitingMillis = 0;
-    place.begun = true;
+  private void answerBegun(Reservation reservation, int millis, Instant now) {
+    UpstreamTrack track = reservation.placement.track();
+    track.recordBegun(reservation.pendingMillis);
+    reservation.pendingMillis = 0;
+    reservation.answerBegun = true;
     track.recordAnswered(now);
-    picker.recordFirstByte(place.service, place.model, place.placement, millis, now);
+    picker.recordFirstByte(
+        reservation.service, reservation.model, reservation.placement, millis, now);
   }
 
-  /** Frees places of entries that died, which would count as taken for ever. */
+  /**
+   * Releases the reservations of entries that have failed, which would otherwise count as in use
+   * for ever.
+   */
   private void sweep(Instant now) {
-    if (now.isBefore(sweptAt.plus(SWEEP))) {
+    if (now.isBefore(sweptAt.plus(SWEEP_INTERVAL))) {
       return;
     }
     sweptAt = now;
-    places
+    reservations
         .values()
         .removeIf(
-            place -> {
-              boolean over = !now.isBefore(place.expiresAt);
-              if (over) {
-                place.placement.track().recordEnded(place.waitingMillis);
+            reservation -> {
+              boolean isExpired = !now.isBefore(reservation.expiresAt);
+              if (isExpired) {
+                reservation.placement.track().recordEnded(reservation.pendingMillis);
               }
-              return over;
+              return isExpired;
             });
     engines.removeDeparted(
         view.table().configuration().services().stream().map(RelayService::name).toList());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerRateDivision.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerRateDivision.java
@@ -2,7 +2,10 @@
 
 import java.time.Instant;
 
-/** A scheduler's part of what limited engines of its group take: all but what entries keep. */
+/**
+ * Assigns a scheduler its part of the rate of the limited engines of its group: all but the
+ * entries' part.
+ */
 final class SchedulerRateDivision implements RateDivision {
 
   private final SchedulerRole role;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerRole.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerRole.java
@@ -5,23 +5,23 @@
 import org.skylarkfork.core.placement.EngineGroups;
 
 /**
- * Which group of engines a daemon places prompts on, and whether that is certain.
+ * The group of engines that a daemon places prompts on, and whether the assignment is certain.
  *
- * <p>Two schedulers may think that a group is theirs while it changes hands. One that isn't proven
- * to be up to date gives no engine out whose requests are bounded, and a new one waits until that
- * must be so of the one before and what that one gave has left the window: it starts as if the
- * window were used up.
+ * <p>Two schedulers may both assume that they are responsible for a group while it is reassigned. A
+ * scheduler without a recent proof of being up to date doesn't assign engines whose request rate is
+ * limited. A new scheduler waits until the previous one must have stopped and the sends that the
+ * previous one assigned have left the window, because it starts as if the window were used up.
  */
 final class SchedulerRole {
 
-  /** Age of the newest proof up to which a scheduler's view of its role counts; two polls. */
-  private static final Duration FRESH = Duration.ofMillis(1000);
+  /** Maximum age of the newest proof for a scheduler to rely on its role; two polls. */
+  private static final Duration MAX_PROOF_AGE = Duration.ofMillis(1000);
 
   /**
-   * Time that a new scheduler waits. The one before was told in the same moment, or it is cut off
-   * and was replaced after its silence of 2.6 s, when its last proof was long too old.
+   * Time that a new scheduler waits. The previous scheduler was notified at the same moment, or it
+   * is cut off and was replaced after a silence of 2.6 s, when its last proof had long expired.
    */
-  private static final Duration HANDOVER = ColdStartLimiter.WINDOW.plusMillis(350);
+  private static final Duration HANDOVER_WAIT = ColdStartLimiter.WINDOW.plusMillis(350);
 
   private final RelayView view;
   private final String self;
@@ -30,9 +30,9 @@
   private Instant since = Instant.EPOCH;
 
   /**
-   * Makes a role that isn't known yet.
+   * Creates a role that isn't known yet.
    *
-   * @param view what the entry believes
+   * @param view the entry's view of the deployment
    * @param self peer name of this daemon
    */
   SchedulerRole(RelayView view, String self) {
@@ -40,28 +40,28 @@
     this.self = self;
   }
 
-  /** Notes a change of this daemon's role. */
+  /** Updates this daemon's role from the entry's view. */
   void tick(Instant now) {
     int ownGroup = view.schedulers().indexOf(self);
-    int allGroups = view.schedulers().size();
-    if (ownGroup != group || allGroups != groups) {
+    int groupCount = view.schedulers().size();
+    if (ownGroup != group || groupCount != groups) {
       group = ownGroup;
-      groups = allGroups;
+      groups = groupCount;
       since = now;
     }
   }
 
-  /** Returns since when the role is as it is. */
+  /** Returns the time of the last change of the role. */
   Instant since() {
     return since;
   }
 
-  /** Returns whether an engine is certainly this daemon's to give out, and no other one's. */
+  /** Returns whether this daemon is certainly the only one that assigns an engine. */
   boolean ownsEngine(String engine, Instant now) {
     tick(now);
     return group >= 0
         && EngineGroups.groupOf(engine, groups) == group
-        && !now.isBefore(since.plus(HANDOVER))
-        && view.proofAge(now).compareTo(FRESH) < 0;
+        && !now.isBefore(since.plus(HANDOVER_WAIT))
+        && view.proofAge(now).compareTo(MAX_PROOF_AGE) < 0;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SendWindow.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SendWindow.java
@@ -5,7 +5,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** The moments of the newest sends to one upstream. */
+/** The times of the recent sends to one upstream. */
 final class SendWindow {
 
   private final Duration length;
@@ -16,17 +16,17 @@
   }
 
   void recordSend(Instant now) {
-    forgetOld(now);
+    removeExpired(now);
     sends.addLast(now);
   }
 
   /** Returns how many requests were sent within the window that ends now. */
   int count(Instant now) {
-    forgetOld(now);
+    removeExpired(now);
     return sends.size();
   }
 
-  private void forgetOld(Instant now) {
+  private void removeExpired(Instant now) {
     Instant oldest = now.minus(length);
     while (!sends.isEmpty() && sends.peekFirst().isBefore(oldest)) {
       sends.removeFirst();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SentPrefixes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SentPrefixes.java
@@ -9,45 +9,54 @@
 import org.skylarkfork.core.message.RelayMessage.KeptPrompt;
 import org.skylarkfork.core.placement.PromptPrefixes;
 
-/** Shared beginnings of prompts that this entry sent to engines and other entries don't know of. */
+/**
+ * Shared prefixes of prompts that this entry sent to engines and has not yet reported to other
+ * entries.
+ */
 final class SentPrefixes {
 
-  /** Time after which a use is told again, so that others see that an engine still keeps it. */
-  private static final Duration AGAIN = Duration.ofMillis(1500);
+  /**
+   * Time after which the use of a prefix is reported again, so that others know that an engine
+   * still has it cached.
+   */
+  private static final Duration REPEAT_INTERVAL = Duration.ofMillis(1500);
 
-  /** Beginnings that wait to be told; more are left out, which costs others a reading at most. */
-  private static final int MOST_UNTOLD = 256;
+  /**
+   * Maximum number of unreported prefixes; further ones are dropped, which costs other entries at
+   * most one prefill.
+   */
+  private static final int MAX_UNREPORTED = 256;
 
-  /** Beginnings whose last telling is remembered. */
-  private static final int MOST_TOLD = 4096;
+  /** Maximum number of prefixes whose last report is remembered. */
+  private static final int MAX_REPORTED = 4096;
 
-  private final Map<KeptPrompt, Instant> toldAt = new LinkedHashMap<>();
-  private final List<KeptPrompt> untold = new ArrayList<>();
+  private final Map<KeptPrompt, Instant> reportedAt = new LinkedHashMap<>();
+  private final List<KeptPrompt> unreported = new ArrayList<>();
 
-  /** Takes note of a prompt that was sent to an engine. */
-  void recordSent(String upstream, PromptPrefixes chain, Instant now) {
-    for (int place = 0; place < chain.sharedSize(); place++) {
-      KeptPrompt prompt = new KeptPrompt(upstream, chain.key(place));
-      Instant told = toldAt.get(prompt);
-      boolean due = told == null || !now.isBefore(told.plus(AGAIN));
-      if (due && untold.size() < MOST_UNTOLD) {
-        untold.add(prompt);
-        remember(prompt, now);
+  /** Records a prompt that was sent to an engine. */
+  void recordSent(String upstream, PromptPrefixes prefixes, Instant now) {
+    for (int index = 0; index < prefixes.sharedSize(); index++) {
+      KeptPrompt prompt = new KeptPrompt(upstream, prefixes.key(index));
+      Instant lastReport = reportedAt.get(prompt);
+      boolean due = lastReport == null || !now.isBefore(lastReport.plus(REPEAT_INTERVAL));
+      if (due && unreported.size() < MAX_UNREPORTED) {
+        unreported.add(prompt);
+        rememberReport(prompt, now);
       }
     }
   }
 
-  private void remember(KeptPrompt prompt, Instant now) {
-    toldAt.remove(prompt);
-    toldAt.put(prompt, now);
-    if (toldAt.size() > MOST_TOLD) {
-      toldAt.remove(toldAt.keySet().iterator().next());
+  private void rememberReport(KeptPrompt prompt, Instant now) {
+    reportedAt.remove(prompt);
+    reportedAt.put(prompt, now);
+    if (reportedAt.size() > MAX_REPORTED) {
+      reportedAt.remove(reportedAt.keySet().iterator().next());
     }
   }
 
-  /** Hands out the oldest of what is to be told. */
-  List<KeptPrompt> takeUnreported(int most) {
-    List<KeptPrompt> taken = untold.subList(0, Math.min(most, untold.size()));
+  /** Removes and returns the oldest unreported prefixes, up to a number. */
+  List<KeptPrompt> takeUnreported(int limit) {
+    List<KeptPrompt> taken = unreported.subList(0, Math.min(limit, unreported.size()));
     List<KeptPrompt> copy = List.copyOf(taken);
     taken.clear();
     return copy;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TrackedRateLimit.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TrackedRateLimit.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import org.jspecify.annotations.Nullable;
 
-/** What a daemon knows of one upstream's rate limit, and what it has sent under it. */
+/** The rate limit of one upstream as a daemon knows it, and the daemon's quota under it. */
 final class TrackedRateLimit {
 
   private RateLimit limit = RateLimit.NONE;
@@ -12,23 +12,28 @@
   private RateLimit knownToLeader = RateLimit.NONE;
   private RateLimiter.@Nullable Account account;
 
-  /** Returns the limit that the upstream named last. */
+  /** Returns the limit that the upstream reported last. */
   RateLimit limit() {
     return limit;
   }
 
-  /** Returns when it named that; long ago if it never named one. */
+  /**
+   * Returns when the upstream reported the limit; {@link Instant#EPOCH} if it never reported one.
+   */
   Instant reportedAt() {
     return reportedAt;
   }
 
-  /** Takes note of what an answer to this daemon named. */
+  /** Records the limit in an answer to this daemon. */
   void recordLimit(RateLimit named, Instant now) {
     limit = named;
     reportedAt = now;
   }
 
-  /** Takes note of what the upstream named at a time; returns whether that is newer. */
+  /**
+   * Records the limit that the upstream reported at a time, if that is newer than the known report;
+   * returns whether it is.
+   */
   boolean updateIfNewer(RateLimit named, Instant at) {
     boolean newer = at.isAfter(reportedAt);
     if (newer) {
@@ -38,38 +43,38 @@
   }
 
   /**
-   * Takes note of what the upstream named to another daemon.
+   * Records the limit that the upstream reported to another daemon, if it is newer.
    *
-   * @param named the word, or null if the sender knows of none
+   * @param named the report, or null if the sender knows of none
    * @param now the present time
-   * @return whether it is newer than what is known here
+   * @return whether the report is newer than the known one
    */
   boolean updateIfNewer(@Nullable ReportedLimit named, Instant now) {
     return named != null && updateIfNewer(named.limit(), named.reportedAt(now));
   }
 
-  /** Takes note of what the leader knows, or null if it knows of no limit. */
+  /** Records the limit that the leader knows; null if it knows of none. */
   void setKnownToLeader(@Nullable ReportedLimit named) {
     knownToLeader = named == null ? RateLimit.NONE : named.limit();
   }
 
-  /** Returns whether the leader lacks what is known here. */
+  /** Returns whether the limit differs from the one that the leader knows. */
   boolean differsFromLeader() {
     return !limit.isNear(knownToLeader);
   }
 
-  /** Returns what is to be told to others, or null if the upstream never named a limit. */
+  /** Returns the report for other daemons, or null if the upstream never reported a limit. */
   @Nullable ReportedLimit toReport(Instant now) {
     boolean never = reportedAt.equals(Instant.EPOCH);
     return never ? null : new ReportedLimit(limit, Duration.between(reportedAt, now).toMillis());
   }
 
-  /** Returns the account of sends under the limit, or null before the first. */
+  /** Returns the quota under the limit, or null before the first send. */
   RateLimiter.@Nullable Account account() {
     return account;
   }
 
-  /** Keeps the account of sends under the limit; null forgets it. */
+  /** Replaces the quota under the limit; null removes it. */
   void account(RateLimiter.@Nullable Account newer) {
     account = newer;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamCondition.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamCondition.java
@@ -1,17 +1,23 @@
 package org.skylarkfork.core.relay;
 
-/** What the system believes of an upstream. */
+/** The condition of an upstream as the system sees it. */
 public enum UpstreamCondition {
-  /** It announces itself and takes work. */
+  /** The upstream sends heartbeats and accepts requests. */
   READY,
-  /** It was not heard for several heartbeats; used only if there is no other. */
+  /** The upstream has missed several heartbeats; it is used only if no other is available. */
   SILENT,
-  /** It said that it leaves, or another one has its address; it gets no new work. */
+  /**
+   * The upstream announced that it leaves, or another one has its address; it receives no new
+   * requests.
+   */
   LEAVING,
-  /** Its availability zone is evacuated; it gets no new work until that is taken back. */
+  /**
+   * The upstream's availability zone is evacuated; it receives no new requests until the zone is
+   * reinstated.
+   */
   EVACUATED;
 
-  /** Returns whether an upstream gets no new work, even where no other is left. */
+  /** Returns whether an upstream receives no new requests even if no other is left. */
   boolean rejectsNewWork() {
     return this == LEAVING || this == EVACUATED;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamPicker.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamPicker.java
@@ -4,44 +4,44 @@
 import java.time.Instant;
 import org.jspecify.annotations.Nullable;
 
-/** Picks an upstream for an attempt, and learns from answers how long upstreams take. */
+/** Picks an upstream for an attempt and estimates from answers how long upstreams take. */
 interface UpstreamPicker {
 
   /**
    * Picks an upstream.
    *
-   * @param query what is to be placed
+   * @param query the attempt to place
    * @param now the present time
-   * @return the upstream and what is expected, or null if none can take it
+   * @return the upstream and the times expected there, or null if none can accept the attempt
    */
   @Nullable Placement pick(PlacementQuery query, Instant now);
 
   /**
-   * Takes note of an attempt that goes where this picker has placed it.
+   * Records an attempt that is sent to the upstream that this picker selected.
    *
-   * @param service service that it goes to
-   * @param placement where it goes
+   * @param service service that the attempt goes to
+   * @param placement where the attempt goes
    * @param now the present time
    */
   void recordSent(RelayService service, Placement placement, Instant now);
 
   /**
-   * Returns when an upstream takes a request for which {@link #pick} found none.
+   * Returns when an upstream accepts a request for which {@link #pick} found none.
    *
-   * @param query what is to be placed
+   * @param query the attempt to place
    * @param now the present time
-   * @return the time until the first one takes it, or zero if it isn't a rate limit that all wait
-   *     for
+   * @return the time until the first upstream accepts the attempt, or zero if they aren't all
+   *     waiting for a rate limit
    */
   Duration timeUntilAccepted(PlacementQuery query, Instant now);
 
   /**
-   * Takes note of an answer's first byte.
+   * Records the time until an answer's first byte.
    *
-   * @param service service that gave it
-   * @param model model that gave it, or null if there is none
-   * @param placement what had been expected
-   * @param millis time from the sending to the first byte, in milliseconds
+   * @param service service that answered
+   * @param model model that answered, or null if there is none
+   * @param placement the expected times
+   * @param millis time from the send to the first byte, in milliseconds
    * @param now the present time
    */
   void recordFirstByte(
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamSource.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamSource.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 
-/** The upstreams to choose from, with what is known of their load. */
+/** The upstreams to choose from, with their known load. */
 interface UpstreamSource {
 
   /** Returns the known upstreams of a service. */
   List<UpstreamTrack> upstreams(String service);
 
-  /** Returns the share of all entries of whose work this source hears. */
+  /** Returns the share of all entries whose load this source receives. */
   double loadShare();
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamTrack.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamTrack.java
@@ -6,12 +6,15 @@
 import org.skylarkfork.core.placement.PrefixCacheEstimate;
 import org.skylarkfork.core.placement.RelativeLatency;
 
-/** What an entry knows of one start of an upstream, from its own attempts and other entries. */
+/**
+ * The state of one run of an upstream as an entry knows it from its own attempts and from other
+ * entries.
+ */
 final class UpstreamTrack {
 
-  private static final Duration FIRST_PAUSE = Duration.ofMillis(600);
+  private static final Duration INITIAL_PAUSE = Duration.ofMillis(600);
   private static final int MAX_DOUBLINGS = 3;
-  private static final double LEARNING = 0.15;
+  private static final double SMOOTHING = 0.15;
 
   private UpstreamStatus status;
   private int running;
@@ -44,12 +47,12 @@
     return evacuated ? UpstreamCondition.EVACUATED : status.condition();
   }
 
-  /** Takes note of whether its availability zone is evacuated. */
+  /** Records whether the upstream's availability zone is evacuated. */
   void evacuated(boolean now) {
     evacuated = now;
   }
 
-  /** Returns until when it is believed to be cold. */
+  /** Returns until when the upstream counts as cold. */
   Instant coldUntil() {
     return coldUntil;
   }
@@ -62,17 +65,17 @@
     return now.isBefore(coldUntil);
   }
 
-  /** Returns what is known of its rate limit. */
+  /** Returns the state of the upstream's rate limit. */
   TrackedRateLimit rate() {
     return rate;
   }
 
-  /** Returns the rate limit that it named last. */
+  /** Returns the rate limit that the upstream reported last. */
   RateLimit rateLimit() {
     return rate.limit();
   }
 
-  /** Returns how many requests were sent there within {@link ColdStartLimiter#WINDOW}. */
+  /** Returns how many requests were sent to the upstream within {@link ColdStartLimiter#WINDOW}. */
   int recentSends(Instant now) {
     return sends.count(now);
   }
@@ -87,27 +90,33 @@
     status = new UpstreamStatus(status.instance(), UpstreamCondition.LEAVING);
   }
 
-  /** Takes note that another run answers at this address. */
+  /** Records that another run answers at this address. */
   void markReplaced() {
     replaced = true;
   }
 
-  /** Returns the requests of this entry that run or wait there. */
+  /** Returns the number of this entry's requests that run or wait at the upstream. */
   int ownRunning() {
     return running;
   }
 
-  /** Returns the reading there for requests of this entry whose answer has not begun. */
+  /** Returns the work for this entry's requests whose answer has not begun, in milliseconds. */
   double ownWaitingMillis() {
     return waitingMillis;
   }
 
-  /** Returns the requests of all entries that run or wait there, as far as they tell. */
+  /**
+   * Returns the number of all entries' requests that run or wait at the upstream, as far as
+   * reported.
+   */
   int running(Instant now) {
     return running + peerLoads.running(now);
   }
 
-  /** Returns the reading there for requests of all entries whose answer has not begun. */
+  /**
+   * Returns the work for all entries' requests whose answer has not begun, in milliseconds, as far
+   * as reported.
+   */
   double waitingMillis(Instant now) {
     return waitingMillis + peerLoads.waitingMillis(now);
   }
@@ -132,52 +141,56 @@
     return now.isBefore(avoidedUntil);
   }
 
-  /** Takes note of an attempt that is sent there. */
+  /** Records an attempt that is sent to the upstream, with its expected work in milliseconds. */
   void recordSent(double workMillis, Instant now) {
     sends.recordSend(now);
     running++;
     waitingMillis += workMillis;
   }
 
-  /** Takes note that the upstream has done the reading for an attempt. */
+  /**
+   * Records that the upstream has completed the work before an attempt's answer, in milliseconds.
+   */
   void recordBegun(double workMillis) {
     waitingMillis = Math.max(0, waitingMillis - workMillis);
   }
 
-  /** Takes note of the end of an attempt, with the reading that it still waited for. */
+  /** Records the end of an attempt, with its remaining work in milliseconds. */
   void recordEnded(double workMillis) {
     recordBegun(workMillis);
     running--;
     waitingMillis = running == 0 ? 0 : waitingMillis;
   }
 
-  /** Returns whether nothing has come from the upstream since a time. */
+  /** Returns whether no answer from the upstream has begun since a time. */
   boolean isSilentSince(Instant time) {
     return answeredAt.isBefore(time);
   }
 
-  /** Takes note of the beginning of an answer. */
+  /** Records that an answer has begun. */
   void recordAnswered(Instant now) {
     answeredAt = now;
   }
 
   void recordSuccess() {
     failuresInRow = 0;
-    failureShare -= LEARNING * failureShare;
+    failureShare -= SMOOTHING * failureShare;
     avoidedUntil = Instant.EPOCH;
   }
 
   /**
-   * Takes note of a failure; the upstream is tried again after a pause that doubles.
+   * Records a failure; after a failure that counts, the upstream is avoided for a pause that
+   * doubles with each further one.
    *
-   * @param hard whether it seems to be gone, so that the first failure counts
+   * @param hard whether the upstream seems to be gone, so that the first failure counts; else
+   *     failures count from the third in a row on
    */
   void recordFailure(boolean hard, Instant now) {
-    failureShare += LEARNING * (1 - failureShare);
+    failureShare += SMOOTHING * (1 - failureShare);
     failuresInRow++;
     if (hard || failuresInRow > 2) {
       int doublings = Math.min(MAX_DOUBLINGS, failuresInRow - 1);
-      avoidedUntil = now.plus(FIRST_PAUSE.multipliedBy(1L << doublings));
+      avoidedUntil = now.plus(INITIAL_PAUSE.multipliedBy(1L << doublings));
     }
   }
 }
