--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
@@ -17,7 +17,7 @@
   }
 
   /** A daemon's quota at one upstream for as long as the upstream reports a limit. */
-  static final class Account {
+  static final class Quota {
 
     /** The daemon's remaining part, or null while it has none. */
     private @Nullable TokenBucket bucket;
@@ -31,7 +31,7 @@
   /** Returns whether this daemon may send one more request to an upstream now. */
   boolean allows(RelayService service, UpstreamTrack track, Instant now) {
     if (!track.rateLimit().isBounded()) {
-      track.rate().account(null);
+      track.rate().quota(null);
       return true;
     }
     TokenBucket bucket = bucket(service, track, now);
@@ -64,9 +64,9 @@
   }
 
   private @Nullable TokenBucket bucket(RelayService service, UpstreamTrack track, Instant now) {
-    Account known = track.rate().account();
-    Account account = known == null ? new Account() : known;
-    track.rate().account(account);
+    Quota known = track.rate().quota();
+    Quota account = known == null ? new Quota() : known;
+    track.rate().quota(account);
     RateShare share = division.share(service, track, now);
     TokenBucket bucket = account.bucket;
     if (share.isNone()) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TrackedRateLimit.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TrackedRateLimit.java
@@ -10,7 +10,7 @@
   private RateLimit limit = RateLimit.NONE;
   private Instant reportedAt = Instant.EPOCH;
   private RateLimit knownToLeader = RateLimit.NONE;
-  private RateLimiter.@Nullable Account account;
+  private RateLimiter.@Nullable Quota quota;
 
   /** Returns the limit that the upstream reported last. */
   RateLimit limit() {
@@ -70,12 +70,12 @@
   }
 
   /** Returns the quota under the limit, or null before the first send. */
-  RateLimiter.@Nullable Account account() {
-    return account;
+  RateLimiter.@Nullable Quota quota() {
+    return quota;
   }
 
   /** Replaces the quota under the limit; null removes it. */
-  void account(RateLimiter.@Nullable Account newer) {
-    account = newer;
+  void quota(RateLimiter.@Nullable Quota newer) {
+    quota = newer;
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/UpstreamKnowledgeTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/UpstreamEstimatesTest.java
@@ -7,7 +7,7 @@
 import org.testng.annotations.Test;
 
 /** Tests of {@link RelativeLatency} and {@link PeerLoads}. */
-public final class UpstreamKnowledgeTest {
+public final class UpstreamEstimatesTest {
 
   private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedEngine.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedEngine.java
@@ -28,7 +28,7 @@
   private @Nullable Job reading;
   private long keptTokens;
   long tokensRead;
-  long sharedReadAgain;
+  long rereadSharedTokens;
   private final Map<Long, Boolean> everRead;
 
   /** One attempt at the engine. */
@@ -38,7 +38,7 @@
     final int attempt;
     final int urgency;
     final String model;
-    final PromptPrefixes chain;
+    final PromptPrefixes prefixes;
     final int outputTokens;
     boolean cancelled;
     boolean begun;
@@ -57,7 +57,7 @@
       this.attempt = attempt;
       this.urgency = urgency;
       this.model = model;
-      this.chain = chain;
+      this.prefixes = chain;
       this.outputTokens = outputTokens;
     }
   }
@@ -78,7 +78,7 @@
   }
 
   /** Returns the job whose reading begins now, or null if one is read or none waits. */
-  @Nullable Job begin(double now) {
+  @Nullable Job startNext(double now) {
     waiting.removeIf(job -> job.cancelled);
     if (reading != null || waiting.isEmpty()) {
       return null;
@@ -87,7 +87,7 @@
     waiting.remove(next);
     reading = next;
     double pace = paces.get(next.model) * slowness;
-    next.endsReadingAt = now + read(next.chain) * pace / TOKENS_A_MILLI;
+    next.endsReadingAt = now + read(next.prefixes) * pace / TOKENS_A_MILLI;
     return next;
   }
 
@@ -103,7 +103,7 @@
       keep(chain.key(place), chain.tokens(place) - before);
       boolean shared = place < chain.sharedSize();
       if (shared && everRead.put(chain.key(place), true) != null) {
-        sharedReadAgain += chain.tokens(place) - before;
+        rereadSharedTokens += chain.tokens(place) - before;
       }
     }
     tokensRead += chain.totalTokens() - from;
@@ -120,7 +120,7 @@
   }
 
   /** Ends the reading of a job; returns whether it was that one's turn. */
-  boolean end(Job job) {
+  boolean finish(Job job) {
     boolean own = reading == job;
     reading = own ? null : reading;
     return own;
