--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/EngineGroupsTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/EngineGroupsTest.java
@@ -12,7 +12,7 @@
   private static final int PROMPTS = 4000;
 
   @Test
-  public void groupsShareEnginesAboutEvenly() {
+  public void enginesAreSpreadEvenlyOverGroups() {
     int[] engines = new int[4];
     for (int number = 0; number < 400; number++) {
       engines[EngineGroups.groupOf("i-" + number, 4)]++;
@@ -24,18 +24,21 @@
   }
 
   @Test
-  public void promptsFollowTheWeightsOfGroups() {
+  public void promptsAreSpreadByWeight() {
     int[] first = new int[3];
     for (long prompt = 0; prompt < PROMPTS; prompt++) {
       first[EngineGroups.rank(prompt, new int[] {10, 30, 0}).get(0)]++;
     }
-    assertEquals(first[2], 0, "it has no engine");
+    assertEquals(first[2], 0, "a group without engines");
     assertTrue(Math.abs(first[0] - PROMPTS / 4) < PROMPTS / 20, "a quarter: " + first[0]);
   }
 
-  /** A group loses its engines: its prompts go elsewhere, all others stay where they are kept. */
+  /**
+   * If a group loses its engines, only its prompts move; all other prompts stay in the group that
+   * has cached them.
+   */
   @Test
-  public void onlyPromptsOfLostGroupMove() {
+  public void onlyPromptsOfRemovedGroupMove() {
     for (long prompt = 0; prompt < PROMPTS; prompt++) {
       List<Integer> before = EngineGroups.rank(prompt, new int[] {16, 16, 16, 16});
       List<Integer> after = EngineGroups.rank(prompt, new int[] {16, 0, 16, 16});
@@ -45,7 +48,7 @@
   }
 
   @Test
-  public void nothingIsNamedWithoutEngines() {
+  public void noGroupIsReturnedWithoutEngines() {
     assertEquals(EngineGroups.rank(7, new int[] {0, 0}), List.of());
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/UpstreamEstimatesTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/UpstreamEstimatesTest.java
@@ -11,35 +11,40 @@
 
   private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
-  /** An upstream that turns slow is told from others by its own times, though it is healthy. */
+  /**
+   * An upstream that becomes slow is recognized by its answer times although it is healthy, and is
+   * tried again later.
+   */
   @Test
-  public void slowUpstreamIsNoticedAndForgiven() {
-    RelativeLatency slowness = new RelativeLatency();
-    assertEquals(slowness.factor(START), 1.0);
+  public void slownessIsDetectedAndDecays() {
+    RelativeLatency latency = new RelativeLatency();
+    assertEquals(latency.factor(START), 1.0);
     for (int answer = 0; answer < 10; answer++) {
-      slowness.recordAnswer(700, 100, START);
+      latency.recordAnswer(700, 100, START);
     }
-    assertTrue(slowness.factor(START) > 5);
-    assertTrue(slowness.factor(START.plusSeconds(40)) < 1.1, "it is tried again later");
+    assertTrue(latency.factor(START) > 5);
+    assertTrue(latency.factor(START.plusSeconds(40)) < 1.1, "it is tried again later");
   }
 
   @Test
-  public void surpriseIsBounded() {
-    RelativeLatency slowness = new RelativeLatency();
-    slowness.recordAnswer(1_000_000, 1, START);
-    assertEquals(slowness.factor(START), 2.4, 1e-9);
+  public void ratioIsBounded() {
+    RelativeLatency latency = new RelativeLatency();
+    latency.recordAnswer(1_000_000, 1, START);
+    assertEquals(latency.factor(START), 2.4, 1e-9);
   }
 
-  /** An entry that died must not keep others from an upstream with its last word. */
+  /**
+   * The last report of an entry that has failed must not keep other entries from using an upstream.
+   */
   @Test
-  public void wordOfAnEntryExpires() {
-    PeerLoads work = new PeerLoads();
-    work.update("entry-1", 2, 300, START);
-    work.update("entry-2", 1, 50, START.plusSeconds(1));
-    assertEquals(work.running(START.plusSeconds(1)), 3);
-    assertEquals(work.waitingMillis(START.plusSeconds(1)), 350.0);
-    assertEquals(work.running(START.plusSeconds(2)), 1);
-    work.update("entry-2", 0, 0, START.plusSeconds(2));
-    assertEquals(work.running(START.plusSeconds(2)), 0);
+  public void peerReportExpires() {
+    PeerLoads loads = new PeerLoads();
+    loads.update("entry-1", 2, 300, START);
+    loads.update("entry-2", 1, 50, START.plusSeconds(1));
+    assertEquals(loads.running(START.plusSeconds(1)), 3);
+    assertEquals(loads.waitingMillis(START.plusSeconds(1)), 350.0);
+    assertEquals(loads.running(START.plusSeconds(2)), 1);
+    loads.update("entry-2", 0, 0, START.plusSeconds(2));
+    assertEquals(loads.running(START.plusSeconds(2)), 0);
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/package-info.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of what is known of engines. */
+/** Tests of the estimates about engines. */
 @NullMarked
 package org.skylarkfork.core.placement;
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ColdStartLimiterTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ColdStartLimiterTest.java
@@ -10,7 +10,10 @@
 import java.util.List;
 import org.testng.annotations.Test;
 
-/** Tests of the {@link ColdStartLimiter}s and of the sum of what they let through. */
+/**
+ * Tests of the {@link ColdStartLimiter} implementations and of the total number of requests that
+ * they allow.
+ */
 public final class ColdStartLimiterTest {
 
   private static final Instant START = RelayFixture.START;
@@ -34,7 +37,7 @@
     return track;
   }
 
-  /** Sends as often as the limiter allows at one moment, and returns how often that was. */
+  /** Sends as often as the limiter allows at one moment and returns the number of sends. */
   private static int sends(ColdStartLimiter limiter, UpstreamTrack track, Instant now) {
     int sent = 0;
     while (sent < 1000 && limiter.allows(SERVICE, track, now)) {
@@ -54,11 +57,11 @@
   }
 
   /**
-   * An upstream falls over again if all entries send to it as soon as it is back. They know of it
-   * in the same moment and can't ask each other; each keeps its own part.
+   * Guards against overloading a restarted upstream: all entries learn of its restart at the same
+   * moment and can't coordinate, so each must stay within its own part.
    */
   @Test
-  public void entriesTogetherStayWithinWhatColdUpstreamsBear() {
+  public void entriesTogetherStayWithinTheColdRate() {
     for (int entries : new int[] {1, 2, 5, 9, 18}) {
       int sum = sendsOfAllEntries(view(entries), "up");
       assertTrue(
@@ -73,7 +76,7 @@
         all += sum;
       }
       assertTrue(most <= 12, entries + " entries send " + most);
-      assertTrue(all > 0, "some entry may try it without a scheduler");
+      assertTrue(all > 0, "some entry may send without a scheduler");
     }
   }
 
@@ -86,7 +89,7 @@
   }
 
   @Test
-  public void windowMovesOn() {
+  public void sendsLeaveTheWindow() {
     ColdStartLimiter limiter = new EntryColdStartLimiter(view(1), "entry-1");
     UpstreamTrack track = track("up", START.plusSeconds(3));
     assertEquals(sends(limiter, track, START), 18);
@@ -95,11 +98,11 @@
   }
 
   /**
-   * After a crash of everything an entry knows of no other one yet. Thinking that it is alone, each
-   * of 55 would send all that a cold upstream bears.
+   * After a crash of all daemons an entry knows no other entry yet. If it assumed to be the only
+   * one, each of 55 entries would send the whole rate of a cold upstream.
    */
   @Test
-  public void entryThatIsNotSettledSendsNothingToColdUpstreams() {
+  public void unsettledEntrySendsNothingToColdUpstreams() {
     RelayFixture.FakeView view = view(1);
     view.settled = false;
     ColdStartLimiter limiter = new EntryColdStartLimiter(view, "entry-1");
@@ -108,12 +111,13 @@
   }
 
   /**
-   * Two schedulers of one group would send twice what a cold engine bears. The new one waits until
-   * what the one before gave out has left the window; the one before stops once it isn't proven to
-   * be up to date, which is before it is replaced for its silence.
+   * Guards against two schedulers of one group that together send twice the rate of a cold engine.
+   * The new scheduler waits until the assignments of the previous one have left the window; the
+   * previous one stops once it has no recent proof of being up to date, which is before it is
+   * replaced because of its silence.
    */
   @Test
-  public void schedulerThatTakesOverStartsFromUsedUpWindow() {
+  public void newSchedulerStartsWithUsedUpWindow() {
     RelayFixture.FakeView view = view(55, "scheduler");
     SchedulerRole role = new SchedulerRole(view, "scheduler");
     SchedulerColdStartLimiter limiter = new SchedulerColdStartLimiter(role);
@@ -130,7 +134,7 @@
   }
 
   @Test
-  public void schedulerGivesOutItsOwnGroupOnly() {
+  public void schedulerAssignsItsOwnGroupOnly() {
     RelayFixture.FakeView view = view(55, "other", "scheduler");
     SchedulerRole role = new SchedulerRole(view, "scheduler");
     SchedulerColdStartLimiter limiter = new SchedulerColdStartLimiter(role);
@@ -144,11 +148,11 @@
   }
 
   /**
-   * An engine may turn cold at any moment, and is known to be a heartbeat later. One that has had
-   * more than it would bear then is passed over while there are others.
+   * An engine may turn cold at any moment, and this becomes known one heartbeat later. An engine
+   * that has received more than it could handle then is not preferred while there are others.
    */
   @Test
-  public void engineThatWouldFallOverIfItTurnedColdIsCrowded() {
+  public void engineAboveColdRateIsNotPreferred() {
     SchedulerColdStartLimiter limiter =
         new SchedulerColdStartLimiter(new SchedulerRole(view(55, "scheduler"), "scheduler"));
     UpstreamTrack track = track("up", START);
@@ -157,7 +161,7 @@
       track.recordSent(0, START);
     }
     assertTrue(limiter.exceedsColdRate(SERVICE, track, START));
-    assertTrue(limiter.allows(SERVICE, track, START), "but not refused");
+    assertTrue(limiter.allows(SERVICE, track, START), "not preferred, but still allowed");
     assertFalse(limiter.exceedsColdRate(SERVICE, track, START.plusSeconds(2)));
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ColdStartReplay.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ColdStartReplay.java
@@ -8,34 +8,37 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Engines that are away until they come back together, cold, and fall over under too much. */
+/**
+ * Replays engines that are down until they restart together, cold, and fail under too many
+ * requests.
+ */
 final class ColdStartReplay {
 
-  /** Requests in a second under which a cold engine falls over. */
-  private static final int FALLS_OVER = 32;
+  /** Requests within one second above which a cold engine fails. */
+  private static final int MAX_COLD_REQUESTS = 32;
 
-  private static final double SECOND = 1000;
+  private static final double MILLIS_PER_SECOND = 1000;
 
   private final ColdStart cold;
-  private final double returnAt;
+  private final double restartAt;
   private final Set<String> engines;
-  private final Set<String> fallen = new HashSet<>();
+  private final Set<String> failed = new HashSet<>();
   private final Map<String, List<Double>> sends = new HashMap<>();
 
   /**
-   * Makes the engines' return.
+   * Creates a replay of a joint restart.
    *
-   * @param engines their ids
-   * @param returnAt when they come back, in milliseconds
-   * @param cold what they bear then
+   * @param engines ids of the engines
+   * @param restartAt time of the restart, in milliseconds
+   * @param cold request rate that the engines can handle after the restart
    */
-  ColdStartReplay(Collection<String> engines, double returnAt, ColdStart cold) {
+  ColdStartReplay(Collection<String> engines, double restartAt, ColdStart cold) {
     this.engines = Set.copyOf(engines);
-    this.returnAt = returnAt;
+    this.restartAt = restartAt;
     this.cold = cold;
   }
 
-  /** Returns the replay of engines that are always there. */
+  /** Returns a replay without any restart. */
   static ColdStartReplay none() {
     return new ColdStartReplay(Set.of(), 0, ColdStart.NONE);
   }
@@ -45,34 +48,34 @@
   }
 
   boolean isUp(String engine, double now) {
-    return now >= returnAt || !engines.contains(engine);
+    return now >= restartAt || !engines.contains(engine);
   }
 
   /** Returns how long an engine stays cold, in milliseconds; 0 for a warm one. */
   long coldMillis(String engine, double now) {
-    boolean back = engines.contains(engine) && now >= returnAt;
-    return back ? (long) Math.max(0, returnAt + cold.millis() - now) : 0;
+    boolean back = engines.contains(engine) && now >= restartAt;
+    return back ? (long) Math.max(0, restartAt + cold.millis() - now) : 0;
   }
 
-  /** Counts a request at an engine; returns false where a cold one has fallen over. */
+  /** Records a request to an engine; returns false if the engine is cold and has failed. */
   boolean recordSend(String engine, double now) {
     if (coldMillis(engine, now) == 0) {
       return true;
     }
     List<Double> all = sends.computeIfAbsent(engine, first -> new ArrayList<>());
     all.add(now);
-    if (all.stream().filter(at -> at > now - SECOND).count() > FALLS_OVER) {
-      fallen.add(engine);
+    if (all.stream().filter(at -> at > now - MILLIS_PER_SECOND).count() > MAX_COLD_REQUESTS) {
+      failed.add(engine);
     }
-    return !fallen.contains(engine);
+    return !failed.contains(engine);
   }
 
-  /** Returns the most requests that one cold engine got within a second. */
-  int mostInOneSecond() {
+  /** Returns the maximum number of requests that one cold engine received within a second. */
+  int maxInOneSecond() {
     int most = 0;
     for (List<Double> all : sends.values()) {
       for (double from : all) {
-        long count = all.stream().filter(at -> at >= from && at < from + SECOND).count();
+        long count = all.stream().filter(at -> at >= from && at < from + MILLIS_PER_SECOND).count();
         most = Math.max(most, (int) count);
       }
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConfidenceCascadeTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConfidenceCascadeTest.java
@@ -19,31 +19,31 @@
   private AnswerTimes times = new AnswerTimes();
   private ConfidenceCascade cascade = new ConfidenceCascade(times);
 
-  /** Each test begins anew. */
+  /** Creates a new policy for each test. */
   @BeforeMethod
   public void setUp() {
     times = new AnswerTimes();
     cascade = new ConfidenceCascade(times);
   }
 
-  private boolean asks(@Nullable Integer confidence, long usedMillis, double waitMillis) {
-    return asks(confidence, usedMillis, waitMillis, 200, 20_000);
+  private boolean escalates(@Nullable Integer confidence, long elapsedMillis, double waitMillis) {
+    return escalates(confidence, elapsedMillis, waitMillis, 200, 20_000);
   }
 
-  private boolean asks(
+  private boolean escalates(
       @Nullable Integer confidence,
-      long usedMillis,
+      long elapsedMillis,
       double waitMillis,
-      double readMillis,
+      double prefillMillis,
       long leftMillis) {
     UpstreamTrack track =
         new UpstreamTrack(
             new UpstreamStatus(RelayFixture.instance("up", "v1"), UpstreamCondition.READY));
     Placement placement =
-        new Placement(track, waitMillis, readMillis, waitMillis + readMillis, 1000, null);
-    ActiveRelay relay = relay(RelayFixture.START.plusMillis(leftMillis + usedMillis));
+        new Placement(track, waitMillis, prefillMillis, waitMillis + prefillMillis, 1000, null);
+    ActiveRelay relay = relay(RelayFixture.START.plusMillis(leftMillis + elapsedMillis));
     relay.confidence = confidence;
-    return cascade.shouldEscalate(relay, placement, RelayFixture.START.plusMillis(usedMillis));
+    return cascade.shouldEscalate(relay, placement, RelayFixture.START.plusMillis(elapsedMillis));
   }
 
   private static ActiveRelay relay(Instant deadline) {
@@ -60,8 +60,8 @@
     return relay;
   }
 
-  /** Lets the largest model's answers of ten tokens take some time, as often as counts. */
-  private void learn(double millis, boolean whole) {
+  /** Records enough answers of ten tokens by the largest model for an estimate. */
+  private void recordAnswers(double millis, boolean whole) {
     ActiveRelay ended = relay(RelayFixture.START.plusSeconds(20));
     ended.model = 2;
     for (int answer = 0; answer < 20; answer++) {
@@ -70,73 +70,79 @@
   }
 
   /**
-   * The caller gets the answer at hand. The larger model's would begin soon, but is so long that it
-   * would break off at the caller's deadline, and nothing of either would count.
+   * The present answer is kept if the larger model's answer would begin soon but be cut off at the
+   * caller's deadline, which would lose both.
    */
   @Test
-  public void answerIsKeptWhereTheOtherOneWouldNotEnd() {
-    assertTrue(asks(10, 100, 0, 200, 5000), "nothing is known of its length");
-    learn(5000, true);
-    assertFalse(asks(10, 100, 0, 200, 5000));
-    assertTrue(asks(10, 100, 0, 200, 20_000));
+  public void answerIsKeptIfLargerModelsAnswerWouldNotEnd() {
+    assertTrue(escalates(10, 100, 0, 200, 5000), "nothing is known of its length");
+    recordAnswers(5000, true);
+    assertFalse(escalates(10, 100, 0, 200, 5000));
+    assertTrue(escalates(10, 100, 0, 200, 20_000));
   }
 
-  /** A short answer may begin late: all of it is over soon after. */
+  /** A short answer may begin late, because it ends soon after. */
   @Test
   public void shortAnswerMayBeginLate() {
-    assertFalse(asks(10, 100, 0, 700, 1000), "nothing is known of its length");
-    learn(50, true);
-    assertTrue(asks(10, 100, 0, 700, 1000));
+    assertFalse(escalates(10, 100, 0, 700, 1000), "nothing is known of its length");
+    recordAnswers(50, true);
+    assertTrue(escalates(10, 100, 0, 700, 1000));
   }
 
   /**
-   * Answers that broke off at the deadline tell that they take longer, else none would be known.
+   * Answers that were cut off at the deadline count as longer ones; otherwise no long answer would
+   * be recorded.
    */
   @Test
-  public void brokenOffAnswersCountAsLongerOnes() {
-    learn(4000, true);
+  public void truncatedAnswersCountAsLongerOnes() {
+    recordAnswers(4000, true);
     double before = times.expectedMillis(relay(RelayFixture.START), "large", 0);
-    learn(1000, false);
+    recordAnswers(1000, false);
     assertTrue(times.expectedMillis(relay(RelayFixture.START), "large", 0) >= before);
   }
 
   @Test
-  public void theLargestModelIsAskedAfterTheOthers() {
+  public void escalationGoesToTheLargestModel() {
     assertEquals(cascade.firstModel(ROUTE, RelayFixture.request(1, "/a/", "key")), 0);
     assertEquals(cascade.largerModel(ROUTE, 0), 2);
     assertEquals(cascade.largerModel(ROUTE, 2), -1);
   }
 
   @Test
-  public void doubtedAnswersAreAskedAgainInTime() {
-    assertTrue(asks(49, 100, 50));
-    assertFalse(asks(50, 100, 50));
-    assertFalse(asks(null, 100, 50));
-    assertFalse(asks(10, 700, 400), "the wait makes it late");
+  public void answersOfLowConfidenceEscalateInTime() {
+    assertTrue(escalates(49, 100, 50));
+    assertFalse(escalates(50, 100, 50));
+    assertFalse(escalates(null, 100, 50));
+    assertFalse(escalates(10, 700, 400), "the wait makes it late");
   }
 
-  /** A long prompt that is late for its own reading alone still gets its right answer. */
+  /**
+   * A long prompt that is late only because of its own prefill still escalates to the right answer.
+   */
   @Test
-  public void lateAnswerIsAskedWhereNothingIsAhead() {
-    assertTrue(asks(10, 100, 10, 1500, 20_000));
+  public void longPromptEscalatesWithoutQueue() {
+    assertTrue(escalates(10, 100, 10, 1500, 20_000));
   }
 
   /**
-   * The caller gets the answer that is ready. The larger model would begin after most of the time
-   * that the caller has is over, and its answer could not be ended.
+   * The present answer is kept if the larger model would begin after most of the caller's time has
+   * passed and its answer couldn't end.
    */
   @Test
-  public void answerIsKeptWhereThereIsNoTimeForAnother() {
-    assertTrue(asks(10, 100, 0, 200, 1000));
-    assertFalse(asks(10, 100, 0, 450, 1000));
+  public void answerIsKeptIfTimeIsTooShort() {
+    assertTrue(escalates(10, 100, 0, 200, 1000));
+    assertFalse(escalates(10, 100, 0, 450, 1000));
   }
 
-  /** Callers get a doubtful answer in time in place of all answers late. */
+  /**
+   * Under overload callers get an answer of low confidence in time; otherwise all answers would be
+   * late.
+   */
   @Test
-  public void underStrainOnlyTheMostDoubtfulAnswersAreAskedAgain() {
-    assertFalse(asks(40, 100, 500));
-    assertTrue(asks(9, 100, 500));
-    assertFalse(asks(40, 100, 300));
-    assertTrue(asks(29, 100, 300));
+  public void overloadLowersTheConfidenceThreshold() {
+    assertFalse(escalates(40, 100, 500));
+    assertTrue(escalates(9, 100, 500));
+    assertFalse(escalates(40, 100, 300));
+    assertTrue(escalates(29, 100, 300));
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
@@ -25,10 +25,10 @@
 import org.skylarkfork.core.event.RelayEvent;
 import org.skylarkfork.core.testing.MiniNetwork;
 
-/** Three control VMs and some entries in virtual time; what is around them is a subclass's. */
+/** Three control VMs and some entries in virtual time; subclasses emulate their surroundings. */
 abstract class EmulatedDeployment {
 
-  /** Time in which each entry that is in touch can know what the others know. */
+  /** Time after which every connected entry has received what the others know. */
   static final Duration SETTLE_TIME = Duration.ofSeconds(3);
 
   static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
@@ -41,26 +41,27 @@
   final List<String> entries = new ArrayList<>();
   final UniformRandomProvider random;
 
-  /** What each entry believes, of its newest start. */
+  /** The current run's view of each entry, by peer name. */
   final Map<String, RelayEntryPart> entryParts = new HashMap<>();
 
   private final RelaySimulation.SnapshotNumbers codec = new RelaySimulation.SnapshotNumbers();
   private final Map<String, ConsensusPart> groups = new HashMap<>();
   private final Map<String, Integer> starts = new HashMap<>();
   private final Map<String, Instant> disturbedAt = new HashMap<>();
-  private final PriorityQueue<Due> due =
-      new PriorityQueue<>(Comparator.comparing(Due::at).thenComparing(Due::order));
-  private Instant coreDisturbedAt = START;
+  private final PriorityQueue<ScheduledAction> scheduledActions =
+      new PriorityQueue<>(
+          Comparator.comparing(ScheduledAction::at).thenComparing(ScheduledAction::order));
+  private Instant controlDisturbedAt = START;
   private long order;
 
-  /** What is to happen at a time. */
-  private record Due(Instant at, long order, Runnable action) {}
+  /** An action to run at a time. */
+  private record ScheduledAction(Instant at, long order, Runnable action) {}
 
   /**
-   * Makes and starts control VMs and entries.
+   * Creates and starts control VMs and entries.
    *
-   * @param seed seed of all chance
-   * @param entryCount how many entries there are
+   * @param seed seed of all random numbers
+   * @param entryCount number of entries
    */
   EmulatedDeployment(long seed, int entryCount) {
     this.network = new MiniNetwork(seed);
@@ -81,15 +82,15 @@
     }
   }
 
-  /** Takes an effect that is neither for peers nor for disks. */
+  /** Handles an effect that is neither for peers nor for disks. */
   abstract void onEffect(String node, Effect effect);
 
   /**
    * Returns the parts of an entry.
    *
-   * @param name its peer name
-   * @param entry what it believes
-   * @param requests its decisions on requests
+   * @param name peer name of the entry
+   * @param entry the entry's view of the deployment
+   * @param requests handles the entry's requests
    * @param seed seed of random choices
    */
   abstract List<Part> parts(
@@ -124,7 +125,7 @@
     return new Reducer(parts(name, entry, requests, seed));
   }
 
-  /** Puts a configuration; only once there was time to elect a leader. */
+  /** Submits a configuration; call it only after there was time to elect a leader. */
   void put(RelayConfiguration configuration) {
     network.inject(
         controls.get(0),
@@ -132,20 +133,20 @@
             1, new RelayCommand.PutConfiguration(configuration, new byte[0]), CALL_MILLIS));
   }
 
-  /** Lets time pass. */
+  /** Advances the virtual time and runs the actions that become due. */
   void run(Duration time) {
     Instant end = network.now().plus(time);
     while (network.now().isBefore(end)) {
       network.run(Duration.ofMillis(1));
-      while (!due.isEmpty() && !due.peek().at().isAfter(network.now())) {
-        due.remove().action().run();
+      while (!scheduledActions.isEmpty() && !scheduledActions.peek().at().isAfter(network.now())) {
+        scheduledActions.remove().action().run();
       }
     }
   }
 
-  /** Lets something happen some time from now. */
+  /** Schedules an action to run after some time. */
   void schedule(long millis, Runnable action) {
-    due.add(new Due(network.now().plusMillis(millis), order++, action));
+    scheduledActions.add(new ScheduledAction(network.now().plusMillis(millis), order++, action));
   }
 
   int randomMillis(int millis) {
@@ -153,16 +154,16 @@
   }
 
   /**
-   * Lets an upstream announce itself to any control VM, again and again.
+   * Sends heartbeats of an upstream to random control VMs until it is down.
    *
-   * @param upstream what it tells
-   * @param isUp whether it still does
+   * @param upstream the upstream in the heartbeats
+   * @param isUp whether the upstream still sends heartbeats
    */
   void announce(UpstreamInstance upstream, BooleanSupplier isUp) {
     heartbeat(upstream, 1, isUp);
   }
 
-  private void heartbeat(UpstreamInstance told, long number, BooleanSupplier isUp) {
+  private void heartbeat(UpstreamInstance template, long number, BooleanSupplier isUp) {
     if (!isUp.getAsBoolean()) {
       return;
     }
@@ -172,36 +173,36 @@
           running.get(random.nextInt(running.size())),
           new RelayEvent.HeartbeatReceived(
               new UpstreamInstance(
-                  told.id(),
-                  told.service(),
-                  told.address(),
-                  told.zone(),
-                  told.version(),
-                  told.slots(),
+                  template.id(),
+                  template.service(),
+                  template.address(),
+                  template.zone(),
+                  template.version(),
+                  template.slots(),
                   number,
-                  told.bornMillis())));
+                  template.bornMillis())));
     }
-    schedule(HEARTBEAT.toMillis(), () -> heartbeat(told, number + 1, isUp));
+    schedule(HEARTBEAT.toMillis(), () -> heartbeat(template, number + 1, isUp));
   }
 
   boolean isAwake(String name) {
     return network.isUp(name) && !network.isFrozen(name);
   }
 
-  /** Gives an entry an event, unless it is down or frozen. */
+  /** Delivers an event to an entry, unless the entry is down or frozen. */
   void inject(String entry, Event event) {
     if (isAwake(entry)) {
       network.inject(entry, event);
     }
   }
 
-  /** Returns an entry that is awake, or null. */
+  /** Returns a random entry that is neither down nor frozen, or null if there is none. */
   @Nullable String anyEntry() {
     List<String> awake = entries.stream().filter(this::isAwake).toList();
     return awake.isEmpty() ? null : awake.get(random.nextInt(awake.size()));
   }
 
-  /** Returns the control VM that leads, or null. */
+  /** Returns the leader among the control VMs, or null if there is none. */
   @Nullable String leader() {
     for (String name : controls) {
       GroupStatus status = isAwake(name) ? groups.get(name).status(GroupId.RELAY) : null;
@@ -212,21 +213,21 @@
     return null;
   }
 
-  /** Takes note that a daemon is disturbed now; the core's disturbances count for all. */
+  /** Records a disturbance of a daemon now; disturbances of control VMs affect all entries. */
   void markDisturbed(String name) {
     if (controls.contains(name)) {
-      coreDisturbedAt = network.now();
+      controlDisturbedAt = network.now();
     } else {
       disturbedAt.put(name, network.now());
     }
   }
 
-  /** Returns whether neither an entry nor the core was disturbed for {@link #SETTLE_TIME}. */
+  /** Returns whether neither an entry nor a control VM was disturbed for {@link #SETTLE_TIME}. */
   boolean isSettled(String entry) {
-    return isUndisturbed(entry) && coreDisturbedAt.isBefore(network.now().minus(SETTLE_TIME));
+    return isUndisturbed(entry) && controlDisturbedAt.isBefore(network.now().minus(SETTLE_TIME));
   }
 
-  /** Returns whether an entry itself was not disturbed for {@link #SETTLE_TIME}. */
+  /** Returns whether the entry itself was not disturbed for {@link #SETTLE_TIME}. */
   boolean isUndisturbed(String entry) {
     Instant since = network.now().minus(SETTLE_TIME);
     return disturbedAt.getOrDefault(entry, START).isBefore(since);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedEngine.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedEngine.java
@@ -10,26 +10,27 @@
 import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
- * An engine in virtual time: reads one prompt after the other, the most urgent first, keeps parts
- * of them for each model, and makes tokens for all that run beside the reading.
+ * An engine in virtual time. It reads one prompt at a time, the most urgent first, caches their
+ * prefixes for each model, and generates tokens for all running attempts in parallel to the
+ * prefill.
  */
 final class EmulatedEngine {
 
-  private static final double TOKENS_A_MILLI = 60;
+  private static final double TOKENS_PER_MILLI = 60;
   private static final double FIRST_MILLIS = 120;
   private static final double STEP_MILLIS = 7;
   private static final long MEMORY_TOKENS = 590_000;
 
   final UpstreamInstance instance;
-  private final double slowness;
+  private final double latencyFactor;
   private final List<Job> waiting = new ArrayList<>();
-  private final Map<Long, Integer> kept = new LinkedHashMap<>(64, 0.75f, true);
-  private final Map<String, Double> paces;
-  private @Nullable Job reading;
-  private long keptTokens;
+  private final Map<Long, Integer> cache = new LinkedHashMap<>(64, 0.75f, true);
+  private final Map<String, Double> modelCosts;
+  private @Nullable Job inPrefill;
+  private long cachedTokens;
   long tokensRead;
   long rereadSharedTokens;
-  private final Map<Long, Boolean> everRead;
+  private final Map<Long, Boolean> alreadyRead;
 
   /** One attempt at the engine. */
   static final class Job {
@@ -42,7 +43,7 @@
     final int outputTokens;
     boolean cancelled;
     boolean begun;
-    double endsReadingAt;
+    double prefillEndsAt;
 
     Job(
         String entry,
@@ -64,78 +65,78 @@
 
   EmulatedEngine(
       UpstreamInstance instance,
-      double slowness,
-      Map<String, Double> paces,
-      Map<Long, Boolean> everRead) {
+      double latencyFactor,
+      Map<String, Double> modelCosts,
+      Map<Long, Boolean> alreadyRead) {
     this.instance = instance;
-    this.slowness = slowness;
-    this.paces = new HashMap<>(paces);
-    this.everRead = everRead;
+    this.latencyFactor = latencyFactor;
+    this.modelCosts = new HashMap<>(modelCosts);
+    this.alreadyRead = alreadyRead;
   }
 
   void add(Job job) {
     waiting.add(job);
   }
 
-  /** Returns the job whose reading begins now, or null if one is read or none waits. */
+  /** Starts the next prefill; returns its job, or null if a prefill is running or no job waits. */
   @Nullable Job startNext(double now) {
     waiting.removeIf(job -> job.cancelled);
-    if (reading != null || waiting.isEmpty()) {
+    if (inPrefill != null || waiting.isEmpty()) {
       return null;
     }
     Job next = waiting.stream().min(Comparator.comparingInt(job -> job.urgency)).orElseThrow();
     waiting.remove(next);
-    reading = next;
-    double pace = paces.get(next.model) * slowness;
-    next.endsReadingAt = now + read(next.prefixes) * pace / TOKENS_A_MILLI;
+    inPrefill = next;
+    double modelCost = modelCosts.get(next.model) * latencyFactor;
+    next.prefillEndsAt = now + startPrefill(next.prefixes) * modelCost / TOKENS_PER_MILLI;
     return next;
   }
 
-  private int read(PromptPrefixes chain) {
-    int from = 0;
-    int place = 0;
-    while (place < chain.size() && kept.get(chain.key(place)) != null) {
-      from = chain.tokens(place);
-      place++;
+  private int startPrefill(PromptPrefixes chain) {
+    int hitTokens = 0;
+    int index = 0;
+    while (index < chain.size() && cache.get(chain.key(index)) != null) {
+      hitTokens = chain.tokens(index);
+      index++;
     }
-    for (; place < chain.size(); place++) {
-      int before = place == 0 ? 0 : chain.tokens(place - 1);
-      keep(chain.key(place), chain.tokens(place) - before);
-      boolean shared = place < chain.sharedSize();
-      if (shared && everRead.put(chain.key(place), true) != null) {
-        rereadSharedTokens += chain.tokens(place) - before;
+    for (; index < chain.size(); index++) {
+      int prefixTokens = index == 0 ? 0 : chain.tokens(index - 1);
+      putInCache(chain.key(index), chain.tokens(index) - prefixTokens);
+      boolean shared = index < chain.sharedSize();
+      if (shared && alreadyRead.put(chain.key(index), true) != null) {
+        rereadSharedTokens += chain.tokens(index) - prefixTokens;
       }
     }
-    tokensRead += chain.totalTokens() - from;
-    return chain.totalTokens() - from;
+    tokensRead += chain.totalTokens() - hitTokens;
+    return chain.totalTokens() - hitTokens;
   }
 
-  private void keep(long key, int tokens) {
-    kept.put(key, tokens);
-    keptTokens += tokens;
-    while (keptTokens > MEMORY_TOKENS) {
-      long oldest = kept.keySet().iterator().next();
-      keptTokens -= kept.remove(oldest);
+  private void putInCache(long key, int tokens) {
+    cache.put(key, tokens);
+    cachedTokens += tokens;
+    while (cachedTokens > MEMORY_TOKENS) {
+      long oldest = cache.keySet().iterator().next();
+      cachedTokens -= cache.remove(oldest);
     }
   }
 
-  /** Ends the reading of a job; returns whether it was that one's turn. */
+  /** Ends the prefill of a job; returns whether that job's prefill was running. */
   boolean finish(Job job) {
-    boolean own = reading == job;
-    reading = own ? null : reading;
+    boolean own = inPrefill == job;
+    inPrefill = own ? null : inPrefill;
     return own;
   }
 
-  /** Drops a job that waits, is read or has begun. */
+  /** Cancels a job that waits, is in prefill or has begun to answer. */
   void cancel(Job job) {
     job.cancelled = true;
   }
 
   double firstMillis() {
-    return FIRST_MILLIS * slowness;
+    return FIRST_MILLIS * latencyFactor;
   }
 
   double outputMillis(Job job) {
-    return job.outputTokens * STEP_MILLIS * paces.get(job.model) * slowness;
+    return job.outputTokens * STEP_MILLIS * modelCosts.get(job.model) * latencyFactor;
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
@@ -327,7 +327,7 @@
   private void begin(EmulatedEngine engine) {
     EmulatedEngine.Job job = engine.startNext(now);
     if (job != null) {
-      at(job.endsReadingAt, () -> read(engine, job));
+      at(job.prefillEndsAt, () -> read(engine, job));
     }
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplayTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplayTest.java
@@ -241,7 +241,7 @@
     EngineLoadReplay replay = new EngineLoadReplay(seed, 55, engines, 0, 2, kinds);
     ColdStartReplay engineReturn = replay.returnCold(14, 5000, cold);
     Outcome outcome = replay.run(9);
-    int most = engineReturn.mostInOneSecond();
+    int most = engineReturn.maxInOneSecond();
     if (mostAllowed > 0) {
       assertTrue(most > 0 && most <= mostAllowed, "in a second: " + most);
     } else {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadExchangePartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadExchangePartTest.java
@@ -27,7 +27,7 @@
 public final class LoadExchangePartTest {
 
   private static final String CONTROL = "control-1";
-  private static final PromptPrefixes CHAIN =
+  private static final PromptPrefixes PREFIXES =
       PromptPrefixes.of("small", List.of(new PromptPart("s", 900), new PromptPart("o", 100)), 1000);
 
   private RelayEntryPart entry = part();
@@ -43,7 +43,7 @@
         new VersionLedger());
   }
 
-  /** An entry that knows two peers and one upstream. */
+  /** Creates an entry that knows two peers and one upstream. */
   @BeforeMethod
   public void setUp() {
     now = RelayFixture.START;
@@ -95,26 +95,27 @@
   }
 
   @Test
-  public void peersAreToldOfNewLoadOnceAndAgainBeforeItExpires() {
-    assertTrue(tick(100).isEmpty(), "there is none");
+  public void loadIsReportedOnceAndRepeatedBeforeItExpires() {
+    assertTrue(tick(100).isEmpty(), "there is no load");
     track().recordSent(250, RelayFixture.START);
-    prompts.recordSent("up", CHAIN, now);
-    List<SendToPeer> told = tick(100);
+    prompts.recordSent("up", PREFIXES, now);
+    List<SendToPeer> sent = tick(100);
     EntryLoads expected =
         new EntryLoads(
-            List.of(new UpstreamLoad("up", 1, 250)), List.of(new KeptPrompt("up", CHAIN.key(0))));
+            List.of(new UpstreamLoad("up", 1, 250)),
+            List.of(new KeptPrompt("up", PREFIXES.key(0))));
     assertEquals(
-        told, List.of(new SendToPeer("entry-2", expected), new SendToPeer("entry-3", expected)));
-    assertTrue(tick(100).isEmpty(), "nothing is new");
-    assertEquals(tick(400).size(), 2, "or it would expire");
+        sent, List.of(new SendToPeer("entry-2", expected), new SendToPeer("entry-3", expected)));
+    assertTrue(tick(100).isEmpty(), "the load has not changed");
+    assertEquals(tick(400).size(), 2, "the report would expire");
     track().recordEnded(250);
     assertEquals(((EntryLoads) tick(100).get(0).message()).loads(), List.of());
     assertTrue(tick(400).isEmpty());
   }
 
-  /** A burst of requests must not become a burst of messages. */
+  /** A burst of requests must not cause a burst of messages. */
   @Test
-  public void tellingsKeepTheirPause() {
+  public void reportsKeepTheMinimumInterval() {
     int messages = 0;
     for (int tick = 0; tick < 40; tick++) {
       track().recordSent(10, RelayFixture.START);
@@ -124,34 +125,35 @@
   }
 
   @Test
-  public void whatPeerToldCountsUntilItExpires() {
-    KeptPrompt kept = new KeptPrompt("up", CHAIN.key(0));
+  public void peerReportCountsUntilItExpires() {
+    KeptPrompt kept = new KeptPrompt("up", PREFIXES.key(0));
     receive("entry-2", new EntryLoads(List.of(new UpstreamLoad("up", 2, 700)), List.of(kept)));
     receive("entry-3", new EntryLoads(List.of(new UpstreamLoad("gone", 9, 9)), List.of()));
     assertEquals(track().waitingMillis(now), 700.0);
     assertEquals(track().running(now), 2);
-    assertEquals(track().prefixCache().cachedTokens(CHAIN, 100_000), 900);
+    assertEquals(track().prefixCache().cachedTokens(PREFIXES, 100_000), 900);
     receive("entry-2", new EntryLoads(List.of(), List.of()));
     assertEquals(track().running(now), 0);
     receive("entry-2", new EntryLoads(List.of(new UpstreamLoad("up", 2, 700)), List.of()));
-    assertEquals(track().waitingMillis(now.plusSeconds(2)), 0.0, "it died");
+    assertEquals(track().waitingMillis(now.plusSeconds(2)), 0.0, "the peer has failed");
   }
 
   @Test
-  public void sameUseIsToldAgainOnlyLater() {
-    prompts.recordSent("up", CHAIN, now);
+  public void sameUseIsReportedAgainOnlyLater() {
+    prompts.recordSent("up", PREFIXES, now);
     assertEquals(prompts.takeUnreported(9).size(), 1);
-    prompts.recordSent("up", CHAIN, now.plusMillis(1000));
+    prompts.recordSent("up", PREFIXES, now.plusMillis(1000));
     assertEquals(prompts.takeUnreported(9).size(), 0);
-    prompts.recordSent("up", CHAIN, now.plusMillis(1600));
+    prompts.recordSent("up", PREFIXES, now.plusMillis(1600));
     assertEquals(prompts.takeUnreported(9).size(), 1);
   }
 
   /**
-   * Callers that look up entries here get the leader's list, and this entry before there is one.
+   * Callers that look up entries get the leader's list, or this entry alone before a list was
+   * received.
    */
   @Test
-  public void callersAreToldOfEntries() {
+  public void callersGetTheAddressesOfEntries() {
     assertEquals(entry.callerAddresses(), List.of("10.0.0.9:80"));
     assertEquals(entry.loadShare(), 1.0);
     assertEquals(part().callerAddresses(), List.of("10.0.0.9:80"));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ReplayedDeployment.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ReplayedDeployment.java
@@ -5,25 +5,26 @@
 import org.skylarkfork.core.message.RelayMessage.Neighbourhood;
 import org.skylarkfork.core.relay.EngineLoadReplay.Kind;
 
-/** What entries of a replayed load are told by the leader. */
+/** The data that entries of a replayed load receive from the leader. */
 final class ReplayedDeployment {
 
   private ReplayedDeployment() {}
 
-  /** Returns what an entry is told of the others. */
+  /** Returns the leader's information for an entry about the other entries. */
   static Neighbourhood neighbourhood(int own, int entryCount, int peers, int schedulers) {
     List<String> names = new ArrayList<>();
     for (int step = 1; step <= Math.min(peers, entryCount - 1); step++) {
       names.add("entry-" + (own + step) % entryCount);
     }
-    List<String> placing = new ArrayList<>();
+    List<String> schedulerNames = new ArrayList<>();
     for (int number = 0; number < schedulers; number++) {
-      placing.add("entry-" + number);
+      schedulerNames.add("entry-" + number);
     }
-    return new Neighbourhood(1, List.of(), names, placing, new EntryOrdinal(own, entryCount));
+    return new Neighbourhood(
+        1, List.of(), names, schedulerNames, new EntryOrdinal(own, entryCount));
   }
 
-  /** Returns a configuration with one route for each kind of request and one service of engines. */
+  /** Returns a configuration with one route per kind of request and one service of engines. */
   static RelayConfiguration configuration(List<Kind> kinds, List<String> models, ColdStart cold) {
     List<RelayRoute> routes = new ArrayList<>();
     for (Kind kind : kinds) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UrgencyTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UrgencyTest.java
@@ -28,20 +28,20 @@
   }
 
   @Test
-  public void shortReadingGoesFirst() {
+  public void shortPrefillGoesFirst() {
     assertTrue(rank(5, null) < rank(80, null));
     assertTrue(rank(80, null) < rank(800, null));
     assertEquals(rank(0, null), rank(20, null));
   }
 
   @Test
-  public void priorityDecidesAmongReadingOfTheSameLength() {
+  public void priorityDecidesBetweenEqualPrefills() {
     assertTrue(rank(100, 0) < rank(100, 1));
     assertEquals(rank(100, 1), rank(100, null), "the route has priority 1");
   }
 
   @Test
-  public void ranksStayWithinWhatEnginesTellApart() {
+  public void ranksStayInTheRangeOfEngines() {
     assertEquals(rank(1_000_000, 9), 9);
     assertEquals(rank(1, -3), 0);
   }
