--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
@@ -26,29 +26,32 @@
 import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
- * Replays a load of prompts on entries and engines in virtual time, with the real decisions.
+ * Replays a load of prompts on entries and engines in virtual time, with the production decisions.
  *
- * <p>Entries are whole reducers without sockets; callers come at random moments of a seed, ask
- * about subjects whose prompts they share, and leave at their deadline.
+ * <p>Entries are complete reducers without sockets. Requests arrive at random times derived from a
+ * seed, belong to subjects that share prompt parts, and are abandoned at their deadline.
  */
 final class EngineLoadReplay {
 
   private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
   private static final String CONTROL = "control-1";
-  private static final int TICK = 25;
-  private static final int PROOF = 500;
+  private static final int TICK_MILLIS = 25;
+  private static final int UPDATE_MILLIS = 500;
   private static final double CONFIDENCE_SLOPE = 167;
   private static final double CONFIDENCE_NOISE = 10;
   private static final List<String> MODELS = List.of("small", "middle", "large");
-  private static final double[] PACES = {0.3, 0.8, 3.0};
+  private static final double[] MODEL_COSTS = {0.3, 0.8, 3.0};
   private static final double[] QUALITIES = {0.54, 0.64, 1.0};
 
-  /** Worth of a late answer and of one that its model wasn't up to, as shares. */
-  private static final double LATE = 0.3;
+  /**
+   * Worth of a late answer, and of one whose model was too small for its difficulty, as shares of
+   * the worth of a good answer.
+   */
+  private static final double LATE_WORTH = 0.3;
 
-  private static final double POOR = 0.05;
+  private static final double WRONG_WORTH = 0.05;
 
-  /** One kind of request. */
+  /** A kind of request and its load. */
   record Kind(
       String name,
       int subjects,
@@ -61,7 +64,7 @@
       double worth,
       double perSecond) {}
 
-  /** What a replay gave. */
+  /** The result of a replay. */
   record Outcome(
       int requests,
       double worth,
@@ -70,17 +73,17 @@
       long rereadTokens,
       double p99Millis) {}
 
-  private record Timed(double at, long order, Runnable action) {}
+  private record ScheduledAction(double at, long lastOrder, Runnable action) {}
 
   private static final class Call {
     final Kind kind;
     final double at;
     final double difficulty;
-    boolean over;
+    boolean isOver;
     double credit;
     double firstByte = -1;
     boolean refused;
-    boolean unended;
+    boolean truncated;
 
     private Call(Kind kind, double at, double difficulty) {
       this.kind = kind;
@@ -91,55 +94,59 @@
 
   private final UniformRandomProvider random;
   private final List<Kind> kinds;
-  private final PriorityQueue<Timed> timed =
-      new PriorityQueue<>(Comparator.comparingDouble(Timed::at).thenComparingLong(Timed::order));
+  private final PriorityQueue<ScheduledAction> scheduledActions =
+      new PriorityQueue<>(
+          Comparator.comparingDouble(ScheduledAction::at)
+              .thenComparingLong(ScheduledAction::lastOrder));
   private final Map<String, Reducer> entries = new HashMap<>();
   private final Map<String, EmulatedEngine> engines = new HashMap<>();
   private final Map<String, Neighbourhood> neighbourhoods = new HashMap<>();
-  private final Map<Long, Boolean> everRead = new HashMap<>();
-  private final Map<Long, Call> asked = new HashMap<>();
+  private final Map<Long, Boolean> alreadyRead = new HashMap<>();
+  private final Map<Long, Call> calls = new HashMap<>();
   private final Map<Long, RelayRequest> requests = new HashMap<>();
   private final Map<String, EmulatedEngine.Job> jobs = new HashMap<>();
   private double now;
-  private long order;
-  private double hotShare;
-  private @Nullable String frozen;
+  private long lastOrder;
+  private double hotSubjectShare;
+  private @Nullable String frozenEntry;
   private double frozenFrom;
   private double frozenUntil;
-  private final Map<Long, Integer> written = new HashMap<>();
-  private @Nullable UniformRandomProvider lengths;
-  private ColdStartReplay coldReturn = ColdStartReplay.none();
-  private LimitedEngines limited = LimitedEngines.none();
+  private final Map<Long, Integer> actualTokens = new HashMap<>();
+  private @Nullable UniformRandomProvider lengthRandom;
+  private ColdStartReplay coldStartReplay = ColdStartReplay.none();
+  private LimitedEngines limitedEngines = LimitedEngines.none();
 
   /**
-   * Makes a replay.
+   * Creates a replay.
    *
-   * @param seed seed of all chance
-   * @param entryCount how many entries there are
-   * @param slowness how slow each engine is, 1 for a usual one
-   * @param peers how many other entries each one tells of its load
-   * @param schedulers how many entries place the prompts of all; 0 if each places its own
-   * @param kinds what is asked
+   * @param seed seed of all random numbers
+   * @param entryCount number of entries
+   * @param latencyFactors latency factor of each engine, 1 for a usual one
+   * @param peers number of other entries to which each entry reports its load
+   * @param schedulers number of entries that place the prompts of all; 0 if each entry places its
+   *     own
+   * @param kinds the kinds of requests
    */
   EngineLoadReplay(
       long seed,
       int entryCount,
-      List<Double> slowness,
+      List<Double> latencyFactors,
       int peers,
       int schedulers,
       List<Kind> kinds) {
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     this.kinds = kinds;
-    Map<String, Double> paces = new HashMap<>();
+    Map<String, Double> modelCosts = new HashMap<>();
     for (int model = 0; model < MODELS.size(); model++) {
-      paces.put(MODELS.get(model), PACES[model]);
+      modelCosts.put(MODELS.get(model), MODEL_COSTS[model]);
     }
-    for (int number = 0; number < slowness.size(); number++) {
+    for (int number = 0; number < latencyFactors.size(); number++) {
       UpstreamInstance instance =
           new UpstreamInstance(
               "engine-" + number, "service", "10.0.1." + number + ":80", "a", "v1", 64, 1, 1);
       engines.put(
-          instance.id(), new EmulatedEngine(instance, slowness.get(number), paces, everRead));
+          instance.id(),
+          new EmulatedEngine(instance, latencyFactors.get(number), modelCosts, alreadyRead));
     }
     for (int number = 0; number < entryCount; number++) {
       addEntry(number, entryCount, peers, schedulers, seed + number);
@@ -165,94 +172,96 @@
     Neighbourhood neighbourhood =
         ReplayedDeployment.neighbourhood(number, entryCount, peers, schedulers);
     neighbourhoods.put(name, neighbourhood);
-    at(0, () -> proveOften(name, neighbourhood));
-    at(random.nextDouble() * TICK, () -> tick(name));
+    at(0, () -> updateRepeatedly(name, neighbourhood));
+    at(random.nextDouble() * TICK_MILLIS, () -> tick(name));
   }
 
-  /** Lets a share of the requests of each kind be for one subject. */
+  /** Assigns a share of the requests of each kind to one subject. */
   void concentrateOnOneSubject(double share) {
-    hotShare = share;
+    hotSubjectShare = share;
   }
 
   /**
-   * Lets the lengths of answers be spread from a quarter to four times their mean, as callers
-   * estimate them to within a factor of two.
+   * Varies the lengths of answers from a quarter to four times their mean; callers estimate them to
+   * within a factor of two.
    */
   void spreadLengths(long seed) {
-    lengths = RandomSource.XO_SHI_RO_256_PP.create(seed);
+    lengthRandom = RandomSource.XO_SHI_RO_256_PP.create(seed);
   }
 
-  private static double factor(UniformRandomProvider lengths, double most) {
-    return Math.pow(most, 2 * lengths.nextDouble() - 1);
+  private static double factor(UniformRandomProvider lengthRandom, double most) {
+    return Math.pow(most, 2 * lengthRandom.nextDouble() - 1);
   }
 
-  /** Returns how many callers got the beginning of an answer and not its end. */
+  /** Returns the number of requests whose answer began but did not end. */
   long truncatedCount() {
-    return asked.values().stream().filter(one -> one.unended).count();
+    return calls.values().stream().filter(call -> call.truncated).count();
   }
 
-  /** Lets an entry stand still for a time; what comes meanwhile is taken at its end. */
+  /** Freezes an entry for a time; its events are delivered at the end of that time. */
   void freeze(String entry, double fromMillis, double untilMillis) {
-    frozen = entry;
+    frozenEntry = entry;
     frozenFrom = fromMillis;
     frozenUntil = untilMillis;
   }
 
   /**
-   * Lets some engines be away until they come back together, cold.
+   * Takes some engines down until they restart together, cold.
    *
-   * @param count how many engines
-   * @param atMillis when they come back
-   * @param cold what they bear then
+   * @param count number of engines
+   * @param atMillis time of the restart
+   * @param cold request rate that the engines can handle after the restart
    */
-  ColdStartReplay returnCold(int count, double atMillis, ColdStart cold) {
-    coldReturn =
+  ColdStartReplay restartCold(int count, double atMillis, ColdStart cold) {
+    coldStartReplay =
         new ColdStartReplay(
             engines.keySet().stream().sorted().limit(count).toList(), atMillis, cold);
-    at(atMillis, () -> entries.keySet().forEach(name -> prove(name, neighbourhoods.get(name))));
-    return coldReturn;
+    at(
+        atMillis,
+        () -> entries.keySet().forEach(name -> sendUpdate(name, neighbourhoods.get(name))));
+    return coldStartReplay;
   }
 
-  /** Lets some engines name a rate limit from a time on. */
+  /** Makes some engines report a rate limit from a time on. */
   LimitedEngines limit(int count, double atMillis, double perSecond) {
     List<String> named = engines.keySet().stream().sorted().limit(count).toList();
-    limited = new LimitedEngines(named, atMillis, perSecond);
-    return limited;
+    limitedEngines = new LimitedEngines(named, atMillis, perSecond);
+    return limitedEngines;
   }
 
-  private boolean stands(String name) {
-    return name.equals(frozen) && now >= frozenFrom && now < frozenUntil;
+  private boolean isFrozen(String name) {
+    return name.equals(frozenEntry) && now >= frozenFrom && now < frozenUntil;
   }
 
   private void at(double when, Runnable action) {
-    timed.add(new Timed(when, order++, action));
+    scheduledActions.add(new ScheduledAction(when, lastOrder++, action));
   }
 
   private Instant instant() {
     return START.plusNanos((long) (now * 1_000_000));
   }
 
-  private void proveOften(String name, Neighbourhood neighbourhood) {
-    prove(name, neighbourhood);
-    at(now + PROOF, () -> proveOften(name, neighbourhood));
+  private void updateRepeatedly(String name, Neighbourhood neighbourhood) {
+    sendUpdate(name, neighbourhood);
+    at(now + UPDATE_MILLIS, () -> updateRepeatedly(name, neighbourhood));
   }
 
   private UpstreamStatus status(EmulatedEngine engine) {
-    long coldMillis = coldReturn.coldMillis(engine.instance.id(), now);
+    long coldMillis = coldStartReplay.coldMillis(engine.instance.id(), now);
     return new UpstreamStatus(engine.instance.coldFor(coldMillis), UpstreamCondition.READY);
   }
 
-  private void prove(String name, Neighbourhood neighbourhood) {
+  private void sendUpdate(String name, Neighbourhood neighbourhood) {
     List<UpstreamStatus> statuses =
         engines.values().stream()
-            .filter(engine -> coldReturn.isUp(engine.instance.id(), now))
+            .filter(engine -> coldStartReplay.isUp(engine.instance.id(), now))
             .map(this::status)
             .toList();
     RelayMessage.EntryUpdate update =
         new RelayMessage.EntryUpdate(
             instant(),
             1,
-            ReplayedDeployment.configuration(kinds, MODELS, coldReturn.cold()),
+            ReplayedDeployment.configuration(kinds, MODELS, coldStartReplay.cold()),
             new RelayMessage.SharedState(List.of(), List.of(), List.of(), List.of()),
             new RelayMessage.DirectoryChanges(1, 1, true, true, statuses),
             List.of(CONTROL),
@@ -263,46 +272,46 @@
 
   private void tick(String name) {
     apply(name, new LifecycleEvent.Tick());
-    at(now + TICK, () -> tick(name));
+    at(now + TICK_MILLIS, () -> tick(name));
   }
 
   private void apply(String name, Event event) {
-    if (stands(name)) {
+    if (isFrozen(name)) {
       if (!(event instanceof LifecycleEvent.Tick)) {
         at(frozenUntil, () -> apply(name, event));
       }
       return;
     }
     for (Effect effect : entries.get(name).apply(event, instant())) {
-      carryOut(name, effect);
+      handleEffect(name, effect);
     }
   }
 
-  private void carryOut(String name, Effect effect) {
+  private void handleEffect(String name, Effect effect) {
     if (effect instanceof RelayEffect.SendAttempt send) {
-      at(now + 1, () -> sent(name, send));
+      at(now + 1, () -> deliverAttempt(name, send));
     } else if (effect instanceof RelayEffect.DropAttempt drop) {
       EmulatedEngine.Job job = jobs.get(drop.request() + "/" + drop.attempt());
       if (job != null) {
         job.cancelled = true;
       }
     } else if (effect instanceof RelayEffect.PassAnswer pass) {
-      passed(pass);
+      answerPassed(pass);
     } else if (effect instanceof RelayEffect.Refuse refuse) {
-      Call one = asked.get(refuse.request());
-      one.over = true;
-      one.refused = true;
+      Call call = calls.get(refuse.request());
+      call.isOver = true;
+      call.refused = true;
     } else if (effect instanceof PeerEffect.SendToPeer send && entries.containsKey(send.node())) {
       at(now + 1, () -> apply(send.node(), new PeerEvent.MessageReceived(name, send.message())));
     }
   }
 
-  private void sent(String name, RelayEffect.SendAttempt send) {
+  private void deliverAttempt(String name, RelayEffect.SendAttempt send) {
     RelayRequest request = requests.get(send.request());
     AttemptTarget target = send.target();
     EmulatedEngine engine = engines.get(target.upstream().id());
-    limited.recordSent(engine.instance.id(), now);
-    if (!coldReturn.recordSend(engine.instance.id(), now)) {
+    limitedEngines.recordSent(engine.instance.id(), now);
+    if (!coldStartReplay.recordSend(engine.instance.id(), now)) {
       apply(
           name,
           new RelayEvent.AttemptFailed(
@@ -318,39 +327,39 @@
             String.valueOf(target.model()),
             PromptPrefixes.of(
                 String.valueOf(target.model()), request.prompt(), request.promptTokens()),
-            written.getOrDefault(send.request(), request.outputTokens()));
+            actualTokens.getOrDefault(send.request(), request.outputTokens()));
     jobs.put(send.request() + "/" + send.attempt(), job);
     engine.add(job);
-    begin(engine);
+    startPrefill(engine);
   }
 
-  private void begin(EmulatedEngine engine) {
+  private void startPrefill(EmulatedEngine engine) {
     EmulatedEngine.Job job = engine.startNext(now);
     if (job != null) {
-      at(job.prefillEndsAt, () -> read(engine, job));
+      at(job.prefillEndsAt, () -> prefillEnded(engine, job));
     }
   }
 
-  private void read(EmulatedEngine engine, EmulatedEngine.Job job) {
+  private void prefillEnded(EmulatedEngine engine, EmulatedEngine.Job job) {
     engine.finish(job);
-    begin(engine);
+    startPrefill(engine);
     if (!job.cancelled) {
-      at(now + engine.firstMillis(), () -> began(engine, job));
+      at(now + engine.firstMillis(), () -> answerBegan(engine, job));
     }
   }
 
-  private void began(EmulatedEngine engine, EmulatedEngine.Job job) {
+  private void answerBegan(EmulatedEngine engine, EmulatedEngine.Job job) {
     if (job.cancelled) {
       return;
     }
-    Call one = asked.get(job.request);
+    Call call = calls.get(job.request);
     double quality = QUALITIES[MODELS.indexOf(job.model)];
     double confidence =
         50
-            + CONFIDENCE_SLOPE * (quality - one.difficulty)
+            + CONFIDENCE_SLOPE * (quality - call.difficulty)
             + CONFIDENCE_NOISE * (2 * random.nextDouble() - 1);
     int percent = (int) Math.max(0, Math.min(100, confidence));
-    RateLimit limit = limited.limit(engine.instance.id(), now);
+    RateLimit limit = limitedEngines.limit(engine.instance.id(), now);
     apply(
         job.entry,
         new RelayEvent.AnswerBegan(job.request, job.attempt, 200, false, percent, limit));
@@ -359,43 +368,43 @@
           now + engine.outputMillis(job),
           () -> {
             if (!job.cancelled) {
-              one.over = true;
+              call.isOver = true;
               apply(job.entry, new RelayEvent.AnswerEnded(job.request, job.attempt));
             }
           });
     }
   }
 
-  private void passed(RelayEffect.PassAnswer pass) {
-    Call one = asked.get(pass.request());
+  private void answerPassed(RelayEffect.PassAnswer pass) {
+    Call call = calls.get(pass.request());
     EmulatedEngine.Job job = jobs.get(pass.request() + "/" + pass.attempt());
     double quality = QUALITIES[MODELS.indexOf(job.model)];
-    one.firstByte = now - one.at;
-    one.credit = one.difficulty <= quality ? 1 : POOR;
-    one.credit *= one.firstByte <= one.kind.objectiveMillis() ? 1 : LATE;
+    call.firstByte = now - call.at;
+    call.credit = call.difficulty <= quality ? 1 : WRONG_WORTH;
+    call.credit *= call.firstByte <= call.kind.objectiveMillis() ? 1 : LATE_WORTH;
   }
 
-  /** Returns the first entry from a place on that doesn't stand still. */
-  private String standing(List<String> names, int place) {
-    String name = names.get(place);
-    return stands(name) ? names.get((place + 1) % names.size()) : name;
+  /** Returns the first entry from an index on that isn't frozen. */
+  private String firstRunning(List<String> names, int index) {
+    String name = names.get(index);
+    return isFrozen(name) ? names.get((index + 1) % names.size()) : name;
   }
 
   private void arrive(Kind kind, String name) {
-    long number = ++order;
-    Call one = new Call(kind, now, random.nextDouble());
-    int subject = random.nextDouble() < hotShare ? 0 : random.nextInt(kind.subjects());
-    int own = (int) (kind.ownTokens() * (0.4 + 1.2 * random.nextDouble()));
+    long number = ++lastOrder;
+    Call call = new Call(kind, now, random.nextDouble());
+    int subject = random.nextDouble() < hotSubjectShare ? 0 : random.nextInt(kind.subjects());
+    int uniqueTokens = (int) (kind.ownTokens() * (0.4 + 1.2 * random.nextDouble()));
     int expectedTokens = kind.outputTokens();
-    if (lengths != null) {
-      int tokens = (int) Math.max(1, expectedTokens * factor(lengths, 4));
-      written.put(number, tokens);
-      expectedTokens = (int) Math.max(1, tokens * factor(lengths, 2));
+    if (lengthRandom != null) {
+      int tokens = (int) Math.max(1, expectedTokens * factor(lengthRandom, 4));
+      actualTokens.put(number, tokens);
+      expectedTokens = (int) Math.max(1, tokens * factor(lengthRandom, 2));
     }
     List<PromptPart> prompt =
         List.of(
             new PromptPart(kind.name() + subject, kind.sharedTokens()),
-            new PromptPart("own" + number, own));
+            new PromptPart("own" + number, uniqueTokens));
     RelayRequest request =
         new RelayRequest(
             number,
@@ -405,27 +414,27 @@
             kind.deadlineMillis(),
             null,
             "*",
-            kind.sharedTokens() + own,
+            kind.sharedTokens() + uniqueTokens,
             expectedTokens,
             prompt,
             "session-" + number,
             null,
             number);
-    asked.put(number, one);
+    calls.put(number, call);
     requests.put(number, request);
     apply(name, new RelayEvent.RequestArrived(request));
     at(
         now + kind.deadlineMillis(),
         () -> {
-          if (!one.over) {
-            one.credit = 0;
-            one.unended = one.firstByte >= 0;
+          if (!call.isOver) {
+            call.credit = 0;
+            call.truncated = call.firstByte >= 0;
             apply(name, new RelayEvent.CallerLeft(number));
           }
         });
   }
 
-  /** Plays some seconds of the load and tells what became of it. */
+  /** Runs some seconds of the load and returns the result. */
   Outcome run(int seconds) {
     List<String> names = new ArrayList<>(entries.keySet());
     names.sort(null);
@@ -433,12 +442,14 @@
       double when = 100;
       while (when < seconds * 1000.0) {
         when += -Math.log(1 - random.nextDouble()) * 1000 / kind.perSecond();
-        int place = random.nextInt(names.size());
-        at(when, () -> arrive(kind, standing(names, place)));
+        int index = random.nextInt(names.size());
+        at(when, () -> arrive(kind, firstRunning(names, index)));
       }
     }
     double end = (seconds + 30) * 1000.0;
-    for (Timed next = timed.poll(); next != null && next.at() < end; next = timed.poll()) {
+    for (ScheduledAction next = scheduledActions.poll();
+        next != null && next.at() < end;
+        next = scheduledActions.poll()) {
       now = Math.max(now, next.at());
       next.action().run();
     }
@@ -446,39 +457,42 @@
   }
 
   private Outcome outcome() {
-    double owed = 0;
+    double maximum = 0;
     double earned = 0;
     int late = 0;
     int refused = 0;
     List<Double> firstBytes = new ArrayList<>();
-    for (Call one : asked.values()) {
-      owed += one.kind.worth();
-      earned += one.kind.worth() * one.credit;
-      boolean intime = one.firstByte >= 0 && one.firstByte <= one.kind.objectiveMillis();
-      late += intime || one.refused ? 0 : 1;
-      refused += one.refused ? 1 : 0;
-      firstBytes.add(one.firstByte < 0 ? one.kind.deadlineMillis() : one.firstByte);
+    for (Call call : calls.values()) {
+      maximum += call.kind.worth();
+      earned += call.kind.worth() * call.credit;
+      boolean inTime = call.firstByte >= 0 && call.firstByte <= call.kind.objectiveMillis();
+      late += inTime || call.refused ? 0 : 1;
+      refused += call.refused ? 1 : 0;
+      firstBytes.add(call.firstByte < 0 ? call.kind.deadlineMillis() : call.firstByte);
     }
     firstBytes.sort(null);
     long again = engines.values().stream().mapToLong(engine -> engine.rereadSharedTokens).sum();
-    int count = asked.size();
+    int count = calls.size();
     return new Outcome(
         count,
-        earned / owed,
+        earned / maximum,
         (double) late / count,
         (double) refused / count,
         again,
         firstBytes.get((int) (count * 0.99)));
   }
 
-  /** Returns the worth, for each kind of request. */
+  /**
+   * Returns the worth of the answers to one kind of request, as a share of the maximum; null if
+   * there were none.
+   */
   @Nullable Double worth(String kind) {
-    double owed = 0;
+    double maximum = 0;
     double earned = 0;
-    for (Call one : asked.values()) {
-      owed += one.kind.name().equals(kind) ? 1 : 0;
-      earned += one.kind.name().equals(kind) ? one.credit : 0;
+    for (Call call : calls.values()) {
+      maximum += call.kind.name().equals(kind) ? 1 : 0;
+      earned += call.kind.name().equals(kind) ? call.credit : 0;
     }
-    return owed == 0 ? null : earned / owed;
+    return maximum == 0 ? null : earned / maximum;
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplayTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplayTest.java
@@ -13,10 +13,10 @@
 import org.testng.annotations.Test;
 
 /**
- * Loads of prompts replayed on eight entries and six engines, some of them slower, in virtual time.
+ * Replays loads of prompts in virtual time on eight entries and six engines, some of them slower.
  *
- * <p>The bounds lie between what the decisions give and what they gave without the mechanism that
- * each test is for; both are named there.
+ * <p>The bounds lie between the results with and without the mechanism that each test guards; both
+ * results are given there.
  */
 public final class EngineLoadReplayTest {
 
@@ -27,7 +27,7 @@
   private static final int MANY_ENGINES = 63;
   private static final int MANY_SECONDS = 20;
 
-  /** Long shared prompts with few requests each, shorter ones, and short ones with long answers. */
+  /** Long shared prompts with few requests each, medium ones, and short ones with long answers. */
   private static List<Kind> kinds(double load) {
     return List.of(
         new Kind("long", 74, 13_300, 3720, 120, 4000, 25_000, 1, 2.9, 6.1 * load),
@@ -39,7 +39,7 @@
     return new EngineLoadReplay(seed, ENTRIES, ENGINES, sharing ? ENTRIES - 1 : 0, 0, kinds(load));
   }
 
-  /** The same kinds, eleven times as many requests and four times as many subjects. */
+  /** The same kinds with eleven times as many requests and four times as many subjects. */
   private static List<Kind> manyKinds(double load) {
     return List.of(
         new Kind("long", 300, 13_300, 3720, 120, 4000, 25_000, 1, 2.9, 72 * load),
@@ -66,14 +66,15 @@
   }
 
   /**
-   * Callers wait for seconds behind other entries' prompts while engines beside are idle. Each
-   * entry sees an eighth of a load of 1.4 times the usual one; nothing fails.
+   * Guards against prompts that wait for seconds behind other entries' prompts while other engines
+   * are idle, because each entry sees an eighth of a load of 1.4 times the usual one; nothing
+   * fails.
    *
-   * <p>Late answers of three seeds: 2.9 to 7.0 in 100 if entries don't tell each other of their
-   * load, 0.7 at the most if they do.
+   * <p>Late answers of three seeds: 2.9 to 7.0 in 100 without load reports between entries, 0.7 at
+   * the most with them.
    */
   @Test(dataProvider = "seeds")
-  public void entriesThatShareTheirLoadAnswerInTime(long seed) {
+  public void entriesThatReportTheirLoadAnswerInTime(long seed) {
     Outcome alone = replay(seed, false, 1.4).run(SECONDS);
     Outcome sharing = replay(seed, true, 1.4).run(SECONDS);
     assertEquals(alone.requests(), sharing.requests());
@@ -83,14 +84,14 @@
   }
 
   /**
-   * Callers with short questions wait for seconds behind prompts of ten times their length, at
-   * double the usual load. Both kinds are answered.
+   * Guards against short questions that wait for seconds behind prompts of ten times their length,
+   * at double the usual load; both kinds have to be answered.
    *
-   * <p>Worth of the short kind: 0.48 in the mean of six seeds if the priority of routes alone
-   * orders them, 0.86 if short reading goes first, and no kind falls below.
+   * <p>Worth of the short kind: 0.48 in the mean of six seeds if only the priority of routes orders
+   * the prompts, 0.86 if a shorter prefill goes first, with no other kind below that.
    */
   @Test(dataProvider = "seeds")
-  public void shortQuestionsAreNotHeldUpByLongPrompts(long seed) {
+  public void shortQuestionsAreNotDelayedByLongPrompts(long seed) {
     EngineLoadReplay replay = replay(seed, true, 2.0);
     Outcome outcome = replay.run(SECONDS);
     for (String kind : List.of("long", "mid", "short")) {
@@ -101,11 +102,11 @@
   }
 
   /**
-   * Callers get an answer of a smaller model in place of none. Four times the usual load comes,
-   * which the engines can't bear if doubted answers are asked again as usual.
+   * At four times the usual load callers get an answer of a smaller model in place of none. The
+   * engines couldn't handle this load if answers of low confidence escalated at the usual rate.
    *
-   * <p>Worth of three seeds: 0.63, and 0.58 to 0.63 without a word between entries, of whom up to 9
-   * in 100 requests are refused.
+   * <p>Worth of three seeds: 0.63, and 0.58 to 0.63 without load reports between entries, where up
+   * to 9 in 100 requests are refused.
    */
   @Test(dataProvider = "seeds")
   public void fourfoldLoadIsAnsweredBySmallerModels(long seed) {
@@ -116,30 +117,32 @@
   }
 
   /**
-   * Callers wait for engines that read the same beginnings again. Seventy-five entries each see two
-   * requests a second and hear eight others; nothing fails.
+   * Guards against engines that read the same prefixes again. Seventy-five entries each see two
+   * requests per second and receive the reports of eight others; nothing fails.
    *
-   * <p>Shared tokens read again in 20 s: 15.1 to 15.7 million if entries tell eight others, 5.1 to
-   * 5.6 million with four schedulers; the slowest hundredth of first bytes after 2.8 and 1.4 s.
+   * <p>Shared tokens read again in 20 s: 15.1 to 15.7 million if entries report to eight others,
+   * 5.1 to 5.6 million with four schedulers; the slowest hundredth of first bytes come after 2.8
+   * and 1.4 s.
    */
   @Test(dataProvider = "seeds")
-  public void schedulersReadBeginningsOnceForManyEntries(long seed) {
-    Outcome hearing = many(seed, 8, 0).run(MANY_SECONDS);
+  public void schedulersAvoidRereadingPrefixes(long seed) {
+    Outcome reporting = many(seed, 8, 0).run(MANY_SECONDS);
     Outcome scheduled = many(seed, 0, 4).run(MANY_SECONDS);
-    assertEquals(hearing.requests(), scheduled.requests());
+    assertEquals(reporting.requests(), scheduled.requests());
     assertTrue(
-        2.4 * scheduled.rereadTokens() < hearing.rereadTokens(), scheduled + " and " + hearing);
-    assertTrue(1.6 * scheduled.p99Millis() < hearing.p99Millis(), scheduled + " and " + hearing);
+        2.4 * scheduled.rereadTokens() < reporting.rereadTokens(), scheduled + " and " + reporting);
+    assertTrue(
+        1.6 * scheduled.p99Millis() < reporting.p99Millis(), scheduled + " and " + reporting);
     assertTrue(scheduled.refused() == 0, scheduled.toString());
   }
 
   /**
-   * Callers of other entries get their answers in time though a scheduler stands still for four
-   * seconds. Its questions find no answer; each entry places the prompt itself after a moment, and
-   * asks the scheduler of another group until it answers again.
+   * Requests of other entries are answered in time while a scheduler is frozen for four seconds.
+   * Queries to the scheduler time out; each entry then places the prompt itself and asks the
+   * scheduler of another group until the frozen one answers again.
    */
   @Test(dataProvider = "seeds")
-  public void schedulerThatStandsStillHoldsNobodyUp(long seed) {
+  public void frozenSchedulerDelaysNoRequest(long seed) {
     EngineLoadReplay replay = many(seed, 0, 4);
     replay.freeze("entry-1", 5000, 9000);
     Outcome outcome = replay.run(MANY_SECONDS);
@@ -149,15 +152,16 @@
   }
 
   /**
-   * Callers are answered in time under three times the usual load. Engines that had a short queue
-   * made others read the same beginnings, until all read beginnings most of the time; a prompt now
-   * waits for the engine that keeps its beginning as long as it stays in time.
+   * Guards against copies of cached prefixes under three times the usual load. Engines with a short
+   * queue were chosen for prefixes that others had cached, until all engines spent most of their
+   * time on reading them; a prompt now waits for the engine that has cached its prefix as long as
+   * it stays in time.
    *
-   * <p>Worth of four seeds: 0.80 in the mean if a copy costs no more than its reading, 0.92 so; 49
-   * and 10 million shared tokens read again, 7.4 and 1.7 in 100 late.
+   * <p>Worth of four seeds: 0.80 in the mean if a copy costs only its prefill, 0.92 with the cost
+   * of waiting; 49 and 10 million shared tokens read again, 7.4 and 1.7 in 100 late.
    */
   @Test(dataProvider = "seeds")
-  public void burstMakesNoCopiesOfWhatIsKept(long seed) {
+  public void burstDoesNotCopyCachedPrefixes(long seed) {
     Outcome outcome = many(seed, 0, 2, 3).run(MANY_SECONDS);
     assertTrue(outcome.worth() > 0.87, outcome.toString());
     assertTrue(outcome.late() < 0.04, outcome.toString());
@@ -165,30 +169,30 @@
   }
 
   /**
-   * Engines that have come back don't fall over again under the callers that waited for them. A
-   * third of 42 crash and return together, cold, under 1.6 times the load; a cold one bears 18
-   * requests a second and falls over well above that, at 32. Their queues are empty, so that each
-   * of 55 entries would send there first.
+   * Guards against restarted engines that fail again under the waiting requests. A third of 42
+   * engines crash and restart together, cold, under 1.6 times the load; a cold one can handle 18
+   * requests per second and fails well above that, at 32. Their queues are empty, so each of 55
+   * entries would send there first.
    *
-   * <p>With the limit no cold engine gets more than it bears, 18 in a second, and no more answers
-   * are late than where engines fall over.
+   * <p>With the limit no cold engine receives more than 18 requests in a second, and no more
+   * answers are late than where engines fail.
    */
   @Test(dataProvider = "seeds")
-  public void coldEnginesThatReturnTogetherAreSpared(long seed) {
-    Outcome unlimited = coldReturn(seed, new ColdStart(3000, 0), 0);
+  public void coldEnginesAreNotOverloadedAfterJointRestart(long seed) {
+    Outcome unlimited = replayColdRestart(seed, new ColdStart(3000, 0), 0);
     assertTrue(unlimited.requests() > 0);
-    Outcome limited = coldReturn(seed, new ColdStart(3000, 18), 18);
+    Outcome limited = replayColdRestart(seed, new ColdStart(3000, 18), 18);
     assertTrue(limited.refused() < 0.005, limited.toString());
     assertTrue(limited.late() <= unlimited.late(), limited + " and " + unlimited);
   }
 
   /**
-   * Guards against a pool that loses engines altogether as they name a rate limit: four of thirteen
-   * take three requests a second each, a third of their part, and callers get more than nine
-   * engines alone would give them.
+   * Guards against a pool that stops using engines as they report a rate limit: four of thirteen
+   * accept three requests per second each, a third of their part, and the result has to be better
+   * than that of nine engines alone.
    */
   @Test(dataProvider = "seeds")
-  public void limitedEnginesAreUsedForWhatTheyTake(long seed) {
+  public void limitedEnginesAreUsedUpToTheirLimit(long seed) {
     EngineLoadReplay limited = limitedPool(seed, 13);
     final LimitedEngines engines = limited.limit(4, 3000, 3);
     Outcome outcome = limited.run(24);
@@ -210,15 +214,16 @@
   }
 
   /**
-   * Callers get the answer at hand in place of one that breaks off at their deadline. Answers of
-   * the largest model are ten times as slow; the longest ones begin in time and can't end.
+   * Guards against escalations whose answer is cut off at the caller's deadline in place of the
+   * complete present answer. The largest model's answers take ten times as long; the longest ones
+   * begin in time and can't end.
    *
-   * <p>Answers begun and not ended, of three seeds: 113, 117 and 148 of some 1,700 if the first
-   * byte alone decides, 40, 33 and 51 if the whole answer does; less than half are aimed at. Worth
-   * 0.855 and 0.848 in the mean, without the price of the largest model, which is asked less often.
+   * <p>Truncated answers of three seeds: 113, 117 and 148 of some 1,700 if only the first byte
+   * decides, 40, 33 and 51 if the whole answer does; the goal is less than half. Worth 0.855 and
+   * 0.848 in the mean, without the price of the largest model, to which fewer requests escalate.
    */
   @Test(dataProvider = "seeds")
-  public void answersThatWouldNotEndAreNotBegun(long seed) {
+  public void answersThatWouldNotEndAreNotStarted(long seed) {
     List<Kind> kinds =
         List.of(
             new Kind("long", 74, 6300, 2890, 200, 2000, 6000, 1, 3.2, 20),
@@ -227,11 +232,11 @@
         new EngineLoadReplay(seed, ENTRIES, Collections.nCopies(12, 1.0), 7, 0, kinds);
     replay.spreadLengths(seed);
     Outcome outcome = replay.run(SECONDS);
-    long unended = replay.truncatedCount();
-    assertTrue(unended < 0.034 * outcome.requests(), unended + " of " + outcome);
+    long truncated = replay.truncatedCount();
+    assertTrue(truncated < 0.034 * outcome.requests(), truncated + " of " + outcome);
   }
 
-  private static Outcome coldReturn(long seed, ColdStart cold, int mostAllowed) {
+  private static Outcome replayColdRestart(long seed, ColdStart cold, int maxAllowed) {
     List<Double> engines = Collections.nCopies(42, 1.0);
     List<Kind> kinds =
         List.of(
@@ -239,26 +244,26 @@
             new Kind("mid", 1464, 568, 1800, 21, 1500, 5000, 0, 1.9, 181 * 1.6),
             new Kind("short", 396, 172, 543, 280, 1500, 20_000, 2, 0.95, 42.5 * 1.6));
     EngineLoadReplay replay = new EngineLoadReplay(seed, 55, engines, 0, 2, kinds);
-    ColdStartReplay engineReturn = replay.returnCold(14, 5000, cold);
+    ColdStartReplay engineRestart = replay.restartCold(14, 5000, cold);
     Outcome outcome = replay.run(9);
-    int most = engineReturn.maxInOneSecond();
-    if (mostAllowed > 0) {
-      assertTrue(most > 0 && most <= mostAllowed, "in a second: " + most);
+    int most = engineRestart.maxInOneSecond();
+    if (maxAllowed > 0) {
+      assertTrue(most > 0 && most <= maxAllowed, "requests in a second: " + most);
     } else {
-      assertTrue(most > 32, "without a limit the load should be too much: " + most);
+      assertTrue(most > 32, "without a limit the engines should be overloaded: " + most);
     }
     return outcome;
   }
 
   /**
-   * Callers who all ask about one subject are answered in time. Three of ten requests of each kind
-   * are for it; its beginning is read by as many engines as its requests need.
+   * Guards against one popular subject that makes requests late. Three of ten requests of each kind
+   * belong to it; its prefix is read by as many engines as its requests need.
    *
-   * <p>Worth of four seeds: 0.98 in the mean, 0.94 if copies cost eight times their reading
+   * <p>Worth of four seeds: 0.98 in the mean, 0.94 if copies cost eight times their prefill
    * whatever the wait.
    */
   @Test(dataProvider = "seeds")
-  public void hotSubjectIsReadByMoreEngines(long seed) {
+  public void popularSubjectIsReadByMoreEngines(long seed) {
     EngineLoadReplay replay = many(seed, 0, 2);
     replay.concentrateOnOneSubject(0.3);
     Outcome outcome = replay.run(MANY_SECONDS);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitSimulation.java
@@ -17,34 +17,42 @@
 import org.skylarkfork.core.placement.PromptPart;
 
 /**
- * Control VMs, entries, upstreams and callers in virtual time, where some upstreams name in their
- * answers how many requests a second they take from all entries together.
+ * Control VMs, entries, upstreams and callers in virtual time. Some upstreams report in their
+ * answers how many requests per second they accept from all entries together.
  */
 final class RateLimitSimulation extends EmulatedDeployment {
 
-  /** Time in which requests at an upstream are counted. */
+  /** Window in which requests to an upstream are counted. */
   static final Duration WINDOW = Duration.ofSeconds(4);
 
-  /** Share of the limit, and requests beyond it, that an upstream bears within the window. */
-  private static final double OVERSHOOT = 1.5;
+  /**
+   * Factor on the limit, and number of requests on top of it, that an upstream tolerates within the
+   * window.
+   */
+  private static final double TOLERANCE_FACTOR = 1.5;
 
-  private static final int SLACK = 5;
+  private static final int TOLERATED_EXTRA = 5;
 
-  /** Time after which an entry that has got an answer with a limit is to obey it. */
-  private static final Duration OBEYED = Duration.ofMillis(500);
+  /**
+   * Time after which an entry that has received an answer with a limit has to respect the limit.
+   */
+  private static final Duration REACTION_TIME = Duration.ofMillis(500);
 
   private static final int SUBJECTS = 60;
   private static final int FIRST_BYTE_MILLIS = 150;
   private static final int ANSWER_MILLIS = 500;
 
-  /** Time that each request under way at an upstream adds to a first byte there. */
-  private static final int RUNNING_MILLIS = 8;
+  /** Delay of a first byte per running request at the upstream, in milliseconds. */
+  private static final int MILLIS_PER_RUNNING_REQUEST = 8;
 
   private static final double REJECTED_SHARE = 0.03;
   private static final List<String> MODELS = List.of("small", "large");
 
-  /** Worst excess over what an upstream bears, and where it was seen; empty if there was none. */
-  String worst = "";
+  /**
+   * Description of the largest excess over the tolerated number of requests; empty if there was
+   * none.
+   */
+  String worstExcessText = "";
 
   int requests;
   int refused;
@@ -56,22 +64,25 @@
   private double worstExcess;
   private long lastNumber;
 
-  /** One start of an upstream. */
+  /** One run of an upstream. */
   static final class Upstream {
     final UpstreamInstance instance;
     private RateLimit limit = RateLimit.NONE;
-    private Instant namedAt = START;
+    private Instant reportedAt = START;
 
-    /** The loosest limit within {@link #CONTACT} and the window before now, by its end. */
-    private final Deque<Earlier> earlier = new ArrayDeque<>();
+    /**
+     * Earlier limits that ended within {@link #SETTLE_TIME} and the window before now, in the order
+     * of their ends.
+     */
+    private final Deque<EarlierLimit> earlierLimits = new ArrayDeque<>();
 
-    private final Map<String, Instant> toldAt = new HashMap<>();
+    private final Map<String, Instant> learnedAt = new HashMap<>();
     private final Deque<Instant> counted = new ArrayDeque<>();
     private boolean up = true;
     private int running;
 
-    /** When it first answered without a limit since it last named one, or null. */
-    private @Nullable Instant freeSince;
+    /** When the upstream first answered without a limit since it last reported one, or null. */
+    private @Nullable Instant unlimitedSince;
 
     int sends;
 
@@ -80,16 +91,18 @@
     }
   }
 
-  /** A limit that held until a time. */
-  private record Earlier(RateLimit limit, Instant until) {}
+  /** A limit that was in force until a time. */
+  private record EarlierLimit(RateLimit limit, Instant until) {}
 
   /**
-   * Makes and starts all, with a configuration in force and every upstream known.
+   * Creates and starts all nodes; the configuration is in force and every upstream known
+   * afterwards.
    *
-   * @param seed seed of all chance
-   * @param entryCount how many entries there are
-   * @param upstreamCount how many upstreams the one service has
-   * @param engines whether they are engines that keep prompts, else plain services
+   * @param seed seed of all random numbers
+   * @param entryCount number of entries
+   * @param upstreamCount number of upstreams of the one service
+   * @param engines whether the upstreams are engines that cache prompts; else they are plain
+   *     services
    */
   RateLimitSimulation(long seed, int entryCount, int upstreamCount, boolean engines) {
     super(seed, entryCount);
@@ -136,24 +149,24 @@
     return upstreams.values().stream().filter(upstream -> upstream.up).toList();
   }
 
-  /** Lets an upstream name a limit from now on. */
+  /** Makes an upstream report a limit from now on. */
   void limit(Upstream upstream, double perSecond) {
-    upstream.earlier.addLast(new Earlier(upstream.limit, network.now()));
+    upstream.earlierLimits.addLast(new EarlierLimit(upstream.limit, network.now()));
     if (!upstream.limit.isBounded()) {
-      upstream.namedAt = network.now();
-      upstream.toldAt.clear();
+      upstream.reportedAt = network.now();
+      upstream.learnedAt.clear();
     }
     upstream.limit = new RateLimit(perSecond);
-    upstream.freeSince = null;
+    upstream.unlimitedSince = null;
   }
 
-  /** Lets an upstream name no limit any more. */
+  /** Makes an upstream report no limit from now on. */
   void lift(Upstream upstream) {
-    upstream.earlier.addLast(new Earlier(upstream.limit, network.now()));
+    upstream.earlierLimits.addLast(new EarlierLimit(upstream.limit, network.now()));
     upstream.limit = RateLimit.NONE;
   }
 
-  /** Ends an upstream, which starts again at its address under a new id, with no limit. */
+  /** Stops an upstream and restarts it at its address under a new id, without a limit. */
   void restart(Upstream upstream) {
     upstream.up = false;
     String[] words = upstream.instance.id().substring("up-".length()).split("\\.");
@@ -162,7 +175,7 @@
     schedule(1500, () -> startUpstream(number, start + 1));
   }
 
-  /** Sends requests to all entries alike for as long as the run lasts. */
+  /** Sends requests to random entries for the rest of the run. */
   void load(double requestsPerSecond) {
     double pause = -Math.log(1 - random.nextDouble()) * 1000 / requestsPerSecond;
     schedule(
@@ -208,15 +221,15 @@
   @Override
   void onEffect(String node, Effect effect) {
     if (effect instanceof RelayEffect.SendAttempt sent) {
-      schedule(1, () -> arrives(node, sent));
+      schedule(1, () -> deliver(node, sent));
     } else if (effect instanceof RelayEffect.Refuse refuse) {
       refused += entryByRequest.remove(refuse.request()) == null ? 0 : 1;
-    } else if (effect instanceof RelayEffect.BreakOff broken) {
-      entryByRequest.remove(broken.request());
+    } else if (effect instanceof RelayEffect.BreakOff breakOff) {
+      entryByRequest.remove(breakOff.request());
     }
   }
 
-  private void arrives(String entry, RelayEffect.SendAttempt sent) {
+  private void deliver(String entry, RelayEffect.SendAttempt sent) {
     Upstream upstream = upstreams.get(sent.target().upstream().id());
     if (upstream == null || !upstream.up) {
       inject(
@@ -231,16 +244,16 @@
       count(upstream, entry);
     }
     if (random.nextDouble() < REJECTED_SHARE) {
-      schedule(randomMillis(5), () -> answers(upstream, entry, sent, 503, true));
+      schedule(randomMillis(5), () -> answer(upstream, entry, sent, 503, true));
     } else {
       upstream.running++;
       int first = engines ? 50 + randomMillis(FIRST_BYTE_MILLIS) : 30 + randomMillis(30);
-      int shared = RUNNING_MILLIS * upstream.running;
-      schedule(first + shared, () -> answers(upstream, entry, sent, 200, false));
+      int shared = MILLIS_PER_RUNNING_REQUEST * upstream.running;
+      schedule(first + shared, () -> answer(upstream, entry, sent, 200, false));
     }
   }
 
-  private void answers(
+  private void answer(
       Upstream upstream, String entry, RelayEffect.SendAttempt sent, int status, boolean notRun) {
     if (!upstream.up) {
       inject(
@@ -251,10 +264,10 @@
     }
     RateLimit limit = upstream.limit;
     if (limit.isBounded() && isAwake(entry)) {
-      upstream.toldAt.putIfAbsent(entry, network.now());
+      upstream.learnedAt.putIfAbsent(entry, network.now());
     }
-    if (!limit.isBounded() && !notRun && upstream.freeSince == null) {
-      upstream.freeSince = network.now();
+    if (!limit.isBounded() && !notRun && upstream.unlimitedSince == null) {
+      upstream.unlimitedSince = network.now();
     }
     int confidence = random.nextInt(100);
     inject(
@@ -272,51 +285,52 @@
     }
   }
 
-  /** Ends an entry at once; it knows nothing of limits once it starts again. */
+  /** Crashes an entry; it knows no limits after its restart. */
   void crash(String entry) {
     network.crash(entry);
-    upstreams.values().forEach(upstream -> upstream.toldAt.remove(entry));
+    upstreams.values().forEach(upstream -> upstream.learnedAt.remove(entry));
   }
 
   /**
-   * Returns the upstreams that an entry in touch believes to be limited though they have answered
-   * without a limit {@link #CONTACT} ago.
+   * Returns the upstreams that a settled entry still treats as limited although they answered
+   * without a limit more than {@link #SETTLE_TIME} ago.
    */
   List<String> staleLimits() {
     Instant since = network.now().minus(SETTLE_TIME);
     List<String> stale = new ArrayList<>();
     for (Upstream upstream : running()) {
-      Instant free = upstream.freeSince;
+      Instant free = upstream.unlimitedSince;
       if (free != null && free.isBefore(since)) {
         entries.stream()
-            .filter(entry -> isAwake(entry) && isSettled(entry) && believesLimited(entry, upstream))
+            .filter(entry -> isAwake(entry) && isSettled(entry) && treatsAsLimited(entry, upstream))
             .forEach(entry -> stale.add(entry + " of " + upstream.instance.id()));
       }
     }
     return stale;
   }
 
-  private boolean believesLimited(String entry, Upstream upstream) {
+  private boolean treatsAsLimited(String entry, Upstream upstream) {
     UpstreamTrack track = entryParts.get(entry).track(upstream.instance.id());
     return track != null && track.rateLimit().isBounded();
   }
 
   private void count(Upstream upstream, String entry) {
     Instant now = network.now();
-    Instant told = upstream.toldAt.get(entry);
-    boolean knows = told != null && !now.isBefore(told.plus(OBEYED));
-    if (!knows || !isUndisturbed(entry) || now.isBefore(upstream.namedAt.plus(SETTLE_TIME))) {
+    Instant learned = upstream.learnedAt.get(entry);
+    boolean knows = learned != null && !now.isBefore(learned.plus(REACTION_TIME));
+    if (!knows || !isUndisturbed(entry) || now.isBefore(upstream.reportedAt.plus(SETTLE_TIME))) {
       return;
     }
     upstream.counted.addLast(now);
     while (!upstream.counted.peekFirst().isAfter(now.minus(WINDOW))) {
       upstream.counted.removeFirst();
     }
-    double most = OVERSHOOT * loosest(upstream) * WINDOW.toSeconds() + SLACK;
-    double excess = upstream.counted.size() - most;
+    double maxAllowed =
+        TOLERANCE_FACTOR * highestLimit(upstream) * WINDOW.toSeconds() + TOLERATED_EXTRA;
+    double excess = upstream.counted.size() - maxAllowed;
     if (excess > worstExcess) {
       worstExcess = excess;
-      worst =
+      worstExcessText =
           upstream.instance.id()
               + " got "
               + upstream.counted.size()
@@ -325,25 +339,29 @@
               + " s at a limit of "
               + upstream.limit
               + " a second; "
-              + most
+              + maxAllowed
               + " allowed";
     }
   }
 
-  /** Returns the loosest limit that an entry may still go by. */
-  private double loosest(Upstream upstream) {
+  /** Returns the highest limit that an entry may still apply. */
+  private double highestLimit(Upstream upstream) {
     Instant since = network.now().minus(SETTLE_TIME).minus(WINDOW);
-    List<Earlier> late = new ArrayList<>();
-    upstream.earlier.stream().filter(one -> one.until().isAfter(since)).forEach(late::add);
-    upstream.earlier.removeIf(one -> !one.until().isAfter(since));
-    double loosest = upstream.limit.perSecond();
-    for (Earlier one : late) {
-      loosest = one.limit().isBounded() ? Math.max(loosest, one.limit().perSecond()) : loosest;
+    List<EarlierLimit> late = new ArrayList<>();
+    upstream.earlierLimits.stream().filter(one -> one.until().isAfter(since)).forEach(late::add);
+    upstream.earlierLimits.removeIf(one -> !one.until().isAfter(since));
+    double highestLimit = upstream.limit.perSecond();
+    for (EarlierLimit one : late) {
+      highestLimit =
+          one.limit().isBounded() ? Math.max(highestLimit, one.limit().perSecond()) : highestLimit;
     }
-    return loosest;
+    return highestLimit;
   }
 
-  /** Returns how many requests each of some upstreams gets in a second while some time passes. */
+  /**
+   * Returns the mean number of requests per second that each of some upstreams receives during a
+   * time.
+   */
   double rate(List<Upstream> some, Duration time) {
     int before = sends(some);
     run(time);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitTest.java
@@ -10,21 +10,24 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests with upstreams that name in their answers how many requests a second they take. */
+/** Tests with upstreams that report in their answers how many requests per second they accept. */
 public final class RateLimitTest {
 
-  /** Property with the number of seeds; more are run by hand. */
+  /** System property with the number of seeds; larger numbers are for manual runs. */
   private static final String SEEDS_PROPERTY = "skylarkfork.relay.seeds";
 
-  /** Property with the first seed. */
+  /** System property with the first seed. */
   private static final String FIRST_PROPERTY = "skylarkfork.relay.first";
 
   private static final int USUAL_SEEDS = 10;
-  private static final int STRIKES = 6;
+  private static final int FAULTS = 6;
 
-  /** Guards against entries that go on sending what they like to an upstream that names a limit. */
+  /**
+   * Guards against entries that keep sending without restriction to an upstream that reports a
+   * limit.
+   */
   @Test
-  public void upstreamsThatNameLimitsGetNoMoreFromAllEntries() {
+  public void allEntriesTogetherRespectReportedLimits() {
     RateLimitSimulation run = new RateLimitSimulation(1, 7, 13, true);
     run.load(97);
     run.run(Duration.ofSeconds(2));
@@ -33,10 +36,13 @@
     run.limit(upstreams.get(1), 2.3);
     run.run(Duration.ofSeconds(15));
     assertTrue(run.limitedSends > 0);
-    assertEquals(run.worst, "");
+    assertEquals(run.worstExcessText, "");
   }
 
-  /** Entries, upstreams, whether these are engines, requests a second, and a limit. */
+  /**
+   * Number of entries and upstreams, whether the upstreams are engines, requests per second, and a
+   * limit.
+   */
   @DataProvider
   public Object[][] deployments() {
     return new Object[][] {
@@ -52,11 +58,11 @@
   }
 
   /**
-   * Guards against a limited upstream that is asked too much or hardly at all, whatever the number
-   * of entries, and against one that counts as limited for good.
+   * Guards against a limited upstream that receives too many or hardly any requests, whatever the
+   * number of entries, and against one that is treated as limited for ever.
    */
   @Test(dataProvider = "deployments")
-  public void poolHalfLimitedGetsWhatItTakes(
+  public void limitedHalfOfPoolIsUsedUpToItsLimit(
       int entries, int upstreamCount, boolean engines, double load, double perSecond) {
     RateLimitSimulation run = new RateLimitSimulation(1, entries, upstreamCount, engines);
     run.load(load);
@@ -72,10 +78,12 @@
     double free = run.rate(limited, Duration.ofSeconds(10));
     assertTrue(free > 1.5 * perSecond, free + " a second once lifted");
     assertEquals(run.staleLimits(), List.of());
-    assertEquals(run.worst, "");
+    assertEquals(run.worstExcessText, "");
   }
 
-  /** Entries, upstreams, whether these are engines, and requests a second. */
+  /**
+   * Number of entries and upstreams, whether the upstreams are engines, and requests per second.
+   */
   @DataProvider
   public Object[][] pools() {
     return new Object[][] {
@@ -85,10 +93,11 @@
 
   /**
    * Guards against too many sends while entries are killed, frozen or cut off, leaders change, and
-   * upstreams name, change and lift limits or start again.
+   * upstreams report, change and lift limits or restart.
    */
   @Test(dataProvider = "pools")
-  public void limitsHoldInRandomRuns(int entries, int upstreams, boolean engines, double load) {
+  public void limitsHoldUnderRandomFaults(
+      int entries, int upstreams, boolean engines, double load) {
     long first = Long.getLong(FIRST_PROPERTY, 1);
     int seeds = Integer.getInteger(SEEDS_PROPERTY, USUAL_SEEDS);
     int sends = 0;
@@ -96,7 +105,7 @@
       RateLimitSimulation run = new RateLimitSimulation(seed, entries, upstreams, engines);
       run.load(load);
       randomRun(run);
-      assertEquals(run.worst, "", "seed " + seed);
+      assertEquals(run.worstExcessText, "", "seed " + seed);
       run.run(Duration.ofSeconds(5));
       assertEquals(run.staleLimits(), List.of(), "seed " + seed);
       sends += run.limitedSends;
@@ -106,12 +115,12 @@
 
   private static void randomRun(RateLimitSimulation run) {
     run.network.weather(0.01, 0.01, 3);
-    for (int strike = 0; strike < STRIKES; strike++) {
+    for (int injectFault = 0; injectFault < FAULTS; injectFault++) {
       changeLimits(run);
       run.run(Duration.ofMillis(run.random.nextInt(4000)));
-      List<String> struck = strike(run);
+      List<String> crashed = injectFault(run);
       run.run(Duration.ofMillis(500 + run.random.nextInt(3000)));
-      recover(run, struck);
+      recover(run, crashed);
       run.run(Duration.ofMillis(2000 + run.random.nextInt(5000)));
     }
   }
@@ -131,42 +140,42 @@
     }
   }
 
-  private static List<String> strike(RateLimitSimulation run) {
-    List<String> struck = new ArrayList<>();
+  private static List<String> injectFault(RateLimitSimulation run) {
+    List<String> crashed = new ArrayList<>();
     String leader = run.leader();
     String control = run.controls.get(run.random.nextInt(run.controls.size()));
     String entry = run.entries.get(run.random.nextInt(run.entries.size()));
     switch (run.random.nextInt(7)) {
-      case 0 -> struck.add(leader == null ? control : leader);
-      case 1 -> struck.addAll(run.controls);
-      case 2 -> struck.addAll(run.entries.subList(0, run.entries.size() / 2));
-      case 3 -> struck.add(entry);
+      case 0 -> crashed.add(leader == null ? control : leader);
+      case 1 -> crashed.addAll(run.controls);
+      case 2 -> crashed.addAll(run.entries.subList(0, run.entries.size() / 2));
+      case 3 -> crashed.add(entry);
       case 4 -> run.network.freeze(run.random.nextBoolean() ? entry : control);
       case 5 -> run.network.isolate(entry);
       default -> run.network.isolate(leader == null ? control : leader);
     }
-    for (String name : struck) {
+    for (String name : crashed) {
       run.crash(name);
     }
-    everyStruck(run).forEach(run::markDisturbed);
+    unavailable(run).forEach(run::markDisturbed);
     run.markDisturbed(entry);
-    return struck;
+    return crashed;
   }
 
-  private static List<String> everyStruck(RateLimitSimulation run) {
+  private static List<String> unavailable(RateLimitSimulation run) {
     List<String> all = new ArrayList<>(run.controls);
     all.addAll(run.entries);
     return all.stream().filter(name -> !run.isAwake(name)).toList();
   }
 
-  private static void recover(RateLimitSimulation run, List<String> struck) {
-    everyStruck(run).forEach(run::markDisturbed);
+  private static void recover(RateLimitSimulation run, List<String> crashed) {
+    unavailable(run).forEach(run::markDisturbed);
     run.network.heal();
-    for (String name : everyStruck(run)) {
+    for (String name : unavailable(run)) {
       if (run.network.isFrozen(name)) {
         run.network.thaw(name);
       }
     }
-    struck.forEach(run.network::start);
+    crashed.forEach(run.network::start);
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimiterTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimiterTest.java
@@ -10,14 +10,18 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link RateLimiter} and of the {@link RateDivision}s: what all parts add up to. */
+/**
+ * Tests of {@link RateLimiter} and of the sum of the parts that each {@link RateDivision} assigns.
+ */
 public final class RateLimiterTest {
 
   private static final Instant START = RelayFixture.START;
   private static final String SCHEDULER = "scheduler";
   private static final EngineProfile ENGINE = new EngineProfile(64, 100_000, List.of());
-  private static final RelayService ENGINES = new RelayService("service", "/health", 100, ENGINE);
-  private static final RelayService PLAIN = new RelayService("service", "/health", 100, null);
+  private static final RelayService ENGINE_SERVICE =
+      new RelayService("service", "/health", 100, ENGINE);
+  private static final RelayService PLAIN_SERVICE =
+      new RelayService("service", "/health", 100, null);
 
   private static RelayFixture.FakeView view(int number, int of, String... schedulers) {
     RelayFixture.FakeView view = new RelayFixture.FakeView();
@@ -37,10 +41,10 @@
   private static RateShare schedulersShare(UpstreamTrack track) {
     SchedulerRole role = new SchedulerRole(view(0, 75, SCHEDULER), SCHEDULER);
     role.tick(START);
-    return new SchedulerRateDivision(role).share(ENGINES, track, START.plusSeconds(2));
+    return new SchedulerRateDivision(role).share(ENGINE_SERVICE, track, START.plusSeconds(2));
   }
 
-  /** Entries, whether a scheduler places, and a limit. */
+  /** Number of entries, whether a scheduler places requests, and a limit. */
   @DataProvider
   public Object[][] limits() {
     Object[][] limits = new Object[6 * 2 * 7][];
@@ -55,57 +59,62 @@
     return limits;
   }
 
-  /** Guards against parts of daemons that add up to more than an upstream takes. */
+  /** Guards against parts of the daemons that add up to more than an upstream accepts. */
   @Test(dataProvider = "limits")
-  public void partsAddUpToTheLimit(int entries, boolean scheduled, double perSecond) {
+  public void partsAddUpToTheLimitOfTheUpstream(int entries, boolean scheduled, double perSecond) {
     UpstreamTrack track = track("up", perSecond);
     double rates = scheduled ? schedulersShare(track).perSecond() : 0;
     double bursts = scheduled ? schedulersShare(track).burst() : 0;
     for (int number = 0; number < entries; number++) {
       String[] schedulers = scheduled ? new String[] {SCHEDULER} : new String[0];
       RateDivision division = new EntryRateDivision(view(number, entries, schedulers));
-      RateShare share = division.share(ENGINES, track, START);
+      RateShare share = division.share(ENGINE_SERVICE, track, START);
       rates += share.perSecond();
       bursts += share.isNone() ? 0 : share.burst();
     }
-    double meant = Math.max(perSecond, RateDivision.MIN_PER_SECOND);
-    assertEquals(rates, meant, 1e-9 * meant);
+    double expectedRate = Math.max(perSecond, RateDivision.MIN_PER_SECOND);
+    assertEquals(rates, expectedRate, 1e-9 * expectedRate);
     assertTrue(bursts <= (1 + 1e-9) * (4 + 1.5 * perSecond), "at once: " + bursts);
     double inFourSeconds = bursts + 4 * rates;
     assertTrue(inFourSeconds <= (1 + 1e-9) * (6 * perSecond + 5), "in 4 s: " + inFourSeconds);
   }
 
   @Test
-  public void entryWithoutNumberSendsNothingToLimitedUpstreams() {
+  public void entryWithoutOrdinalSendsNothingToLimitedUpstreams() {
     RateLimiter limiter = new RateLimiter(new EntryRateDivision(view(0, 0)));
-    assertFalse(limiter.allows(PLAIN, track("up", 5), START.plusSeconds(60)));
-    assertTrue(limiter.allows(PLAIN, track("up", Double.POSITIVE_INFINITY), START));
+    assertFalse(limiter.allows(PLAIN_SERVICE, track("up", 5), START.plusSeconds(60)));
+    assertTrue(limiter.allows(PLAIN_SERVICE, track("up", Double.POSITIVE_INFINITY), START));
   }
 
   @Test
-  public void callersAreToldWhenTheNextRequestIsTaken() {
+  public void waitUntilTheNextRequestIsReported() {
     RateLimiter limiter = new RateLimiter(new EntryRateDivision(view(0, 1)));
     UpstreamTrack track = track("up", 0.5);
-    assertEquals(limiter.timeUntilAllowed(PLAIN, track, START), Duration.ofSeconds(2));
-    assertEquals(limiter.timeUntilAllowed(PLAIN, track, START.plusSeconds(2)), Duration.ZERO);
-    limiter.recordSent(PLAIN, track, START.plusSeconds(2));
+    assertEquals(limiter.timeUntilAllowed(PLAIN_SERVICE, track, START), Duration.ofSeconds(2));
     assertEquals(
-        limiter.timeUntilAllowed(PLAIN, track, START.plusMillis(2500)), Duration.ofMillis(1500));
+        limiter.timeUntilAllowed(PLAIN_SERVICE, track, START.plusSeconds(2)), Duration.ZERO);
+    limiter.recordSent(PLAIN_SERVICE, track, START.plusSeconds(2));
+    assertEquals(
+        limiter.timeUntilAllowed(PLAIN_SERVICE, track, START.plusMillis(2500)),
+        Duration.ofMillis(1500));
   }
 
-  /** Guards against sends that are allowed twice as a part comes and goes with other entries. */
+  /**
+   * Guards against sends that are allowed twice if a part is removed and assigned again as other
+   * entries stop and start.
+   */
   @Test
-  public void partThatComesBackBeginsEmpty() {
+  public void reassignedPartBeginsEmpty() {
     RelayFixture.FakeView view = view(0, 1);
     RateLimiter limiter = new RateLimiter(new EntryRateDivision(view));
     UpstreamTrack track = track("up", 1);
-    assertFalse(limiter.allows(PLAIN, track, START));
-    assertTrue(limiter.allows(PLAIN, track, START.plusSeconds(9)));
+    assertFalse(limiter.allows(PLAIN_SERVICE, track, START));
+    assertTrue(limiter.allows(PLAIN_SERVICE, track, START.plusSeconds(9)));
     view.place = EntryOrdinal.UNKNOWN;
-    assertFalse(limiter.allows(PLAIN, track, START.plusSeconds(10)));
+    assertFalse(limiter.allows(PLAIN_SERVICE, track, START.plusSeconds(10)));
     view.place = new EntryOrdinal(0, 1);
-    assertFalse(limiter.allows(PLAIN, track, START.plusSeconds(11)));
-    assertTrue(limiter.allows(PLAIN, track, START.plusSeconds(12)));
+    assertFalse(limiter.allows(PLAIN_SERVICE, track, START.plusSeconds(11)));
+    assertTrue(limiter.allows(PLAIN_SERVICE, track, START.plusSeconds(12)));
   }
 
   private static int entriesOfTwoThatSendAfterSecond(boolean knownFromTheStart) {
@@ -115,18 +124,18 @@
       RateLimiter limiter = new RateLimiter(new EntryRateDivision(view));
       UpstreamTrack track = track("up", 1);
       if (!knownFromTheStart) {
-        limiter.allows(PLAIN, track, START);
+        limiter.allows(PLAIN_SERVICE, track, START);
       }
       view.place = new EntryOrdinal(number, 2);
-      limiter.allows(PLAIN, track, START);
-      send += limiter.allows(PLAIN, track, START.plusSeconds(1)) ? 1 : 0;
+      limiter.allows(PLAIN_SERVICE, track, START);
+      send += limiter.allows(PLAIN_SERVICE, track, START.plusSeconds(1)) ? 1 : 0;
     }
     return send;
   }
 
-  /** Guards against entries that get parts of others, which have just used these up. */
+  /** Guards against entries that receive parts of other entries that have just used them up. */
   @Test
-  public void partThatComesLaterBeginsEmpty() {
+  public void laterPartBeginsEmpty() {
     assertEquals(entriesOfTwoThatSendAfterSecond(true), 1);
     assertEquals(entriesOfTwoThatSendAfterSecond(false), 0);
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/SchedulerTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/SchedulerTest.java
@@ -37,7 +37,7 @@
   private Reducer scheduler = new Reducer(List.of());
   private Instant now = RelayFixture.START;
 
-  /** An entry that knows three engines and one scheduler, which knows the same engines. */
+  /** Creates an entry that knows three engines and one scheduler, which knows the same engines. */
   @BeforeMethod
   public void setUp() {
     now = RelayFixture.START;
@@ -95,7 +95,7 @@
     return effects.stream().anyMatch(SendAttempt.class::isInstance);
   }
 
-  private List<Effect> arrives(long number) {
+  private List<Effect> requestArrives(long number) {
     RelayRequest request =
         new RelayRequest(
             number,
@@ -114,24 +114,24 @@
     return apply(new RelayEvent.RequestArrived(request));
   }
 
-  private PlacementAsk asks(long number) {
-    List<Effect> effects = arrives(number);
+  private PlacementAsk queryOf(long number) {
+    List<Effect> effects = requestArrives(number);
     assertTrue(!sends(effects), "the scheduler is asked first");
     SendToPeer sent = only(effects, SendToPeer.class);
     assertEquals(sent.node(), SCHEDULER);
     return (PlacementAsk) sent.message();
   }
 
-  private PlacementAnswer schedules(String from, RelayMessage message) {
+  private PlacementAnswer schedule(String from, RelayMessage message) {
     List<Effect> effects = scheduler.apply(new PeerEvent.MessageReceived(from, message), now);
     return (PlacementAnswer) only(effects, SendToPeer.class).message();
   }
 
-  private List<Effect> answered(PlacementAnswer answer) {
+  private List<Effect> handleAnswer(PlacementAnswer answer) {
     return apply(new PeerEvent.MessageReceived(SCHEDULER, answer));
   }
 
-  private void tells(String from, long number, AttemptProgress progress) {
+  private void reportProgress(String from, long number, AttemptProgress progress) {
     PlacementNews news = new PlacementNews(number, progress, 100);
     scheduler.apply(new PeerEvent.MessageReceived(from, news), now);
   }
@@ -142,11 +142,12 @@
   }
 
   @Test
-  public void attemptGoesWhereTheSchedulerSays() {
-    PlacementAsk ask = asks(1);
+  public void attemptGoesToTheScheduledEngine() {
+    PlacementAsk ask = queryOf(1);
     assertEquals(ask.versions(), List.of("v1"));
     assertEquals(ask.excluded(), List.of());
-    List<Effect> effects = answered(new PlacementAnswer(ask.number(), "up-2", 10, 20, 40, 1000));
+    List<Effect> effects =
+        handleAnswer(new PlacementAnswer(ask.number(), "up-2", 10, 20, 40, 1000));
     assertEquals(only(effects, SendAttempt.class).target().upstream().id(), "up-2");
     List<Effect> begun = apply(new RelayEvent.AnswerBegan(1, 1, 200, false, 90));
     PlacementNews news = (PlacementNews) only(begun, SendToPeer.class).message();
@@ -157,69 +158,74 @@
   }
 
   /**
-   * The caller gets an answer though the scheduler has died. The entry waits for it for a moment,
-   * then places the prompt itself, and the next ones at once. An answer that comes too late is
-   * given back, or the scheduler would count the engine as taken until the request's deadline.
+   * A request is answered although the scheduler has failed. The entry places the prompt itself
+   * after a timeout, and the next prompts at once. The reservation of a late answer is released;
+   * otherwise the scheduler would count the engine as in use until the request's deadline.
    */
   @Test
-  public void silentSchedulerIsDoneWithout() {
-    final PlacementAsk ask = asks(1);
+  public void entryPlacesPromptItselfIfSchedulerIsSilent() {
+    final PlacementAsk ask = queryOf(1);
     assertTrue(!sends(tick(50)));
     assertTrue(sends(tick(50)));
-    assertTrue(sends(arrives(2)), "it is not asked for a while");
-    List<Effect> late = answered(new PlacementAnswer(ask.number(), "up-2", 0, 20, 40, 1000));
-    SendToPeer back = only(late, SendToPeer.class);
+    assertTrue(sends(requestArrives(2)), "the scheduler is not asked for a while");
+    List<Effect> late = handleAnswer(new PlacementAnswer(ask.number(), "up-2", 0, 20, 40, 1000));
+    SendToPeer released = only(late, SendToPeer.class);
     assertEquals(
-        back.message(), new PlacementNews(ask.number(), AttemptProgress.ENDED, 0), "given back");
+        released.message(),
+        new PlacementNews(ask.number(), AttemptProgress.ENDED, 0),
+        "the reservation is released");
     tick(1500);
-    asks(3);
+    queryOf(3);
   }
 
   /**
-   * An upstream that leaves gets no new work, whoever names it: the entry has heard that it leaves,
-   * the scheduler has not yet.
+   * A leaving upstream receives no new requests even if a scheduler selects it: the entry already
+   * knows that it is leaving, the scheduler does not.
    */
   @Test
-  public void leavingEngineIsNotUsedThoughTheSchedulerNamesIt() {
-    PlacementAsk ask = asks(1);
+  public void leavingEngineIsNotUsedAlthoughScheduled() {
+    PlacementAsk ask = queryOf(1);
     view.tracks.get(1).markLeaving();
-    List<Effect> effects = answered(new PlacementAnswer(ask.number(), "up-2", 0, 20, 40, 1000));
+    List<Effect> effects = handleAnswer(new PlacementAnswer(ask.number(), "up-2", 0, 20, 40, 1000));
     assertNotEquals(only(effects, SendAttempt.class).target().upstream().id(), "up-2");
-    SendToPeer back = only(effects, SendToPeer.class);
-    assertEquals(back.message(), new PlacementNews(ask.number(), AttemptProgress.ENDED, 0));
+    SendToPeer released = only(effects, SendToPeer.class);
+    assertEquals(released.message(), new PlacementNews(ask.number(), AttemptProgress.ENDED, 0));
   }
 
-  /** The entry has heard that a zone is evacuated, the scheduler has not yet. */
+  /** The entry already knows that a zone is evacuated, the scheduler does not. */
   @Test
-  public void evacuatedEngineIsNotUsedThoughTheSchedulerNamesIt() {
-    PlacementAsk ask = asks(1);
+  public void evacuatedEngineIsNotUsedAlthoughScheduled() {
+    PlacementAsk ask = queryOf(1);
     view.tracks.get(1).evacuated(true);
-    List<Effect> effects = answered(new PlacementAnswer(ask.number(), "up-2", 0, 20, 40, 1000));
+    List<Effect> effects = handleAnswer(new PlacementAnswer(ask.number(), "up-2", 0, 20, 40, 1000));
     assertNotEquals(only(effects, SendAttempt.class).target().upstream().id(), "up-2");
-    assertEquals(asks(2).excluded(), List.of("up-2"), "nor is it asked for again");
+    assertEquals(
+        queryOf(2).excluded(), List.of("up-2"), "the engine is excluded from the next query");
   }
 
   /**
-   * The caller leaves while the scheduler is asked; nothing is sent and the place is given back.
+   * The caller disconnects while the scheduler is asked; nothing is sent and the reservation is
+   * released.
    */
   @Test
-  public void placeOfCallerThatLeftIsGivenBack() {
-    PlacementAsk ask = asks(1);
+  public void reservationIsReleasedIfCallerLeaves() {
+    PlacementAsk ask = queryOf(1);
     apply(new RelayEvent.CallerLeft(1));
-    List<Effect> effects = answered(new PlacementAnswer(ask.number(), "up-2", 0, 20, 40, 1000));
+    List<Effect> effects = handleAnswer(new PlacementAnswer(ask.number(), "up-2", 0, 20, 40, 1000));
     assertTrue(!sends(effects));
     only(effects, SendToPeer.class);
     assertTrue(!sends(tick(200)));
   }
 
   /**
-   * A doubted answer is kept where the larger model would be late. The entry knows nothing of other
-   * entries' work; the scheduler tells the wait, and the answer that has begun is passed on.
+   * An answer of low confidence is kept if the larger model's would be late. The entry doesn't know
+   * the load of other entries; the scheduler reports the wait, and the answer that has begun is
+   * passed on.
    */
   @Test
-  public void schedulersWaitDecidesOnLargerModel() {
-    PlacementAsk ask = asks(1);
-    answered(new PlacementAnswer(ask.number(), "up-2", 0, 20, 40, 1000));
+  public void waitAtSchedulerDecidesOnEscalation() {
+    PlacementAsk ask = queryOf(1);
+    handleAnswer(new PlacementAnswer(ask.number(), "up-2", 0, 20, 40, 1000));
     List<Effect> effects = apply(new RelayEvent.AnswerBegan(1, 1, 200, false, 10));
     assertTrue(effects.stream().noneMatch(RelayEffect.PassAnswer.class::isInstance));
     PlacementAsk larger =
@@ -232,57 +238,62 @@
             .orElseThrow();
     assertEquals(larger.model(), "large");
     assertEquals(larger.excluded(), List.of("up-2"));
-    List<Effect> busy = answered(new PlacementAnswer(larger.number(), "up-1", 1400, 20, 1440, 10));
+    List<Effect> busy =
+        handleAnswer(new PlacementAnswer(larger.number(), "up-1", 1400, 20, 1440, 10));
     only(busy, RelayEffect.PassAnswer.class);
     assertTrue(!sends(busy));
-    SendToPeer back = only(busy, SendToPeer.class);
-    assertEquals(back.message(), new PlacementNews(larger.number(), AttemptProgress.ENDED, 0));
+    SendToPeer released = only(busy, SendToPeer.class);
+    assertEquals(released.message(), new PlacementNews(larger.number(), AttemptProgress.ENDED, 0));
   }
 
-  /** Prompts of one subject go to one engine, whichever entries ask, until it has much to do. */
+  /**
+   * Prompts of one subject go to one engine, whichever entries send them, until that engine is
+   * busy.
+   */
   @Test
-  public void schedulerSendsSharedPromptsWhereTheyAreKept() {
-    PlacementAsk first = asks(1);
-    String engine = schedules(ENTRY, first).upstream();
-    tells(ENTRY, first.number(), AttemptProgress.BEGUN);
-    PlacementAnswer second = schedules("entry-8", asks(2));
+  public void sharedPromptsGoToTheEngineThatCachedThem() {
+    PlacementAsk first = queryOf(1);
+    String engine = schedule(ENTRY, first).upstream();
+    reportProgress(ENTRY, first.number(), AttemptProgress.BEGUN);
+    PlacementAnswer second = schedule("entry-8", queryOf(2));
     assertEquals(second.upstream(), engine);
-    assertEquals(second.newTokens(), 100, "the shared part is kept");
+    assertEquals(second.newTokens(), 100, "the shared part is cached");
   }
 
   /**
-   * Entries don't each run into the same dead engine. One of them finds that it can't be reached
-   * and tells the scheduler, which sends nothing more there for a while.
+   * Guards against entries that each find the same dead engine by a failed attempt. One entry
+   * reports to the scheduler that the engine is unreachable, and the scheduler avoids it for a
+   * while.
    */
   @Test
-  public void oneEntrysFailureSparesTheOthers() {
-    PlacementAsk first = asks(1);
-    String dead = schedules(ENTRY, first).upstream();
-    tells(ENTRY, first.number(), AttemptProgress.UNREACHABLE);
+  public void failureReportedByOneEntryAppliesToAll() {
+    PlacementAsk first = queryOf(1);
+    String dead = schedule(ENTRY, first).upstream();
+    reportProgress(ENTRY, first.number(), AttemptProgress.UNREACHABLE);
     for (long number = 2; number < 20; number++) {
-      assertNotEquals(schedules("entry-" + number, asks(number)).upstream(), dead);
+      assertNotEquals(schedule("entry-" + number, queryOf(number)).upstream(), dead);
     }
   }
 
   /**
-   * Engines don't count as taken for ever by an entry that died: its places are free once its
-   * requests must be over.
+   * The reservations of an entry that has failed expire at the deadlines of its requests; otherwise
+   * its engines would count as in use for ever.
    */
   @Test
-  public void placesOfDeadEntryExpire() {
+  public void reservationsOfFailedEntryExpire() {
     List<PlacementAnswer> taken = new ArrayList<>();
     for (long number = 1; number <= 9; number++) {
-      taken.add(schedules(ENTRY, asks(number)));
+      taken.add(schedule(ENTRY, queryOf(number)));
     }
     assertTrue(taken.get(8).waitMillis() > 0, "they queue up: " + taken);
     now = now.plusSeconds(5);
     scheduler.apply(new LifecycleEvent.Tick(), now);
-    assertEquals(schedules(ENTRY, asks(20)).waitMillis(), 0);
+    assertEquals(schedule(ENTRY, queryOf(20)).waitMillis(), 0);
   }
 
   @Test
-  public void schedulerWithoutFittingEngineSaysSo() {
-    PlacementAsk ask = asks(1);
+  public void schedulerWithoutEligibleEngineAnswersNone() {
+    PlacementAsk ask = queryOf(1);
     PlacementAsk other =
         new PlacementAsk(
             9,
@@ -297,7 +308,7 @@
             List.of("v9"),
             List.of(),
             99);
-    assertEquals(schedules(ENTRY, other), new PlacementAnswer(9, null, 0, 0, 0, 0));
+    assertEquals(schedule(ENTRY, other), new PlacementAnswer(9, null, 0, 0, 0, 0));
     PlacementAsk unknown =
         new PlacementAsk(
             9,
@@ -312,9 +323,9 @@
             List.of("v1"),
             List.of(),
             99);
-    assertEquals(schedules(ENTRY, unknown), new PlacementAnswer(9, null, 0, 0, 0, 0));
+    assertEquals(schedule(ENTRY, unknown), new PlacementAnswer(9, null, 0, 0, 0, 0));
     assertTrue(
-        sends(answered(new PlacementAnswer(ask.number(), null, 0, 0, 0, 0))),
-        "the entry looks for one itself");
+        sends(handleAnswer(new PlacementAnswer(ask.number(), null, 0, 0, 0, 0))),
+        "the entry selects an engine itself");
   }
 }
