--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ConfidenceCascade.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ConfidenceCascade.java
@@ -119,8 +119,10 @@
    */
   private static double deviations(ActiveRelay relay) {
     Integer confidence = relay.confidence;
-    double doubt = confidence == null ? 0 : 1 - Math.min(1, confidence / (double) MIN_CONFIDENCE);
-    return THRESHOLD_DEVIATIONS - (THRESHOLD_DEVIATIONS - WRONG_ANSWER_DEVIATIONS) * doubt;
+    double missingConfidence =
+        confidence == null ? 0 : 1 - Math.min(1, confidence / (double) MIN_CONFIDENCE);
+    return THRESHOLD_DEVIATIONS
+        - (THRESHOLD_DEVIATIONS - WRONG_ANSWER_DEVIATIONS) * missingConfidence;
   }
 
   /**
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeastTimePicker.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeastTimePicker.java
@@ -133,7 +133,7 @@
   }
 
   private @Nullable Placement best(
-      PlacementEstimator estimate,
+      PlacementEstimator estimator,
       PlacementQuery query,
       List<UpstreamTrack> usableUpstreams,
       Instant now) {
@@ -142,8 +142,8 @@
     Placement best = null;
     double leastCost = Double.MAX_VALUE;
     for (UpstreamTrack track : usableUpstreams) {
-      Placement placement = estimate.estimate(track);
-      double cost = placement.firstByteMillis() + estimate.costToOthersMillis(placement);
+      Placement placement = estimator.estimate(track);
+      double cost = placement.firstByteMillis() + estimator.costToOthersMillis(placement);
       cost += FAILURE_MILLIS * track.failureShare() + random.nextDouble();
       cost += zone.equals(track.instance().zone()) ? 0 : distanceMillis;
       cost -= track.rateLimit().isBounded() ? LIMITED_PREFERENCE_MILLIS : 0;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
@@ -275,10 +275,11 @@
       SchedulerGrant grant,
       AttemptProgress progress,
       long millis,
-      @Nullable ReportedLimit named,
+      @Nullable ReportedLimit reported,
       Output output) {
     output.effect(
         new SendToPeer(
-            grant.scheduler(), new PlacementNews(grant.number(), progress, (int) millis, named)));
+            grant.scheduler(),
+            new PlacementNews(grant.number(), progress, (int) millis, reported)));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TrackedRateLimit.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TrackedRateLimit.java
@@ -25,8 +25,8 @@
   }
 
   /** Records the limit in an answer to this daemon. */
-  void recordLimit(RateLimit named, Instant now) {
-    limit = named;
+  void recordLimit(RateLimit reported, Instant now) {
+    limit = reported;
     reportedAt = now;
   }
 
@@ -34,10 +34,10 @@
    * Records the limit that the upstream reported at a time, if that is newer than the known report;
    * returns whether it is.
    */
-  boolean updateIfNewer(RateLimit named, Instant at) {
+  boolean updateIfNewer(RateLimit reported, Instant at) {
     boolean newer = at.isAfter(reportedAt);
     if (newer) {
-      recordLimit(named, at);
+      recordLimit(reported, at);
     }
     return newer;
   }
@@ -45,17 +45,17 @@
   /**
    * Records the limit that the upstream reported to another daemon, if it is newer.
    *
-   * @param named the report, or null if the sender knows of none
+   * @param reported the report, or null if the sender knows of none
    * @param now the present time
    * @return whether the report is newer than the known one
    */
-  boolean updateIfNewer(@Nullable ReportedLimit named, Instant now) {
-    return named != null && updateIfNewer(named.limit(), named.reportedAt(now));
+  boolean updateIfNewer(@Nullable ReportedLimit reported, Instant now) {
+    return reported != null && updateIfNewer(reported.limit(), reported.reportedAt(now));
   }
 
   /** Records the limit that the leader knows; null if it knows of none. */
-  void setKnownToLeader(@Nullable ReportedLimit named) {
-    knownToLeader = named == null ? RateLimit.NONE : named.limit();
+  void setKnownToLeader(@Nullable ReportedLimit reported) {
+    knownToLeader = reported == null ? RateLimit.NONE : reported.limit();
   }
 
   /** Returns whether the limit differs from the one that the leader knows. */
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedEngine.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedEngine.java
@@ -51,14 +51,14 @@
         int attempt,
         int urgency,
         String model,
-        PromptPrefixes chain,
+        PromptPrefixes prefixes,
         int outputTokens) {
       this.entry = entry;
       this.request = request;
       this.attempt = attempt;
       this.urgency = urgency;
       this.model = model;
-      this.prefixes = chain;
+      this.prefixes = prefixes;
       this.outputTokens = outputTokens;
     }
   }
@@ -88,27 +88,27 @@
     waiting.remove(next);
     inPrefill = next;
     double modelCost = modelCosts.get(next.model) * latencyFactor;
-    next.prefillEndsAt = now + startPrefill(next.prefixes) * modelCost / TOKENS_PER_MILLI;
+    next.prefillEndsAt = now + readPrompt(next.prefixes) * modelCost / TOKENS_PER_MILLI;
     return next;
   }
 
-  private int startPrefill(PromptPrefixes chain) {
+  private int readPrompt(PromptPrefixes prefixes) {
     int hitTokens = 0;
     int index = 0;
-    while (index < chain.size() && cache.get(chain.key(index)) != null) {
-      hitTokens = chain.tokens(index);
+    while (index < prefixes.size() && cache.get(prefixes.key(index)) != null) {
+      hitTokens = prefixes.tokens(index);
       index++;
     }
-    for (; index < chain.size(); index++) {
-      int prefixTokens = index == 0 ? 0 : chain.tokens(index - 1);
-      putInCache(chain.key(index), chain.tokens(index) - prefixTokens);
-      boolean shared = index < chain.sharedSize();
-      if (shared && alreadyRead.put(chain.key(index), true) != null) {
-        rereadSharedTokens += chain.tokens(index) - prefixTokens;
+    for (; index < prefixes.size(); index++) {
+      int prefixTokens = index == 0 ? 0 : prefixes.tokens(index - 1);
+      putInCache(prefixes.key(index), prefixes.tokens(index) - prefixTokens);
+      boolean shared = index < prefixes.sharedSize();
+      if (shared && alreadyRead.put(prefixes.key(index), true) != null) {
+        rereadSharedTokens += prefixes.tokens(index) - prefixTokens;
       }
     }
-    tokensRead += chain.totalTokens() - hitTokens;
-    return chain.totalTokens() - hitTokens;
+    tokensRead += prefixes.totalTokens() - hitTokens;
+    return prefixes.totalTokens() - hitTokens;
   }
 
   private void putInCache(long key, int tokens) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
@@ -73,7 +73,7 @@
       long rereadTokens,
       double p99Millis) {}
 
-  private record ScheduledAction(double at, long lastOrder, Runnable action) {}
+  private record ScheduledAction(double at, long sequence, Runnable action) {}
 
   private static final class Call {
     final Kind kind;
@@ -97,7 +97,7 @@
   private final PriorityQueue<ScheduledAction> scheduledActions =
       new PriorityQueue<>(
           Comparator.comparingDouble(ScheduledAction::at)
-              .thenComparingLong(ScheduledAction::lastOrder));
+              .thenComparingLong(ScheduledAction::sequence));
   private final Map<String, Reducer> entries = new HashMap<>();
   private final Map<String, EmulatedEngine> engines = new HashMap<>();
   private final Map<String, Neighbourhood> neighbourhoods = new HashMap<>();
@@ -106,7 +106,7 @@
   private final Map<Long, RelayRequest> requests = new HashMap<>();
   private final Map<String, EmulatedEngine.Job> jobs = new HashMap<>();
   private double now;
-  private long lastOrder;
+  private long lastSequence;
   private double hotSubjectShare;
   private @Nullable String frozenEntry;
   private double frozenFrom;
@@ -224,8 +224,8 @@
 
   /** Makes some engines report a rate limit from a time on. */
   LimitedEngines limit(int count, double atMillis, double perSecond) {
-    List<String> named = engines.keySet().stream().sorted().limit(count).toList();
-    limitedEngines = new LimitedEngines(named, atMillis, perSecond);
+    List<String> limitedIds = engines.keySet().stream().sorted().limit(count).toList();
+    limitedEngines = new LimitedEngines(limitedIds, atMillis, perSecond);
     return limitedEngines;
   }
 
@@ -234,7 +234,7 @@
   }
 
   private void at(double when, Runnable action) {
-    scheduledActions.add(new ScheduledAction(when, lastOrder++, action));
+    scheduledActions.add(new ScheduledAction(when, lastSequence++, action));
   }
 
   private Instant instant() {
@@ -391,7 +391,7 @@
   }
 
   private void arrive(Kind kind, String name) {
-    long number = ++lastOrder;
+    long number = ++lastSequence;
     Call call = new Call(kind, now, random.nextDouble());
     int subject = random.nextDouble() < hotSubjectShare ? 0 : random.nextInt(kind.subjects());
     int uniqueTokens = (int) (kind.ownTokens() * (0.4 + 1.2 * random.nextDouble()));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadExchangePartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadExchangePartTest.java
@@ -126,8 +126,8 @@
 
   @Test
   public void peerReportCountsUntilItExpires() {
-    KeptPrompt kept = new KeptPrompt("up", PREFIXES.key(0));
-    receive("entry-2", new EntryLoads(List.of(new UpstreamLoad("up", 2, 700)), List.of(kept)));
+    KeptPrompt prefix = new KeptPrompt("up", PREFIXES.key(0));
+    receive("entry-2", new EntryLoads(List.of(new UpstreamLoad("up", 2, 700)), List.of(prefix)));
     receive("entry-3", new EntryLoads(List.of(new UpstreamLoad("gone", 9, 9)), List.of()));
     assertEquals(track().waitingMillis(now), 700.0);
     assertEquals(track().running(now), 2);
