--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelay.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelay.java
@@ -88,9 +88,9 @@
   }
 
   /** Returns the upstream of the attempt that is under way, or null. */
-  @Nullable UpstreamTrack upstream() {
+  @Nullable TrackedUpstream upstream() {
     Placement placed = placement;
-    return placed == null ? null : placed.track();
+    return placed == null ? null : placed.upstream();
   }
 
   /** Returns the name of the model that is asked, or null if there is none. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailures.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailures.java
@@ -51,7 +51,7 @@
   /** Goes on after an upstream that said that it has not run the request. */
   void notRun(
       ActiveRelay relay,
-      UpstreamTrack track,
+      TrackedUpstream track,
       RelayEvent.AnswerBegan began,
       Instant now,
       Output output) {
@@ -73,7 +73,7 @@
    */
   boolean serverFailed(
       ActiveRelay relay,
-      UpstreamTrack track,
+      TrackedUpstream track,
       RelayEvent.AnswerBegan began,
       Instant now,
       Output output) {
@@ -95,7 +95,7 @@
 
   /** Goes on after an attempt that failed on its way. */
   void failed(ActiveRelay relay, RelayEvent.AttemptFailed failed, Instant now, Output output) {
-    UpstreamTrack track = relay.upstream();
+    TrackedUpstream track = relay.upstream();
     if (track == null) {
       return;
     }
@@ -184,7 +184,7 @@
    */
   private void moveOn(
       ActiveRelay relay, double longestMillis, String why, Instant now, Output output) {
-    UpstreamTrack silent = relay.upstream();
+    TrackedUpstream silent = relay.upstream();
     boolean possible = !relay.movedOn && silent != null && relay.route.repeatable();
     if (!possible || relay.sent >= relay.route.maxAttempts()) {
       return;
@@ -217,7 +217,7 @@
    * <p>A new version has read no prompts yet and is slow at first. Counted as failures, the waits
    * that were given up had a good version rolled back.
    */
-  private void noteWait(ActiveRelay relay, UpstreamTrack silent, Instant now) {
+  private void noteWait(ActiveRelay relay, TrackedUpstream silent, Instant now) {
     if (!relay.passing) {
       long waited = Duration.between(relay.sentAt, now).toMillis();
       patience.waited(relay.route, relay.model, waited);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
@@ -68,7 +68,7 @@
 
   /** Returns whether upstreams of a request's service are kept from it by an evacuation alone. */
   boolean isEvacuated(ActiveRelay relay) {
-    List<UpstreamTrack> all = view.upstreams(relay.service.name());
+    List<TrackedUpstream> all = view.upstreams(relay.service.name());
     return all.stream().anyMatch(track -> track.condition() == UpstreamCondition.EVACUATED)
         && all.stream().allMatch(track -> track.condition().rejectsNewWork());
   }
@@ -93,7 +93,7 @@
 
   private static Set<String> triedAndPresent(ActiveRelay relay) {
     Set<String> excluded = new HashSet<>(relay.tried);
-    UpstreamTrack present = relay.upstream();
+    TrackedUpstream present = relay.upstream();
     if (present != null) {
       excluded.add(present.instance().id());
     }
@@ -170,7 +170,7 @@
     relay.grant = grant;
     relay.sentAt = now;
     relay.waitingMillis = placement.workMillis();
-    UpstreamTrack track = placement.track();
+    TrackedUpstream track = placement.upstream();
     track.recordSent(placement.workMillis(), now);
     if (grant == null) {
       picker.recordSent(relay.service, placement, now);
@@ -191,7 +191,7 @@
     RelayTeam team = relay.team;
     int connections = (int) (relay.service.maxConnections() * CONNECTION_SHARE / view.entries());
     return new AttemptTarget(
-        placement.track().instance(),
+        placement.upstream().instance(),
         Math.max(1, connections),
         team == null ? null : team.name(),
         relay.model < 0 ? null : relay.modelName(),
@@ -210,12 +210,12 @@
     if (placement == null) {
       return;
     }
-    placement.track().recordBegun(relay.waitingMillis);
+    placement.upstream().recordBegun(relay.waitingMillis);
     relay.waitingMillis = 0;
     double millis = Duration.between(relay.sentAt, now).toMillis();
     picker.recordFirstByte(relay.service, relay.modelName(), placement, millis, now);
     if (relay.grant != null) {
-      ReportedLimit named = placement.track().rate().toReport(now);
+      ReportedLimit named = placement.upstream().rate().toReport(now);
       schedulers.reportProgress(relay.grant, AttemptProgress.BEGUN, (long) millis, named, output);
     }
   }
@@ -229,7 +229,7 @@
    * @param output takes what is to be done
    */
   void failed(ActiveRelay relay, AttemptProgress how, Instant now, Output output) {
-    UpstreamTrack track = relay.upstream();
+    TrackedUpstream track = relay.upstream();
     if (track == null) {
       return;
     }
@@ -256,7 +256,7 @@
     schedulers.cancel(relay);
     giveBack(relay.grant, output);
     relay.grant = null;
-    UpstreamTrack track = relay.upstream();
+    TrackedUpstream track = relay.upstream();
     if (track != null) {
       track.recordEnded(relay.waitingMillis);
       relay.tried.add(track.instance().id());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/CallLatencyModel.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/CallLatencyModel.java
@@ -19,7 +19,7 @@
   private final Map<String, Double> meanMillis = new HashMap<>();
 
   /** Estimates the times of a call; its wait grows with the requests per slot of the upstream. */
-  Placement estimate(RelayService service, UpstreamTrack track, Instant now) {
+  Placement estimate(RelayService service, TrackedUpstream track, Instant now) {
     double mean = meanMillis.getOrDefault(service.name(), INITIAL_MILLIS);
     int slots = Math.max(1, track.instance().slots());
     double wait = mean * track.running(now) / slots;
@@ -30,6 +30,6 @@
   void recordFirstByte(RelayService service, Placement placement, double millis, Instant now) {
     double mean = meanMillis.getOrDefault(service.name(), INITIAL_MILLIS);
     meanMillis.put(service.name(), mean + SMOOTHING * (millis - mean));
-    placement.track().relativeLatency().recordAnswer(millis, mean + placement.waitMillis(), now);
+    placement.upstream().relativeLatency().recordAnswer(millis, mean + placement.waitMillis(), now);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EngineLatencyModel.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EngineLatencyModel.java
@@ -81,7 +81,7 @@
       PlacementQuery query,
       EngineProfile engine,
       PromptPrefixes prefixes,
-      List<UpstreamTrack> engines,
+      List<TrackedUpstream> engines,
       Instant now) {
     boolean cached =
         prefixes.sharedSize() == 0
@@ -104,7 +104,7 @@
   void recordFirstByte(
       RelayService service, String model, Placement placement, double millis, Instant now) {
     double wait = placement.waitMillis();
-    placement.track().relativeLatency().recordAnswer(millis, placement.firstByteMillis(), now);
+    placement.upstream().relativeLatency().recordAnswer(millis, placement.firstByteMillis(), now);
     if (wait <= IGNORED_WAIT_MILLIS + IGNORED_WAIT_SHARE * placement.workMillis()) {
       times(service).recordAnswer(model, placement.newTokens(), Math.max(1, millis - wait));
     }
@@ -138,7 +138,7 @@
     }
 
     @Override
-    public Placement estimate(UpstreamTrack track) {
+    public Placement estimate(TrackedUpstream track) {
       int tokens =
           prefixes.totalTokens()
               - track.prefixCache().cachedTokens(prefixes, engine.memoryTokens());
@@ -152,7 +152,7 @@
 
     @Override
     public double costToOthersMillis(Placement placement) {
-      UpstreamTrack track = placement.track();
+      TrackedUpstream track = placement.upstream();
       int ownTokens = prefixes.totalTokens() - prefixes.sharedTokens();
       int copiedTokens = Math.max(0, placement.newTokens() - ownTokens);
       double cost = copyMillis(times.prefillMillis(model, copiedTokens));
@@ -172,7 +172,7 @@
      * Returns the preference for an engine for this prompt, from 0 (most preferred) to 1, which is
      * the same on all entries.
      */
-    private double rank(UpstreamTrack track) {
+    private double rank(TrackedUpstream track) {
       long key = prefixes.key(prefixes.sharedSize() - 1);
       long hash = StableHash.of(Long.toHexString(key), track.instance().id());
       return (hash >>> 11) * 0x1.0p-53;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryColdStartLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryColdStartLimiter.java
@@ -36,7 +36,7 @@
   }
 
   @Override
-  public boolean allows(RelayService service, UpstreamTrack track, Instant now) {
+  public boolean allows(RelayService service, TrackedUpstream track, Instant now) {
     if (!service.cold().isBounded() || !track.isCold(now)) {
       return true;
     }
@@ -45,7 +45,7 @@
     return view.settled() && track.recentSends(now) < maxSends(service, track);
   }
 
-  private int maxSends(RelayService service, UpstreamTrack track) {
+  private int maxSends(RelayService service, TrackedUpstream track) {
     double bound = service.cold().perSecond();
     if (service.engine() != null && !view.schedulers().isEmpty()) {
       bound *= 1 - SCHEDULER_SHARE;
@@ -58,7 +58,7 @@
   }
 
   /** Returns a hash of this entry and an upstream, from 0 to 1. */
-  private double hash(UpstreamTrack track) {
+  private double hash(TrackedUpstream track) {
     return (StableHash.of(self, track.instance().id()) >>> 11) * 0x1.0p-53;
   }
 
@@ -69,7 +69,7 @@
    * false.
    */
   @Override
-  public boolean exceedsColdRate(RelayService service, UpstreamTrack track, Instant now) {
+  public boolean exceedsColdRate(RelayService service, TrackedUpstream track, Instant now) {
     return false;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRateDivision.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRateDivision.java
@@ -20,7 +20,7 @@
   }
 
   @Override
-  public RateShare share(RelayService service, UpstreamTrack track, Instant now) {
+  public RateShare share(RelayService service, TrackedUpstream track, Instant now) {
     EntryOrdinal ordinal = view.place();
     // Until the leader has reported the number of entries, each entry would assume to be the only
     // one.
@@ -44,7 +44,7 @@
   }
 
   /** Returns the number of the first entry that has a part of an upstream's rate. */
-  private static int firstHolder(UpstreamTrack track, int entries) {
+  private static int firstHolder(TrackedUpstream track, int entries) {
     return Math.floorMod(StableHash.of(track.instance().id()), entries);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeastTimePicker.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeastTimePicker.java
@@ -69,7 +69,7 @@
   @Override
   public @Nullable Placement pick(PlacementQuery query, Instant now) {
     RelayService service = query.service();
-    List<UpstreamTrack> usableUpstreams = usableUpstreams(query, now);
+    List<TrackedUpstream> usableUpstreams = usableUpstreams(query, now);
     EngineProfile engine = service.engine();
     if (engine != null && query.prefixes() != null) {
       return best(
@@ -81,29 +81,29 @@
     return best(track -> callTimes.estimate(service, track, now), query, usableUpstreams, now);
   }
 
-  private List<UpstreamTrack> usableUpstreams(PlacementQuery query, Instant now) {
-    List<UpstreamTrack> ready = candidates(query, UpstreamCondition.READY, now);
-    List<UpstreamTrack> healthy = ready.stream().filter(track -> !track.isAvoided(now)).toList();
+  private List<TrackedUpstream> usableUpstreams(PlacementQuery query, Instant now) {
+    List<TrackedUpstream> ready = candidates(query, UpstreamCondition.READY, now);
+    List<TrackedUpstream> healthy = ready.stream().filter(track -> !track.isAvoided(now)).toList();
     if (!healthy.isEmpty()) {
       return belowColdRate(query.service(), healthy, now);
     }
     return ready.isEmpty() ? candidates(query, UpstreamCondition.SILENT, now) : ready;
   }
 
-  private List<UpstreamTrack> belowColdRate(
-      RelayService service, List<UpstreamTrack> healthy, Instant now) {
-    List<UpstreamTrack> others =
+  private List<TrackedUpstream> belowColdRate(
+      RelayService service, List<TrackedUpstream> healthy, Instant now) {
+    List<TrackedUpstream> others =
         healthy.stream()
             .filter(track -> !coldStartLimiter.exceedsColdRate(service, track, now))
             .toList();
     return others.isEmpty() ? healthy : others;
   }
 
-  private List<UpstreamTrack> candidates(
+  private List<TrackedUpstream> candidates(
       PlacementQuery query, UpstreamCondition condition, Instant now) {
     RelayService service = query.service();
-    List<UpstreamTrack> matching = new ArrayList<>();
-    for (UpstreamTrack track : upstreams.upstreams(service.name())) {
+    List<TrackedUpstream> matching = new ArrayList<>();
+    for (TrackedUpstream track : upstreams.upstreams(service.name())) {
       boolean fits = track.condition() == condition && query.eligible().test(track.instance());
       if (fits && isAllowed(service, track, now)) {
         matching.add(track);
@@ -112,13 +112,13 @@
     return matching;
   }
 
-  private boolean isAllowed(RelayService service, UpstreamTrack track, Instant now) {
+  private boolean isAllowed(RelayService service, TrackedUpstream track, Instant now) {
     return coldStartLimiter.allows(service, track, now) && rateLimiter.allows(service, track, now);
   }
 
   @Override
   public void recordSent(RelayService service, Placement placement, Instant now) {
-    rateLimiter.recordSent(service, placement.track(), now);
+    rateLimiter.recordSent(service, placement.upstream(), now);
   }
 
   @Override
@@ -135,13 +135,13 @@
   private @Nullable Placement best(
       PlacementEstimator estimator,
       PlacementQuery query,
-      List<UpstreamTrack> usableUpstreams,
+      List<TrackedUpstream> usableUpstreams,
       Instant now) {
     String zone = query.zone();
     double distanceMillis = distanceMillis(zone, usableUpstreams);
     Placement best = null;
     double leastCost = Double.MAX_VALUE;
-    for (UpstreamTrack track : usableUpstreams) {
+    for (TrackedUpstream track : usableUpstreams) {
       Placement placement = estimator.estimate(track);
       double cost = placement.firstByteMillis() + estimator.costToOthersMillis(placement);
       cost += FAILURE_MILLIS * track.failureShare() + random.nextDouble();
@@ -155,7 +155,7 @@
     return best;
   }
 
-  private static double distanceMillis(String zone, List<UpstreamTrack> usableUpstreams) {
+  private static double distanceMillis(String zone, List<TrackedUpstream> usableUpstreams) {
     long sameZone =
         usableUpstreams.stream().filter(track -> zone.equals(track.instance().zone())).count();
     return sameZone >= MIN_CACHING_ENGINES ? OTHER_ZONE_CACHED_MILLIS : OTHER_ZONE_MILLIS;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadExchangePart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadExchangePart.java
@@ -86,7 +86,7 @@
 
   private List<UpstreamLoad> loads() {
     List<UpstreamLoad> loads = new ArrayList<>();
-    for (UpstreamTrack track : entry.tracks()) {
+    for (TrackedUpstream track : entry.tracks()) {
       if (track.ownRunning() > 0 && loads.size() < MAX_LOADS) {
         int waiting = (int) Math.round(track.ownWaitingMillis());
         loads.add(new UpstreamLoad(track.instance().id(), track.ownRunning(), waiting));
@@ -98,13 +98,13 @@
   private void recordReport(String peer, EntryLoads message, Instant now) {
     Map<String, UpstreamLoad> byUpstream = new HashMap<>();
     message.loads().forEach(load -> byUpstream.put(load.upstream(), load));
-    for (UpstreamTrack track : entry.tracks()) {
+    for (TrackedUpstream track : entry.tracks()) {
       UpstreamLoad load = byUpstream.get(track.instance().id());
       int running = load == null ? 0 : load.running();
       track.peerLoads().update(peer, running, load == null ? 0 : load.waitingMillis(), now);
     }
     for (KeptPrompt prompt : message.prompts()) {
-      UpstreamTrack track = entry.track(prompt.upstream());
+      TrackedUpstream track = entry.track(prompt.upstream());
       if (track != null) {
         track.prefixCache().recordUse(prompt.key());
       }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/Placement.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/Placement.java
@@ -6,7 +6,7 @@
 /**
  * The upstream of an attempt and the times that are expected there.
  *
- * @param track the upstream
+ * @param upstream the upstream
  * @param waitMillis time until the upstream starts to process the attempt, in milliseconds
  * @param workMillis time that the upstream spends on the prefill or the call, in milliseconds
  * @param firstByteMillis time until the first byte, including the wait, in milliseconds
@@ -14,7 +14,7 @@
  * @param prefixes prefixes of the prompt, or null if there is none
  */
 record Placement(
-    UpstreamTrack track,
+    TrackedUpstream upstream,
     double waitMillis,
     double workMillis,
     double firstByteMillis,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimitRecorder.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimitRecorder.java
@@ -23,7 +23,7 @@
    * @param output receives a log line if the limit has changed
    */
   void recordAnswer(
-      UpstreamTrack track,
+      TrackedUpstream track,
       RelayEvent.AnswerBegan answer,
       String request,
       Instant now,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
@@ -29,7 +29,7 @@
   }
 
   /** Returns whether this daemon may send one more request to an upstream now. */
-  boolean allows(RelayService service, UpstreamTrack track, Instant now) {
+  boolean allows(RelayService service, TrackedUpstream track, Instant now) {
     if (!track.rateLimit().isBounded()) {
       track.rate().quota(null);
       return true;
@@ -39,7 +39,7 @@
   }
 
   /** Records a request that this daemon sends to an upstream of its own choice. */
-  void recordSent(RelayService service, UpstreamTrack track, Instant now) {
+  void recordSent(RelayService service, TrackedUpstream track, Instant now) {
     if (track.rateLimit().isBounded()) {
       TokenBucket bucket = bucket(service, track, now);
       if (bucket != null) {
@@ -51,7 +51,7 @@
   /**
    * Returns the time until an upstream accepts one more request, from this daemon or another one.
    */
-  Duration timeUntilAllowed(RelayService service, UpstreamTrack track, Instant now) {
+  Duration timeUntilAllowed(RelayService service, TrackedUpstream track, Instant now) {
     if (allows(service, track, now)) {
       return Duration.ZERO;
     }
@@ -63,7 +63,7 @@
     return Duration.ofMillis((long) Math.ceil(seconds * MILLIS_PER_SECOND));
   }
 
-  private @Nullable TokenBucket bucket(RelayService service, UpstreamTrack track, Instant now) {
+  private @Nullable TokenBucket bucket(RelayService service, TrackedUpstream track, Instant now) {
     Quota known = track.rate().quota();
     Quota account = known == null ? new Quota() : known;
     track.rate().quota(account);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -108,7 +108,7 @@
   }
 
   @Override
-  public List<UpstreamTrack> upstreams(String service) {
+  public List<TrackedUpstream> upstreams(String service) {
     return directory.upstreams(service);
   }
 
@@ -187,11 +187,11 @@
     return neighbourhood.schedulers();
   }
 
-  Collection<UpstreamTrack> tracks() {
+  Collection<TrackedUpstream> tracks() {
     return directory.tracks();
   }
 
-  @Nullable UpstreamTrack track(String id) {
+  @Nullable TrackedUpstream track(String id) {
     return directory.track(id);
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -171,7 +171,7 @@
 
   private void answerBegan(
       ActiveRelay relay, RelayEvent.AnswerBegan began, Instant now, Output output) {
-    UpstreamTrack track = relay.upstream();
+    TrackedUpstream track = relay.upstream();
     if (track == null) {
       return;
     }
@@ -245,7 +245,7 @@
     int larger = models.largerModel(relay.route, relay.model);
     Placement chosen = placed.placement();
     Placement placement = chosen == null ? sender.placeLarger(relay, larger, now) : chosen;
-    UpstreamTrack track = relay.upstream();
+    TrackedUpstream track = relay.upstream();
     boolean asked =
         placement != null && askLarger(relay, larger, placement, placed.grant(), now, output);
     if (!asked && track != null) {
@@ -253,7 +253,7 @@
     }
   }
 
-  private static void pass(ActiveRelay relay, UpstreamTrack track, Output output) {
+  private static void pass(ActiveRelay relay, TrackedUpstream track, Output output) {
     if (!relay.passing) {
       relay.passing = true;
       relay.version = track.instance().version();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ScheduledEngines.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ScheduledEngines.java
@@ -18,19 +18,19 @@
 final class ScheduledEngines implements UpstreamSource {
 
   private final RelayView view;
-  private final Map<UpstreamRun, UpstreamTrack> tracks = new HashMap<>();
+  private final Map<UpstreamRun, TrackedUpstream> tracks = new HashMap<>();
 
   ScheduledEngines(RelayView view) {
     this.view = view;
   }
 
   @Override
-  public List<UpstreamTrack> upstreams(String service) {
-    List<UpstreamTrack> engines = new ArrayList<>();
-    for (UpstreamTrack known : view.upstreams(service)) {
+  public List<TrackedUpstream> upstreams(String service) {
+    List<TrackedUpstream> engines = new ArrayList<>();
+    for (TrackedUpstream known : view.upstreams(service)) {
       UpstreamStatus status = new UpstreamStatus(known.instance(), known.condition());
-      UpstreamTrack engine =
-          tracks.computeIfAbsent(known.instance().run(), run -> new UpstreamTrack(status));
+      TrackedUpstream engine =
+          tracks.computeIfAbsent(known.instance().run(), run -> new TrackedUpstream(status));
       engine.updateStatus(status);
       engine.coldUntil(known.coldUntil());
       engine.rate().updateIfNewer(known.rateLimit(), known.rate().reportedAt());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
@@ -124,7 +124,7 @@
 
   private int[] weights(PlacementQuery query, int groups) {
     int[] weights = new int[groups];
-    for (UpstreamTrack track : view.upstreams(query.service().name())) {
+    for (TrackedUpstream track : view.upstreams(query.service().name())) {
       boolean usable =
           track.condition() == UpstreamCondition.READY && query.eligible().test(track.instance());
       weights[EngineGroups.groupOf(track.instance().id(), groups)] += usable ? 1 : 0;
@@ -156,7 +156,7 @@
 
   private Set<String> versions(PlacementQuery query) {
     Set<String> versions = new LinkedHashSet<>();
-    for (UpstreamTrack track : view.upstreams(query.service().name())) {
+    for (TrackedUpstream track : view.upstreams(query.service().name())) {
       if (query.eligible().test(track.instance())) {
         versions.add(track.instance().version());
       }
@@ -170,7 +170,7 @@
    */
   private List<String> excluded(PlacementQuery query, Set<String> versions) {
     List<String> excluded = new ArrayList<>();
-    for (UpstreamTrack track : view.upstreams(query.service().name())) {
+    for (TrackedUpstream track : view.upstreams(query.service().name())) {
       UpstreamInstance engine = track.instance();
       boolean ineligible = !query.eligible().test(engine) || track.condition().rejectsNewWork();
       if (ineligible && versions.contains(engine.version())) {
@@ -194,7 +194,7 @@
     OpenQuery pending = openQueries.remove(answer.number());
     boolean isExpected = pending != null && pending.relay.question == answer.number();
     String upstream = answer.upstream();
-    UpstreamTrack track = isExpected && upstream != null ? find(pending.relay, upstream) : null;
+    TrackedUpstream track = isExpected && upstream != null ? find(pending.relay, upstream) : null;
     if (upstream != null && track == null) {
       reportProgress(new SchedulerGrant(from, answer.number()), AttemptProgress.ENDED, 0, output);
     }
@@ -217,8 +217,8 @@
     return new SchedulerDecision(pending.relay, pending.isEscalation, placement, grant);
   }
 
-  private @Nullable UpstreamTrack find(ActiveRelay relay, String upstream) {
-    for (UpstreamTrack track : view.upstreams(relay.service.name())) {
+  private @Nullable TrackedUpstream find(ActiveRelay relay, String upstream) {
+    for (TrackedUpstream track : view.upstreams(relay.service.name())) {
       if (track.instance().id().equals(upstream)) {
         return track.condition().rejectsNewWork() ? null : track;
       }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerColdStartLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerColdStartLimiter.java
@@ -18,7 +18,7 @@
   }
 
   @Override
-  public boolean allows(RelayService service, UpstreamTrack track, Instant now) {
+  public boolean allows(RelayService service, TrackedUpstream track, Instant now) {
     if (!service.cold().isBounded() || !track.isCold(now)) {
       return true;
     }
@@ -27,7 +27,7 @@
   }
 
   @Override
-  public boolean exceedsColdRate(RelayService service, UpstreamTrack track, Instant now) {
+  public boolean exceedsColdRate(RelayService service, TrackedUpstream track, Instant now) {
     return service.cold().isBounded()
         && track.recentSends(now) >= MAX_COLD_RATE_SHARE * service.cold().perSecond();
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
@@ -116,7 +116,7 @@
     if (placement == null) {
       return new PlacementAnswer(ask.number(), null, 0, 0, 0, 0);
     }
-    UpstreamTrack track = placement.track();
+    TrackedUpstream track = placement.upstream();
     track.recordSent(placement.workMillis(), now);
     picker.recordSent(service, placement, now);
     track.prefixCache().recordSent(prefixes, placement.newTokens());
@@ -162,7 +162,7 @@
     if (reservation == null) {
       return;
     }
-    UpstreamTrack track = reservation.placement.track();
+    TrackedUpstream track = reservation.placement.upstream();
     track.rate().updateIfNewer(report.named(), now);
     switch (report.progress()) {
       case BEGUN -> answerBegun(reservation, report.millis(), now);
@@ -183,7 +183,7 @@
   }
 
   private void answerBegun(Reservation reservation, int millis, Instant now) {
-    UpstreamTrack track = reservation.placement.track();
+    TrackedUpstream track = reservation.placement.upstream();
     track.recordBegun(reservation.pendingMillis);
     reservation.pendingMillis = 0;
     reservation.answerBegun = true;
@@ -207,7 +207,7 @@
             reservation -> {
               boolean isExpired = !now.isBefore(reservation.expiresAt);
               if (isExpired) {
-                reservation.placement.track().recordEnded(reservation.pendingMillis);
+                reservation.placement.upstream().recordEnded(reservation.pendingMillis);
               }
               return isExpired;
             });
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerRateDivision.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerRateDivision.java
@@ -15,7 +15,7 @@
   }
 
   @Override
-  public RateShare share(RelayService service, UpstreamTrack track, Instant now) {
+  public RateShare share(RelayService service, TrackedUpstream track, Instant now) {
     if (!role.ownsEngine(track.instance().id(), now)) {
       return RateShare.NONE;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamTrack.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TrackedUpstream.java
@@ -10,7 +10,7 @@
  * The state of one run of an upstream as an entry knows it from its own attempts and from other
  * entries.
  */
-final class UpstreamTrack {
+final class TrackedUpstream {
 
   private static final Duration INITIAL_PAUSE = Duration.ofMillis(600);
   private static final int MAX_DOUBLINGS = 3;
@@ -32,7 +32,7 @@
   private boolean replaced;
   private boolean evacuated;
 
-  UpstreamTrack(UpstreamStatus status) {
+  TrackedUpstream(UpstreamStatus status) {
     this.status = status;
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ColdStartLimiterTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ColdStartLimiterTest.java
@@ -29,16 +29,16 @@
     return view;
   }
 
-  private static UpstreamTrack track(String id, Instant coldUntil) {
+  private static TrackedUpstream track(String id, Instant coldUntil) {
     UpstreamStatus status =
         new UpstreamStatus(RelayFixture.instance(id, "v1"), UpstreamCondition.READY);
-    UpstreamTrack track = new UpstreamTrack(status);
+    TrackedUpstream track = new TrackedUpstream(status);
     track.coldUntil(coldUntil);
     return track;
   }
 
   /** Sends as often as the limiter allows at one moment and returns the number of sends. */
-  private static int sends(ColdStartLimiter limiter, UpstreamTrack track, Instant now) {
+  private static int sends(ColdStartLimiter limiter, TrackedUpstream track, Instant now) {
     int sent = 0;
     while (sent < 1000 && limiter.allows(SERVICE, track, now)) {
       track.recordSent(0, now);
@@ -91,7 +91,7 @@
   @Test
   public void sendsLeaveTheWindow() {
     ColdStartLimiter limiter = new EntryColdStartLimiter(view(1), "entry-1");
-    UpstreamTrack track = track("up", START.plusSeconds(3));
+    TrackedUpstream track = track("up", START.plusSeconds(3));
     assertEquals(sends(limiter, track, START), 18);
     assertEquals(sends(limiter, track, START.plusMillis(1000)), 0);
     assertEquals(sends(limiter, track, START.plusMillis(1200)), 18);
@@ -155,7 +155,7 @@
   public void engineAboveColdRateIsNotPreferred() {
     SchedulerColdStartLimiter limiter =
         new SchedulerColdStartLimiter(new SchedulerRole(view(55, "scheduler"), "scheduler"));
-    UpstreamTrack track = track("up", START);
+    TrackedUpstream track = track("up", START);
     for (int sent = 0; sent < 23; sent++) {
       assertFalse(limiter.exceedsColdRate(SERVICE, track, START), "after " + sent);
       track.recordSent(0, START);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConfidenceCascadeTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConfidenceCascadeTest.java
@@ -36,8 +36,8 @@
       double waitMillis,
       double prefillMillis,
       long leftMillis) {
-    UpstreamTrack track =
-        new UpstreamTrack(
+    TrackedUpstream track =
+        new TrackedUpstream(
             new UpstreamStatus(RelayFixture.instance("up", "v1"), UpstreamCondition.READY));
     Placement placement =
         new Placement(track, waitMillis, prefillMillis, waitMillis + prefillMillis, 1000, null);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LimitedRequestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LimitedRequestTest.java
@@ -22,7 +22,7 @@
   }
 
   private void limit(int from) {
-    List<UpstreamTrack> tracks = entry.view.tracks;
+    List<TrackedUpstream> tracks = entry.view.tracks;
     tracks
         .subList(from, tracks.size())
         .forEach(track -> track.rate().recordLimit(HALF_A_SECOND, RelayFixture.START));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadExchangePartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadExchangePartTest.java
@@ -90,7 +90,7 @@
     return loads;
   }
 
-  private UpstreamTrack track() {
+  private TrackedUpstream track() {
     return entry.upstreams("service").get(0);
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitSimulation.java
@@ -310,7 +310,7 @@
   }
 
   private boolean treatsAsLimited(String entry, Upstream upstream) {
-    UpstreamTrack track = entryParts.get(entry).track(upstream.instance.id());
+    TrackedUpstream track = entryParts.get(entry).track(upstream.instance.id());
     return track != null && track.rateLimit().isBounded();
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimiterTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimiterTest.java
@@ -30,15 +30,15 @@
     return view;
   }
 
-  private static UpstreamTrack track(String id, double perSecond) {
+  private static TrackedUpstream track(String id, double perSecond) {
     UpstreamStatus status =
         new UpstreamStatus(RelayFixture.instance(id, "v1"), UpstreamCondition.READY);
-    UpstreamTrack track = new UpstreamTrack(status);
+    TrackedUpstream track = new TrackedUpstream(status);
     track.rate().recordLimit(new RateLimit(perSecond), START);
     return track;
   }
 
-  private static RateShare schedulersShare(UpstreamTrack track) {
+  private static RateShare schedulersShare(TrackedUpstream track) {
     SchedulerRole role = new SchedulerRole(view(0, 75, SCHEDULER), SCHEDULER);
     role.tick(START);
     return new SchedulerRateDivision(role).share(ENGINE_SERVICE, track, START.plusSeconds(2));
@@ -62,7 +62,7 @@
   /** Guards against parts of the daemons that add up to more than an upstream accepts. */
   @Test(dataProvider = "limits")
   public void partsAddUpToTheLimitOfTheUpstream(int entries, boolean scheduled, double perSecond) {
-    UpstreamTrack track = track("up", perSecond);
+    TrackedUpstream track = track("up", perSecond);
     double rates = scheduled ? schedulersShare(track).perSecond() : 0;
     double bursts = scheduled ? schedulersShare(track).burst() : 0;
     for (int number = 0; number < entries; number++) {
@@ -89,7 +89,7 @@
   @Test
   public void waitUntilTheNextRequestIsReported() {
     RateLimiter limiter = new RateLimiter(new EntryRateDivision(view(0, 1)));
-    UpstreamTrack track = track("up", 0.5);
+    TrackedUpstream track = track("up", 0.5);
     assertEquals(limiter.timeUntilAllowed(PLAIN_SERVICE, track, START), Duration.ofSeconds(2));
     assertEquals(
         limiter.timeUntilAllowed(PLAIN_SERVICE, track, START.plusSeconds(2)), Duration.ZERO);
@@ -107,7 +107,7 @@
   public void reassignedPartBeginsEmpty() {
     RelayFixture.FakeView view = view(0, 1);
     RateLimiter limiter = new RateLimiter(new EntryRateDivision(view));
-    UpstreamTrack track = track("up", 1);
+    TrackedUpstream track = track("up", 1);
     assertFalse(limiter.allows(PLAIN_SERVICE, track, START));
     assertTrue(limiter.allows(PLAIN_SERVICE, track, START.plusSeconds(9)));
     view.place = EntryOrdinal.UNKNOWN;
@@ -122,7 +122,7 @@
     for (int number = 0; number < 2; number++) {
       RelayFixture.FakeView view = view(0, 0);
       RateLimiter limiter = new RateLimiter(new EntryRateDivision(view));
-      UpstreamTrack track = track("up", 1);
+      TrackedUpstream track = track("up", 1);
       if (!knownFromTheStart) {
         limiter.allows(PLAIN_SERVICE, track, START);
       }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
@@ -65,8 +65,8 @@
     return new UpstreamInstance("up", "service", "10.0.0.1:80", "a", "v1", 1, sequence, bornMillis);
   }
 
-  private UpstreamTrack only() {
-    List<UpstreamTrack> known = entry.upstreams("service");
+  private TrackedUpstream only() {
+    List<TrackedUpstream> known = entry.upstreams("service");
     assertEquals(known.size(), 1);
     return known.get(0);
   }
@@ -78,7 +78,7 @@
   @Test
   public void nothingOfAnEarlierStartIsKept() {
     told(List.of(), started(30, 1000));
-    UpstreamTrack first = only();
+    TrackedUpstream first = only();
     first.recordFailure(true, RelayFixture.START);
     told(List.of(), started(1, 2000));
     assertNotSame(only(), first);
@@ -88,7 +88,7 @@
   @Test
   public void lateWordOfAnEarlierStartEmptiesNothing() {
     told(List.of(), started(1, 2000));
-    UpstreamTrack known = only();
+    TrackedUpstream known = only();
     told(List.of(), started(40, 1000));
     assertSame(only(), known);
     assertEquals(known.instance().sequence(), 1);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
@@ -151,7 +151,7 @@
     RouteTable table = new RouteTable(configuration(1, "key"));
     boolean proven = true;
     boolean settled = true;
-    final List<UpstreamTrack> tracks = new ArrayList<>();
+    final List<TrackedUpstream> tracks = new ArrayList<>();
     List<ServiceRollOut> rollOuts = List.of();
     @Nullable String usual;
     List<String> schedulers = List.of();
@@ -169,7 +169,7 @@
 
     void add(String id, String version) {
       tracks.add(
-          new UpstreamTrack(new UpstreamStatus(instance(id, version), UpstreamCondition.READY)));
+          new TrackedUpstream(new UpstreamStatus(instance(id, version), UpstreamCondition.READY)));
     }
 
     @Override
@@ -198,7 +198,7 @@
     }
 
     @Override
-    public List<UpstreamTrack> upstreams(String service) {
+    public List<TrackedUpstream> upstreams(String service) {
       return tracks;
     }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
@@ -214,7 +214,7 @@
   @Test
   public void requestWaitsForTheFirstUpstreamAfterTheCrashOfEverything() {
     busy();
-    final List<UpstreamTrack> known = List.copyOf(entry.view.tracks);
+    final List<TrackedUpstream> known = List.copyOf(entry.view.tracks);
     entry.view.tracks.clear();
     entry.view.settled = false;
     assertTrue(entry.arrives(1, "/lookup/x").isEmpty());
@@ -240,7 +240,7 @@
   @Test
   public void requestThatCannotBeServedInTimeIsRefusedAtOnce() {
     busy();
-    for (UpstreamTrack track : entry.view.tracks) {
+    for (TrackedUpstream track : entry.view.tracks) {
       track.peerLoads().update("entry-2", 600, 0, RelayFixture.START);
     }
     RelayEffect.Refuse refuse =
@@ -297,7 +297,7 @@
   @Test
   public void streamStaysWhereOthersWouldBeLaterStill() {
     busy();
-    for (UpstreamTrack track : entry.view.tracks) {
+    for (TrackedUpstream track : entry.view.tracks) {
       track.peerLoads().update("entry-2", 60, 0, RelayFixture.START);
     }
     entry.sent(1, "/stream/x");
@@ -328,7 +328,7 @@
     RelayFixture.only(
         entry.fails(1, 1, AttemptFailure.STALE_CONNECTION, null), RelayEffect.SendAttempt.class);
     assertTrue(entry.counts.all().isEmpty(), entry.counts.all().toString());
-    for (UpstreamTrack track : entry.view.tracks) {
+    for (TrackedUpstream track : entry.view.tracks) {
       assertEquals(track.failureShare(), 0.0, first);
     }
   }
