--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/CallLatencyModel.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/CallLatencyModel.java
@@ -19,12 +19,12 @@
   private final Map<String, Double> meanMillis = new HashMap<>();
 
   /** Estimates the times of a call; its wait grows with the requests per slot of the upstream. */
-  Placement estimate(RelayService service, TrackedUpstream track, Instant now) {
+  Placement estimate(RelayService service, TrackedUpstream upstream, Instant now) {
     double mean = meanMillis.getOrDefault(service.name(), INITIAL_MILLIS);
-    int slots = Math.max(1, track.instance().slots());
-    double wait = mean * track.running(now) / slots;
-    double work = mean * track.relativeLatency().factor(now);
-    return new Placement(track, wait, work, wait + work, 0, null);
+    int slots = Math.max(1, upstream.instance().slots());
+    double wait = mean * upstream.running(now) / slots;
+    double work = mean * upstream.relativeLatency().factor(now);
+    return new Placement(upstream, wait, work, wait + work, 0, null);
   }
 
   void recordFirstByte(RelayService service, Placement placement, double millis, Instant now) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ColdStartLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ColdStartLimiter.java
@@ -27,12 +27,12 @@
   double SCHEDULER_SHARE = 5 / 6.0;
 
   /** Returns whether an upstream may receive one more request now. */
-  boolean allows(RelayService service, TrackedUpstream track, Instant now);
+  boolean allows(RelayService service, TrackedUpstream upstream, Instant now);
 
   /**
    * Returns whether an upstream has recently received as many requests as it could handle if it
    * turned cold now, which becomes known up to a heartbeat later. Such an upstream receives more
    * only if no other is left.
    */
-  boolean exceedsColdRate(RelayService service, TrackedUpstream track, Instant now);
+  boolean exceedsColdRate(RelayService service, TrackedUpstream upstream, Instant now);
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EngineLatencyModel.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EngineLatencyModel.java
@@ -87,8 +87,8 @@
         prefixes.sharedSize() == 0
             || engines.stream()
                 .anyMatch(
-                    track ->
-                        track.prefixCache().cachedTokens(prefixes, engine.memoryTokens())
+                    upstream ->
+                        upstream.prefixCache().cachedTokens(prefixes, engine.memoryTokens())
                             >= prefixes.sharedTokens());
     return new EngineEstimator(query, engine, prefixes, !cached, now);
   }
@@ -138,29 +138,29 @@
     }
 
     @Override
-    public Placement estimate(TrackedUpstream track) {
+    public Placement estimate(TrackedUpstream upstream) {
       int tokens =
           prefixes.totalTokens()
-              - track.prefixCache().cachedTokens(prefixes, engine.memoryTokens());
-      double latencyFactor = track.relativeLatency().factor(now);
+              - upstream.prefixCache().cachedTokens(prefixes, engine.memoryTokens());
+      double latencyFactor = upstream.relativeLatency().factor(now);
       double loadFactor = Math.min(MAX_LOAD_FACTOR, 1 / upstreams.loadShare());
-      double wait = latencyFactor * loadFactor * track.waitingMillis(now);
+      double wait = latencyFactor * loadFactor * upstream.waitingMillis(now);
       double prefill = latencyFactor * times.prefillMillis(model, tokens);
       double firstByte = wait + latencyFactor * times.firstByteMillis(model, tokens);
-      return new Placement(track, wait, prefill, firstByte, tokens, prefixes);
+      return new Placement(upstream, wait, prefill, firstByte, tokens, prefixes);
     }
 
     @Override
     public double costToOthersMillis(Placement placement) {
-      TrackedUpstream track = placement.upstream();
+      TrackedUpstream upstream = placement.upstream();
       int ownTokens = prefixes.totalTokens() - prefixes.sharedTokens();
       int copiedTokens = Math.max(0, placement.newTokens() - ownTokens);
       double cost = copyMillis(times.prefillMillis(model, copiedTokens));
       if (uncached) {
         cost +=
-            PREFERENCE_SHARE * times.prefillMillis(model, prefixes.sharedTokens()) * rank(track);
+            PREFERENCE_SHARE * times.prefillMillis(model, prefixes.sharedTokens()) * rank(upstream);
       }
-      return cost + MILLIS_PER_RUNNING_REQUEST * track.running(now);
+      return cost + MILLIS_PER_RUNNING_REQUEST * upstream.running(now);
     }
 
     private double copyMillis(double workMillis) {
@@ -172,9 +172,9 @@
      * Returns the preference for an engine for this prompt, from 0 (most preferred) to 1, which is
      * the same on all entries.
      */
-    private double rank(TrackedUpstream track) {
+    private double rank(TrackedUpstream upstream) {
       long key = prefixes.key(prefixes.sharedSize() - 1);
-      long hash = StableHash.of(Long.toHexString(key), track.instance().id());
+      long hash = StableHash.of(Long.toHexString(key), upstream.instance().id());
       return (hash >>> 11) * 0x1.0p-53;
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryColdStartLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryColdStartLimiter.java
@@ -36,16 +36,16 @@
   }
 
   @Override
-  public boolean allows(RelayService service, TrackedUpstream track, Instant now) {
-    if (!service.cold().isBounded() || !track.isCold(now)) {
+  public boolean allows(RelayService service, TrackedUpstream upstream, Instant now) {
+    if (!service.cold().isBounded() || !upstream.isCold(now)) {
       return true;
     }
     // Until the leader has reported the number of entries, each entry would assume to be the only
     // one.
-    return view.settled() && track.recentSends(now) < maxSends(service, track);
+    return view.settled() && upstream.recentSends(now) < maxSends(service, upstream);
   }
 
-  private int maxSends(RelayService service, TrackedUpstream track) {
+  private int maxSends(RelayService service, TrackedUpstream upstream) {
     double bound = service.cold().perSecond();
     if (service.engine() != null && !view.schedulers().isEmpty()) {
       bound *= 1 - SCHEDULER_SHARE;
@@ -54,12 +54,12 @@
     if (perEntry > 0) {
       return perEntry;
     }
-    return hash(track) * view.entries() < SPREAD_SHARE * bound ? 1 : 0;
+    return hash(upstream) * view.entries() < SPREAD_SHARE * bound ? 1 : 0;
   }
 
   /** Returns a hash of this entry and an upstream, from 0 to 1. */
-  private double hash(TrackedUpstream track) {
-    return (StableHash.of(self, track.instance().id()) >>> 11) * 0x1.0p-53;
+  private double hash(TrackedUpstream upstream) {
+    return (StableHash.of(self, upstream.instance().id()) >>> 11) * 0x1.0p-53;
   }
 
   /**
@@ -69,7 +69,7 @@
    * false.
    */
   @Override
-  public boolean exceedsColdRate(RelayService service, TrackedUpstream track, Instant now) {
+  public boolean exceedsColdRate(RelayService service, TrackedUpstream upstream, Instant now) {
     return false;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRateDivision.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRateDivision.java
@@ -20,14 +20,14 @@
   }
 
   @Override
-  public RateShare share(RelayService service, TrackedUpstream track, Instant now) {
+  public RateShare share(RelayService service, TrackedUpstream upstream, Instant now) {
     EntryOrdinal ordinal = view.place();
     // Until the leader has reported the number of entries, each entry would assume to be the only
     // one.
     if (!ordinal.isKnown()) {
       return RateShare.NONE;
     }
-    RateLimit limit = track.rateLimit();
+    RateLimit limit = upstream.rateLimit();
     double perSecond = RateDivision.perSecond(limit);
     double burst = RateDivision.burst(limit);
     if (RateDivision.isScheduled(service, view)) {
@@ -35,7 +35,7 @@
       burst = RateDivision.maxDirectSenders(limit);
     }
     int holders = (int) Math.min(ordinal.of(), burst);
-    int rank = Math.floorMod(ordinal.number() - firstHolder(track, ordinal.of()), ordinal.of());
+    int rank = Math.floorMod(ordinal.number() - firstHolder(upstream, ordinal.of()), ordinal.of());
     if (rank >= holders) {
       return RateShare.NONE;
     }
@@ -44,7 +44,7 @@
   }
 
   /** Returns the number of the first entry that has a part of an upstream's rate. */
-  private static int firstHolder(TrackedUpstream track, int entries) {
-    return Math.floorMod(StableHash.of(track.instance().id()), entries);
+  private static int firstHolder(TrackedUpstream upstream, int entries) {
+    return Math.floorMod(StableHash.of(upstream.instance().id()), entries);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeastTimePicker.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeastTimePicker.java
@@ -78,12 +78,14 @@
           usableUpstreams,
           now);
     }
-    return best(track -> callTimes.estimate(service, track, now), query, usableUpstreams, now);
+    return best(
+        upstream -> callTimes.estimate(service, upstream, now), query, usableUpstreams, now);
   }
 
   private List<TrackedUpstream> usableUpstreams(PlacementQuery query, Instant now) {
     List<TrackedUpstream> ready = candidates(query, UpstreamCondition.READY, now);
-    List<TrackedUpstream> healthy = ready.stream().filter(track -> !track.isAvoided(now)).toList();
+    List<TrackedUpstream> healthy =
+        ready.stream().filter(upstream -> !upstream.isAvoided(now)).toList();
     if (!healthy.isEmpty()) {
       return belowColdRate(query.service(), healthy, now);
     }
@@ -94,7 +96,7 @@
       RelayService service, List<TrackedUpstream> healthy, Instant now) {
     List<TrackedUpstream> others =
         healthy.stream()
-            .filter(track -> !coldStartLimiter.exceedsColdRate(service, track, now))
+            .filter(upstream -> !coldStartLimiter.exceedsColdRate(service, upstream, now))
             .toList();
     return others.isEmpty() ? healthy : others;
   }
@@ -103,17 +105,19 @@
       PlacementQuery query, UpstreamCondition condition, Instant now) {
     RelayService service = query.service();
     List<TrackedUpstream> matching = new ArrayList<>();
-    for (TrackedUpstream track : upstreams.upstreams(service.name())) {
-      boolean fits = track.condition() == condition && query.eligible().test(track.instance());
-      if (fits && isAllowed(service, track, now)) {
-        matching.add(track);
+    for (TrackedUpstream upstream : upstreams.upstreams(service.name())) {
+      boolean fits =
+          upstream.condition() == condition && query.eligible().test(upstream.instance());
+      if (fits && isAllowed(service, upstream, now)) {
+        matching.add(upstream);
       }
     }
     return matching;
   }
 
-  private boolean isAllowed(RelayService service, TrackedUpstream track, Instant now) {
-    return coldStartLimiter.allows(service, track, now) && rateLimiter.allows(service, track, now);
+  private boolean isAllowed(RelayService service, TrackedUpstream upstream, Instant now) {
+    return coldStartLimiter.allows(service, upstream, now)
+        && rateLimiter.allows(service, upstream, now);
   }
 
   @Override
@@ -125,9 +129,9 @@
   public Duration timeUntilAccepted(PlacementQuery query, Instant now) {
     RelayService service = query.service();
     return upstreams.upstreams(service.name()).stream()
-        .filter(track -> track.condition() == UpstreamCondition.READY)
-        .filter(track -> query.eligible().test(track.instance()))
-        .map(track -> rateLimiter.timeUntilAllowed(service, track, now))
+        .filter(upstream -> upstream.condition() == UpstreamCondition.READY)
+        .filter(upstream -> query.eligible().test(upstream.instance()))
+        .map(upstream -> rateLimiter.timeUntilAllowed(service, upstream, now))
         .min(Comparator.naturalOrder())
         .orElse(Duration.ZERO);
   }
@@ -141,12 +145,12 @@
     double distanceMillis = distanceMillis(zone, usableUpstreams);
     Placement best = null;
     double leastCost = Double.MAX_VALUE;
-    for (TrackedUpstream track : usableUpstreams) {
-      Placement placement = estimator.estimate(track);
+    for (TrackedUpstream upstream : usableUpstreams) {
+      Placement placement = estimator.estimate(upstream);
       double cost = placement.firstByteMillis() + estimator.costToOthersMillis(placement);
-      cost += FAILURE_MILLIS * track.failureShare() + random.nextDouble();
-      cost += zone.equals(track.instance().zone()) ? 0 : distanceMillis;
-      cost -= track.rateLimit().isBounded() ? LIMITED_PREFERENCE_MILLIS : 0;
+      cost += FAILURE_MILLIS * upstream.failureShare() + random.nextDouble();
+      cost += zone.equals(upstream.instance().zone()) ? 0 : distanceMillis;
+      cost -= upstream.rateLimit().isBounded() ? LIMITED_PREFERENCE_MILLIS : 0;
       if (cost < leastCost) {
         leastCost = cost;
         best = placement;
@@ -157,7 +161,9 @@
 
   private static double distanceMillis(String zone, List<TrackedUpstream> usableUpstreams) {
     long sameZone =
-        usableUpstreams.stream().filter(track -> zone.equals(track.instance().zone())).count();
+        usableUpstreams.stream()
+            .filter(upstream -> zone.equals(upstream.instance().zone()))
+            .count();
     return sameZone >= MIN_CACHING_ENGINES ? OTHER_ZONE_CACHED_MILLIS : OTHER_ZONE_MILLIS;
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadExchangePart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadExchangePart.java
@@ -86,10 +86,10 @@
 
   private List<UpstreamLoad> loads() {
     List<UpstreamLoad> loads = new ArrayList<>();
-    for (TrackedUpstream track : entry.tracks()) {
-      if (track.ownRunning() > 0 && loads.size() < MAX_LOADS) {
-        int waiting = (int) Math.round(track.ownWaitingMillis());
-        loads.add(new UpstreamLoad(track.instance().id(), track.ownRunning(), waiting));
+    for (TrackedUpstream tracked : entry.tracks()) {
+      if (tracked.ownRunning() > 0 && loads.size() < MAX_LOADS) {
+        int waiting = (int) Math.round(tracked.ownWaitingMillis());
+        loads.add(new UpstreamLoad(tracked.instance().id(), tracked.ownRunning(), waiting));
       }
     }
     return loads;
@@ -98,15 +98,15 @@
   private void recordReport(String peer, EntryLoads message, Instant now) {
     Map<String, UpstreamLoad> byUpstream = new HashMap<>();
     message.loads().forEach(load -> byUpstream.put(load.upstream(), load));
-    for (TrackedUpstream track : entry.tracks()) {
-      UpstreamLoad load = byUpstream.get(track.instance().id());
+    for (TrackedUpstream tracked : entry.tracks()) {
+      UpstreamLoad load = byUpstream.get(tracked.instance().id());
       int running = load == null ? 0 : load.running();
-      track.peerLoads().update(peer, running, load == null ? 0 : load.waitingMillis(), now);
+      tracked.peerLoads().update(peer, running, load == null ? 0 : load.waitingMillis(), now);
     }
     for (KeptPrompt prompt : message.prompts()) {
-      TrackedUpstream track = entry.track(prompt.upstream());
-      if (track != null) {
-        track.prefixCache().recordUse(prompt.key());
+      TrackedUpstream tracked = entry.track(prompt.upstream());
+      if (tracked != null) {
+        tracked.prefixCache().recordUse(prompt.key());
       }
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PlacementEstimator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PlacementEstimator.java
@@ -4,7 +4,7 @@
 interface PlacementEstimator {
 
   /** Returns the placement of the attempt at an upstream, with the expected times. */
-  Placement estimate(TrackedUpstream track);
+  Placement estimate(TrackedUpstream upstream);
 
   /** Returns the cost of the attempt to other requests at the upstream, in milliseconds. */
   default double costToOthersMillis(Placement placement) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateDivision.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateDivision.java
@@ -26,7 +26,7 @@
   double MIN_PER_SECOND = 0.2;
 
   /** Returns this daemon's part of the rate of an upstream that reports a limit. */
-  RateShare share(RelayService service, TrackedUpstream track, Instant now);
+  RateShare share(RelayService service, TrackedUpstream upstream, Instant now);
 
   /** Returns the requests per second that all daemons together send to an upstream. */
   static double perSecond(RateLimit limit) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimitRecorder.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimitRecorder.java
@@ -16,28 +16,28 @@
    * <p>A limit is lifted only by a successful answer without a limit: a failure may come from a
    * component in front of the upstream.
    *
-   * @param track the upstream that answered
+   * @param upstream the upstream that answered
    * @param answer the answer
    * @param request id of the request that the answer belongs to
    * @param now the present time
    * @param output receives a log line if the limit has changed
    */
   void recordAnswer(
-      TrackedUpstream track,
+      TrackedUpstream upstream,
       RelayEvent.AnswerBegan answer,
       String request,
       Instant now,
       Output output) {
     RateLimit limit = answer.rateLimit();
-    RateLimit previous = track.rateLimit();
+    RateLimit previous = upstream.rateLimit();
     if (limit == null || !limit.isBounded() && !isLifted(previous, answer)) {
       return;
     }
-    track.rate().recordLimit(limit, now);
+    upstream.rate().recordLimit(limit, now);
     if (!limit.isNear(previous)) {
       String facts =
           "event=rate_limit_heard id="
-              + track.instance().id()
+              + upstream.instance().id()
               + " per_second="
               + limit
               + " before="
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
@@ -29,19 +29,19 @@
   }
 
   /** Returns whether this daemon may send one more request to an upstream now. */
-  boolean allows(RelayService service, TrackedUpstream track, Instant now) {
-    if (!track.rateLimit().isBounded()) {
-      track.rate().quota(null);
+  boolean allows(RelayService service, TrackedUpstream upstream, Instant now) {
+    if (!upstream.rateLimit().isBounded()) {
+      upstream.rate().quota(null);
       return true;
     }
-    TokenBucket bucket = bucket(service, track, now);
+    TokenBucket bucket = bucket(service, upstream, now);
     return bucket != null && bucket.has(1, now);
   }
 
   /** Records a request that this daemon sends to an upstream of its own choice. */
-  void recordSent(RelayService service, TrackedUpstream track, Instant now) {
-    if (track.rateLimit().isBounded()) {
-      TokenBucket bucket = bucket(service, track, now);
+  void recordSent(RelayService service, TrackedUpstream upstream, Instant now) {
+    if (upstream.rateLimit().isBounded()) {
+      TokenBucket bucket = bucket(service, upstream, now);
       if (bucket != null) {
         bucket.take(1, now);
       }
@@ -51,23 +51,24 @@
   /**
    * Returns the time until an upstream accepts one more request, from this daemon or another one.
    */
-  Duration timeUntilAllowed(RelayService service, TrackedUpstream track, Instant now) {
-    if (allows(service, track, now)) {
+  Duration timeUntilAllowed(RelayService service, TrackedUpstream upstream, Instant now) {
+    if (allows(service, upstream, now)) {
       return Duration.ZERO;
     }
-    TokenBucket bucket = bucket(service, track, now);
+    TokenBucket bucket = bucket(service, upstream, now);
     double seconds =
         bucket == null
-            ? 1 / RateDivision.perSecond(track.rateLimit())
+            ? 1 / RateDivision.perSecond(upstream.rateLimit())
             : bucket.secondsUntil(1, now);
     return Duration.ofMillis((long) Math.ceil(seconds * MILLIS_PER_SECOND));
   }
 
-  private @Nullable TokenBucket bucket(RelayService service, TrackedUpstream track, Instant now) {
-    Quota known = track.rate().quota();
+  private @Nullable TokenBucket bucket(
+      RelayService service, TrackedUpstream upstream, Instant now) {
+    Quota known = upstream.rate().quota();
     Quota account = known == null ? new Quota() : known;
-    track.rate().quota(account);
-    RateShare share = division.share(service, track, now);
+    upstream.rate().quota(account);
+    RateShare share = division.share(service, upstream, now);
     TokenBucket bucket = account.bucket;
     if (share.isNone()) {
       bucket = null;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ScheduledEngines.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ScheduledEngines.java
@@ -54,7 +54,7 @@
   void removeDeparted(Iterable<String> services) {
     Set<UpstreamRun> present = new HashSet<>();
     for (String service : services) {
-      view.upstreams(service).forEach(track -> present.add(track.instance().run()));
+      view.upstreams(service).forEach(upstream -> present.add(upstream.instance().run()));
     }
     tracks.keySet().retainAll(present);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
@@ -124,10 +124,11 @@
 
   private int[] weights(PlacementQuery query, int groups) {
     int[] weights = new int[groups];
-    for (TrackedUpstream track : view.upstreams(query.service().name())) {
+    for (TrackedUpstream candidate : view.upstreams(query.service().name())) {
       boolean usable =
-          track.condition() == UpstreamCondition.READY && query.eligible().test(track.instance());
-      weights[EngineGroups.groupOf(track.instance().id(), groups)] += usable ? 1 : 0;
+          candidate.condition() == UpstreamCondition.READY
+              && query.eligible().test(candidate.instance());
+      weights[EngineGroups.groupOf(candidate.instance().id(), groups)] += usable ? 1 : 0;
     }
     return weights;
   }
@@ -156,9 +157,9 @@
 
   private Set<String> versions(PlacementQuery query) {
     Set<String> versions = new LinkedHashSet<>();
-    for (TrackedUpstream track : view.upstreams(query.service().name())) {
-      if (query.eligible().test(track.instance())) {
-        versions.add(track.instance().version());
+    for (TrackedUpstream candidate : view.upstreams(query.service().name())) {
+      if (query.eligible().test(candidate.instance())) {
+        versions.add(candidate.instance().version());
       }
     }
     return versions;
@@ -170,9 +171,9 @@
    */
   private List<String> excluded(PlacementQuery query, Set<String> versions) {
     List<String> excluded = new ArrayList<>();
-    for (TrackedUpstream track : view.upstreams(query.service().name())) {
-      UpstreamInstance engine = track.instance();
-      boolean ineligible = !query.eligible().test(engine) || track.condition().rejectsNewWork();
+    for (TrackedUpstream candidate : view.upstreams(query.service().name())) {
+      UpstreamInstance engine = candidate.instance();
+      boolean ineligible = !query.eligible().test(engine) || candidate.condition().rejectsNewWork();
       if (ineligible && versions.contains(engine.version())) {
         excluded.add(engine.id());
       }
@@ -194,20 +195,21 @@
     OpenQuery pending = openQueries.remove(answer.number());
     boolean isExpected = pending != null && pending.relay.question == answer.number();
     String upstream = answer.upstream();
-    TrackedUpstream track = isExpected && upstream != null ? find(pending.relay, upstream) : null;
-    if (upstream != null && track == null) {
+    TrackedUpstream selected =
+        isExpected && upstream != null ? find(pending.relay, upstream) : null;
+    if (upstream != null && selected == null) {
       reportProgress(new SchedulerGrant(from, answer.number()), AttemptProgress.ENDED, 0, output);
     }
     if (!isExpected) {
       return null;
     }
     pending.relay.question = 0;
-    if (track == null) {
+    if (selected == null) {
       return new SchedulerDecision(pending.relay, pending.isEscalation, null, null);
     }
     Placement placement =
         new Placement(
-            track,
+            selected,
             answer.waitMillis(),
             answer.workMillis(),
             answer.firstByteMillis(),
@@ -218,9 +220,9 @@
   }
 
   private @Nullable TrackedUpstream find(ActiveRelay relay, String upstream) {
-    for (TrackedUpstream track : view.upstreams(relay.service.name())) {
-      if (track.instance().id().equals(upstream)) {
-        return track.condition().rejectsNewWork() ? null : track;
+    for (TrackedUpstream candidate : view.upstreams(relay.service.name())) {
+      if (candidate.instance().id().equals(upstream)) {
+        return candidate.condition().rejectsNewWork() ? null : candidate;
       }
     }
     return null;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerColdStartLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerColdStartLimiter.java
@@ -18,17 +18,17 @@
   }
 
   @Override
-  public boolean allows(RelayService service, TrackedUpstream track, Instant now) {
-    if (!service.cold().isBounded() || !track.isCold(now)) {
+  public boolean allows(RelayService service, TrackedUpstream upstream, Instant now) {
+    if (!service.cold().isBounded() || !upstream.isCold(now)) {
       return true;
     }
     int maxSends = (int) (SCHEDULER_SHARE * service.cold().perSecond());
-    return role.ownsEngine(track.instance().id(), now) && track.recentSends(now) < maxSends;
+    return role.ownsEngine(upstream.instance().id(), now) && upstream.recentSends(now) < maxSends;
   }
 
   @Override
-  public boolean exceedsColdRate(RelayService service, TrackedUpstream track, Instant now) {
+  public boolean exceedsColdRate(RelayService service, TrackedUpstream upstream, Instant now) {
     return service.cold().isBounded()
-        && track.recentSends(now) >= MAX_COLD_RATE_SHARE * service.cold().perSecond();
+        && upstream.recentSends(now) >= MAX_COLD_RATE_SHARE * service.cold().perSecond();
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
@@ -116,17 +116,17 @@
     if (placement == null) {
       return new PlacementAnswer(ask.number(), null, 0, 0, 0, 0);
     }
-    TrackedUpstream track = placement.upstream();
-    track.recordSent(placement.workMillis(), now);
+    TrackedUpstream upstream = placement.upstream();
+    upstream.recordSent(placement.workMillis(), now);
     picker.recordSent(service, placement, now);
-    track.prefixCache().recordSent(prefixes, placement.newTokens());
+    upstream.prefixCache().recordSent(prefixes, placement.newTokens());
     Instant expiresAt = now.plusMillis(ask.lastsMillis()).plus(EXPIRY_MARGIN);
     reservations.put(
         new SchedulerGrant(entry, ask.number()),
         new Reservation(service, ask.model(), placement, now, expiresAt));
     return new PlacementAnswer(
         ask.number(),
-        track.instance().id(),
+        upstream.instance().id(),
         (int) placement.waitMillis(),
         (int) placement.workMillis(),
         (int) placement.firstByteMillis(),
@@ -162,32 +162,32 @@
     if (reservation == null) {
       return;
     }
-    TrackedUpstream track = reservation.placement.upstream();
-    track.rate().updateIfNewer(report.named(), now);
+    TrackedUpstream upstream = reservation.placement.upstream();
+    upstream.rate().updateIfNewer(report.named(), now);
     switch (report.progress()) {
       case BEGUN -> answerBegun(reservation, report.millis(), now);
       case ENDED -> {
         if (reservation.answerBegun) {
-          track.recordSuccess();
+          upstream.recordSuccess();
         }
       }
-      case FAILED -> track.recordFailure(false, now);
-      case UNREACHABLE -> track.recordFailure(true, now);
-      case SILENT -> track.recordFailure(track.isSilentSince(reservation.grantedAt), now);
+      case FAILED -> upstream.recordFailure(false, now);
+      case UNREACHABLE -> upstream.recordFailure(true, now);
+      case SILENT -> upstream.recordFailure(upstream.isSilentSince(reservation.grantedAt), now);
       default -> throw new IllegalArgumentException("unknown progress " + report.progress());
     }
     if (report.progress() != AttemptProgress.BEGUN) {
       reservations.remove(grant);
-      track.recordEnded(reservation.pendingMillis);
+      upstream.recordEnded(reservation.pendingMillis);
     }
   }
 
   private void answerBegun(Reservation reservation, int millis, Instant now) {
-    TrackedUpstream track = reservation.placement.upstream();
-    track.recordBegun(reservation.pendingMillis);
+    TrackedUpstream upstream = reservation.placement.upstream();
+    upstream.recordBegun(reservation.pendingMillis);
     reservation.pendingMillis = 0;
     reservation.answerBegun = true;
-    track.recordAnswered(now);
+    upstream.recordAnswered(now);
     picker.recordFirstByte(
         reservation.service, reservation.model, reservation.placement, millis, now);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerRateDivision.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerRateDivision.java
@@ -15,11 +15,11 @@
   }
 
   @Override
-  public RateShare share(RelayService service, TrackedUpstream track, Instant now) {
-    if (!role.ownsEngine(track.instance().id(), now)) {
+  public RateShare share(RelayService service, TrackedUpstream upstream, Instant now) {
+    if (!role.ownsEngine(upstream.instance().id(), now)) {
       return RateShare.NONE;
     }
-    RateLimit limit = track.rateLimit();
+    RateLimit limit = upstream.rateLimit();
     double perSecond = RateDivision.perSecond(limit) * ColdStartLimiter.SCHEDULER_SHARE;
     double burst = RateDivision.burst(limit) - RateDivision.maxDirectSenders(limit);
     return new RateShare(perSecond, burst, 0, role.since());
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ColdStartLimiterTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ColdStartLimiterTest.java
@@ -32,16 +32,16 @@
   private static TrackedUpstream track(String id, Instant coldUntil) {
     UpstreamStatus status =
         new UpstreamStatus(RelayFixture.instance(id, "v1"), UpstreamCondition.READY);
-    TrackedUpstream track = new TrackedUpstream(status);
-    track.coldUntil(coldUntil);
-    return track;
+    TrackedUpstream tracked = new TrackedUpstream(status);
+    tracked.coldUntil(coldUntil);
+    return tracked;
   }
 
   /** Sends as often as the limiter allows at one moment and returns the number of sends. */
-  private static int sends(ColdStartLimiter limiter, TrackedUpstream track, Instant now) {
+  private static int sends(ColdStartLimiter limiter, TrackedUpstream tracked, Instant now) {
     int sent = 0;
-    while (sent < 1000 && limiter.allows(SERVICE, track, now)) {
-      track.recordSent(0, now);
+    while (sent < 1000 && limiter.allows(SERVICE, tracked, now)) {
+      tracked.recordSent(0, now);
       sent++;
     }
     return sent;
@@ -91,10 +91,10 @@
   @Test
   public void sendsLeaveTheWindow() {
     ColdStartLimiter limiter = new EntryColdStartLimiter(view(1), "entry-1");
-    TrackedUpstream track = track("up", START.plusSeconds(3));
-    assertEquals(sends(limiter, track, START), 18);
-    assertEquals(sends(limiter, track, START.plusMillis(1000)), 0);
-    assertEquals(sends(limiter, track, START.plusMillis(1200)), 18);
+    TrackedUpstream tracked = track("up", START.plusSeconds(3));
+    assertEquals(sends(limiter, tracked, START), 18);
+    assertEquals(sends(limiter, tracked, START.plusMillis(1000)), 0);
+    assertEquals(sends(limiter, tracked, START.plusMillis(1200)), 18);
   }
 
   /**
@@ -155,13 +155,13 @@
   public void engineAboveColdRateIsNotPreferred() {
     SchedulerColdStartLimiter limiter =
         new SchedulerColdStartLimiter(new SchedulerRole(view(55, "scheduler"), "scheduler"));
-    TrackedUpstream track = track("up", START);
+    TrackedUpstream tracked = track("up", START);
     for (int sent = 0; sent < 23; sent++) {
-      assertFalse(limiter.exceedsColdRate(SERVICE, track, START), "after " + sent);
-      track.recordSent(0, START);
+      assertFalse(limiter.exceedsColdRate(SERVICE, tracked, START), "after " + sent);
+      tracked.recordSent(0, START);
     }
-    assertTrue(limiter.exceedsColdRate(SERVICE, track, START));
-    assertTrue(limiter.allows(SERVICE, track, START), "not preferred, but still allowed");
-    assertFalse(limiter.exceedsColdRate(SERVICE, track, START.plusSeconds(2)));
+    assertTrue(limiter.exceedsColdRate(SERVICE, tracked, START));
+    assertTrue(limiter.allows(SERVICE, tracked, START), "not preferred, but still allowed");
+    assertFalse(limiter.exceedsColdRate(SERVICE, tracked, START.plusSeconds(2)));
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConfidenceCascadeTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConfidenceCascadeTest.java
@@ -36,11 +36,11 @@
       double waitMillis,
       double prefillMillis,
       long leftMillis) {
-    TrackedUpstream track =
+    TrackedUpstream upstream =
         new TrackedUpstream(
             new UpstreamStatus(RelayFixture.instance("up", "v1"), UpstreamCondition.READY));
     Placement placement =
-        new Placement(track, waitMillis, prefillMillis, waitMillis + prefillMillis, 1000, null);
+        new Placement(upstream, waitMillis, prefillMillis, waitMillis + prefillMillis, 1000, null);
     ActiveRelay relay = relay(RelayFixture.START.plusMillis(leftMillis + elapsedMillis));
     relay.confidence = confidence;
     return cascade.shouldEscalate(relay, placement, RelayFixture.START.plusMillis(elapsedMillis));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadExchangePartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadExchangePartTest.java
@@ -90,14 +90,14 @@
     return loads;
   }
 
-  private TrackedUpstream track() {
+  private TrackedUpstream upstream() {
     return entry.upstreams("service").get(0);
   }
 
   @Test
   public void loadIsReportedOnceAndRepeatedBeforeItExpires() {
     assertTrue(tick(100).isEmpty(), "there is no load");
-    track().recordSent(250, RelayFixture.START);
+    upstream().recordSent(250, RelayFixture.START);
     prompts.recordSent("up", PREFIXES, now);
     List<SendToPeer> sent = tick(100);
     EntryLoads expected =
@@ -108,7 +108,7 @@
         sent, List.of(new SendToPeer("entry-2", expected), new SendToPeer("entry-3", expected)));
     assertTrue(tick(100).isEmpty(), "the load has not changed");
     assertEquals(tick(400).size(), 2, "the report would expire");
-    track().recordEnded(250);
+    upstream().recordEnded(250);
     assertEquals(((EntryLoads) tick(100).get(0).message()).loads(), List.of());
     assertTrue(tick(400).isEmpty());
   }
@@ -118,7 +118,7 @@
   public void reportsKeepTheMinimumInterval() {
     int messages = 0;
     for (int tick = 0; tick < 40; tick++) {
-      track().recordSent(10, RelayFixture.START);
+      upstream().recordSent(10, RelayFixture.START);
       messages += tick(25).size();
     }
     assertEquals(messages, 2 * 20);
@@ -129,13 +129,13 @@
     KeptPrompt prefix = new KeptPrompt("up", PREFIXES.key(0));
     receive("entry-2", new EntryLoads(List.of(new UpstreamLoad("up", 2, 700)), List.of(prefix)));
     receive("entry-3", new EntryLoads(List.of(new UpstreamLoad("gone", 9, 9)), List.of()));
-    assertEquals(track().waitingMillis(now), 700.0);
-    assertEquals(track().running(now), 2);
-    assertEquals(track().prefixCache().cachedTokens(PREFIXES, 100_000), 900);
+    assertEquals(upstream().waitingMillis(now), 700.0);
+    assertEquals(upstream().running(now), 2);
+    assertEquals(upstream().prefixCache().cachedTokens(PREFIXES, 100_000), 900);
     receive("entry-2", new EntryLoads(List.of(), List.of()));
-    assertEquals(track().running(now), 0);
+    assertEquals(upstream().running(now), 0);
     receive("entry-2", new EntryLoads(List.of(new UpstreamLoad("up", 2, 700)), List.of()));
-    assertEquals(track().waitingMillis(now.plusSeconds(2)), 0.0, "the peer has failed");
+    assertEquals(upstream().waitingMillis(now.plusSeconds(2)), 0.0, "the peer has failed");
   }
 
   @Test
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitSimulation.java
@@ -310,8 +310,8 @@
   }
 
   private boolean treatsAsLimited(String entry, Upstream upstream) {
-    TrackedUpstream track = entryParts.get(entry).track(upstream.instance.id());
-    return track != null && track.rateLimit().isBounded();
+    TrackedUpstream tracked = entryParts.get(entry).track(upstream.instance.id());
+    return tracked != null && tracked.rateLimit().isBounded();
   }
 
   private void count(Upstream upstream, String entry) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimiterTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimiterTest.java
@@ -30,18 +30,18 @@
     return view;
   }
 
-  private static TrackedUpstream track(String id, double perSecond) {
+  private static TrackedUpstream upstream(String id, double perSecond) {
     UpstreamStatus status =
         new UpstreamStatus(RelayFixture.instance(id, "v1"), UpstreamCondition.READY);
-    TrackedUpstream track = new TrackedUpstream(status);
-    track.rate().recordLimit(new RateLimit(perSecond), START);
-    return track;
+    TrackedUpstream upstream = new TrackedUpstream(status);
+    upstream.rate().recordLimit(new RateLimit(perSecond), START);
+    return upstream;
   }
 
-  private static RateShare schedulersShare(TrackedUpstream track) {
+  private static RateShare schedulersShare(TrackedUpstream upstream) {
     SchedulerRole role = new SchedulerRole(view(0, 75, SCHEDULER), SCHEDULER);
     role.tick(START);
-    return new SchedulerRateDivision(role).share(ENGINE_SERVICE, track, START.plusSeconds(2));
+    return new SchedulerRateDivision(role).share(ENGINE_SERVICE, upstream, START.plusSeconds(2));
   }
 
   /** Number of entries, whether a scheduler places requests, and a limit. */
@@ -62,13 +62,13 @@
   /** Guards against parts of the daemons that add up to more than an upstream accepts. */
   @Test(dataProvider = "limits")
   public void partsAddUpToTheLimitOfTheUpstream(int entries, boolean scheduled, double perSecond) {
-    TrackedUpstream track = track("up", perSecond);
-    double rates = scheduled ? schedulersShare(track).perSecond() : 0;
-    double bursts = scheduled ? schedulersShare(track).burst() : 0;
+    TrackedUpstream upstream = upstream("up", perSecond);
+    double rates = scheduled ? schedulersShare(upstream).perSecond() : 0;
+    double bursts = scheduled ? schedulersShare(upstream).burst() : 0;
     for (int number = 0; number < entries; number++) {
       String[] schedulers = scheduled ? new String[] {SCHEDULER} : new String[0];
       RateDivision division = new EntryRateDivision(view(number, entries, schedulers));
-      RateShare share = division.share(ENGINE_SERVICE, track, START);
+      RateShare share = division.share(ENGINE_SERVICE, upstream, START);
       rates += share.perSecond();
       bursts += share.isNone() ? 0 : share.burst();
     }
@@ -82,20 +82,20 @@
   @Test
   public void entryWithoutOrdinalSendsNothingToLimitedUpstreams() {
     RateLimiter limiter = new RateLimiter(new EntryRateDivision(view(0, 0)));
-    assertFalse(limiter.allows(PLAIN_SERVICE, track("up", 5), START.plusSeconds(60)));
-    assertTrue(limiter.allows(PLAIN_SERVICE, track("up", Double.POSITIVE_INFINITY), START));
+    assertFalse(limiter.allows(PLAIN_SERVICE, upstream("up", 5), START.plusSeconds(60)));
+    assertTrue(limiter.allows(PLAIN_SERVICE, upstream("up", Double.POSITIVE_INFINITY), START));
   }
 
   @Test
   public void waitUntilTheNextRequestIsReported() {
     RateLimiter limiter = new RateLimiter(new EntryRateDivision(view(0, 1)));
-    TrackedUpstream track = track("up", 0.5);
-    assertEquals(limiter.timeUntilAllowed(PLAIN_SERVICE, track, START), Duration.ofSeconds(2));
+    TrackedUpstream upstream = upstream("up", 0.5);
+    assertEquals(limiter.timeUntilAllowed(PLAIN_SERVICE, upstream, START), Duration.ofSeconds(2));
     assertEquals(
-        limiter.timeUntilAllowed(PLAIN_SERVICE, track, START.plusSeconds(2)), Duration.ZERO);
-    limiter.recordSent(PLAIN_SERVICE, track, START.plusSeconds(2));
+        limiter.timeUntilAllowed(PLAIN_SERVICE, upstream, START.plusSeconds(2)), Duration.ZERO);
+    limiter.recordSent(PLAIN_SERVICE, upstream, START.plusSeconds(2));
     assertEquals(
-        limiter.timeUntilAllowed(PLAIN_SERVICE, track, START.plusMillis(2500)),
+        limiter.timeUntilAllowed(PLAIN_SERVICE, upstream, START.plusMillis(2500)),
         Duration.ofMillis(1500));
   }
 
@@ -107,14 +107,14 @@
   public void reassignedPartBeginsEmpty() {
     RelayFixture.FakeView view = view(0, 1);
     RateLimiter limiter = new RateLimiter(new EntryRateDivision(view));
-    TrackedUpstream track = track("up", 1);
-    assertFalse(limiter.allows(PLAIN_SERVICE, track, START));
-    assertTrue(limiter.allows(PLAIN_SERVICE, track, START.plusSeconds(9)));
+    TrackedUpstream upstream = upstream("up", 1);
+    assertFalse(limiter.allows(PLAIN_SERVICE, upstream, START));
+    assertTrue(limiter.allows(PLAIN_SERVICE, upstream, START.plusSeconds(9)));
     view.place = EntryOrdinal.UNKNOWN;
-    assertFalse(limiter.allows(PLAIN_SERVICE, track, START.plusSeconds(10)));
+    assertFalse(limiter.allows(PLAIN_SERVICE, upstream, START.plusSeconds(10)));
     view.place = new EntryOrdinal(0, 1);
-    assertFalse(limiter.allows(PLAIN_SERVICE, track, START.plusSeconds(11)));
-    assertTrue(limiter.allows(PLAIN_SERVICE, track, START.plusSeconds(12)));
+    assertFalse(limiter.allows(PLAIN_SERVICE, upstream, START.plusSeconds(11)));
+    assertTrue(limiter.allows(PLAIN_SERVICE, upstream, START.plusSeconds(12)));
   }
 
   private static int entriesOfTwoThatSendAfterSecond(boolean knownFromTheStart) {
@@ -122,13 +122,13 @@
     for (int number = 0; number < 2; number++) {
       RelayFixture.FakeView view = view(0, 0);
       RateLimiter limiter = new RateLimiter(new EntryRateDivision(view));
-      TrackedUpstream track = track("up", 1);
+      TrackedUpstream upstream = upstream("up", 1);
       if (!knownFromTheStart) {
-        limiter.allows(PLAIN_SERVICE, track, START);
+        limiter.allows(PLAIN_SERVICE, upstream, START);
       }
       view.place = new EntryOrdinal(number, 2);
-      limiter.allows(PLAIN_SERVICE, track, START);
-      send += limiter.allows(PLAIN_SERVICE, track, START.plusSeconds(1)) ? 1 : 0;
+      limiter.allows(PLAIN_SERVICE, upstream, START);
+      send += limiter.allows(PLAIN_SERVICE, upstream, START.plusSeconds(1)) ? 1 : 0;
     }
     return send;
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UrgencyTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UrgencyTest.java
@@ -21,10 +21,10 @@
             team,
             RelayFixture.START,
             RelayFixture.START.plusSeconds(2));
-    TrackedUpstream track =
+    TrackedUpstream upstream =
         new TrackedUpstream(
             new UpstreamStatus(RelayFixture.instance("up", "v1"), UpstreamCondition.READY));
-    return Urgency.of(relay, new Placement(track, 0, workMillis, workMillis, 1, null));
+    return Urgency.of(relay, new Placement(upstream, 0, workMillis, workMillis, 1, null));
   }
 
   @Test
