--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailures.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailures.java
@@ -27,7 +27,7 @@
   private final AttemptStarter starter;
   private final RequestEndings endings;
   private final VersionLedger counts;
-  private final Patience patience;
+  private final FirstByteTimeout patience;
   private final CrashWatch crashes;
   private final RequestTrace trace;
 
@@ -36,7 +36,7 @@
       AttemptStarter starter,
       RequestEndings endings,
       VersionLedger counts,
-      Patience patience,
+      FirstByteTimeout patience,
       CrashWatch crashes,
       RequestTrace trace) {
     this.sender = sender;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/Patience.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/FirstByteTimeout.java
@@ -12,7 +12,7 @@
  * tenfold. Under load the times grow and the patience with them, so that a busy service doesn't get
  * its requests twice.
  */
-final class Patience {
+final class FirstByteTimeout {
 
   /** Weight of the newest time in the mean and in the deviation, as in RFC 6298. */
   private static final double MEAN_LEARNING = 0.125;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -36,7 +36,7 @@
   private final VersionLedger counts;
   private final StopPlan stopPlan;
   private final RequestTrace trace;
-  private final Patience patience = new Patience();
+  private final FirstByteTimeout patience = new FirstByteTimeout();
   private final SentPrefixes prompts = new SentPrefixes();
   private final ActiveRelays active = new ActiveRelays();
   private final CrashWatch crashes;
