--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/HeldRequests.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PendingRequests.java
@@ -14,7 +14,7 @@
  * <p>An entry that has just started, or a core that elects, is ready again within a second; a
  * caller that is refused instead comes back once at most and finds the same.
  */
-final class HeldRequests {
+final class PendingRequests {
 
   /**
    * Longest wait at an entry that has just started. After a crash of everything the entries are up
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
@@ -16,7 +16,7 @@
   private final ModelPolicy models;
   private final RequestEndings endings;
   private final UniformRandomProvider random;
-  private final HeldRequests held = new HeldRequests();
+  private final PendingRequests held = new PendingRequests();
 
   RequestIntake(
       RelayView view,
