--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/HeldRequest.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PendingRequest.java
@@ -9,4 +9,4 @@
  * @param arrivedAt when it came
  * @param until when it waits no longer
  */
-record HeldRequest(RelayRequest request, Instant arrivedAt, Instant until) {}
+record PendingRequest(RelayRequest request, Instant arrivedAt, Instant until) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PendingRequests.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PendingRequests.java
@@ -32,7 +32,7 @@
   /** Most requests that wait; a body of 10 kB each takes 5 MB. */
   private static final int MOST = 512;
 
-  private final Map<Long, HeldRequest> waiting = new LinkedHashMap<>();
+  private final Map<Long, PendingRequest> waiting = new LinkedHashMap<>();
 
   /**
    * Keeps a request; returns whether there was room.
@@ -46,7 +46,7 @@
       return false;
     }
     Instant until = now.plus(longest(request, starting));
-    waiting.put(request.number(), new HeldRequest(request, now, until));
+    waiting.put(request.number(), new PendingRequest(request, now, until));
     return true;
   }
 
@@ -61,9 +61,9 @@
    * @param servable tells whether a request can be decided on now
    * @param now the present time
    */
-  List<HeldRequest> release(Predicate<RelayRequest> servable, Instant now) {
-    List<HeldRequest> released = new ArrayList<>();
-    for (HeldRequest held : waiting.values()) {
+  List<PendingRequest> release(Predicate<RelayRequest> servable, Instant now) {
+    List<PendingRequest> released = new ArrayList<>();
+    for (PendingRequest held : waiting.values()) {
       boolean tooLong = !now.isBefore(held.until());
       if (tooLong || servable.test(held.request())) {
         released.add(held);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
@@ -42,7 +42,7 @@
   /** Returns the work of requests that need not wait any longer; others may be refused. */
   List<ActiveRelay> released(Instant now, Output output) {
     List<ActiveRelay> released = new ArrayList<>();
-    for (HeldRequest waited :
+    for (PendingRequest waited :
         held.release(request -> admission.refusal(request, now) != Refusal.NOT_SERVING, now)) {
       Refusal refusal = admission.refusal(waited.request(), now);
       ActiveRelay relay = taken(waited.request(), refusal, waited.arrivedAt(), now, output);
