--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -34,7 +34,7 @@
 
   private final ModelPolicy models;
   private final VersionLedger counts;
-  private final StopPlan stopPlan;
+  private final ShutdownPolicy stopPlan;
   private final RequestTrace trace;
   private final FirstByteTimeout patience = new FirstByteTimeout();
   private final SentPrefixes prompts = new SentPrefixes();
@@ -80,7 +80,7 @@
         new VersionRule(entry, settings.canaryShare()),
         new RetryBudget(settings.retryRatio()),
         counts,
-        new StopPlan(settings.grace()),
+        new ShutdownPolicy(settings.grace()),
         seed);
   }
 
@@ -93,7 +93,7 @@
       VersionRule versions,
       RetryBudget budget,
       VersionLedger counts,
-      StopPlan stopPlan,
+      ShutdownPolicy stopPlan,
       long seed) {
     this.models = models;
     this.counts = counts;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestAdmission.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestAdmission.java
@@ -7,9 +7,9 @@
 final class RequestAdmission {
 
   private final RelayView view;
-  private final StopPlan stopPlan;
+  private final ShutdownPolicy stopPlan;
 
-  RequestAdmission(RelayView view, StopPlan stopPlan) {
+  RequestAdmission(RelayView view, ShutdownPolicy stopPlan) {
     this.view = view;
     this.stopPlan = stopPlan;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/StopPlan.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ShutdownPolicy.java
@@ -11,7 +11,7 @@
  * under way at the end of the grace time would be cut, so it is refused as not run instead; the
  * caller finds another entry at once.
  */
-final class StopPlan {
+final class ShutdownPolicy {
 
   /** Time kept between the last answer and the end of the grace time. */
   private static final Duration MARGIN = Duration.ofMillis(600);
@@ -22,7 +22,7 @@
   private final Duration grace;
   private @Nullable Instant stoppingSince;
 
-  StopPlan(Duration grace) {
+  ShutdownPolicy(Duration grace) {
     this.grace = grace;
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
@@ -44,7 +44,7 @@
                     new VersionRule(view, 0.05),
                     new RetryBudget(RATIO),
                     counts,
-                    new StopPlan(Duration.ofSeconds(8)),
+                    new ShutdownPolicy(Duration.ofSeconds(8)),
                     1)));
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/SchedulerTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/SchedulerTest.java
@@ -60,7 +60,7 @@
                     new VersionRule(view, 0.05),
                     new RetryBudget(0.9),
                     new VersionLedger(),
-                    new StopPlan(Duration.ofSeconds(8)),
+                    new ShutdownPolicy(Duration.ofSeconds(8)),
                     1)));
     scheduler = new Reducer(List.of(new SchedulerPart(view(), SCHEDULER, 1)));
   }
