--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailures.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -11,7 +11,7 @@
 import org.skylarkfork.core.message.RelayMessage.AttemptProgress;
 
 /** Goes on after attempts that failed, were not run, or keep their callers waiting. */
-final class AttemptFailures {
+final class AttemptFailureHandler {
 
   private static final int WRONG_RUN = 421;
 
@@ -31,7 +31,7 @@
   private final CrashWatch crashes;
   private final RequestTrace trace;
 
-  AttemptFailures(
+  AttemptFailureHandler(
       AttemptSender sender,
       AttemptStarter starter,
       RequestEndings endings,
