--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -25,7 +25,7 @@
 
   private final AttemptSender sender;
   private final AttemptStarter starter;
-  private final RequestEndings endings;
+  private final RequestCompleter endings;
   private final VersionLedger counts;
   private final FirstByteTimeout patience;
   private final CrashWatch crashes;
@@ -34,7 +34,7 @@
   AttemptFailureHandler(
       AttemptSender sender,
       AttemptStarter starter,
-      RequestEndings endings,
+      RequestCompleter endings,
       VersionLedger counts,
       FirstByteTimeout patience,
       CrashWatch crashes,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
@@ -18,10 +18,10 @@
   private static final long LONGEST_RETRY_MILLIS = 10_000;
 
   private final AttemptSender sender;
-  private final RequestEndings endings;
+  private final RequestCompleter endings;
   private final RetryBudget budget;
 
-  AttemptStarter(AttemptSender sender, RequestEndings endings, RetryBudget budget) {
+  AttemptStarter(AttemptSender sender, RequestCompleter endings, RetryBudget budget) {
     this.sender = sender;
     this.endings = endings;
     this.budget = budget;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -18,7 +18,7 @@
  *
  * <p>A request goes through {@link RequestIntake}, {@link AttemptStarter} and {@link AttemptSender}
  * to an upstream. Its answer comes back here and is passed on, asked again of a larger model, or
- * handed to {@link AttemptFailureHandler}; {@link RequestEndings} ends it.
+ * handed to {@link AttemptFailureHandler}; {@link RequestCompleter} ends it.
  *
  * <p>A request that must not run twice is sent to a second upstream only after the first has
  * certainly not run it: nothing was sent, or the upstream said so. An entry is the only place that
@@ -46,7 +46,7 @@
   private final AttemptSender sender;
   private final AttemptStarter starter;
   private final AttemptFailureHandler failures;
-  private final RequestEndings endings;
+  private final RequestCompleter endings;
 
   /**
    * Makes the part.
@@ -102,7 +102,7 @@
     this.crashes = new CrashWatch(new LeaderAsJudge(view), "relay_upstreams_ended");
     this.schedulers = new SchedulerClient(view);
     this.sender = new AttemptSender(view, zone, picker, schedulers, versions, prompts, trace);
-    this.endings = new RequestEndings(active, sender, answerTimes, trace);
+    this.endings = new RequestCompleter(active, sender, answerTimes, trace);
     this.starter = new AttemptStarter(sender, endings, budget);
     this.failures =
         new AttemptFailureHandler(sender, starter, endings, counts, patience, crashes, trace);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestEndings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestCompleter.java
@@ -6,7 +6,7 @@
 import org.skylarkfork.core.effect.RelayEffect;
 
 /** Ends requests, with an answer of the entry's own where no upstream gave one. */
-final class RequestEndings {
+final class RequestCompleter {
 
   /** When to come back where nothing could take the request, in milliseconds. */
   private static final long RETRY_MILLIS = 250;
@@ -22,7 +22,7 @@
   private final AnswerTimes answerTimes;
   private final RequestTrace trace;
 
-  RequestEndings(
+  RequestCompleter(
       ActiveRelays active, AttemptSender sender, AnswerTimes answerTimes, RequestTrace trace) {
     this.active = active;
     this.sender = sender;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
@@ -14,7 +14,7 @@
   private final RelayView view;
   private final RequestAdmission admission;
   private final ModelPolicy models;
-  private final RequestEndings endings;
+  private final RequestCompleter endings;
   private final UniformRandomProvider random;
   private final PendingRequests held = new PendingRequests();
 
@@ -22,7 +22,7 @@
       RelayView view,
       RequestAdmission admission,
       ModelPolicy models,
-      RequestEndings endings,
+      RequestCompleter endings,
       long seed) {
     this.view = view;
     this.admission = admission;
