--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRegistry.java
@@ -33,7 +33,7 @@
    */
   private static final int LEAST_GROUP = 16;
 
-  private final RelayTimes times;
+  private final RelayTimings times;
   private boolean changed;
   private final Map<String, Known> entries = new LinkedHashMap<>();
 
@@ -46,7 +46,7 @@
   private int neighbourhoodEngines;
   private int lookUps;
 
-  EntryRegistry(RelayTimes times) {
+  EntryRegistry(RelayTimings times) {
     this.times = times;
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdates.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdates.java
@@ -27,7 +27,7 @@
   private final ConsensusPart consensus;
   private final UpstreamRegistry upstreams;
   private final EntryRegistry entries;
-  private final RelayTimes times;
+  private final RelayTimings times;
   private final Map<String, EntryPoll> unproven = new HashMap<>();
   private final Map<String, Instant> unprovenSince = new HashMap<>();
   private long term;
@@ -38,7 +38,7 @@
       ConsensusPart consensus,
       UpstreamRegistry upstreams,
       EntryRegistry entries,
-      RelayTimes times) {
+      RelayTimings times) {
     this.machine = machine;
     this.consensus = consensus;
     this.upstreams = upstreams;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
@@ -41,7 +41,7 @@
   private final String node;
   private final RelayMachine machine;
   private final ConsensusPart consensus;
-  private final RelayTimes times;
+  private final RelayTimings times;
   private final RollOutJudge judge;
   private final UpstreamRegistry upstreams;
   private final EntryRegistry entries;
@@ -71,7 +71,7 @@
       String node,
       RelayMachine machine,
       ConsensusPart consensus,
-      RelayTimes times,
+      RelayTimings times,
       RollOutSettings rollOuts) {
     this.node = node;
     this.machine = machine;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -35,7 +35,7 @@
   private static final Duration LEADERLESS = Duration.ofMillis(500);
 
   private final EntryIdentity self;
-  private final RelayTimes times;
+  private final RelayTimings times;
   private final VersionLedger counts;
   private List<String> seeds;
   private List<String> controlNodes = List.of();
@@ -64,7 +64,7 @@
    * @param counts what this entry saw of each version
    */
   public RelayEntryPart(
-      EntryIdentity self, List<String> seeds, RelayTimes times, VersionLedger counts) {
+      EntryIdentity self, List<String> seeds, RelayTimings times, VersionLedger counts) {
     this.self = self;
     this.seeds = List.copyOf(seeds);
     this.times = times;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayTimes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayTimings.java
@@ -17,7 +17,7 @@
  * @param settling time that a new leader waits until its directory counts as whole; longer than the
  *     time between two heartbeats
  */
-public record RelayTimes(
+public record RelayTimings(
     Duration tick,
     Duration poll,
     Duration backgroundPoll,
@@ -47,8 +47,8 @@
    *     lease takes 94 in 100 of it, the rest is for the drift of clocks and the way to an upstream
    * @param heartbeat time between two heartbeats of an upstream
    */
-  public static RelayTimes of(Duration keyBound, Duration heartbeat) {
-    return new RelayTimes(
+  public static RelayTimings of(Duration keyBound, Duration heartbeat) {
+    return new RelayTimings(
         VOTER_TICK,
         Duration.ofMillis(500),
         Duration.ofMillis(1000),
@@ -60,8 +60,8 @@
   }
 
   /** Returns the times of a daemon that is an entry and no control VM. */
-  public RelayTimes ofEntry() {
-    return new RelayTimes(
+  public RelayTimings ofEntry() {
+    return new RelayTimings(
         ENTRY_TICK,
         poll,
         backgroundPoll,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
@@ -24,14 +24,14 @@
    */
   private static final Duration COLD_STEP = Duration.ofMillis(300);
 
-  private final RelayTimes times;
+  private final RelayTimings times;
   private final Map<String, Entry> byId = new LinkedHashMap<>();
   private final Map<String, String> idByAddress = new HashMap<>();
   private final Map<String, UpstreamRun> superseded = new HashMap<>();
   private final Map<String, Instant> zoneColdUntil = new HashMap<>();
   private long sequence;
 
-  UpstreamRegistry(RelayTimes times) {
+  UpstreamRegistry(RelayTimings times) {
     this.times = times;
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
@@ -160,7 +160,7 @@
         new RelayEntryPart(
             new EntryIdentity(name + ":80", "a", 1),
             List.of(CONTROL),
-            RelayTimes.of(Duration.ofSeconds(5), Duration.ofSeconds(1)),
+            RelayTimings.of(Duration.ofSeconds(5), Duration.ofSeconds(1)),
             counts);
     RelayRequestPart part =
         new RelayRequestPart(
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EntryRegistryTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EntryRegistryTest.java
@@ -30,7 +30,7 @@
 
   private static EntryRegistry registry(boolean... busy) {
     EntryRegistry registry =
-        new EntryRegistry(RelayTimes.of(Duration.ofSeconds(5), Duration.ofSeconds(1)));
+        new EntryRegistry(RelayTimings.of(Duration.ofSeconds(5), Duration.ofSeconds(1)));
     for (int number = 0; number < busy.length; number++) {
       String zone = number % 2 == 0 ? "a" : "b";
       registry.heard("entry-" + number, poll(number, zone, true, busy[number]), START);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
@@ -29,7 +29,7 @@
     return new RelayEntryPart(
         new EntryIdentity("10.0.0.9:80", "a", 1),
         List.of(CONTROL),
-        RelayTimes.of(Duration.ofSeconds(5), Duration.ofSeconds(1)),
+        RelayTimings.of(Duration.ofSeconds(5), Duration.ofSeconds(1)),
         new VersionLedger());
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
@@ -165,8 +165,8 @@
   }
 
   /** Returns the times of daemons whose keys are dead within {@link #KEY_BOUND}. */
-  static RelayTimes times() {
-    return RelayTimes.of(KEY_BOUND, HEARTBEAT);
+  static RelayTimings times() {
+    return RelayTimings.of(KEY_BOUND, HEARTBEAT);
   }
 
   /** Times of a deployment, with few entries between snapshots, so that every path is taken. */
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UpstreamRegistryTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UpstreamRegistryTest.java
@@ -18,12 +18,12 @@
 public final class UpstreamRegistryTest {
 
   private UpstreamRegistry registry =
-      new UpstreamRegistry(RelayTimes.of(Duration.ofSeconds(5), Duration.ofSeconds(1)));
+      new UpstreamRegistry(RelayTimings.of(Duration.ofSeconds(5), Duration.ofSeconds(1)));
 
   /** Each test begins anew. */
   @BeforeMethod
   public void setUp() {
-    registry = new UpstreamRegistry(RelayTimes.of(Duration.ofSeconds(5), Duration.ofSeconds(1)));
+    registry = new UpstreamRegistry(RelayTimings.of(Duration.ofSeconds(5), Duration.ofSeconds(1)));
   }
 
   private static UpstreamInstance beat(String id, String service, long sequence) {
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -41,7 +41,7 @@
 import org.skylarkfork.core.relay.RelayMachine;
 import org.skylarkfork.core.relay.RelayRequestPart;
 import org.skylarkfork.core.relay.RelayRequestSettings;
-import org.skylarkfork.core.relay.RelayTimes;
+import org.skylarkfork.core.relay.RelayTimings;
 import org.skylarkfork.core.relay.RollOutSettings;
 import org.skylarkfork.core.relay.SchedulerPart;
 import org.skylarkfork.core.relay.VersionLedger;
@@ -231,8 +231,8 @@
     }
   }
 
-  private RelayTimes times() {
-    RelayTimes times = RelayTimes.of(settings.keyBound(), settings.heartbeat());
+  private RelayTimings times() {
+    RelayTimings times = RelayTimings.of(settings.keyBound(), settings.heartbeat());
     return settings.dataFolder() == null ? times.ofEntry() : times;
   }
 
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/RelayDecisionBenchmark.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/RelayDecisionBenchmark.java
@@ -33,7 +33,7 @@
 import org.skylarkfork.core.relay.RelayRoute;
 import org.skylarkfork.core.relay.RelayService;
 import org.skylarkfork.core.relay.RelayTeam;
-import org.skylarkfork.core.relay.RelayTimes;
+import org.skylarkfork.core.relay.RelayTimings;
 import org.skylarkfork.core.relay.RouteKind;
 import org.skylarkfork.core.relay.UpstreamCondition;
 import org.skylarkfork.core.relay.UpstreamInstance;
@@ -66,7 +66,7 @@
   /** Makes an entry that knows its configuration and engines. */
   @Setup
   public void setUp() {
-    RelayTimes times = RelayTimes.of(Duration.ofSeconds(5), Duration.ofSeconds(1));
+    RelayTimings times = RelayTimings.of(Duration.ofSeconds(5), Duration.ofSeconds(1));
     VersionLedger counts = new VersionLedger();
     RelayEntryPart entry =
         new RelayEntryPart(
