--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -118,7 +118,7 @@
   }
 
   @Override
-  public @Nullable String usualVersion(String service) {
+  public @Nullable String stableVersion(String service) {
     return directory.usualVersion(service);
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayView.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayView.java
@@ -28,7 +28,7 @@
   List<ServiceRollOut> rollOuts();
 
   /** Returns the version of a service that is used apart from roll-outs, or null if none is. */
-  @Nullable String usualVersion(String service);
+  @Nullable String stableVersion(String service);
 
   /** Returns which one of all entries this one is. */
   EntryOrdinal place();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionRule.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionRule.java
@@ -32,7 +32,7 @@
   Allowed allowed(String service, RelayRequest request) {
     ServiceRollOut rollOut = rollOut(service);
     if (rollOut == null) {
-      String usual = view.usualVersion(service);
+      String usual = view.stableVersion(service);
       return version -> usual == null || version.equals(usual);
     }
     String target = rollOut.target();
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
@@ -208,7 +208,7 @@
     }
 
     @Override
-    public @Nullable String usualVersion(String service) {
+    public @Nullable String stableVersion(String service) {
       return usual;
     }
 
