--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -81,7 +81,7 @@
     counts.failed(track.instance());
     trace.attemptEnded("upstream_failed", relay, "status=" + began.status(), now, output);
     boolean again =
-        relay.route.repeatable()
+        relay.route.retryable()
             && sender.place(relay, now) != null
             && starter.mayRepeat(relay, now);
     if (again) {
@@ -185,7 +185,7 @@
   private void moveOn(
       ActiveRelay relay, double longestMillis, String why, Instant now, Output output) {
     TrackedUpstream silent = relay.upstream();
-    boolean possible = !relay.movedOn && silent != null && relay.route.repeatable();
+    boolean possible = !relay.movedOn && silent != null && relay.route.retryable();
     if (!possible || relay.sent >= relay.route.maxAttempts()) {
       return;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
@@ -57,7 +57,7 @@
    */
   @Nullable Placement place(ActiveRelay relay, Instant now) {
     Placement fresh = pick(relay, relay.modelName(), relay.tried, now);
-    boolean mayReturn = fresh == null && relay.route.repeatable() && !relay.passing;
+    boolean mayReturn = fresh == null && relay.route.retryable() && !relay.passing;
     return mayReturn ? pick(relay, relay.modelName(), relay.refusedBy, now) : fresh;
   }
 
@@ -201,7 +201,7 @@
         relay.lastEventId,
         relay.passing,
         relay.route.kind() == RouteKind.NON_IDEMPOTENT,
-        relay.route.repeatable() ? (int) (relay.route.pauseMillis() * SILENCE_SHARE) : 0);
+        relay.route.retryable() ? (int) (relay.route.pauseMillis() * SILENCE_SHARE) : 0);
   }
 
   /** Takes note of the first byte of the answer to the attempt that is under way. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
@@ -127,7 +127,7 @@
 
   /** Starts one more attempt if the route and the budget allow it, else ends the request. */
   void again(ActiveRelay relay, Instant now, Output output) {
-    boolean safe = !relay.mayHaveRun || relay.route.repeatable();
+    boolean safe = !relay.mayHaveRun || relay.route.retryable();
     if (sender.isQuarantined(relay)) {
       quarantined(relay, now, output);
     } else if (safe && mayRepeat(relay, now)) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRoute.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRoute.java
@@ -43,7 +43,7 @@
   }
 
   /** Returns whether a request may be sent again although it may have run. */
-  public boolean repeatable() {
+  public boolean retryable() {
     return kind == RouteKind.IDEMPOTENT || kind == RouteKind.STREAMING && resumable;
   }
 }
