--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailure.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailure.java
@@ -17,11 +17,11 @@
   BROKEN_OFF(true, true);
 
   private final boolean mayHaveRun;
-  private final boolean blamesVersion;
+  private final boolean countsAgainstVersion;
 
   AttemptFailure(boolean mayHaveRun, boolean blamesVersion) {
     this.mayHaveRun = mayHaveRun;
-    this.blamesVersion = blamesVersion;
+    this.countsAgainstVersion = blamesVersion;
   }
 
   /** Returns whether the upstream may have run the request. */
@@ -30,7 +30,7 @@
   }
 
   /** Returns whether it counts against the version that the upstream runs. */
-  public boolean blamesVersion() {
-    return blamesVersion;
+  public boolean countsAgainstVersion() {
+    return countsAgainstVersion;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -108,7 +108,7 @@
       relay.mayHaveRun = true;
       crashes.lost(watched(track.instance()), relay.key, relay.sentAt, now, output);
     }
-    if (failed.failure().blamesVersion()) {
+    if (failed.failure().countsAgainstVersion()) {
       counts.failed(track.instance());
     }
     noteLastEvent(relay, failed.lastEventId());
