--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestAdmission.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestAdmission.java
@@ -36,7 +36,7 @@
     if (!view.settled() && !hasUpstream(route)) {
       return Refusal.NOT_SERVING;
     }
-    if (route.isPublic() || !table.keyed()) {
+    if (route.isPublic() || !table.requiresKeys()) {
       return quarantined(null, request);
     }
     if (!proven) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RouteTable.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RouteTable.java
@@ -41,7 +41,7 @@
   }
 
   /** Returns whether any request needs a key. */
-  public boolean keyed() {
+  public boolean requiresKeys() {
     return !configuration.teams().isEmpty();
   }
 
