--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -116,7 +116,7 @@
   }
 
   /** Returns how many requests are under way. */
-  public int underWay() {
+  public int activeRequestCount() {
     return active.count();
   }
 
