--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -173,7 +173,7 @@
   }
 
   /** Returns the availability zones whose upstreams get nothing. */
-  public Set<String> evacuated() {
+  public Set<String> evacuatedZones() {
     return directory.evacuated();
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
@@ -262,7 +262,7 @@
       Order order = zone.getValue();
       boolean due = network.now().isAfter(order.acceptedAt.plus(KEY_BOUND));
       boolean serves = part.configured() && part.proven(network.timeOf(name));
-      if (due && serves && part.evacuated().contains(zone.getKey()) != order.evacuates) {
+      if (due && serves && part.evacuatedZones().contains(zone.getKey()) != order.evacuates) {
         throw new AssertionError(name + " missed the order on " + zone.getKey());
       }
     }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -317,7 +317,7 @@
       Instant now = loop.now();
       metrics.set("relay_configuration_version", "", known.table().configuration().version());
       metrics.set("relay_proof_age_seconds", "", known.proofAge(now).toMillis() / 1000.0);
-      metrics.set("relay_evacuated_zones", "", known.evacuated().size());
+      metrics.set("relay_evacuated_zones", "", known.evacuatedZones().size());
       metrics.set("relay_quarantined_requests", "", known.quarantinedCount());
       metrics.set("relay_limited_upstreams", "", known.limitedUpstreams());
       metrics.set("relay_ready", "", known.ready(now) ? 1 : 0);
