--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -163,7 +163,7 @@
   }
 
   /** Returns how many upstreams name a rate limit, as far as this entry knows. */
-  public int limitedUpstreams() {
+  public int limitedUpstreamCount() {
     return (int) directory.tracks().stream().filter(track -> track.rateLimit().isBounded()).count();
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -319,7 +319,7 @@
       metrics.set("relay_proof_age_seconds", "", known.proofAge(now).toMillis() / 1000.0);
       metrics.set("relay_evacuated_zones", "", known.evacuatedZones().size());
       metrics.set("relay_quarantined_requests", "", known.quarantinedCount());
-      metrics.set("relay_limited_upstreams", "", known.limitedUpstreams());
+      metrics.set("relay_limited_upstreams", "", known.limitedUpstreamCount());
       metrics.set("relay_ready", "", known.ready(now) ? 1 : 0);
       metrics.set("relay_requests_under_way", "", open.underWay());
       metrics.set("relay_caller_connections", "", open.openConnections());
