--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelay.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelay.java
@@ -45,7 +45,7 @@
   boolean mayHaveRun;
 
   /** Whether the caller has been given the beginning of an answer. */
-  boolean passing;
+  boolean forwarding;
 
   /** Where the newest attempt is under way, or null. */
   @Nullable Placement placement;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -87,10 +87,10 @@
     if (again) {
       sender.drop(relay, output);
       starter.next(relay, now, output);
-    } else if (relay.passing) {
+    } else if (relay.forwarding) {
       endings.breakOff(relay, now, output);
     }
-    return again || relay.passing;
+    return again || relay.forwarding;
   }
 
   /** Goes on after an attempt that failed on its way. */
@@ -135,7 +135,7 @@
     relay.unsent++;
     if (relay.unsent <= MAX_UNSENT && now.isBefore(relay.deadline)) {
       starter.next(relay, now, output);
-    } else if (relay.passing) {
+    } else if (relay.forwarding) {
       endings.breakOff(relay, now, output);
     } else {
       Refusal refusal = relay.mayHaveRun ? Refusal.OUTCOME_UNKNOWN : Refusal.NO_UPSTREAM;
@@ -152,7 +152,7 @@
    */
   void silent(ActiveRelay relay, RelayEvent.AnswerSilent silent, Instant now, Output output) {
     noteLastEvent(relay, silent.lastEventId());
-    if (!relay.passing) {
+    if (!relay.forwarding) {
       return;
     }
     double pause = relay.route.pauseMillis();
@@ -170,7 +170,7 @@
   /** Looks whether an upstream keeps a request waiting for longer than is usual. */
   void lookAtWait(ActiveRelay relay, Instant now, Output output) {
     double waited = Duration.between(relay.sentAt, now).toMillis();
-    boolean waits = !relay.passing && relay.question == 0;
+    boolean waits = !relay.forwarding && relay.question == 0;
     if (waits && patience.exhausted(relay.route, relay.model, waited)) {
       moveOn(relay, Double.MAX_VALUE, "silent", now, output);
     }
@@ -218,7 +218,7 @@
    * that were given up had a good version rolled back.
    */
   private void noteWait(ActiveRelay relay, TrackedUpstream silent, Instant now) {
-    if (!relay.passing) {
+    if (!relay.forwarding) {
       long waited = Duration.between(relay.sentAt, now).toMillis();
       patience.waited(relay.route, relay.model, waited);
       counts.answered(silent.instance(), waited);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
@@ -57,7 +57,7 @@
    */
   @Nullable Placement place(ActiveRelay relay, Instant now) {
     Placement fresh = pick(relay, relay.modelName(), relay.tried, now);
-    boolean mayReturn = fresh == null && relay.route.retryable() && !relay.passing;
+    boolean mayReturn = fresh == null && relay.route.retryable() && !relay.forwarding;
     return mayReturn ? pick(relay, relay.modelName(), relay.refusedBy, now) : fresh;
   }
 
@@ -199,7 +199,7 @@
         left,
         relay.streams(),
         relay.lastEventId,
-        relay.passing,
+        relay.forwarding,
         relay.route.kind() == RouteKind.NON_IDEMPOTENT,
         relay.route.retryable() ? (int) (relay.route.pauseMillis() * SILENCE_SHARE) : 0);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
@@ -93,7 +93,7 @@
    * upstream with each attempt that is left to it, and those that its answer's model asks for.
    */
   private void quarantined(ActiveRelay relay, Instant now, Output output) {
-    if (relay.passing) {
+    if (relay.forwarding) {
       endings.breakOff(relay, now, output);
     } else {
       endings.giveUp(relay, Refusal.QUARANTINED, now, output);
@@ -104,7 +104,7 @@
     if (leftMillis(relay, now) <= 0) {
       Refusal late = relay.mayHaveRun ? Refusal.TIME_OUT : Refusal.TOO_LATE;
       endings.giveUp(relay, late, now, output);
-    } else if (relay.passing) {
+    } else if (relay.forwarding) {
       endings.breakOff(relay, now, output);
     } else if (relay.mayHaveRun) {
       endings.giveUp(relay, Refusal.OUTCOME_UNKNOWN, now, output);
@@ -132,7 +132,7 @@
       quarantined(relay, now, output);
     } else if (safe && mayRepeat(relay, now)) {
       next(relay, now, output);
-    } else if (relay.passing) {
+    } else if (relay.forwarding) {
       endings.breakOff(relay, now, output);
     } else {
       endings.giveUp(relay, untaken(relay), now, output);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -199,7 +199,7 @@
       track.recordSuccess();
       counts.answered(track.instance(), millis);
     }
-    if (relay.passing || failed || relay.model < 0 || !askLarger(relay, now, output)) {
+    if (relay.forwarding || failed || relay.model < 0 || !askLarger(relay, now, output)) {
       pass(relay, track, output);
     }
   }
@@ -255,8 +255,8 @@
   }
 
   private static void pass(ActiveRelay relay, TrackedUpstream track, Output output) {
-    if (!relay.passing) {
-      relay.passing = true;
+    if (!relay.forwarding) {
+      relay.forwarding = true;
       relay.version = track.instance().version();
     }
     output.effect(new RelayEffect.PassAnswer(relay.request.number(), relay.attempt));
@@ -269,7 +269,7 @@
     for (ActiveRelay relay : active.all()) {
       if (now.isBefore(relay.deadline)) {
         failures.lookAtWait(relay, now, output);
-      } else if (!relay.passing) {
+      } else if (!relay.forwarding) {
         Refusal refusal = relay.sent > 0 ? Refusal.TIME_OUT : Refusal.TOO_LATE;
         endings.giveUp(relay, refusal, now, output);
       } else if (now.isAfter(relay.deadline.plus(OVERRUN))) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestCompleter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestCompleter.java
@@ -101,7 +101,7 @@
   }
 
   private void noteAnswer(ActiveRelay relay, boolean whole, Instant now) {
-    if (relay.passing && relay.streams()) {
+    if (relay.forwarding && relay.streams()) {
       answerTimes.recordEnd(relay, Duration.between(relay.answeredAt, now).toMillis(), whole);
     }
   }
