--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelay.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelay.java
@@ -39,7 +39,7 @@
   int unsent;
 
   /** Whether it was taken from a silent upstream once, which is done once only. */
-  boolean movedOn;
+  boolean failedOver;
 
   /** Whether an upstream may have run the request. */
   boolean mayHaveRun;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -185,7 +185,7 @@
   private void moveOn(
       ActiveRelay relay, double longestMillis, String why, Instant now, Output output) {
     TrackedUpstream silent = relay.upstream();
-    boolean possible = !relay.movedOn && silent != null && relay.route.retryable();
+    boolean possible = !relay.failedOver && silent != null && relay.route.retryable();
     if (!possible || relay.sent >= relay.route.maxAttempts()) {
       return;
     }
@@ -194,7 +194,7 @@
     if (!timely || !starter.mayRepeat(relay, now)) {
       return;
     }
-    relay.movedOn = true;
+    relay.failedOver = true;
     sender.failed(relay, AttemptProgress.SILENT, now, output);
     noteWait(relay, silent, now);
     trace.attemptEnded(why, relay, "after_event=" + relay.lastEventId, now, output);
