--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelay.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelay.java
@@ -54,7 +54,7 @@
   @Nullable SchedulerGrant grant;
 
   /** Number of the question to a scheduler that is open, or 0. */
-  long question;
+  long placementQuery;
 
   /** Reading that the newest attempt still waits for, in milliseconds of its upstream. */
   double waitingMillis;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -170,7 +170,7 @@
   /** Looks whether an upstream keeps a request waiting for longer than is usual. */
   void lookAtWait(ActiveRelay relay, Instant now, Output output) {
     double waited = Duration.between(relay.sentAt, now).toMillis();
-    boolean waits = !relay.forwarding && relay.question == 0;
+    boolean waits = !relay.forwarding && relay.placementQuery == 0;
     if (waits && patience.exhausted(relay.route, relay.model, waited)) {
       moveOn(relay, Double.MAX_VALUE, "silent", now, output);
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
@@ -102,7 +102,7 @@
       String scheduler = schedulers.get(group);
       if (!now.isBefore(pausedUntil.getOrDefault(scheduler, Instant.EPOCH))) {
         lastNumber = Math.max(lastNumber + 1, now.toEpochMilli() * NUMBERS_PER_MILLI);
-        relay.question = lastNumber;
+        relay.placementQuery = lastNumber;
         openQueries.put(lastNumber, new OpenQuery(relay, scheduler, prefixes, now, escalates));
         output.effect(new SendToPeer(scheduler, message(relay, query, prefixes, group, now)));
         return true;
@@ -193,7 +193,7 @@
    */
   @Nullable SchedulerDecision handleAnswer(String from, PlacementAnswer answer, Output output) {
     OpenQuery pending = openQueries.remove(answer.number());
-    boolean isExpected = pending != null && pending.relay.question == answer.number();
+    boolean isExpected = pending != null && pending.relay.placementQuery == answer.number();
     String upstream = answer.upstream();
     TrackedUpstream selected =
         isExpected && upstream != null ? find(pending.relay, upstream) : null;
@@ -203,7 +203,7 @@
     if (!isExpected) {
       return null;
     }
-    pending.relay.question = 0;
+    pending.relay.placementQuery = 0;
     if (selected == null) {
       return new SchedulerDecision(pending.relay, pending.isEscalation, null, null);
     }
@@ -241,8 +241,8 @@
       }
       openQueries.remove(open.getKey());
       pause(pending.scheduler, now, output);
-      if (pending.relay.question == open.getKey()) {
-        pending.relay.question = 0;
+      if (pending.relay.placementQuery == open.getKey()) {
+        pending.relay.placementQuery = 0;
         overdue.add(new SchedulerDecision(pending.relay, pending.isEscalation, null, null));
       }
     }
@@ -259,9 +259,9 @@
 
   /** Discards the query of a request that needs no answer any more. */
   void cancel(ActiveRelay relay) {
-    if (relay.question != 0) {
-      openQueries.remove(relay.question);
-      relay.question = 0;
+    if (relay.placementQuery != 0) {
+      openQueries.remove(relay.placementQuery);
+      relay.placementQuery = 0;
     }
   }
 
