--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -10,200 +10,210 @@
 import org.skylarkfork.core.event.RelayEvent;
 import org.skylarkfork.core.message.RelayMessage.AttemptProgress;
 
-/** Goes on after attempts that failed, were not run, or keep their callers waiting. */
+/**
+ * Retries, fails over or ends requests whose attempts failed, were rejected unexecuted or are slow.
+ */
 final class AttemptFailureHandler {
 
-  private static final int WRONG_RUN = 421;
+  private static final int MISDIRECTED_REQUEST = 421;
 
-  /** Upstreams to which no connection can be made that are tried for one request. */
-  private static final int MAX_UNSENT = 4;
+  /** Maximum number of unreachable upstreams that are tried for one request. */
+  private static final int MAX_UNSENT_ATTEMPTS = 4;
 
   /**
-   * Silence, in pauses that are on time, from which on a stream is moved though it will be late.
+   * Length of the silence, as a multiple of the route's pause objective, after which a stream fails
+   * over even if the other upstream can't meet the objective.
    */
-  private static final double SURELY_SILENT_PAUSES = 1.75;
+  private static final double CERTAIN_SILENCE_PAUSES = 1.75;
 
   private final AttemptSender sender;
   private final AttemptStarter starter;
-  private final RequestCompleter endings;
+  private final RequestCompleter completer;
   private final VersionLedger counts;
-  private final FirstByteTimeout patience;
+  private final FirstByteTimeout firstByteTimeout;
   private final CrashWatch crashes;
   private final RequestTrace trace;
 
   AttemptFailureHandler(
       AttemptSender sender,
       AttemptStarter starter,
-      RequestCompleter endings,
+      RequestCompleter completer,
       VersionLedger counts,
-      FirstByteTimeout patience,
+      FirstByteTimeout firstByteTimeout,
       CrashWatch crashes,
       RequestTrace trace) {
     this.sender = sender;
     this.starter = starter;
-    this.endings = endings;
+    this.completer = completer;
     this.counts = counts;
-    this.patience = patience;
+    this.firstByteTimeout = firstByteTimeout;
     this.crashes = crashes;
     this.trace = trace;
   }
 
-  /** Goes on after an upstream that said that it has not run the request. */
-  void notRun(
+  /** Handles an upstream's report that it has not run the request. */
+  void onNotRun(
       ActiveRelay relay,
       TrackedUpstream track,
       RelayEvent.AnswerBegan began,
       Instant now,
       Output output) {
-    if (began.status() == WRONG_RUN) {
+    if (began.status() == MISDIRECTED_REQUEST) {
       track.markReplaced();
     } else {
-      sender.failed(relay, AttemptProgress.FAILED, now, output);
+      sender.recordFailure(relay, AttemptProgress.FAILED, now, output);
     }
-    relay.refusedBy.add(track.instance().id());
+    relay.refusingUpstreams.add(track.instance().id());
     trace.attemptEnded("not_run", relay, "status=" + began.status(), now, output);
-    sender.drop(relay, output);
-    starter.again(relay, now, output);
+    sender.cancelAttempt(relay, output);
+    starter.retryOrEnd(relay, now, output);
   }
 
   /**
-   * Goes on after an upstream's own failure, if there is another try for the request.
+   * Retries the request after an upstream answered with a server error, if another attempt is
+   * allowed.
    *
-   * @return whether the request went on or ended; if not, the failure is to be passed on
+   * @return whether the request was retried or ended; if false, the caller must receive the error
+   *     answer
    */
-  boolean serverFailed(
+  boolean onServerError(
       ActiveRelay relay,
       TrackedUpstream track,
       RelayEvent.AnswerBegan began,
       Instant now,
       Output output) {
-    sender.failed(relay, AttemptProgress.FAILED, now, output);
+    sender.recordFailure(relay, AttemptProgress.FAILED, now, output);
     counts.failed(track.instance());
     trace.attemptEnded("upstream_failed", relay, "status=" + began.status(), now, output);
-    boolean again =
+    boolean retried =
         relay.route.retryable()
             && sender.place(relay, now) != null
-            && starter.mayRepeat(relay, now);
-    if (again) {
-      sender.drop(relay, output);
-      starter.next(relay, now, output);
+            && starter.acquireRetry(relay, now);
+    if (retried) {
+      sender.cancelAttempt(relay, output);
+      starter.startNext(relay, now, output);
     } else if (relay.forwarding) {
-      endings.breakOff(relay, now, output);
+      completer.abortAnswer(relay, now, output);
     }
-    return again || relay.forwarding;
+    return retried || relay.forwarding;
   }
 
-  /** Goes on after an attempt that failed on its way. */
-  void failed(ActiveRelay relay, RelayEvent.AttemptFailed failed, Instant now, Output output) {
+  /** Handles an attempt that failed before its answer was complete. */
+  void onAttemptFailed(
+      ActiveRelay relay, RelayEvent.AttemptFailed failed, Instant now, Output output) {
     TrackedUpstream track = relay.upstream();
     if (track == null) {
       return;
     }
     boolean unsent = failed.failure() == AttemptFailure.NOT_SENT;
     if (failed.failure() != AttemptFailure.STALE_CONNECTION) {
-      AttemptProgress how = unsent ? AttemptProgress.UNREACHABLE : AttemptProgress.FAILED;
-      sender.failed(relay, how, now, output);
+      AttemptProgress progress = unsent ? AttemptProgress.UNREACHABLE : AttemptProgress.FAILED;
+      sender.recordFailure(relay, progress, now, output);
     }
     if (failed.failure().mayHaveRun()) {
       relay.mayHaveRun = true;
-      crashes.lost(watched(track.instance()), relay.key, relay.sentAt, now, output);
+      crashes.lost(suspected(track.instance()), relay.requestKey, relay.sentAt, now, output);
     }
     if (failed.failure().countsAgainstVersion()) {
       counts.failed(track.instance());
     }
-    noteLastEvent(relay, failed.lastEventId());
+    updateLastEventId(relay, failed.lastEventId());
     String facts = "how=" + failed.failure() + " after_event=" + relay.lastEventId;
     trace.attemptEnded("attempt_failed", relay, facts, now, output);
-    sender.release(relay, output);
+    sender.releaseAttempt(relay, output);
     if (unsent) {
-      relay.refusedBy.add(track.instance().id());
-      tryElsewhere(relay, now, output);
+      relay.refusingUpstreams.add(track.instance().id());
+      onUnreachable(relay, now, output);
     } else {
-      starter.again(relay, now, output);
+      starter.retryOrEnd(relay, now, output);
     }
   }
 
   /**
-   * Goes on after an upstream that could not be reached.
+   * Tries another upstream after one that was unreachable.
    *
-   * <p>Nothing reached an upstream, so this is no repeat: neither the route's attempts nor the
-   * budget count it. Counted, a route with two attempts ended in an error after 58 ms because two
-   * upstreams had just crashed.
+   * <p>Nothing reached an upstream, so the next attempt is not a retry and counts neither toward
+   * the route's maximum of attempts nor toward the retry budget. When it counted, a request on a
+   * route with two attempts failed after 58 ms because two upstreams had just crashed.
    */
-  private void tryElsewhere(ActiveRelay relay, Instant now, Output output) {
-    relay.sent--;
-    relay.unsent++;
-    if (relay.unsent <= MAX_UNSENT && now.isBefore(relay.deadline)) {
-      starter.next(relay, now, output);
+  private void onUnreachable(ActiveRelay relay, Instant now, Output output) {
+    relay.sentAttempts--;
+    relay.unsentAttempts++;
+    if (relay.unsentAttempts <= MAX_UNSENT_ATTEMPTS && now.isBefore(relay.deadline)) {
+      starter.startNext(relay, now, output);
     } else if (relay.forwarding) {
-      endings.breakOff(relay, now, output);
+      completer.abortAnswer(relay, now, output);
     } else {
       Refusal refusal = relay.mayHaveRun ? Refusal.OUTCOME_UNKNOWN : Refusal.NO_UPSTREAM;
-      endings.giveUp(relay, refusal, now, output);
+      completer.endWithRefusal(relay, refusal, now, output);
     }
   }
 
   /**
-   * Takes a stream that has begun from an upstream that has fallen silent.
+   * Fails a stream over whose upstream has become silent after its answer began.
    *
-   * <p>At first only where another one would go on in time for the longest pause: a busy engine is
-   * silent for as long, and its prompt would have to be read again. Later in any case, since an
-   * upstream that is cut off without a reset never goes on.
+   * <p>Initially the stream fails over only if another upstream is expected to continue it within
+   * the route's pause objective, because a busy engine can be silent for as long and the other
+   * upstream must prefill the prompt again. After a longer silence the stream fails over
+   * regardless, because an upstream that is disconnected without a TCP reset never continues.
    */
-  void silent(ActiveRelay relay, RelayEvent.AnswerSilent silent, Instant now, Output output) {
-    noteLastEvent(relay, silent.lastEventId());
+  void onSilentStream(
+      ActiveRelay relay, RelayEvent.AnswerSilent silent, Instant now, Output output) {
+    updateLastEventId(relay, silent.lastEventId());
     if (!relay.forwarding) {
       return;
     }
     double pause = relay.route.pauseMillis();
-    boolean surely = silent.silentMillis() >= SURELY_SILENT_PAUSES * pause;
-    double longest = surely ? Double.MAX_VALUE : pause - silent.silentMillis();
-    moveOn(relay, longest, "silent_stream", now, output);
+    boolean certainlySilent = silent.silentMillis() >= CERTAIN_SILENCE_PAUSES * pause;
+    double maxFirstByteMillis = certainlySilent ? Double.MAX_VALUE : pause - silent.silentMillis();
+    failOver(relay, maxFirstByteMillis, "silent_stream", now, output);
   }
 
-  private static void noteLastEvent(ActiveRelay relay, @Nullable String lastEventId) {
+  private static void updateLastEventId(ActiveRelay relay, @Nullable String lastEventId) {
     if (lastEventId != null) {
       relay.lastEventId = lastEventId;
     }
   }
 
-  /** Looks whether an upstream keeps a request waiting for longer than is usual. */
-  void lookAtWait(ActiveRelay relay, Instant now, Output output) {
-    double waited = Duration.between(relay.sentAt, now).toMillis();
-    boolean waits = !relay.forwarding && relay.placementQuery == 0;
-    if (waits && patience.exhausted(relay.route, relay.model, waited)) {
-      moveOn(relay, Double.MAX_VALUE, "silent", now, output);
+  /** Fails a request over if its upstream has exceeded the first-byte timeout. */
+  void checkFirstByteTimeout(ActiveRelay relay, Instant now, Output output) {
+    double waitedMillis = Duration.between(relay.sentAt, now).toMillis();
+    boolean awaitsFirstByte = !relay.forwarding && relay.placementQuery == 0;
+    if (awaitsFirstByte
+        && firstByteTimeout.isExceeded(relay.route, relay.modelIndex, waitedMillis)) {
+      failOver(relay, Double.MAX_VALUE, "silent", now, output);
     }
   }
 
   /**
-   * Asks another upstream in place of a silent one, once for each request.
+   * Fails over from a silent upstream to another one, at most once per request.
    *
-   * <p>The attempt is dropped first, so that the two never work on it at once; that needs another
-   * upstream and room in the budget, or the caller would lose an answer that may still come.
+   * <p>The current attempt is cancelled first, so that two upstreams never run the request at once.
+   * It is cancelled only if another upstream is available and the retry budget allows an attempt,
+   * because otherwise the caller would lose an answer that may still come.
    */
-  private void moveOn(
-      ActiveRelay relay, double longestMillis, String why, Instant now, Output output) {
+  private void failOver(
+      ActiveRelay relay, double maxFirstByteMillis, String why, Instant now, Output output) {
     TrackedUpstream silent = relay.upstream();
     boolean possible = !relay.failedOver && silent != null && relay.route.retryable();
-    if (!possible || relay.sent >= relay.route.maxAttempts()) {
+    if (!possible || relay.sentAttempts >= relay.route.maxAttempts()) {
       return;
     }
-    Placement next = sender.placeElsewhere(relay, now);
-    boolean timely = next != null && next.firstByteMillis() <= longestMillis;
-    if (!timely || !starter.mayRepeat(relay, now)) {
+    Placement next = sender.placeFailover(relay, now);
+    boolean withinLimit = next != null && next.firstByteMillis() <= maxFirstByteMillis;
+    if (!withinLimit || !starter.acquireRetry(relay, now)) {
       return;
     }
     relay.failedOver = true;
-    sender.failed(relay, AttemptProgress.SILENT, now, output);
-    noteWait(relay, silent, now);
+    sender.recordFailure(relay, AttemptProgress.SILENT, now, output);
+    recordAbandonedWait(relay, silent, now);
     trace.attemptEnded(why, relay, "after_event=" + relay.lastEventId, now, output);
-    sender.drop(relay, output);
-    crashes.lost(watched(silent.instance()), relay.key, relay.sentAt, now, output);
-    starter.next(relay, now, output);
+    sender.cancelAttempt(relay, output);
+    crashes.lost(suspected(silent.instance()), relay.requestKey, relay.sentAt, now, output);
+    starter.startNext(relay, now, output);
   }
 
-  private static WatchedUpstream watched(UpstreamInstance instance) {
+  private static WatchedUpstream suspected(UpstreamInstance instance) {
     return new WatchedUpstream(
         instance.run(),
         instance.service(),
@@ -212,16 +222,16 @@
   }
 
   /**
-   * Counts the time of an attempt that was not waited out as if the answer had begun now.
+   * Records the time spent on an abandoned attempt as if its answer had begun now.
    *
-   * <p>A new version has read no prompts yet and is slow at first. Counted as failures, the waits
-   * that were given up had a good version rolled back.
+   * <p>A new version has no cached prompt prefixes and is slow at first. When abandoned attempts
+   * counted as failures, a good version was rolled back.
    */
-  private void noteWait(ActiveRelay relay, TrackedUpstream silent, Instant now) {
+  private void recordAbandonedWait(ActiveRelay relay, TrackedUpstream silent, Instant now) {
     if (!relay.forwarding) {
-      long waited = Duration.between(relay.sentAt, now).toMillis();
-      patience.waited(relay.route, relay.model, waited);
-      counts.answered(silent.instance(), waited);
+      long waitedMillis = Duration.between(relay.sentAt, now).toMillis();
+      firstByteTimeout.addSample(relay.route, relay.modelIndex, waitedMillis);
+      counts.answered(silent.instance(), waitedMillis);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ConfidenceCascade.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ConfidenceCascade.java
@@ -102,7 +102,7 @@
    * place of complete answers that were available.
    */
   private boolean endsInTime(ActiveRelay relay, double firstByteMillis, double leftMillis) {
-    int larger = largerModel(relay.route, relay.model);
+    int larger = largerModel(relay.route, relay.modelIndex);
     double remainingMillis =
         times.expectedMillis(relay, relay.route.models().get(larger), deviations(relay));
     return remainingMillis > 0
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRegistry.java
@@ -61,7 +61,7 @@
   }
 
   void tick(Instant now) {
-    if (entries.values().removeIf(known -> now.isAfter(known.heardAt.plus(times.entrySilence())))) {
+    if (entries.values().removeIf(known -> now.isAfter(known.heardAt.plus(times.entryTimeout())))) {
       noteChange();
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdates.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdates.java
@@ -138,7 +138,7 @@
     EntryPoll known = entries.poll(entry);
     RelayConfiguration newest = machine.configuration();
     boolean sharedKnown = known.stateIndex() >= stateIndex;
-    boolean settled = leadsSince.plus(times.settling()).isBefore(now);
+    boolean settled = leadsSince.plus(times.settlingTime()).isBefore(now);
     output.effect(
         new SendToPeer(
             entry,
@@ -168,7 +168,7 @@
    * would take callers from the others, so for a while only an entry without any list gets it.
    */
   private @Nullable Neighbourhood neighbourhood(String entry, EntryPoll known, Instant now) {
-    boolean early = now.isBefore(leadsSince.plus(times.backgroundPoll()));
+    boolean early = now.isBefore(leadsSince.plus(times.backgroundPollInterval()));
     if (early && known.neighbourhoodVersion() != 0) {
       return null;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -14,29 +14,31 @@
 import org.skylarkfork.core.message.RelayMessage.PlacementAnswer;
 
 /**
- * An entry's decisions on callers' requests, from the arrival to the end.
+ * Processes callers' requests at an entry from their arrival to their completion.
  *
  * <p>A request goes through {@link RequestIntake}, {@link AttemptStarter} and {@link AttemptSender}
- * to an upstream. Its answer comes back here and is passed on, asked again of a larger model, or
- * handed to {@link AttemptFailureHandler}; {@link RequestCompleter} ends it.
+ * to an upstream. This class forwards the upstream's answer, escalates the request to a larger
+ * model, or delegates a failure to {@link AttemptFailureHandler}; {@link RequestCompleter} ends the
+ * request.
  *
- * <p>A request that must not run twice is sent to a second upstream only after the first has
- * certainly not run it: nothing was sent, or the upstream said so. An entry is the only place that
- * knows an attempt of a caller, so this needs no word with other daemons.
+ * <p>A request that must not run twice is sent to a second upstream only if the first has certainly
+ * not run it: nothing was sent, or the upstream reported that it has not run the request. All
+ * attempts for a caller's request start at one entry, so this needs no coordination with other
+ * daemons.
  */
 public final class RelayRequestPart implements Part {
 
   private static final int FIRST_SERVER_ERROR = 500;
-  private static final int WRONG_RUN = 421;
+  private static final int MISDIRECTED_REQUEST = 421;
 
-  /** Time by which an answer under way may overrun before it is broken off. */
-  private static final Duration OVERRUN = Duration.ofMillis(60);
+  /** Time after the deadline at which an incomplete answer is aborted. */
+  private static final Duration MAX_OVERRUN = Duration.ofMillis(60);
 
   private final ModelPolicy models;
   private final VersionLedger counts;
-  private final ShutdownPolicy stopPlan;
+  private final ShutdownPolicy shutdownPolicy;
   private final RequestTrace trace;
-  private final FirstByteTimeout patience = new FirstByteTimeout();
+  private final FirstByteTimeout firstByteTimeout = new FirstByteTimeout();
   private final SentPrefixes prompts = new SentPrefixes();
   private final ActiveRelays active = new ActiveRelays();
   private final CrashWatch crashes;
@@ -46,14 +48,14 @@
   private final AttemptSender sender;
   private final AttemptStarter starter;
   private final AttemptFailureHandler failures;
-  private final RequestCompleter endings;
+  private final RequestCompleter completer;
 
   /**
-   * Makes the part.
+   * Creates the part.
    *
-   * @param entry what this entry believes
-   * @param settings what the deployment sets
-   * @param counts takes what is seen of each version
+   * @param entry this entry's view of the deployment
+   * @param settings settings of the deployment
+   * @param counts records the outcomes observed per version
    * @param seed seed of random choices
    */
   public RelayRequestPart(
@@ -93,29 +95,30 @@
       VersionRule versions,
       RetryBudget budget,
       VersionLedger counts,
-      ShutdownPolicy stopPlan,
+      ShutdownPolicy shutdownPolicy,
       long seed) {
     this.models = models;
     this.counts = counts;
-    this.stopPlan = stopPlan;
+    this.shutdownPolicy = shutdownPolicy;
     this.trace = new RequestTrace(view);
     this.crashes = new CrashWatch(new LeaderAsJudge(view), "relay_upstreams_ended");
     this.schedulers = new SchedulerClient(view);
     this.sender = new AttemptSender(view, zone, picker, schedulers, versions, prompts, trace);
-    this.endings = new RequestCompleter(active, sender, answerTimes, trace);
-    this.starter = new AttemptStarter(sender, endings, budget);
+    this.completer = new RequestCompleter(active, sender, answerTimes, trace);
+    this.starter = new AttemptStarter(sender, completer, budget);
     this.failures =
-        new AttemptFailureHandler(sender, starter, endings, counts, patience, crashes, trace);
-    RequestAdmission admission = new RequestAdmission(view, stopPlan);
-    this.intake = new RequestIntake(view, admission, models, endings, seed);
+        new AttemptFailureHandler(
+            sender, starter, completer, counts, firstByteTimeout, crashes, trace);
+    RequestAdmission admission = new RequestAdmission(view, shutdownPolicy);
+    this.intake = new RequestIntake(view, admission, models, completer, seed);
   }
 
-  /** Returns what of this entry's prompts other entries are to be told. */
+  /** Returns the prompt prefixes that this entry has sent, for reports to other entries. */
   SentPrefixes prompts() {
     return prompts;
   }
 
-  /** Returns how many requests are under way. */
+  /** Returns the number of requests in progress. */
   public int activeRequestCount() {
     return active.count();
   }
@@ -125,16 +128,16 @@
     if (event instanceof LifecycleEvent.Tick) {
       tick(now, output);
     } else if (event instanceof LifecycleEvent.StopRequested) {
-      stopPlan.stop(now);
+      shutdownPolicy.stop(now);
     } else if (event instanceof PeerEvent.MessageReceived received
         && received.message() instanceof PlacementAnswer answer) {
       SchedulerClient.SchedulerDecision placed =
           schedulers.handleAnswer(received.node(), answer, output);
       if (placed != null) {
-        placed(placed, now, output);
+        onPlacement(placed, now, output);
       }
     } else if (event instanceof RelayEvent.RequestArrived arrived) {
-      begin(intake.arrived(arrived.request(), now, output), now, output);
+      start(intake.onArrival(arrived.request(), now, output), now, output);
     } else if (event instanceof RelayEvent.CallerLeft left) {
       callerLeft(left.request(), now, output);
     } else if (event instanceof RelayEvent.AnswerBegan began) {
@@ -145,28 +148,28 @@
     } else if (event instanceof RelayEvent.AttemptFailed failed) {
       ActiveRelay relay = active.find(failed.request(), failed.attempt());
       if (relay != null) {
-        failures.failed(relay, failed, now, output);
+        failures.onAttemptFailed(relay, failed, now, output);
       }
     } else if (event instanceof RelayEvent.UpstreamProbed probed) {
       crashes.probed(probed.upstream(), probed.reachable(), now, output);
     } else if (event instanceof RelayEvent.AnswerSilent silent) {
       ActiveRelay relay = active.find(silent.request(), silent.attempt());
       if (relay != null) {
-        failures.silent(relay, silent, now, output);
+        failures.onSilentStream(relay, silent, now, output);
       }
     } else if (event instanceof RelayEvent.AnswerEnded ended) {
       ActiveRelay relay = active.find(ended.request(), ended.attempt());
       if (relay != null) {
-        crashes.served(relay.key, output);
-        endings.done(relay, now, output);
+        crashes.served(relay.requestKey, output);
+        completer.complete(relay, now, output);
       }
     }
   }
 
-  private void begin(@Nullable ActiveRelay relay, Instant now, Output output) {
+  private void start(@Nullable ActiveRelay relay, Instant now, Output output) {
     if (relay != null) {
       active.add(relay);
-      starter.first(relay, now, output);
+      starter.startFirst(relay, now, output);
     }
   }
 
@@ -176,11 +179,11 @@
     if (track == null) {
       return;
     }
-    if (began.status() != WRONG_RUN) {
+    if (began.status() != MISDIRECTED_REQUEST) {
       rateLimits.recordAnswer(track, began, relay.request.id(), now, output);
     }
-    if (began.notRun() || began.status() == WRONG_RUN) {
-      failures.notRun(relay, track, began, now, output);
+    if (began.notRun() || began.status() == MISDIRECTED_REQUEST) {
+      failures.onNotRun(relay, track, began, now, output);
       return;
     }
     relay.mayHaveRun = true;
@@ -188,73 +191,79 @@
     relay.answeredAt = now;
     long millis = Duration.between(relay.sentAt, now).toMillis();
     track.recordAnswered(now);
-    sender.answered(relay, now, output);
-    patience.waited(relay.route, relay.model, millis);
-    boolean failed = began.status() >= FIRST_SERVER_ERROR;
-    if (failed && failures.serverFailed(relay, track, began, now, output)) {
+    sender.recordFirstByte(relay, now, output);
+    firstByteTimeout.addSample(relay.route, relay.modelIndex, millis);
+    boolean serverError = began.status() >= FIRST_SERVER_ERROR;
+    if (serverError && failures.onServerError(relay, track, began, now, output)) {
       return;
     }
-    if (!failed) {
+    if (!serverError) {
       trace.answered(relay, began.status(), now, output);
       track.recordSuccess();
       counts.answered(track.instance(), millis);
     }
-    if (relay.forwarding || failed || relay.model < 0 || !askLarger(relay, now, output)) {
-      pass(relay, track, output);
+    if (relay.forwarding || serverError || relay.modelIndex < 0 || !escalate(relay, now, output)) {
+      forwardAnswer(relay, track, output);
     }
   }
 
-  /** Asks a larger model in place of the answer that has begun; returns whether it does. */
-  private boolean askLarger(ActiveRelay relay, Instant now, Output output) {
-    int larger = models.largerModel(relay.route, relay.model);
-    if (larger < 0 || !models.wouldEscalate(relay)) {
+  /**
+   * Escalates to a larger model if the confidence in the answer is too low; returns whether the
+   * entry discards the answer or waits for a scheduler's placement.
+   */
+  private boolean escalate(ActiveRelay relay, Instant now, Output output) {
+    int largerModel = models.largerModel(relay.route, relay.modelIndex);
+    if (largerModel < 0 || !models.wouldEscalate(relay)) {
       return false;
     }
-    if (sender.askSchedulerForLarger(relay, larger, now, output)) {
+    if (sender.querySchedulerForEscalation(relay, largerModel, now, output)) {
       return true;
     }
-    Placement placement = sender.placeLarger(relay, larger, now);
-    return placement != null && askLarger(relay, larger, placement, null, now, output);
+    Placement placement = sender.placeEscalation(relay, largerModel, now);
+    return placement != null && escalate(relay, largerModel, placement, null, now, output);
   }
 
-  /** Asks a larger model where it is placed, if that is still wanted; returns whether it is. */
-  private boolean askLarger(
+  /**
+   * Sends an escalation to its placement if the model policy and the retry budget allow it; returns
+   * whether it was sent.
+   */
+  private boolean escalate(
       ActiveRelay relay,
-      int larger,
+      int largerModel,
       Placement placement,
       @Nullable SchedulerGrant grant,
       Instant now,
       Output output) {
-    if (!models.shouldEscalate(relay, placement, now) || !starter.mayRepeat(relay, now)) {
-      sender.giveBack(grant, output);
+    if (!models.shouldEscalate(relay, placement, now) || !starter.acquireRetry(relay, now)) {
+      sender.releaseGrant(grant, output);
       return false;
     }
-    trace.larger(relay, larger, placement, now, output);
-    sender.drop(relay, output);
-    relay.model = larger;
+    trace.escalated(relay, largerModel, placement, now, output);
+    sender.cancelAttempt(relay, output);
+    relay.modelIndex = largerModel;
     sender.send(relay, placement, grant, now, output);
     return true;
   }
 
-  /** Goes on with a request whose scheduler has answered, or kept silent. */
-  private void placed(SchedulerClient.SchedulerDecision placed, Instant now, Output output) {
+  /** Continues a request whose placement query was answered or timed out. */
+  private void onPlacement(SchedulerClient.SchedulerDecision placed, Instant now, Output output) {
     if (!placed.isEscalation()) {
-      starter.placed(placed, now, output);
+      starter.onPlacement(placed, now, output);
       return;
     }
     ActiveRelay relay = placed.relay();
-    int larger = models.largerModel(relay.route, relay.model);
+    int largerModel = models.largerModel(relay.route, relay.modelIndex);
     Placement chosen = placed.placement();
-    Placement placement = chosen == null ? sender.placeLarger(relay, larger, now) : chosen;
+    Placement placement = chosen == null ? sender.placeEscalation(relay, largerModel, now) : chosen;
     TrackedUpstream track = relay.upstream();
-    boolean asked =
-        placement != null && askLarger(relay, larger, placement, placed.grant(), now, output);
-    if (!asked && track != null) {
-      pass(relay, track, output);
+    boolean isEscalated =
+        placement != null && escalate(relay, largerModel, placement, placed.grant(), now, output);
+    if (!isEscalated && track != null) {
+      forwardAnswer(relay, track, output);
     }
   }
 
-  private static void pass(ActiveRelay relay, TrackedUpstream track, Output output) {
+  private static void forwardAnswer(ActiveRelay relay, TrackedUpstream track, Output output) {
     if (!relay.forwarding) {
       relay.forwarding = true;
       relay.version = track.instance().version();
@@ -264,27 +273,27 @@
 
   private void tick(Instant now, Output output) {
     crashes.tick(now, output);
-    intake.released(now, output).forEach(relay -> begin(relay, now, output));
-    schedulers.takeTimedOut(now, output).forEach(placed -> placed(placed, now, output));
+    intake.releasePending(now, output).forEach(relay -> start(relay, now, output));
+    schedulers.takeTimedOut(now, output).forEach(placed -> onPlacement(placed, now, output));
     for (ActiveRelay relay : active.all()) {
       if (now.isBefore(relay.deadline)) {
-        failures.lookAtWait(relay, now, output);
+        failures.checkFirstByteTimeout(relay, now, output);
       } else if (!relay.forwarding) {
-        Refusal refusal = relay.sent > 0 ? Refusal.TIME_OUT : Refusal.TOO_LATE;
-        endings.giveUp(relay, refusal, now, output);
-      } else if (now.isAfter(relay.deadline.plus(OVERRUN))) {
-        endings.breakOff(relay, now, output);
+        Refusal refusal = relay.sentAttempts > 0 ? Refusal.TIME_OUT : Refusal.TOO_LATE;
+        completer.endWithRefusal(relay, refusal, now, output);
+      } else if (now.isAfter(relay.deadline.plus(MAX_OVERRUN))) {
+        completer.abortAnswer(relay, now, output);
       }
     }
   }
 
   private void callerLeft(long request, Instant now, Output output) {
-    if (intake.forget(request)) {
+    if (intake.removePending(request)) {
       output.effect(new RelayEffect.Forget(request));
     }
     ActiveRelay relay = active.find(request);
     if (relay != null) {
-      endings.callerLeft(relay, now, output);
+      completer.callerLeft(relay, now, output);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestCompleter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestCompleter.java
@@ -5,16 +5,18 @@
 import org.skylarkfork.core.Output;
 import org.skylarkfork.core.effect.RelayEffect;
 
-/** Ends requests, with an answer of the entry's own where no upstream gave one. */
+/** Ends requests, with a refusal by the entry if no upstream answered. */
 final class RequestCompleter {
 
-  /** When to come back where nothing could take the request, in milliseconds. */
+  /** Retry delay if no upstream accepted the request, in milliseconds. */
   private static final long RETRY_MILLIS = 250;
 
-  /** When to come back, to another entry, in milliseconds. */
+  /**
+   * Retry delay if this entry is shutting down, in milliseconds; the retry goes to another entry.
+   */
   private static final long STOPPING_RETRY_MILLIS = 10;
 
-  /** When to come back to an entry that can't serve, in milliseconds. */
+  /** Retry delay if this entry is not ready to serve, in milliseconds. */
   private static final long NOT_SERVING_RETRY_MILLIS = 700;
 
   private final ActiveRelays active;
@@ -30,29 +32,29 @@
     this.trace = trace;
   }
 
-  /** Refuses a request that was not taken. */
+  /** Refuses a request that was not admitted. */
   void refuse(RelayRequest request, Refusal refusal, Instant now, Output output) {
     output.effect(new RelayEffect.Refuse(request.number(), refusal, retryAfter(refusal)));
     trace.refused(request, refusal, now, output);
   }
 
-  /** Ends a request of whose answer the caller has got nothing. */
-  void giveUp(ActiveRelay relay, Refusal refusal, Instant now, Output output) {
-    giveUp(relay, refusal, retryAfter(refusal), now, output);
+  /** Refuses an admitted request for which no part of an answer was forwarded. */
+  void endWithRefusal(ActiveRelay relay, Refusal refusal, Instant now, Output output) {
+    endWithRefusal(relay, refusal, retryAfter(refusal), now, output);
   }
 
   /**
-   * Ends a request of whose answer the caller has got nothing.
+   * Refuses an admitted request for which no part of an answer was forwarded.
    *
    * @param relay the request
-   * @param refusal why
-   * @param retryAfterMillis when to come back, in milliseconds; 0 to say nothing
-   * @param now the present time
-   * @param output takes what is to be done
+   * @param refusal the reason
+   * @param retryAfterMillis delay after which the caller may retry, in milliseconds; 0 to omit it
+   * @param now the current time
+   * @param output receives the resulting effects
    */
-  void giveUp(
+  void endWithRefusal(
       ActiveRelay relay, Refusal refusal, long retryAfterMillis, Instant now, Output output) {
-    sender.drop(relay, output);
+    sender.cancelAttempt(relay, output);
     active.remove(relay);
     output.effect(new RelayEffect.Refuse(relay.request.number(), refusal, retryAfterMillis));
     trace.ended(
@@ -61,7 +63,7 @@
         "why="
             + refusal
             + " attempts="
-            + relay.sent
+            + relay.sentAttempts
             + " may_have_run="
             + relay.mayHaveRun
             + " retry_after_ms="
@@ -70,37 +72,42 @@
         output);
   }
 
-  /** Ends a request whose answer was begun and goes on nowhere. */
-  void breakOff(ActiveRelay relay, Instant now, Output output) {
-    noteAnswer(relay, false, now);
-    sender.drop(relay, output);
+  /** Ends a request whose answer has begun and can't be continued by any upstream. */
+  void abortAnswer(ActiveRelay relay, Instant now, Output output) {
+    recordAnswerTime(relay, false, now);
+    sender.cancelAttempt(relay, output);
     active.remove(relay);
     output.effect(new RelayEffect.BreakOff(relay.request.number()));
-    String facts = "attempts=" + relay.sent + " after_event=" + relay.lastEventId;
+    String facts = "attempts=" + relay.sentAttempts + " after_event=" + relay.lastEventId;
     trace.ended("broken_off", relay, facts, now, output);
   }
 
-  /** Ends a request whose answer was passed on whole. */
-  void done(ActiveRelay relay, Instant now, Output output) {
-    noteAnswer(relay, true, now);
-    sender.release(relay, output);
+  /** Ends a request whose answer was forwarded completely. */
+  void complete(ActiveRelay relay, Instant now, Output output) {
+    recordAnswerTime(relay, true, now);
+    sender.releaseAttempt(relay, output);
     active.remove(relay);
     output.effect(new RelayEffect.Forget(relay.request.number()));
     String facts =
-        "attempts=" + relay.sent + " model=" + relay.model + " confidence=" + relay.confidence;
+        "attempts="
+            + relay.sentAttempts
+            + " model="
+            + relay.modelIndex
+            + " confidence="
+            + relay.confidence;
     trace.ended("done", relay, facts, now, output);
   }
 
-  /** Ends a request whose caller is gone. */
+  /** Ends a request whose caller has disconnected. */
   void callerLeft(ActiveRelay relay, Instant now, Output output) {
-    noteAnswer(relay, false, now);
-    sender.drop(relay, output);
+    recordAnswerTime(relay, false, now);
+    sender.cancelAttempt(relay, output);
     active.remove(relay);
     output.effect(new RelayEffect.Forget(relay.request.number()));
-    trace.ended("caller_left", relay, "attempts=" + relay.sent, now, output);
+    trace.ended("caller_left", relay, "attempts=" + relay.sentAttempts, now, output);
   }
 
-  private void noteAnswer(ActiveRelay relay, boolean whole, Instant now) {
+  private void recordAnswerTime(ActiveRelay relay, boolean whole, Instant now) {
     if (relay.forwarding && relay.streams()) {
       answerTimes.recordEnd(relay, Duration.between(relay.answeredAt, now).toMillis(), whole);
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
@@ -182,11 +182,11 @@
     Iterator<Entry> entries = byId.values().iterator();
     while (entries.hasNext()) {
       Entry entry = entries.next();
-      if (now.isAfter(entry.lastHeard.plus(times.upstreamForgotten()))) {
+      if (now.isAfter(entry.lastHeard.plus(times.upstreamExpiry()))) {
         idByAddress.remove(entry.instance().address(), entry.instance().id());
         entries.remove();
       } else if (entry.condition == UpstreamCondition.READY
-          && now.isAfter(entry.lastHeard.plus(times.upstreamSilence()))) {
+          && now.isAfter(entry.lastHeard.plus(times.upstreamTimeout()))) {
         entry.condition = UpstreamCondition.SILENT;
         entry.changedAt = ++sequence;
       }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConfidenceCascadeTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConfidenceCascadeTest.java
@@ -56,14 +56,14 @@
             null,
             RelayFixture.START,
             deadline);
-    relay.model = 0;
+    relay.modelIndex = 0;
     return relay;
   }
 
   /** Records enough answers of ten tokens by the largest model for an estimate. */
   private void recordAnswers(double millis, boolean whole) {
     ActiveRelay ended = relay(RelayFixture.START.plusSeconds(20));
-    ended.model = 2;
+    ended.modelIndex = 2;
     for (int answer = 0; answer < 20; answer++) {
       times.recordEnd(ended, millis, whole);
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
@@ -15,17 +15,17 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link RelayEntryPart}. */
+/** Tests {@link RelayEntryPart}. */
 public final class RelayEntryPartTest {
 
   private static final String CONTROL = "control-1";
 
-  private RelayEntryPart entry = part();
+  private RelayEntryPart entry = createPart();
   private Reducer reducer = new Reducer(List.of(entry));
   private long sequence;
-  private List<String> evacuated = List.of();
+  private List<String> evacuatedZones = List.of();
 
-  private static RelayEntryPart part() {
+  private static RelayEntryPart createPart() {
     return new RelayEntryPart(
         new EntryIdentity("10.0.0.9:80", "a", 1),
         List.of(CONTROL),
@@ -33,16 +33,16 @@
         new VersionLedger());
   }
 
-  /** Each test begins anew. */
+  /** Creates a new entry for each test. */
   @BeforeMethod
   public void setUp() {
-    entry = part();
+    entry = createPart();
     reducer = new Reducer(List.of(entry));
     sequence = 0;
-    evacuated = List.of();
+    evacuatedZones = List.of();
   }
 
-  private void told(List<UpstreamRun> leaving, UpstreamInstance... instances) {
+  private void receiveUpdate(List<UpstreamRun> leaving, UpstreamInstance... instances) {
     sequence++;
     List<UpstreamStatus> statuses =
         List.of(instances).stream()
@@ -53,7 +53,7 @@
             RelayFixture.START,
             sequence,
             null,
-            new RelayMessage.SharedState(List.of(), leaving, evacuated, List.of()),
+            new RelayMessage.SharedState(List.of(), leaving, evacuatedZones, List.of()),
             new RelayMessage.DirectoryChanges(1, sequence, sequence == 1, true, statuses),
             List.of(CONTROL),
             1,
@@ -61,62 +61,65 @@
     reducer.apply(new PeerEvent.MessageReceived(CONTROL, update), RelayFixture.START);
   }
 
-  private static UpstreamInstance started(long sequence, long bornMillis) {
+  private static UpstreamInstance newInstance(long sequence, long bornMillis) {
     return new UpstreamInstance("up", "service", "10.0.0.1:80", "a", "v1", 1, sequence, bornMillis);
   }
 
-  private TrackedUpstream only() {
+  private TrackedUpstream onlyUpstream() {
     List<TrackedUpstream> known = entry.upstreams("service");
     assertEquals(known.size(), 1);
     return known.get(0);
   }
 
   /**
-   * Callers would wait for a sound upstream. It crashed, failed what was sent to it, and started
-   * again under its id: the failures were the earlier process's, as was what it kept of prompts.
+   * Guards against avoiding a healthy upstream. An upstream that crashed and restarted with the
+   * same id must not inherit the failures and cached prompt prefixes of its earlier run.
    */
   @Test
-  public void nothingOfAnEarlierStartIsKept() {
-    told(List.of(), started(30, 1000));
-    TrackedUpstream first = only();
+  public void statisticsOfEarlierRunAreDiscarded() {
+    receiveUpdate(List.of(), newInstance(30, 1000));
+    TrackedUpstream first = onlyUpstream();
     first.recordFailure(true, RelayFixture.START);
-    told(List.of(), started(1, 2000));
-    assertNotSame(only(), first);
-    assertEquals(only().failureShare(), 0.0);
+    receiveUpdate(List.of(), newInstance(1, 2000));
+    assertNotSame(onlyUpstream(), first);
+    assertEquals(onlyUpstream().failureShare(), 0.0);
   }
 
   @Test
-  public void lateWordOfAnEarlierStartEmptiesNothing() {
-    told(List.of(), started(1, 2000));
-    TrackedUpstream known = only();
-    told(List.of(), started(40, 1000));
-    assertSame(only(), known);
+  public void lateUpdateOfEarlierRunIsIgnored() {
+    receiveUpdate(List.of(), newInstance(1, 2000));
+    TrackedUpstream known = onlyUpstream();
+    receiveUpdate(List.of(), newInstance(40, 1000));
+    assertSame(onlyUpstream(), known);
     assertEquals(known.instance().sequence(), 1);
   }
 
-  /** The earlier start had said that it leaves; the later one serves. */
+  /** Guards against treating a run as leaving because an earlier run of the same upstream left. */
   @Test
-  public void laterStartIsUsedThoughAnEarlierOneLeft() {
-    told(List.of(new UpstreamRun("up", 1000)), started(30, 1000));
-    assertEquals(only().condition(), UpstreamCondition.LEAVING);
-    told(List.of(new UpstreamRun("up", 1000)), started(1, 2000));
-    assertEquals(only().condition(), UpstreamCondition.READY);
+  public void laterRunIsReadyAfterEarlierRunLeft() {
+    receiveUpdate(List.of(new UpstreamRun("up", 1000)), newInstance(30, 1000));
+    assertEquals(onlyUpstream().condition(), UpstreamCondition.LEAVING);
+    receiveUpdate(List.of(new UpstreamRun("up", 1000)), newInstance(1, 2000));
+    assertEquals(onlyUpstream().condition(), UpstreamCondition.READY);
   }
 
-  /** An upstream that is heard of only after its zone was evacuated gets nothing either. */
+  /**
+   * Guards against sending requests to an upstream whose run is first reported after its zone was
+   * evacuated.
+   */
   @Test
-  public void upstreamsOfAnEvacuatedZoneGetNothingUntilItIsTakenBack() {
-    told(List.of(), started(1, 1000));
-    evacuated = List.of("a");
-    told(List.of());
-    assertEquals(only().condition(), UpstreamCondition.EVACUATED);
-    told(List.of(), started(1, 2000));
-    assertEquals(only().condition(), UpstreamCondition.EVACUATED);
-    evacuated = List.of();
-    told(List.of(), started(2, 2000).coldFor(3000));
-    assertEquals(only().condition(), UpstreamCondition.READY);
-    assertTrue(only().isCold(RelayFixture.START.plusMillis(2999)));
-    told(List.of(), started(3, 2000));
-    assertFalse(only().isCold(RelayFixture.START), "warm again");
+  public void upstreamsOfEvacuatedZoneAreEvacuatedUntilZoneIsRestored() {
+    receiveUpdate(List.of(), newInstance(1, 1000));
+    evacuatedZones = List.of("a");
+    receiveUpdate(List.of());
+    assertEquals(onlyUpstream().condition(), UpstreamCondition.EVACUATED);
+    receiveUpdate(List.of(), newInstance(1, 2000));
+    assertEquals(onlyUpstream().condition(), UpstreamCondition.EVACUATED);
+    evacuatedZones = List.of();
+    receiveUpdate(List.of(), newInstance(2, 2000).coldFor(3000));
+    assertEquals(onlyUpstream().condition(), UpstreamCondition.READY);
+    assertTrue(onlyUpstream().isCold(RelayFixture.START.plusMillis(2999)));
+    receiveUpdate(List.of(), newInstance(3, 2000));
+    assertFalse(onlyUpstream().isCold(RelayFixture.START), "no longer cold");
   }
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -177,7 +177,7 @@
       addEntry(parts, settings.caller());
     }
     openMetrics();
-    loop.start(new Reducer(parts), times().tick(), this::afterTick);
+    loop.start(new Reducer(parts), times().tickInterval(), this::afterTick);
     if (storage != null) {
       storage.recover(GroupId.RELAY);
     }
@@ -233,7 +233,7 @@
 
   private RelayTimings times() {
     RelayTimings times = RelayTimings.of(settings.keyBound(), settings.heartbeat());
-    return settings.dataFolder() == null ? times.ofEntry() : times;
+    return settings.dataFolder() == null ? times.forEntry() : times;
   }
 
   private void afterTick() {
