--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/EntryView.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/EntryView.java
@@ -36,7 +36,7 @@
     refreshedAt = now;
     List<String> names =
         members.live().stream()
-            .filter(member -> member.has(Member.ENTRY))
+            .filter(member -> member.hasRole(Member.ENTRY))
             .map(Member::name)
             .toList();
     names.forEach(name -> lastSeen.put(name, now));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/ActiveRequest.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/ActiveRequest.java
@@ -60,7 +60,7 @@
   @Nullable Instant phaseEnd;
 
   /** When this request is looked at next; changed only by {@link ActiveRequests}. */
-  Instant wakeAt;
+  Instant nextCheckAt;
 
   /** Revision of the configuration whose rule decided. */
   long revision;
@@ -78,7 +78,7 @@
   int stepAttempts;
 
   int attempts;
-  int pauses;
+  int backoffs;
   int replans;
 
   /** When a second attempt of a lookup is due, or null if none is or was. */
@@ -88,9 +88,9 @@
   long costMicros;
 
   long tokens;
-  @Nullable HeldAnswer held;
+  @Nullable HeldAnswer heldAnswer;
   @Nullable AttemptOutcome heldOutcome;
-  @Nullable HeldAnswer best;
+  @Nullable HeldAnswer bestAnswer;
 
   /** Tokens of the answer that the caller got. */
   long sentTokens;
@@ -99,8 +99,8 @@
   boolean inAdmission;
 
   boolean claimed;
-  boolean billSafe;
-  boolean streamBegun;
+  boolean billDurable;
+  boolean streamStarted;
 
   /** Whether some attempt may have been started by its upstream. */
   boolean mayHaveStarted;
@@ -109,7 +109,7 @@
   boolean ran;
 
   /** Whether an attempt ended in a way after which a non-idempotent call may not be sent again. */
-  boolean neverAgain;
+  boolean retryForbidden;
 
   /** Whether the caller got its one answer or refusal. */
   boolean answered;
@@ -120,7 +120,7 @@
   /** Whether the answer is rated afterwards, for what is known of its version. */
   boolean sampled;
 
-  private @Nullable RequestKey content;
+  private @Nullable RequestKey contentKey;
   @Nullable String sessionToken;
   @Nullable String notice;
   @Nullable Bill bill;
@@ -131,7 +131,7 @@
     this.team = team;
     this.idempotent = idempotent;
     this.arrivedAt = now;
-    this.wakeAt = request.deadline();
+    this.nextCheckAt = request.deadline();
     this.priority = request.priority();
   }
 
@@ -146,17 +146,17 @@
   }
 
   /** Returns what it has in common with the same request sent again, at whatever entry. */
-  RequestKey content() {
-    RequestKey known = content;
-    if (known == null) {
-      known = CrashGuard.keyOf(team, request);
-      content = known;
+  RequestKey contentKey() {
+    RequestKey cached = contentKey;
+    if (cached == null) {
+      cached = CrashGuard.keyOf(team, request);
+      contentKey = cached;
     }
-    return known;
+    return cached;
   }
 
   /** Takes over the decision of a rule. */
-  void take(Rule.Decision.Route decision) {
+  void applyRoute(Rule.Decision.Route decision) {
     route = decision;
     Integer override = decision.priority();
     priority = override == null ? request.priority() : override;
@@ -171,19 +171,19 @@
   }
 
   /** Returns whether its tokens go to the caller as they come. */
-  boolean streamsThrough() {
-    return request.stream() && !isHeldStep();
+  boolean streamsDirectly() {
+    return request.stream() && !holdsAnswerForRating();
   }
 
   /** Returns whether the present step's answer waits for its rating. */
-  boolean isHeldStep() {
+  boolean holdsAnswerForRating() {
     return currentStep().rated() && !isLastStep();
   }
 
   /** Returns when the request must end, or a held answer must go out to be there in time. */
-  Instant latestEnd() {
-    boolean holds = held != null || best != null;
-    return holds ? request.deadline().minus(DELIVERY_MARGIN) : request.deadline();
+  Instant effectiveDeadline() {
+    boolean hasAnswer = heldAnswer != null || bestAnswer != null;
+    return hasAnswer ? request.deadline().minus(DELIVERY_MARGIN) : request.deadline();
   }
 
   RunState runState() {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/ActiveRequests.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/ActiveRequests.java
@@ -16,10 +16,10 @@
 
   private final Map<String, ActiveRequest> byId = new HashMap<>();
   private final Map<String, ActiveRequest> byAttempt = new HashMap<>();
-  private final Set<TeamKey> keys = new HashSet<>();
-  private final TreeSet<ActiveRequest> wakes =
+  private final Set<TeamKey> activeKeys = new HashSet<>();
+  private final TreeSet<ActiveRequest> checkQueue =
       new TreeSet<>(
-          Comparator.comparing((ActiveRequest active) -> active.wakeAt)
+          Comparator.comparing((ActiveRequest active) -> active.nextCheckAt)
               .thenComparing(ActiveRequest::id));
 
   /** Requests whose last frame was sent but not yet handed over, the oldest first. */
@@ -32,15 +32,15 @@
   void add(ActiveRequest active) {
     Invariants.check(!byId.containsKey(active.id()), "request ids are unique");
     byId.put(active.id(), active);
-    keys.add(new TeamKey(active.team, active.key()));
-    wakes.add(active);
+    activeKeys.add(new TeamKey(active.team, active.key()));
+    checkQueue.add(active);
   }
 
   void remove(ActiveRequest active) {
     Invariants.check(active.running.isEmpty(), "no attempt outlives its request");
     byId.remove(active.id());
-    keys.remove(new TeamKey(active.team, active.key()));
-    wakes.remove(active);
+    activeKeys.remove(new TeamKey(active.team, active.key()));
+    checkQueue.remove(active);
     clearAnswer(active);
   }
 
@@ -48,12 +48,12 @@
     return byId.get(requestId);
   }
 
-  @Nullable ActiveRequest ofAttempt(String attemptId) {
+  @Nullable ActiveRequest findByAttempt(String attemptId) {
     return byAttempt.get(attemptId);
   }
 
-  boolean runsKey(String team, String key) {
-    return keys.contains(new TeamKey(team, key));
+  boolean isKeyActive(String team, String key) {
+    return activeKeys.contains(new TeamKey(team, key));
   }
 
   int size() {
@@ -71,34 +71,34 @@
   }
 
   /** Looks at a request again not later than at a time. */
-  void wakeBy(ActiveRequest active, Instant at) {
-    if (at.isBefore(active.wakeAt)) {
-      move(active, at);
+  void scheduleCheck(ActiveRequest active, Instant at) {
+    if (at.isBefore(active.nextCheckAt)) {
+      reschedule(active, at);
     }
   }
 
   /** Takes the next request whose time has come; it is looked at again by its end at the latest. */
   @Nullable ActiveRequest nextDue(Instant now) {
-    if (wakes.isEmpty() || wakes.first().wakeAt.isAfter(now)) {
+    if (checkQueue.isEmpty() || checkQueue.first().nextCheckAt.isAfter(now)) {
       return null;
     }
-    ActiveRequest due = wakes.first();
-    move(due, nextLook(due, now));
+    ActiveRequest due = checkQueue.first();
+    reschedule(due, nextCheck(due, now));
     return due;
   }
 
-  private static Instant nextLook(ActiveRequest active, Instant now) {
-    if (active.latestEnd().isAfter(now)) {
-      return active.latestEnd();
+  private static Instant nextCheck(ActiveRequest active, Instant now) {
+    if (active.effectiveDeadline().isAfter(now)) {
+      return active.effectiveDeadline();
     }
     Instant deadline = active.request.deadline();
     return deadline.isAfter(now) ? deadline : Instant.MAX;
   }
 
-  private void move(ActiveRequest active, Instant at) {
-    wakes.remove(active);
-    active.wakeAt = at;
-    wakes.add(active);
+  private void reschedule(ActiveRequest active, Instant at) {
+    checkQueue.remove(active);
+    active.nextCheckAt = at;
+    checkQueue.add(active);
   }
 
   long heldBytes() {
@@ -128,7 +128,7 @@
   }
 
   /** Stops watching answers that were sent before a time. */
-  int forgetDeliveries(Instant before) {
+  int expireDeliveries(Instant before) {
     int size = delivering.size();
     var oldest = delivering.values().iterator();
     while (oldest.hasNext() && oldest.next().isBefore(before)) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AnswerBuffer.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AnswerBuffer.java
@@ -10,7 +10,7 @@
   private long bytes;
 
   /** What became of tokens. */
-  enum Fit {
+  enum ChunkPosition {
     /** They follow on those that are there. */
     NEXT,
     /** All of them are there already. */
@@ -20,11 +20,11 @@
   }
 
   /** Says how tokens fit, without taking them. */
-  Fit fit(long offset, int count) {
+  ChunkPosition classify(long offset, int count) {
     if (offset == tokens) {
-      return Fit.NEXT;
+      return ChunkPosition.NEXT;
     }
-    return offset + count <= tokens ? Fit.DUPLICATE : Fit.GAP;
+    return offset + count <= tokens ? ChunkPosition.DUPLICATE : ChunkPosition.GAP;
   }
 
   /** Takes tokens that follow; their text is kept only if it is needed again. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Attempt.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Attempt.java
@@ -22,7 +22,7 @@
   long resumeOffset;
 
   /** When the upstream was last heard of; a plain service is heard of only once. */
-  Instant heardAt;
+  Instant lastProgressAt;
 
   @Nullable Instant firstTokenAt;
 
@@ -40,12 +40,12 @@
     this.target = target;
     this.version = version;
     this.dispatchedAt = now;
-    this.heardAt = now;
+    this.lastProgressAt = now;
     this.timeout = timeout;
   }
 
-  Instant silentAt() {
-    return heardAt.plus(timeout);
+  Instant timeoutAt() {
+    return lastProgressAt.plus(timeout);
   }
 
   @Nullable Long firstTokenMillis() {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AttemptBudget.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AttemptBudget.java
@@ -10,35 +10,35 @@
 final class AttemptBudget {
 
   private final double share;
-  private final double most;
-  private double left;
+  private final double capacity;
+  private double balance;
 
   AttemptBudget(double share, int reserve) {
     this.share = share;
-    this.most = reserve;
-    this.left = reserve;
+    this.capacity = reserve;
+    this.balance = reserve;
   }
 
   /** Takes note of a request, which earns its share of an extra attempt. */
-  void earn() {
-    left = Math.min(most, left + share);
+  void deposit() {
+    balance = Math.min(capacity, balance + share);
   }
 
   boolean isEmpty() {
-    return left < 1;
+    return balance < 1;
   }
 
   /** Takes an extra attempt if there is one left. */
-  boolean tryTake() {
-    if (left < 1) {
+  boolean tryWithdraw() {
+    if (balance < 1) {
       return false;
     }
-    left -= 1;
+    balance -= 1;
     return true;
   }
 
   /** Takes an extra attempt that has to be made, so that fewer others can be. */
-  void take() {
-    left = Math.max(0, left - 1);
+  void withdraw() {
+    balance = Math.max(0, balance - 1);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Outcomes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AttemptOutcomes.java
@@ -9,9 +9,9 @@
 import org.skylarkfork.core.quality.AttemptOutcome.Ending;
 
 /** Puts attempts at drafts into the form in which the evidence on versions takes them. */
-final class Outcomes {
+final class AttemptOutcomes {
 
-  private Outcomes() {}
+  private AttemptOutcomes() {}
 
   static AttemptOutcome of(ActiveRequest active, Attempt attempt, Ending ending, Instant now) {
     // A resumed attempt gave only the rest, so its time tells nothing of a whole answer's.
@@ -30,18 +30,18 @@
         active.step > 0);
   }
 
-  static AttemptOutcome ratedLater(AttemptOutcome told, double score) {
+  static AttemptOutcome ratedLater(AttemptOutcome outcome, double score) {
     return new AttemptOutcome(
-        told.requestId(),
-        told.version(),
-        told.team(),
-        told.promptTokens(),
+        outcome.requestId(),
+        outcome.version(),
+        outcome.team(),
+        outcome.promptTokens(),
         Ending.RATED_LATER,
         score,
-        told.firstTokenMillis(),
-        told.completionTokens(),
+        outcome.firstTokenMillis(),
+        outcome.completionTokens(),
         null,
-        told.escalated());
+        outcome.escalated());
   }
 
   /** Returns what a failure says of the version, or null if it says only something of the VM. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Attempts.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Attempts.java
@@ -13,11 +13,11 @@
 final class Attempts {
 
   private final ActiveRequests requests;
-  private final RequestCollaborators parts;
+  private final RequestCollaborators collaborators;
 
-  Attempts(ActiveRequests requests, RequestCollaborators parts) {
+  Attempts(ActiveRequests requests, RequestCollaborators collaborators) {
     this.requests = requests;
-    this.parts = parts;
+    this.collaborators = collaborators;
   }
 
   /** Takes note of an attempt just before its dispatch. */
@@ -26,29 +26,29 @@
       Announcement upstream,
       @Nullable ModelVersion version,
       Duration timeout,
-      Turn turn) {
+      EventContext context) {
     checkMayBegin(active, version);
     active.attempts++;
     active.stepAttempts++;
     String id = active.id() + "." + active.attempts;
-    Attempt attempt = new Attempt(id, upstream, version, turn.now(), timeout);
+    Attempt attempt = new Attempt(id, upstream, version, context.now(), timeout);
     requests.addAttempt(active, attempt);
-    requests.wakeBy(active, attempt.silentAt());
-    parts.chooser().dispatched(upstream.id(), active.request, turn.now());
+    requests.scheduleCheck(active, attempt.timeoutAt());
+    collaborators.chooser().dispatched(upstream.id(), active.request, context.now());
     active.phase = ActiveRequest.Phase.ATTEMPTS;
-    turn.timeline("request.dispatched", active, attempt, "attempt " + active.attempts);
-    turn.count("attempts", "");
+    context.timeline("request.dispatched", active, attempt, "attempt " + active.attempts);
+    context.count("attempts", "");
     return attempt;
   }
 
   private void checkMayBegin(ActiveRequest active, @Nullable ModelVersion version) {
     if (!active.idempotent) {
       Invariants.check(active.claimed, "a non-idempotent call is claimed before its dispatch");
-      Invariants.check(!active.neverAgain, "a call that may have started is not sent again");
+      Invariants.check(!active.retryForbidden, "a call that may have started is not sent again");
       Invariants.check(active.running.isEmpty(), "a non-idempotent call has one attempt at a time");
     }
     if (version != null) {
-      Configuration current = parts.configuration().current();
+      Configuration current = collaborators.configuration().current();
       boolean allowed = current.team(active.team).filter(team -> team.allows(version)).isPresent();
       Invariants.check(allowed, "a draft runs only on a version that its team allows");
       Invariants.check(!current.isWithdrawn(version), "a withdrawn version gets no new work");
@@ -56,22 +56,22 @@
   }
 
   /** Takes note that an attempt ended by itself. */
-  void end(ActiveRequest active, Attempt attempt, boolean healthy, Turn turn) {
+  void end(ActiveRequest active, Attempt attempt, boolean healthy, EventContext context) {
     requests.removeAttempt(active, attempt);
-    parts.chooser().ended(attempt.upstream, active.request, healthy, turn.now());
+    collaborators.chooser().ended(attempt.upstream, active.request, healthy, context.now());
   }
 
   /** Gives up an attempt; whatever still comes of it is counted as late. */
-  void cancel(ActiveRequest active, Attempt attempt, boolean healthy, Turn turn) {
-    end(active, attempt, healthy, turn);
+  void cancel(ActiveRequest active, Attempt attempt, boolean healthy, EventContext context) {
+    end(active, attempt, healthy, context);
     active.mayHaveStarted = true;
-    turn.effect(new UpstreamEffect.CancelAttempt(attempt.id));
+    context.effect(new UpstreamEffect.CancelAttempt(attempt.id));
   }
 
   /** Gives up all attempts of a request whose answer is there or not wanted any more. */
-  void cancelAll(ActiveRequest active, Turn turn) {
+  void cancelAll(ActiveRequest active, EventContext context) {
     for (Attempt attempt : List.copyOf(active.running.values())) {
-      cancel(active, attempt, true, turn);
+      cancel(active, attempt, true, context);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallRun.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
@@ -21,7 +21,7 @@
 import org.skylarkfork.core.upstream.Announcement;
 
 /** Runs calls to plain services: idempotent ones with retries and hedges, others at most once. */
-final class CallRun {
+final class CallExecutor {
 
   private static final long CLAIM_RETRY_MILLIS = 1000;
   private static final int SERVER_ERROR = 500;
@@ -35,90 +35,92 @@
           null);
 
   private final ActiveRequests requests;
-  private final RequestCollaborators parts;
+  private final RequestCollaborators collaborators;
   private final RequestSettings settings;
   private final Attempts attempts;
-  private final Retries retries;
-  private final Hedging hedging;
-  private final Ending ending;
-  private final CrashGuard crashes;
+  private final RetryPolicy retryPolicy;
+  private final HedgePolicy hedgePolicy;
+  private final RequestCompleter completer;
+  private final CrashGuard crashGuard;
 
-  CallRun(
+  CallExecutor(
       ActiveRequests requests,
-      RequestCollaborators parts,
+      RequestCollaborators collaborators,
       RequestSettings settings,
       Attempts attempts,
-      Retries retries,
-      Hedging hedging,
-      Ending ending,
-      CrashGuard crashes) {
+      RetryPolicy retryPolicy,
+      HedgePolicy hedgePolicy,
+      RequestCompleter completer,
+      CrashGuard crashGuard) {
     this.requests = requests;
-    this.parts = parts;
+    this.collaborators = collaborators;
     this.settings = settings;
     this.attempts = attempts;
-    this.retries = retries;
-    this.hedging = hedging;
-    this.ending = ending;
-    this.crashes = crashes;
+    this.retryPolicy = retryPolicy;
+    this.hedgePolicy = hedgePolicy;
+    this.completer = completer;
+    this.crashGuard = crashGuard;
   }
 
   /** Starts an admitted call; a non-idempotent one is claimed first. */
-  void start(ActiveRequest active, Turn turn) {
-    retries.earn();
+  void start(ActiveRequest active, EventContext context) {
+    retryPolicy.recordRequest();
     if (active.idempotent) {
-      hedging.earn();
-      dispatch(active, turn);
+      hedgePolicy.recordRequest();
+      dispatch(active, context);
       return;
     }
     // A call that no upstream can take is refused here: its claim would cost a write for nothing.
-    if (parts.directory().services(active.request.service(), turn.now()).isEmpty()) {
-      ending.fail(active, retries.noCapacity("no upstream of the service is known"), turn);
+    if (collaborators.directory().services(active.request.service(), context.now()).isEmpty()) {
+      completer.fail(
+          active, retryPolicy.noCapacity("no upstream of the service is known"), context);
       return;
     }
     active.phase = ActiveRequest.Phase.CLAIM;
-    parts.ledger().claim(active.request, active.team, active.key(), turn.now());
+    collaborators.ledger().claim(active.request, active.team, active.key(), context.now());
   }
 
   /** Goes on once a claim is decided. */
-  void claimAnswered(ActiveRequest active, LedgerEvent.ClaimAnswered event, Turn turn) {
+  void claimDecided(ActiveRequest active, LedgerEvent.ClaimAnswered event, EventContext context) {
     if (active.phase != ActiveRequest.Phase.CLAIM) {
       return;
     }
-    turn.timeline("request.claimed", active, null, event.state().name());
+    context.timeline("request.claimed", active, null, event.state().name());
     switch (event.state()) {
       case GRANTED -> {
         active.claimed = true;
-        dispatch(active, turn);
+        dispatch(active, context);
       }
-      case RECORDED -> recorded(active, event.outcome(), turn);
+      case RECORDED -> answerFromRecord(active, event.outcome(), context);
       case IN_PROGRESS ->
-          ending.fail(
+          completer.fail(
               active,
               new RoutingError(
                   ErrorKind.IN_PROGRESS,
                   "A call with this Idempotency-Key is still running. Ask again later.",
                   RunState.UNKNOWN,
                   CLAIM_RETRY_MILLIS),
-              turn);
+              context);
       case MISMATCH ->
-          ending.fail(
+          completer.fail(
               active,
               RoutingError.notRun(
                   ErrorKind.CONFLICT,
                   "The Idempotency-Key was used for another call. Use a new key for this one."),
-              turn);
+              context);
       default ->
-          ending.fail(
+          completer.fail(
               active,
               RoutingError.notRunRetry(
                   ErrorKind.NOT_SERVING,
                   "The call could not be claimed and was not sent. Send it again later.",
                   CLAIM_RETRY_MILLIS),
-              turn);
+              context);
     }
   }
 
-  private void recorded(ActiveRequest active, @Nullable ClaimOutcome outcome, Turn turn) {
+  private void answerFromRecord(
+      ActiveRequest active, @Nullable ClaimOutcome outcome, EventContext context) {
     if (outcome instanceof ClaimOutcome.Answered answered) {
       active.ran = true;
       active.costMicros = answered.facts().costMicros();
@@ -130,29 +132,32 @@
               : new CallerEffect.SendServiceAnswer(
                   active.id(), answered.status(), answered.headers(), answered.body(), facts);
       // The bill is handed in again: the first entry may have ended between outcome and bill.
-      ending.end(active, last, null, ending.bill(active, active.request.service(), null), turn);
+      completer.complete(
+          active, last, null, completer.bill(active, active.request.service(), null), context);
       return;
     }
     if (outcome instanceof ClaimOutcome.NotRun notRun) {
       String message = "The call was not run: " + notRun.detail() + ". Send it with a new key.";
-      ending.fail(active, RoutingError.notRun(ErrorKind.NO_CAPACITY, message), turn);
+      completer.fail(active, RoutingError.notRun(ErrorKind.NO_CAPACITY, message), context);
       return;
     }
     String message =
         "It is not known whether the call ran. Don't send it again, but look at the service for"
             + " its effect.";
-    ending.fail(
-        active, new RoutingError(ErrorKind.UPSTREAM_FAILED, message, RunState.UNKNOWN, null), turn);
+    completer.fail(
+        active,
+        new RoutingError(ErrorKind.UPSTREAM_FAILED, message, RunState.UNKNOWN, null),
+        context);
   }
 
   /** Dispatches a call, or lets it wait, or gives it up. */
-  void dispatch(ActiveRequest active, Turn turn) {
-    RoutingError refused = crashes.refusal(active);
+  void dispatch(ActiveRequest active, EventContext context) {
+    RoutingError refused = crashGuard.quarantineRefusal(active);
     if (refused != null) {
-      ending.fail(active, refused, turn);
+      completer.fail(active, refused, context);
       return;
     }
-    Configuration current = parts.configuration().current();
+    Configuration current = collaborators.configuration().current();
     Optional<ServiceDefinition> service = current.service(active.request.service());
     boolean allowed =
         current
@@ -162,31 +167,39 @@
     if (service.isEmpty() || !allowed) {
       String message =
           "The service was taken from the team while the call waited. Ask your operator.";
-      ending.fail(
-          active, new RoutingError(ErrorKind.NOT_ALLOWED, message, active.runState(), null), turn);
+      completer.fail(
+          active,
+          new RoutingError(ErrorKind.NOT_ALLOWED, message, active.runState(), null),
+          context);
       return;
     }
-    Optional<Announcement> upstream = choose(active, turn);
+    Optional<Announcement> upstream = chooseUpstream(active, context);
     if (upstream.isPresent()) {
-      send(active, upstream.get(), service.get(), turn);
-    } else if (!retries.pause(active, turn.now())) {
-      ending.fail(active, retries.failed(active, "all of its upstreams are busy or out"), turn);
+      send(active, upstream.get(), service.get(), context);
+    } else if (!retryPolicy.backOff(active, context.now())) {
+      completer.fail(
+          active, retryPolicy.failure(active, "all of its upstreams are busy or out"), context);
     }
   }
 
-  private Optional<Announcement> choose(ActiveRequest active, Turn turn) {
+  private Optional<Announcement> chooseUpstream(ActiveRequest active, EventContext context) {
     List<Announcement> candidates =
-        parts.directory().services(active.request.service(), turn.now());
-    return parts.chooser().choose(candidates, active.request, active.triedUpstreams, turn.now());
+        collaborators.directory().services(active.request.service(), context.now());
+    return collaborators
+        .chooser()
+        .choose(candidates, active.request, active.triedUpstreams, context.now());
   }
 
   private void send(
-      ActiveRequest active, Announcement upstream, ServiceDefinition service, Turn turn) {
-    long timeoutMillis = timeoutMillis(active, service, turn.now());
-    Duration watchdog = Duration.ofMillis(timeoutMillis).plus(settings.watchdogGrace());
-    Attempt attempt = attempts.begin(active, upstream, null, watchdog, turn);
+      ActiveRequest active,
+      Announcement upstream,
+      ServiceDefinition service,
+      EventContext context) {
+    long timeoutMillis = timeoutMillis(active, service, context.now());
+    Duration watchdogTimeout = Duration.ofMillis(timeoutMillis).plus(settings.watchdogGrace());
+    Attempt attempt = attempts.begin(active, upstream, null, watchdogTimeout, context);
     active.triedUpstreams.add(upstream.id());
-    turn.effect(
+    context.effect(
         new UpstreamEffect.DispatchCall(
             attempt.id,
             upstream.id(),
@@ -195,7 +208,7 @@
             active.request,
             timeoutMillis));
     if (active.idempotent && active.attempts == 1) {
-      planHedge(active, service, turn);
+      scheduleHedge(active, service, context);
     }
   }
 
@@ -207,51 +220,55 @@
     if (!active.idempotent) {
       return service.timeoutMillis();
     }
-    long left = Duration.between(now, active.request.deadline()).toMillis();
-    return Math.max(1, Math.min(service.timeoutMillis(), left));
+    long remaining = Duration.between(now, active.request.deadline()).toMillis();
+    return Math.max(1, Math.min(service.timeoutMillis(), remaining));
   }
 
-  private void planHedge(ActiveRequest active, ServiceDefinition service, Turn turn) {
-    Optional<Duration> delay = hedging.delay(service.name());
+  private void scheduleHedge(
+      ActiveRequest active, ServiceDefinition service, EventContext context) {
+    Optional<Duration> delay = hedgePolicy.delay(service.name());
     if (delay.isPresent()) {
-      active.hedgeAt = turn.now().plus(delay.get());
-      requests.wakeBy(active, active.hedgeAt);
+      active.hedgeAt = context.now().plus(delay.get());
+      requests.scheduleCheck(active, active.hedgeAt);
     }
   }
 
   /** Sends a second attempt of a lookup that takes longer than most, if the budget allows. */
-  void hedge(ActiveRequest active, Turn turn) {
+  void hedge(ActiveRequest active, EventContext context) {
     Instant due = active.hedgeAt;
     if (due == null || active.running.size() != 1) {
       return;
     }
-    if (due.isAfter(turn.now())) {
-      requests.wakeBy(active, due);
+    if (due.isAfter(context.now())) {
+      requests.scheduleCheck(active, due);
       return;
     }
     active.hedgeAt = null;
-    if (crashes.refusal(active) != null) {
+    if (crashGuard.quarantineRefusal(active) != null) {
       return;
     }
-    Optional<Announcement> upstream = choose(active, turn);
-    Configuration current = parts.configuration().current();
+    Optional<Announcement> upstream = chooseUpstream(active, context);
+    Configuration current = collaborators.configuration().current();
     Optional<ServiceDefinition> service = current.service(active.request.service());
-    if (upstream.isPresent() && service.isPresent() && hedging.tryTake()) {
-      turn.count("hedges", service.get().name());
-      send(active, upstream.get(), service.get(), turn);
+    if (upstream.isPresent() && service.isPresent() && hedgePolicy.tryWithdraw()) {
+      context.count("hedges", service.get().name());
+      send(active, upstream.get(), service.get(), context);
     }
   }
 
   /** Takes a service's answer; the first one wins. */
-  void answered(
-      ActiveRequest active, Attempt attempt, UpstreamEvent.ServiceAnswered event, Turn turn) {
-    hedging.measured(active.request.service(), attempt.dispatchedAt, turn.now());
-    attempts.end(active, attempt, true, turn);
+  void answerReceived(
+      ActiveRequest active,
+      Attempt attempt,
+      UpstreamEvent.ServiceAnswered event,
+      EventContext context) {
+    hedgePolicy.recordDuration(active.request.service(), attempt.dispatchedAt, context.now());
+    attempts.end(active, attempt, true, context);
     for (Attempt loser : active.running.values()) {
-      hedging.measured(active.request.service(), loser.dispatchedAt, turn.now());
+      hedgePolicy.recordDuration(active.request.service(), loser.dispatchedAt, context.now());
     }
     active.ran = true;
-    crashes.served(active, turn);
+    crashGuard.requestServed(active, context);
     active.tokens = 0;
     if (event.status() < SERVER_ERROR) {
       active.costMicros = price(active.request.service());
@@ -262,11 +279,12 @@
             active.id(), event.status(), event.headers(), event.body(), facts);
     ClaimOutcome outcome =
         new ClaimOutcome.Answered(event.status(), event.headers(), event.body(), facts);
-    ending.end(active, last, outcome, ending.bill(active, active.request.service(), null), turn);
+    completer.complete(
+        active, last, outcome, completer.bill(active, active.request.service(), null), context);
   }
 
   private long price(String service) {
-    return parts
+    return collaborators
         .configuration()
         .current()
         .service(service)
@@ -275,24 +293,26 @@
   }
 
   /** Decides after a failed attempt: another upstream, a pause, or the end. */
-  void failed(ActiveRequest active, Moment moment, String detail, Turn turn) {
+  void attemptFailed(ActiveRequest active, Moment moment, String detail, EventContext context) {
     if (RunStates.after(moment) != RunState.NOT_RUN) {
       active.mayHaveStarted = true;
-      active.neverAgain = !active.idempotent;
+      active.retryForbidden = !active.idempotent;
     }
     if (!active.running.isEmpty()) {
       return;
     }
-    boolean giveUp = active.neverAgain || active.callerGone;
-    if (!giveUp && retries.waits(active, moment, turn.now())) {
+    boolean cannotRetry = active.retryForbidden || active.callerGone;
+    if (!cannotRetry && retryPolicy.backOffIfBudgetEmpty(active, moment, context.now())) {
       return;
     }
     RoutingError error =
-        giveUp ? retries.failed(active, detail) : retries.refusal(active, moment, false, detail);
+        cannotRetry
+            ? retryPolicy.failure(active, detail)
+            : retryPolicy.retryRefusal(active, moment, false, detail);
     if (error != null) {
-      ending.fail(active, error, turn);
+      completer.fail(active, error, context);
       return;
     }
-    dispatch(active, turn);
+    dispatch(active, context);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashGuard.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashGuard.java
@@ -3,9 +3,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
-import org.skylarkfork.core.crash.CrashWatch;
+import org.skylarkfork.core.crash.CrashDetector;
 import org.skylarkfork.core.crash.RequestKey;
-import org.skylarkfork.core.crash.WatchedUpstream;
+import org.skylarkfork.core.crash.SuspectedUpstream;
 import org.skylarkfork.core.effect.UpstreamEffect;
 import org.skylarkfork.core.error.ErrorKind;
 import org.skylarkfork.core.error.RoutingError;
@@ -25,16 +25,16 @@
  */
 final class CrashGuard {
 
-  private static final String REMEDY =
+  private static final String QUARANTINE_MESSAGE =
       "Each upstream that began to run this request has ended, so it is sent to none any more."
           + " Change it before you send it again, or ask your operator to lift the quarantine of ";
 
-  private final RequestCollaborators parts;
-  private final CrashWatch watch;
+  private final RequestCollaborators collaborators;
+  private final CrashDetector detector;
 
-  CrashGuard(RequestCollaborators parts) {
-    this.parts = parts;
-    this.watch = new CrashWatch(parts.judges(), "upstreams_ended");
+  CrashGuard(RequestCollaborators collaborators) {
+    this.collaborators = collaborators;
+    this.detector = new CrashDetector(collaborators.crashReviewers(), "upstreams_ended");
   }
 
   /** Returns what a request has in common with the same one sent again, at whatever entry. */
@@ -51,23 +51,27 @@
   }
 
   /** Returns why a request that has just come goes to no upstream, or null if it may. */
-  @Nullable RoutingError refusal(String team, CallerRequest request) {
-    return isAnyRefused() ? findRefusal(keyOf(team, request), RunState.NOT_RUN) : null;
+  @Nullable RoutingError quarantineRefusal(String team, CallerRequest request) {
+    return hasQuarantinedRequests()
+        ? quarantineError(keyOf(team, request), RunState.NOT_RUN)
+        : null;
   }
 
   /** Returns why an open request is sent to no further upstream, or null if it may be. */
-  @Nullable RoutingError refusal(ActiveRequest active) {
-    return isAnyRefused() ? findRefusal(active.content(), active.runState()) : null;
+  @Nullable RoutingError quarantineRefusal(ActiveRequest active) {
+    return hasQuarantinedRequests()
+        ? quarantineError(active.contentKey(), active.runState())
+        : null;
   }
 
-  private boolean isAnyRefused() {
-    return !parts.configuration().current().quarantined().isEmpty();
+  private boolean hasQuarantinedRequests() {
+    return !collaborators.configuration().current().quarantined().isEmpty();
   }
 
   /** No time to come back is told: nobody will run it then either. */
-  private @Nullable RoutingError findRefusal(RequestKey key, RunState state) {
-    return parts.configuration().current().isQuarantined(key)
-        ? new RoutingError(ErrorKind.QUARANTINED, REMEDY + key + ".", state, null)
+  private @Nullable RoutingError quarantineError(RequestKey key, RunState state) {
+    return collaborators.configuration().current().isQuarantined(key)
+        ? new RoutingError(ErrorKind.QUARANTINED, QUARANTINE_MESSAGE + key + ".", state, null)
         : null;
   }
 
@@ -76,52 +80,52 @@
    *
    * <p>An upstream that leaves or was drained ends by itself.
    */
-  void lost(ActiveRequest active, Attempt attempt, Moment moment, Turn turn) {
-    if (!mayHaveEndedIt(moment) || endsByOrder(attempt.target.id())) {
+  void attemptLost(ActiveRequest active, Attempt attempt, Moment moment, EventContext context) {
+    if (!mayHaveCrashedUpstream(moment) || isPlannedShutdown(attempt.target.id())) {
       return;
     }
     Announcement target = attempt.target;
     UpstreamRun run = new UpstreamRun(target.id(), target.incarnation());
     String service = target.service() == null ? target.kind().name() : target.service();
     String version = attempt.version == null ? "" : attempt.version.toString();
-    watch.lost(
-        new WatchedUpstream(
+    detector.recordLoss(
+        new SuspectedUpstream(
             run,
             service,
             version,
             new UpstreamEffect.ProbeUpstream(run, target.host(), target.port())),
-        active.content(),
+        active.contentKey(),
         attempt.dispatchedAt,
-        turn.now(),
-        turn.output());
+        context.now(),
+        context.output());
   }
 
-  private static boolean mayHaveEndedIt(Moment moment) {
+  private static boolean mayHaveCrashedUpstream(Moment moment) {
     return moment == Moment.PARTLY_WRITTEN
         || moment == Moment.WRITTEN
         || moment == Moment.ANSWER_BEGUN;
   }
 
-  private boolean endsByOrder(String upstream) {
-    Optional<Announcement> newest = parts.directory().find(upstream);
+  private boolean isPlannedShutdown(String upstream) {
+    Optional<Announcement> newest = collaborators.directory().find(upstream);
     boolean leaves = newest.filter(each -> each.leaving() || each.gone()).isPresent();
-    return leaves || parts.configuration().current().drainedUpstreams().contains(upstream);
+    return leaves || collaborators.configuration().current().drainedUpstreams().contains(upstream);
   }
 
   /** Takes note that the last upstream that a request was sent to answered it whole. */
-  void served(ActiveRequest active, Turn turn) {
-    if (watch.suspects()) {
-      watch.served(active.content(), turn.output());
+  void requestServed(ActiveRequest active, EventContext context) {
+    if (detector.hasLosses()) {
+      detector.recordServed(active.contentKey(), context.output());
     }
   }
 
   /** Takes the word of a probe. */
-  void probed(UpstreamEvent.UpstreamProbed probed, Turn turn) {
-    watch.probed(probed.upstream(), probed.reachable(), turn.now(), turn.output());
+  void probed(UpstreamEvent.UpstreamProbed probed, EventContext context) {
+    detector.onProbeResult(probed.upstream(), probed.reachable(), context.now(), context.output());
   }
 
   /** Tells again what may not have arrived. */
-  void tick(Turn turn) {
-    watch.tick(turn.now(), turn.output());
+  void tick(EventContext context) {
+    detector.tick(context.now(), context.output());
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashJudgePart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashReviewPart.java
@@ -21,22 +21,22 @@
  * A voter's work on requests that end their upstreams: hears what all entries lost, and has them
  * refused through the configuration while it leads.
  */
-public final class CrashJudgePart implements Part {
+public final class CrashReviewPart implements Part {
 
   private final ConfigurationView configuration;
-  private final Predicate<Instant> leads;
+  private final Predicate<Instant> isLeader;
   private final CrashReview review = new CrashReview(new ConfiguredQuarantine());
-  private List<RequestKey> known = List.of();
+  private List<RequestKey> quarantined = List.of();
 
   /**
    * Makes the part.
    *
    * @param configuration the configuration in force
-   * @param leads whether this daemon leads the configuration's group at a time
+   * @param isLeader whether this daemon leads the configuration's group at a time
    */
-  public CrashJudgePart(ConfigurationView configuration, Predicate<Instant> leads) {
+  public CrashReviewPart(ConfigurationView configuration, Predicate<Instant> isLeader) {
     this.configuration = configuration;
-    this.leads = leads;
+    this.isLeader = isLeader;
   }
 
   @Override
@@ -44,8 +44,8 @@
     if (event instanceof PeerEvent.MessageReceived received) {
       onMessage(received, now);
     } else if (event instanceof LifecycleEvent.Tick) {
-      noteChanges();
-      if (leads.test(now)) {
+      applyQuarantineChanges();
+      if (isLeader.test(now)) {
         review.tick(now, output);
       }
     }
@@ -53,20 +53,20 @@
 
   private void onMessage(PeerEvent.MessageReceived received, Instant now) {
     if (received.message() instanceof CrashMessage.UpstreamEnded ended) {
-      review.ended(ended, now);
+      review.onUpstreamEnded(ended, now);
     } else if (received.message() instanceof CrashMessage.RequestServed served) {
-      review.served(served.key(), now);
+      review.onRequestServed(served.key(), now);
     }
   }
 
-  private void noteChanges() {
-    List<RequestKey> present = configuration.current().quarantined();
-    if (present == known) {
+  private void applyQuarantineChanges() {
+    List<RequestKey> current = configuration.current().quarantined();
+    if (current == quarantined) {
       return;
     }
-    present.stream().filter(key -> !known.contains(key)).forEach(review::refused);
-    known.stream().filter(key -> !present.contains(key)).forEach(review::lifted);
-    known = present;
+    current.stream().filter(key -> !quarantined.contains(key)).forEach(review::onQuarantined);
+    quarantined.stream().filter(key -> !current.contains(key)).forEach(review::onLifted);
+    quarantined = current;
   }
 
   /** The requests that the configuration refuses. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Planning.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftPlanner.java
@@ -17,21 +17,21 @@
 import org.skylarkfork.core.routing.PlanQuery;
 
 /** Gives a draft its plan, under the configuration in force and its session's pins. */
-final class Planning {
+final class DraftPlanner {
 
   private static final long RETRY_AFTER_MILLIS = 1000;
 
-  private final RequestCollaborators parts;
-  private final Routes routes;
+  private final RequestCollaborators collaborators;
+  private final RuleMatcher ruleMatcher;
 
-  Planning(RequestCollaborators parts, Routes routes) {
-    this.parts = parts;
-    this.routes = routes;
+  DraftPlanner(RequestCollaborators collaborators, RuleMatcher ruleMatcher) {
+    this.collaborators = collaborators;
+    this.ruleMatcher = ruleMatcher;
   }
 
   /** Returns whether a version may get the request's work at this moment. */
   boolean mayRun(ActiveRequest active, ModelVersion version) {
-    Configuration current = parts.configuration().current();
+    Configuration current = collaborators.configuration().current();
     return !current.isWithdrawn(version)
         && current.team(active.team).filter(team -> team.allows(version)).isPresent();
   }
@@ -42,19 +42,20 @@
    * @return why there is no plan, or null if the request has one now
    */
   @Nullable RoutingError plan(ActiveRequest active, Instant now) {
-    Configuration current = parts.configuration().current();
+    Configuration current = collaborators.configuration().current();
     Optional<Team> team = current.team(active.team);
     if (team.isEmpty()) {
-      return DraftRun.teamGone(active.team);
+      return DraftExecutor.teamRemoved(active.team);
     }
-    RoutingError error = routeAgain(active, current, now);
+    RoutingError error = rematchRule(active, current, now);
     if (error != null) {
       return error;
     }
     Rule.Decision.Route route = Objects.requireNonNull(active.route);
-    ModelVersion pinned = pinned(active, route);
+    ModelVersion pinned = preferredPin(active, route);
     PlanQuery query = new PlanQuery(active.request, team.get(), route, pinned);
-    Optional<Plan> plan = parts.planner().plan(query, now).map(found -> narrowed(active, found));
+    Optional<Plan> plan =
+        collaborators.planner().plan(query, now).map(found -> restrictToRunnable(active, found));
     if (plan.isEmpty() || plan.get().steps().isEmpty()) {
       return noPlan(active, route, current);
     }
@@ -90,14 +91,14 @@
             + ". Ask your operator.");
   }
 
-  private @Nullable RoutingError routeAgain(
+  private @Nullable RoutingError rematchRule(
       ActiveRequest active, Configuration current, Instant now) {
     if (active.revision == current.revision()) {
       return null;
     }
-    Optional<Rule> rule = routes.match(active.request, active.team, now);
+    Optional<Rule> rule = ruleMatcher.match(active.request, active.team, now);
     if (rule.isPresent() && rule.get().then() instanceof Rule.Decision.Route route) {
-      active.take(route);
+      active.applyRoute(route);
       active.revision = current.revision();
       return null;
     }
@@ -106,7 +107,7 @@
         "The rules changed while the request waited, and none allows it. Ask your operator.");
   }
 
-  private @Nullable ModelVersion pinned(ActiveRequest active, Rule.Decision.Route route) {
+  private @Nullable ModelVersion preferredPin(ActiveRequest active, Rule.Decision.Route route) {
     CallerRequest request = active.request;
     if (request.session() == null) {
       return null;
@@ -117,21 +118,21 @@
       models.add(0, request.model());
     }
     for (String model : models) {
-      ModelVersion kept = keptVersion(active, model);
-      if (kept != null) {
-        return kept;
+      ModelVersion pinned = pinnedVersion(active, model);
+      if (pinned != null) {
+        return pinned;
       }
     }
     return null;
   }
 
   /** Returns the version of a model that the session keeps, unless it may not run any more. */
-  @Nullable ModelVersion keptVersion(ActiveRequest active, String model) {
+  @Nullable ModelVersion pinnedVersion(ActiveRequest active, String model) {
     String session = active.request.session();
     if (session == null) {
       return null;
     }
-    Optional<ModelVersion> pinned = parts.pins().pinned(active.team, session, model);
+    Optional<ModelVersion> pinned = collaborators.pins().pinned(active.team, session, model);
     if (pinned.isPresent() && !mayRun(active, pinned.get())) {
       active.notice = "session moved: " + pinned.get() + " is withdrawn or not allowed any more";
       return null;
@@ -143,11 +144,11 @@
    * Puts the versions that the session keeps in the place of the plan's, and leaves out what may
    * not run or has run already.
    */
-  private Plan narrowed(ActiveRequest active, Plan plan) {
+  private Plan restrictToRunnable(ActiveRequest active, Plan plan) {
     List<Plan.Step> steps = new ArrayList<>();
     for (Plan.Step step : plan.steps()) {
-      ModelVersion kept = keptVersion(active, step.version().model());
-      ModelVersion version = kept == null ? step.version() : kept;
+      ModelVersion pinned = pinnedVersion(active, step.version().model());
+      ModelVersion version = pinned == null ? step.version() : pinned;
       if (mayRun(active, version) && !active.finishedVersions.contains(version)) {
         steps.add(new Plan.Step(version, step.rated()));
       }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Cascade.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/EscalationPolicy.java
@@ -10,46 +10,46 @@
 import org.skylarkfork.core.routing.Plan;
 
 /** Judges held answers of rated steps: good enough, or the next step's turn. */
-final class Cascade {
+final class EscalationPolicy {
 
   /** Shortest time to the deadline in which a further step is worth starting. */
-  private static final Duration SHORTEST_STEP = Duration.ofMillis(500);
+  private static final Duration MIN_STEP_TIME = Duration.ofMillis(500);
 
   private final ActiveRequests requests;
   private final QualityBook quality;
   private final RequestSettings settings;
 
-  Cascade(ActiveRequests requests, QualityBook quality, RequestSettings settings) {
+  EscalationPolicy(ActiveRequests requests, QualityBook quality, RequestSettings settings) {
     this.requests = requests;
     this.quality = quality;
     this.settings = settings;
   }
 
   /** Holds a whole answer of a rated step and asks for its rating; an empty one needs none. */
-  void hold(ActiveRequest active, HeldAnswer answer, AttemptOutcome outcome, Turn turn) {
-    active.held = answer;
+  void hold(ActiveRequest active, HeldAnswer answer, AttemptOutcome outcome, EventContext context) {
+    active.heldAnswer = answer;
     active.heldOutcome = outcome;
     if (answer.text().isEmpty()) {
-      escalate(active, answer, "the answer is empty", turn);
+      escalate(active, answer, "the answer is empty", context);
       return;
     }
-    Duration wait = ratingWait(active, turn.now());
+    Duration timeout = ratingTimeout(active, context.now());
     active.phase = ActiveRequest.Phase.RATING;
-    active.phaseEnd = turn.now().plus(wait);
-    requests.wakeBy(active, active.phaseEnd);
-    turn.effect(
+    active.phaseEnd = context.now().plus(timeout);
+    requests.scheduleCheck(active, active.phaseEnd);
+    context.effect(
         new UpstreamEffect.RequestRating(
             active.id(),
             answer.attemptId(),
             answer.version(),
             active.request.prompt(),
             answer.text(),
-            Math.max(1, wait.toMillis())));
+            Math.max(1, timeout.toMillis())));
   }
 
-  private Duration ratingWait(ActiveRequest active, Instant now) {
+  private Duration ratingTimeout(ActiveRequest active, Instant now) {
     Duration half = Duration.between(now, active.request.deadline()).dividedBy(2);
-    return half.compareTo(settings.ratingWait()) < 0 ? half : settings.ratingWait();
+    return half.compareTo(settings.ratingTimeout()) < 0 ? half : settings.ratingTimeout();
   }
 
   /**
@@ -59,8 +59,9 @@
    * @return whether the request goes on: {@code held} is the accepted answer, or null if the next
    *     step is to run
    */
-  boolean rated(ActiveRequest active, String attemptId, @Nullable Double score, Turn turn) {
-    HeldAnswer held = active.held;
+  boolean onRating(
+      ActiveRequest active, String attemptId, @Nullable Double score, EventContext context) {
+    HeldAnswer held = active.heldAnswer;
     boolean awaited =
         active.phase == ActiveRequest.Phase.RATING
             && held != null
@@ -70,13 +71,13 @@
     }
     active.phase = ActiveRequest.Phase.ATTEMPTS;
     if (score == null) {
-      judgeUnrated(active, held, turn);
+      decideWithoutRating(active, held, context);
       return true;
     }
-    AttemptOutcome told = Objects.requireNonNull(active.heldOutcome);
-    quality.record(Outcomes.ratedLater(told, score), turn.now());
+    AttemptOutcome outcome = Objects.requireNonNull(active.heldOutcome);
+    quality.record(AttemptOutcomes.ratedLater(outcome, score), context.now());
     if (score < Objects.requireNonNull(active.plan).qualityTarget()) {
-      escalate(active, held.withScore(score), "rated " + score, turn);
+      escalate(active, held.withScore(score), "rated " + score, context);
     }
     return true;
   }
@@ -85,36 +86,37 @@
    * Decides without a rating: the next step runs unless the version's answers are known to reach
    * the target more often than not, or too little time is left for it.
    */
-  private void judgeUnrated(ActiveRequest active, HeldAnswer held, Turn turn) {
-    turn.count("ratings_missing", held.version().toString());
+  private void decideWithoutRating(ActiveRequest active, HeldAnswer held, EventContext context) {
+    context.count("ratings_missing", held.version().toString());
     Plan plan = Objects.requireNonNull(active.plan);
-    double chance =
+    double probability =
         quality
             .estimate(
                 held.version(), active.team, active.request.promptTokens(), plan.qualityTarget())
             .mean();
-    Instant latest = active.request.deadline().minus(SHORTEST_STEP);
-    boolean inTime = turn.now().isBefore(latest);
-    if (inTime && chance < plan.qualityTarget()) {
-      escalate(active, held.withScore(chance), "no rating, chance " + chance, turn);
+    Instant latest = active.request.deadline().minus(MIN_STEP_TIME);
+    boolean inTime = context.now().isBefore(latest);
+    if (inTime && probability < plan.qualityTarget()) {
+      escalate(active, held.withScore(probability), "no rating, chance " + probability, context);
     }
   }
 
-  private void escalate(ActiveRequest active, HeldAnswer answer, String why, Turn turn) {
-    HeldAnswer best = active.best;
+  private void escalate(
+      ActiveRequest active, HeldAnswer answer, String reason, EventContext context) {
+    HeldAnswer best = active.bestAnswer;
     if (!answer.text().isEmpty() && (best == null || answer.score() >= best.score())) {
-      active.best = answer;
+      active.bestAnswer = answer;
     }
-    active.held = null;
+    active.heldAnswer = null;
     active.heldOutcome = null;
     active.phase = ActiveRequest.Phase.ATTEMPTS;
     active.step++;
     active.stepAttempts = 0;
-    active.pauses = 0;
+    active.backoffs = 0;
     active.triedUpstreams.clear();
     requests.clearAnswer(active);
-    requests.wakeBy(active, active.latestEnd());
-    turn.timeline("request.escalated", active, null, why);
-    turn.count("escalations", answer.version().toString());
+    requests.scheduleCheck(active, active.effectiveDeadline());
+    context.timeline("request.escalated", active, null, reason);
+    context.count("escalations", answer.version().toString());
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Turn.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/EventContext.java
@@ -9,7 +9,7 @@
 import org.skylarkfork.core.effect.TraceEffect;
 
 /** The event being applied: the present time and where its effects go. */
-record Turn(Instant now, Output output) {
+record EventContext(Instant now, Output output) {
 
   void effect(Effect effect) {
     output.effect(effect);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Hedging.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/HedgePolicy.java
@@ -12,40 +12,42 @@
  * <p>Only recent times count, so that a service that became slower is not hedged for ever at its
  * old percentile; the budget bounds the load until then.
  */
-final class Hedging {
+final class HedgePolicy {
 
   private static final int RESERVE = 5;
 
   private final double percentile;
-  private final int samples;
+  private final int minSamples;
   private final AttemptBudget budget;
-  private final Map<String, RecentTimes> services = new HashMap<>();
+  private final Map<String, RecentDurations> durationsByService = new HashMap<>();
 
-  Hedging(RequestSettings settings) {
+  HedgePolicy(RequestSettings settings) {
     this.percentile = settings.hedgePercentile();
-    this.samples = settings.hedgeSamples();
+    this.minSamples = settings.hedgeSamples();
     this.budget = new AttemptBudget(settings.hedgeShare(), RESERVE);
   }
 
   /** Takes note of a lookup, which earns its share of a hedge. */
-  void earn() {
-    budget.earn();
+  void recordRequest() {
+    budget.deposit();
   }
 
-  boolean tryTake() {
-    return budget.tryTake();
+  boolean tryWithdraw() {
+    return budget.tryWithdraw();
   }
 
   /** Takes note of how long an attempt took, or had taken when it was given up. */
-  void measured(String service, Instant from, Instant to) {
-    services.computeIfAbsent(service, name -> new RecentTimes()).add(Duration.between(from, to));
+  void recordDuration(String service, Instant from, Instant to) {
+    durationsByService
+        .computeIfAbsent(service, name -> new RecentDurations())
+        .add(Duration.between(from, to));
   }
 
   /** Returns after which time a lookup is hedged, or empty while too little is known. */
   Optional<Duration> delay(String service) {
-    RecentTimes times = services.get(service);
-    return times == null || times.count() < samples
+    RecentDurations durations = durationsByService.get(service);
+    return durations == null || durations.count() < minSamples
         ? Optional.empty()
-        : Optional.of(times.percentile(percentile));
+        : Optional.of(durations.percentile(percentile));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RatingSampler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RatingSampler.java
@@ -12,17 +12,17 @@
 /** Has a share of the answers rated after they were sent, so that versions stay known. */
 final class RatingSampler {
 
-  private static final int MOST_OPEN = 1000;
+  private static final int MAX_PENDING_RATINGS = 1000;
 
   private final double share;
   private final long waitMillis;
   private final QualityBook quality;
   private final UniformRandomProvider random;
-  private final Map<String, AttemptOutcome> open = new LinkedHashMap<>();
+  private final Map<String, AttemptOutcome> pendingRatings = new LinkedHashMap<>();
 
   RatingSampler(RequestSettings settings, QualityBook quality, UniformRandomProvider random) {
-    this.share = settings.sampledRatings();
-    this.waitMillis = settings.ratingWait().toMillis();
+    this.share = settings.sampledRatingShare();
+    this.waitMillis = settings.ratingTimeout().toMillis();
     this.quality = quality;
     this.random = random;
   }
@@ -33,12 +33,13 @@
   }
 
   /** Asks for the rating of an answer; beyond a bound the sample is dropped. */
-  void ask(ActiveRequest active, HeldAnswer answer, AttemptOutcome outcome, Turn turn) {
-    if (open.size() >= MOST_OPEN || answer.text().isEmpty()) {
+  void requestRating(
+      ActiveRequest active, HeldAnswer answer, AttemptOutcome outcome, EventContext context) {
+    if (pendingRatings.size() >= MAX_PENDING_RATINGS || answer.text().isEmpty()) {
       return;
     }
-    open.put(answer.attemptId(), outcome);
-    turn.effect(
+    pendingRatings.put(answer.attemptId(), outcome);
+    context.effect(
         new UpstreamEffect.RequestRating(
             active.id(),
             answer.attemptId(),
@@ -49,10 +50,10 @@
   }
 
   /** Takes a rating that came after the answer was sent; one that wasn't asked for is ignored. */
-  void rated(String attemptId, @Nullable Double score, Turn turn) {
-    AttemptOutcome outcome = open.remove(attemptId);
+  void ratingReceived(String attemptId, @Nullable Double score, EventContext context) {
+    AttemptOutcome outcome = pendingRatings.remove(attemptId);
     if (outcome != null && score != null) {
-      quality.record(Outcomes.ratedLater(outcome, score), turn.now());
+      quality.record(AttemptOutcomes.ratedLater(outcome, score), context.now());
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCollaborators.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCollaborators.java
@@ -4,7 +4,7 @@
 import org.skylarkfork.core.admission.Admission;
 import org.skylarkfork.core.configuration.Configuration;
 import org.skylarkfork.core.configuration.ConfigurationView;
-import org.skylarkfork.core.crash.CrashJudges;
+import org.skylarkfork.core.crash.CrashReviewers;
 import org.skylarkfork.core.ledger.Ledger;
 import org.skylarkfork.core.membership.EntryListing;
 import org.skylarkfork.core.quality.QualityBook;
@@ -27,7 +27,7 @@
  * @param ledger claims and bills
  * @param admission limits and queues
  * @param listing whether this entry takes new work
- * @param judges those that judge which requests end their upstreams
+ * @param crashReviewers those that judge which requests end their upstreams
  */
 public record RequestCollaborators(
     ConfigurationView configuration,
@@ -40,4 +40,4 @@
     Ledger ledger,
     Admission admission,
     EntryListing listing,
-    CrashJudges judges) {}
+    CrashReviewers crashReviewers) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Ending.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCompleter.java
@@ -25,30 +25,30 @@
  * <p>What is billed: each whole answer of a step, and of a caller that left the tokens that had
  * come by then. Attempts that failed or lost against a hedge cost the team nothing.
  */
-final class Ending {
+final class RequestCompleter {
 
-  private static final Duration BILL_PAUSE = Duration.ofMillis(200);
+  private static final Duration BILL_RETRY_DELAY = Duration.ofMillis(200);
 
   private final ActiveRequests requests;
-  private final RequestCollaborators parts;
+  private final RequestCollaborators collaborators;
   private final Attempts attempts;
 
   /** Claims of requests that ended before their claim was decided, by request id. */
-  private final Map<String, ActiveRequest> openClaims = new HashMap<>();
+  private final Map<String, ActiveRequest> undecidedClaims = new HashMap<>();
 
-  Ending(ActiveRequests requests, RequestCollaborators parts, Attempts attempts) {
+  RequestCompleter(ActiveRequests requests, RequestCollaborators collaborators, Attempts attempts) {
     this.requests = requests;
-    this.parts = parts;
+    this.collaborators = collaborators;
     this.attempts = attempts;
   }
 
   /** Refuses a request of which no state is held. */
-  void refuseAtOnce(CallerRequest request, RoutingError error, Turn turn) {
-    ActiveRequest stateless = new ActiveRequest(request, "", true, turn.now());
+  void refuseWithoutState(CallerRequest request, RoutingError error, EventContext context) {
+    ActiveRequest stateless = new ActiveRequest(request, "", true, context.now());
     send(
         stateless,
         new CallerEffect.Refuse(request.requestId(), error, emptyFacts(stateless)),
-        turn);
+        context);
   }
 
   private static AnswerFacts emptyFacts(ActiveRequest active) {
@@ -56,16 +56,16 @@
   }
 
   /** Ends a request with an error: a refusal, or a broken stream if the answer had begun. */
-  void fail(ActiveRequest active, RoutingError error, Turn turn) {
+  void fail(ActiveRequest active, RoutingError error, EventContext context) {
     ClaimOutcome outcome =
         error.runState() == RunState.NOT_RUN
             ? new ClaimOutcome.NotRun(error.message())
             : new ClaimOutcome.Unknown(error.message());
-    end(active, failure(active, error), outcome, null, turn);
+    complete(active, failure(active, error), outcome, null, context);
   }
 
   private static CallerEffect failure(ActiveRequest active, RoutingError error) {
-    return active.streamBegun
+    return active.streamStarted
         ? new CallerEffect.BreakStream(active.id(), error, emptyFacts(active))
         : new CallerEffect.Refuse(active.id(), error, emptyFacts(active));
   }
@@ -77,52 +77,54 @@
    * @param last what the caller gets last, or null if it left
    * @param outcome what a claim is to record; unused for a request without a claim
    * @param bill what is billed before, or null for nothing
-   * @param turn the event being applied
+   * @param context the event being applied
    */
-  void end(
+  void complete(
       ActiveRequest active,
       @Nullable CallerEffect last,
       @Nullable ClaimOutcome outcome,
       @Nullable Bill bill,
-      Turn turn) {
-    attempts.cancelAll(active, turn);
-    release(active, turn);
+      EventContext context) {
+    attempts.cancelAll(active, context);
+    release(active, context);
     active.lastEffect = last;
     active.bill = bill;
     if (active.claimed && outcome != null) {
       active.phase = ActiveRequest.Phase.RECORD;
-      parts.ledger().recordOutcome(active.id(), active.team, active.key(), outcome, turn.now());
+      collaborators
+          .ledger()
+          .recordOutcome(active.id(), active.team, active.key(), outcome, context.now());
       return;
     }
-    billOrSend(active, turn);
+    billOrSend(active, context);
   }
 
-  private void release(ActiveRequest active, Turn turn) {
+  private void release(ActiveRequest active, EventContext context) {
     if (active.inAdmission) {
       active.inAdmission = false;
-      parts.admission().release(active.id(), active.tokens, turn.now());
+      collaborators.admission().release(active.id(), active.tokens, context.now());
     }
   }
 
   /** Goes on once the outcome is recorded, or can't be: the answer is the caller's all the same. */
-  void recorded(ActiveRequest active, boolean durable, Turn turn) {
+  void outcomeRecorded(ActiveRequest active, boolean durable, EventContext context) {
     if (active.phase != ActiveRequest.Phase.RECORD) {
       return;
     }
     if (!durable) {
-      turn.count("outcomes_not_recorded", "");
+      context.count("outcomes_not_recorded", "");
     }
-    billOrSend(active, turn);
+    billOrSend(active, context);
   }
 
-  private void billOrSend(ActiveRequest active, Turn turn) {
+  private void billOrSend(ActiveRequest active, EventContext context) {
     if (active.bill == null) {
-      close(active, turn);
+      close(active, context);
       return;
     }
     active.phase = ActiveRequest.Phase.BILL;
     active.phaseEnd = null;
-    parts.ledger().bill(active.bill, turn.now());
+    collaborators.ledger().bill(active.bill, context.now());
   }
 
   /**
@@ -132,41 +134,41 @@
    * be lost to the statement if this entry ended now. The key keeps it one bill. A lookup is
    * refused at once instead: it may be sent again, and its caller should not wait.
    */
-  void billed(ActiveRequest active, boolean durable, Turn turn) {
+  void billRecorded(ActiveRequest active, boolean durable, EventContext context) {
     if (active.phase != ActiveRequest.Phase.BILL) {
       return;
     }
     Bill bill = Objects.requireNonNull(active.bill);
     if (durable) {
-      active.billSafe = true;
-      turn.timeline("request.billed", active, null, bill.costMicros() + " micros");
-      close(active, turn);
+      active.billDurable = true;
+      context.timeline("request.billed", active, null, bill.costMicros() + " micros");
+      close(active, context);
       return;
     }
-    turn.count("bills_not_durable", "");
-    if (bill.lookup() || !turn.now().isBefore(active.request.deadline())) {
-      active.lastEffect = active.answered ? null : unbilled(active);
-      close(active, turn);
+    context.count("bills_not_durable", "");
+    if (bill.lookup() || !context.now().isBefore(active.request.deadline())) {
+      active.lastEffect = active.answered ? null : billingFailure(active);
+      close(active, context);
       return;
     }
-    active.phaseEnd = turn.now().plus(BILL_PAUSE);
-    requests.wakeBy(active, active.phaseEnd);
+    active.phaseEnd = context.now().plus(BILL_RETRY_DELAY);
+    requests.scheduleCheck(active, active.phaseEnd);
   }
 
   /** Hands a bill in again once its pause is over. */
-  void billAgain(ActiveRequest active, Turn turn) {
+  void retryBill(ActiveRequest active, EventContext context) {
     Instant end = active.phaseEnd;
     if (end == null) {
       return;
     }
-    if (end.isAfter(turn.now())) {
-      requests.wakeBy(active, end);
+    if (end.isAfter(context.now())) {
+      requests.scheduleCheck(active, end);
       return;
     }
-    billOrSend(active, turn);
+    billOrSend(active, context);
   }
 
-  private static CallerEffect unbilled(ActiveRequest active) {
+  private static CallerEffect billingFailure(ActiveRequest active) {
     String remedy =
         active.idempotent
             ? "Send the request again with the same Idempotency-Key."
@@ -175,27 +177,27 @@
     return failure(active, new RoutingError(ErrorKind.DEADLINE, message, RunState.RAN, null));
   }
 
-  private void close(ActiveRequest active, Turn turn) {
+  private void close(ActiveRequest active, EventContext context) {
     requests.remove(active);
     CallerEffect last = active.lastEffect;
     if (last != null && !active.callerGone) {
-      send(active, last, turn);
+      send(active, last, context);
     }
   }
 
   /** Sends the one answer or refusal of a request. */
-  private void send(ActiveRequest active, CallerEffect last, Turn turn) {
+  private void send(ActiveRequest active, CallerEffect last, EventContext context) {
     Invariants.check(!active.answered, "a request gets one answer");
     boolean refused =
         last instanceof CallerEffect.Refuse || last instanceof CallerEffect.BreakStream;
-    Invariants.check(refused || active.billSafe, "no last frame goes out before the bill");
+    Invariants.check(refused || active.billDurable, "no last frame goes out before the bill");
     active.answered = true;
-    requests.startDelivery(active.id(), turn.now());
-    turn.effect(last);
-    note(active, last, turn);
+    requests.startDelivery(active.id(), context.now());
+    context.effect(last);
+    traceResult(active, last, context);
   }
 
-  private static void note(ActiveRequest active, CallerEffect last, Turn turn) {
+  private static void traceResult(ActiveRequest active, CallerEffect last, EventContext context) {
     RoutingError error = null;
     if (last instanceof CallerEffect.Refuse refuse) {
       error = refuse.error();
@@ -203,18 +205,18 @@
       error = broken.error();
     }
     if (error == null) {
-      turn.timeline("request.answered", active, null, active.attempts + " attempts");
-      turn.count("requests_answered", active.request.kind().name());
-      turn.observe("request_seconds", active.request.kind().name(), active.arrivedAt);
+      context.timeline("request.answered", active, null, active.attempts + " attempts");
+      context.count("requests_answered", active.request.kind().name());
+      context.observe("request_seconds", active.request.kind().name(), active.arrivedAt);
       return;
     }
-    String what = active.streamBegun ? "request.broken" : "request.refused";
-    turn.timeline(what, active, null, error.runState().header() + ": " + error.message());
-    turn.count("requests_refused", error.kind().name());
+    String what = active.streamStarted ? "request.broken" : "request.refused";
+    context.timeline(what, active, null, error.runState().header() + ": " + error.message());
+    context.count("requests_refused", error.kind().name());
   }
 
   /** Ends the wait of a caller whose deadline passed; what may not be lost goes on without it. */
-  void deadline(ActiveRequest active, Turn turn) {
+  void deadlineReached(ActiveRequest active, EventContext context) {
     if (active.answered || active.callerGone) {
       return;
     }
@@ -222,21 +224,21 @@
         active.phase == ActiveRequest.Phase.RECORD || active.phase == ActiveRequest.Phase.BILL;
     if (ledgerOnly) {
       CallerEffect last = active.lastEffect;
-      send(active, last instanceof CallerEffect.Refuse ? last : unbilled(active), turn);
+      send(active, last instanceof CallerEffect.Refuse ? last : billingFailure(active), context);
       active.callerGone = true;
       return;
     }
-    RoutingError error = late(active);
-    if (mustBeFollowed(active)) {
-      send(active, failure(active, error), turn);
+    RoutingError error = deadlineError(active);
+    if (mustTrackOutcome(active)) {
+      send(active, failure(active, error), context);
       active.callerGone = true;
       return;
     }
-    abandonClaim(active);
-    fail(active, error, turn);
+    trackUndecidedClaim(active);
+    fail(active, error, context);
   }
 
-  private static RoutingError late(ActiveRequest active) {
+  private static RoutingError deadlineError(ActiveRequest active) {
     RunState state = active.runState();
     String remedy =
         state == RunState.NOT_RUN || active.idempotent
@@ -246,28 +248,29 @@
   }
 
   /** Returns whether an attempt is out whose outcome a resend must be able to learn. */
-  private static boolean mustBeFollowed(ActiveRequest active) {
+  private static boolean mustTrackOutcome(ActiveRequest active) {
     return active.claimed && !active.running.isEmpty();
   }
 
   /** Takes note that the caller left: stops what is not wanted and bills what was used. */
-  void callerLeft(ActiveRequest active, Turn turn) {
+  void callerLeft(ActiveRequest active, EventContext context) {
     active.callerGone = true;
-    turn.timeline("request.abandoned", active, null, "the caller left");
-    turn.count("callers_left", "");
+    context.timeline("request.abandoned", active, null, "the caller left");
+    context.count("callers_left", "");
     boolean ledgerOnly =
         active.phase == ActiveRequest.Phase.RECORD || active.phase == ActiveRequest.Phase.BILL;
-    if (ledgerOnly || mustBeFollowed(active)) {
+    if (ledgerOnly || mustTrackOutcome(active)) {
       return;
     }
-    abandonClaim(active);
-    Bill used = active.request.kind().isDraft() ? used(active) : null;
-    end(active, null, new ClaimOutcome.NotRun("the caller left before it was sent"), used, turn);
+    trackUndecidedClaim(active);
+    Bill used = active.request.kind().isDraft() ? usageBill(active) : null;
+    complete(
+        active, null, new ClaimOutcome.NotRun("the caller left before it was sent"), used, context);
   }
 
-  private @Nullable Bill used(ActiveRequest active) {
+  private @Nullable Bill usageBill(ActiveRequest active) {
     long tokens = active.answer.tokens();
-    boolean partial = tokens > 0 && active.held == null;
+    boolean partial = tokens > 0 && active.heldAnswer == null;
     ModelVersion version = active.plan == null ? null : active.currentStep().version();
     if (version == null || (active.costMicros == 0 && !partial)) {
       return null;
@@ -282,7 +285,7 @@
   void charge(ActiveRequest active, ModelVersion version, Usage usage) {
     active.tokens += usage.promptTokens() + usage.completionTokens();
     active.costMicros +=
-        parts
+        collaborators
             .configuration()
             .current()
             .model(version.model())
@@ -298,18 +301,20 @@
     return new Bill(active.id(), active.team, active.key(), model, name, active.costMicros, lookup);
   }
 
-  private void abandonClaim(ActiveRequest active) {
+  private void trackUndecidedClaim(ActiveRequest active) {
     if (active.phase == ActiveRequest.Phase.CLAIM) {
-      openClaims.put(active.id(), active);
+      undecidedClaims.put(active.id(), active);
     }
   }
 
   /** Frees a claim that was granted after its request had ended, so that a resend may run. */
-  void claimAnsweredLate(LedgerEvent.ClaimAnswered event, Turn turn) {
-    ActiveRequest ended = openClaims.remove(event.requestId());
+  void claimDecidedLate(LedgerEvent.ClaimAnswered event, EventContext context) {
+    ActiveRequest ended = undecidedClaims.remove(event.requestId());
     if (ended != null && event.state() == LedgerEvent.ClaimState.GRANTED) {
       ClaimOutcome notRun = new ClaimOutcome.NotRun("the request ended before it was sent");
-      parts.ledger().recordOutcome(ended.id(), ended.team, ended.key(), notRun, turn.now());
+      collaborators
+          .ledger()
+          .recordOutcome(ended.id(), ended.team, ended.key(), notRun, context.now());
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Intake.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestIntake.java
@@ -16,103 +16,104 @@
 import org.skylarkfork.core.session.SessionPins;
 
 /** Takes requests in: checks who may ask for what, matches the rule, and asks for admission. */
-final class Intake {
+final class RequestIntake {
 
-  private static final long OTHER_ENTRY_MILLIS = 0;
-  private static final long IN_PROGRESS_MILLIS = 1000;
-  private static final long FULL_MILLIS = 500;
+  private static final long OTHER_ENTRY_RETRY_AFTER_MILLIS = 0;
+  private static final long IN_PROGRESS_RETRY_AFTER_MILLIS = 1000;
+  private static final long FULL_RETRY_AFTER_MILLIS = 500;
 
   private final ActiveRequests requests;
-  private final RequestCollaborators parts;
+  private final RequestCollaborators collaborators;
   private final RequestSettings settings;
-  private final Routes routes;
-  private final Ending ending;
-  private final DraftRun drafts;
-  private final CallRun calls;
-  private final CrashGuard crashes;
+  private final RuleMatcher ruleMatcher;
+  private final RequestCompleter completer;
+  private final DraftExecutor drafts;
+  private final CallExecutor calls;
+  private final CrashGuard crashGuard;
 
-  Intake(
+  RequestIntake(
       ActiveRequests requests,
-      RequestCollaborators parts,
+      RequestCollaborators collaborators,
       RequestSettings settings,
-      Routes routes,
-      Ending ending,
-      DraftRun drafts,
-      CallRun calls,
-      CrashGuard crashes) {
+      RuleMatcher ruleMatcher,
+      RequestCompleter completer,
+      DraftExecutor drafts,
+      CallExecutor calls,
+      CrashGuard crashGuard) {
     this.requests = requests;
-    this.parts = parts;
+    this.collaborators = collaborators;
     this.settings = settings;
-    this.routes = routes;
-    this.ending = ending;
+    this.ruleMatcher = ruleMatcher;
+    this.completer = completer;
     this.drafts = drafts;
     this.calls = calls;
-    this.crashes = crashes;
+    this.crashGuard = crashGuard;
   }
 
-  void received(CallerRequest request, Turn turn) {
-    turn.count("requests_received", request.kind().name());
-    RoutingError error = closed(request, turn);
+  void received(CallerRequest request, EventContext context) {
+    context.count("requests_received", request.kind().name());
+    RoutingError error = acceptanceError(request, context);
     if (error != null) {
-      ending.refuseAtOnce(request, error, turn);
+      completer.refuseWithoutState(request, error, context);
       return;
     }
-    Optional<Team> team = parts.configuration().teamByKeyHash(request.keyHash());
+    Optional<Team> team = collaborators.configuration().teamByKeyHash(request.keyHash());
     if (team.isEmpty()) {
       String message = "The team key is missing or unknown. Ask your operator for a valid key.";
-      ending.refuseAtOnce(request, RoutingError.notRun(ErrorKind.UNAUTHORIZED, message), turn);
+      completer.refuseWithoutState(
+          request, RoutingError.notRun(ErrorKind.UNAUTHORIZED, message), context);
       return;
     }
-    take(request, team.get(), turn);
+    accept(request, team.get(), context);
   }
 
-  private @Nullable RoutingError closed(CallerRequest request, Turn turn) {
+  private @Nullable RoutingError acceptanceError(CallerRequest request, EventContext context) {
     boolean serving =
-        parts.configuration().mayServe(turn.now())
-            && parts.listing().acceptsNewWork(turn.now())
-            && parts.ledger().acceptsWork();
+        collaborators.configuration().mayServe(context.now())
+            && collaborators.listing().acceptsNewWork(context.now())
+            && collaborators.ledger().acceptsWork();
     if (!serving) {
       return RoutingError.notRunRetry(
           ErrorKind.NOT_SERVING,
           "This entry takes no new work. Send the request to another entry of the list.",
-          OTHER_ENTRY_MILLIS);
+          OTHER_ENTRY_RETRY_AFTER_MILLIS);
     }
     if (requests.size() >= settings.maxRequests()) {
       return RoutingError.notRunRetry(
           ErrorKind.NO_CAPACITY,
           "This entry holds as many requests as it can. Send it to another entry or later.",
-          FULL_MILLIS);
+          FULL_RETRY_AFTER_MILLIS);
     }
-    if (!turn.now().isBefore(request.deadline())) {
+    if (!context.now().isBefore(request.deadline())) {
       return RoutingError.notRun(
           ErrorKind.DEADLINE, "The deadline passed. Send it again with a later deadline.");
     }
     return null;
   }
 
-  private void take(CallerRequest request, Team team, Turn turn) {
-    Configuration current = parts.configuration().current();
+  private void accept(CallerRequest request, Team team, EventContext context) {
+    Configuration current = collaborators.configuration().current();
     RoutingError error =
         request.kind().isDraft()
             ? modelError(request, team, current)
             : serviceError(request, team, current);
     if (error == null) {
-      error = crashes.refusal(team.name(), request);
+      error = crashGuard.quarantineRefusal(team.name(), request);
     }
     if (error == null && request.idempotencyKey() != null) {
-      error = keyError(team, request.idempotencyKey());
+      error = duplicateKeyError(team, request.idempotencyKey());
     }
     if (error != null) {
-      ending.refuseAtOnce(request, error, turn);
+      completer.refuseWithoutState(request, error, context);
       return;
     }
-    Optional<Rule> rule = routes.match(request, team.name(), turn.now());
+    Optional<Rule> rule = ruleMatcher.match(request, team.name(), context.now());
     error = ruleError(request, rule);
     if (error != null) {
-      ending.refuseAtOnce(request, error, turn);
+      completer.refuseWithoutState(request, error, context);
       return;
     }
-    open(request, team, current, rule.orElseThrow(), turn);
+    activate(request, team, current, rule.orElseThrow(), context);
   }
 
   private static @Nullable RoutingError modelError(
@@ -158,15 +159,15 @@
                 + ". Ask your operator to allow it.");
   }
 
-  private @Nullable RoutingError keyError(Team team, String key) {
-    if (!requests.runsKey(team.name(), key)) {
+  private @Nullable RoutingError duplicateKeyError(Team team, String key) {
+    if (!requests.isKeyActive(team.name(), key)) {
       return null;
     }
     return new RoutingError(
         ErrorKind.IN_PROGRESS,
         "A request with this Idempotency-Key is still running. Wait for it, or ask again later.",
         RunState.UNKNOWN,
-        IN_PROGRESS_MILLIS);
+        IN_PROGRESS_RETRY_AFTER_MILLIS);
   }
 
   private static @Nullable RoutingError ruleError(CallerRequest request, Optional<Rule> rule) {
@@ -179,8 +180,8 @@
     if (decision instanceof Rule.Decision.Refuse refuse) {
       return RoutingError.notRun(ErrorKind.NOT_ALLOWED, refuse.reason());
     }
-    boolean fits = request.kind().isDraft() == decision instanceof Rule.Decision.Route;
-    return fits
+    boolean matchesKind = request.kind().isDraft() == decision instanceof Rule.Decision.Route;
+    return matchesKind
         ? null
         : RoutingError.notRun(
             ErrorKind.NOT_ALLOWED,
@@ -190,81 +191,82 @@
                 + " Ask your operator to narrow its condition.");
   }
 
-  private void open(CallerRequest request, Team team, Configuration current, Rule rule, Turn turn) {
+  private void activate(
+      CallerRequest request, Team team, Configuration current, Rule rule, EventContext context) {
     boolean idempotent =
         request.kind().isDraft()
             || current.service(request.service()).orElseThrow().isIdempotent(request.method());
-    ActiveRequest active = new ActiveRequest(request, team.name(), idempotent, turn.now());
+    ActiveRequest active = new ActiveRequest(request, team.name(), idempotent, context.now());
     active.revision = current.revision();
     if (rule.then() instanceof Rule.Decision.Route route) {
-      active.take(route);
+      active.applyRoute(route);
     }
     requests.add(active);
-    turn.timeline("request.received", active, null, "team " + team.name());
-    turn.timeline("request.matched", active, null, "rule " + rule.name());
-    if (mustAskForPins(active, turn)) {
+    context.timeline("request.received", active, null, "team " + team.name());
+    context.timeline("request.matched", active, null, "rule " + rule.name());
+    if (needsPinLookup(active, context)) {
       active.phase = ActiveRequest.Phase.PINS;
-      active.phaseEnd = turn.now().plus(settings.pinWait());
-      requests.wakeBy(active, active.phaseEnd);
+      active.phaseEnd = context.now().plus(settings.pinTimeout());
+      requests.scheduleCheck(active, active.phaseEnd);
       return;
     }
-    admit(active, team, turn);
+    admit(active, team, context);
   }
 
-  private boolean mustAskForPins(ActiveRequest active, Turn turn) {
+  private boolean needsPinLookup(ActiveRequest active, EventContext context) {
     return active.request.kind().isDraft()
         && active.request.session() != null
-        && parts.pins().lookup(active.request, active.team, turn.now())
+        && collaborators.pins().lookup(active.request, active.team, context.now())
             == SessionPins.Lookup.PENDING;
   }
 
   /** Goes on once the owners of the session answered, or were asked for long enough. */
-  void pinsResolved(ActiveRequest active, Turn turn) {
+  void pinsResolved(ActiveRequest active, EventContext context) {
     if (active.phase != ActiveRequest.Phase.PINS) {
       return;
     }
-    Optional<Team> team = parts.configuration().current().team(active.team);
+    Optional<Team> team = collaborators.configuration().current().team(active.team);
     if (team.isEmpty()) {
-      ending.fail(active, DraftRun.teamGone(active.team), turn);
+      completer.fail(active, DraftExecutor.teamRemoved(active.team), context);
       return;
     }
-    admit(active, team.get(), turn);
+    admit(active, team.get(), context);
   }
 
-  private void admit(ActiveRequest active, Team team, Turn turn) {
+  private void admit(ActiveRequest active, Team team, EventContext context) {
     active.phase = ActiveRequest.Phase.ADMISSION;
     active.phaseEnd = null;
     Admission.Verdict verdict =
-        parts.admission().submit(active.request, team, active.priority, turn.now());
+        collaborators.admission().submit(active.request, team, active.priority, context.now());
     if (verdict.decision() == Admission.Decision.REFUSED) {
-      ending.fail(active, Objects.requireNonNull(verdict.error()), turn);
+      completer.fail(active, Objects.requireNonNull(verdict.error()), context);
       return;
     }
     active.inAdmission = true;
     if (verdict.decision() == Admission.Decision.ADMITTED) {
-      admitted(active, turn);
+      admitted(active, context);
     }
   }
 
   /** Starts a request that was admitted. */
-  void admitted(ActiveRequest active, Turn turn) {
+  void admitted(ActiveRequest active, EventContext context) {
     if (active.phase != ActiveRequest.Phase.ADMISSION) {
       return;
     }
-    turn.timeline("request.admitted", active, null, "");
-    turn.observe("admission_seconds", active.request.kind().name(), active.arrivedAt);
+    context.timeline("request.admitted", active, null, "");
+    context.observe("admission_seconds", active.request.kind().name(), active.arrivedAt);
     if (active.request.kind().isDraft()) {
-      drafts.start(active, turn);
+      drafts.start(active, context);
     } else {
-      calls.start(active, turn);
+      calls.start(active, context);
     }
   }
 
   /** Refuses a request whose wait for admission is over. */
-  void waitRefused(ActiveRequest active, RoutingError error, Turn turn) {
+  void admissionRefused(ActiveRequest active, RoutingError error, EventContext context) {
     if (active.phase == ActiveRequest.Phase.ADMISSION) {
       active.inAdmission = false;
-      ending.fail(active, error, turn);
+      completer.fail(active, error, context);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestPart.java
@@ -26,52 +26,62 @@
 public final class RequestPart implements Part {
 
   private final ActiveRequests requests = new ActiveRequests();
-  private final RequestCollaborators parts;
+  private final RequestCollaborators collaborators;
   private final RequestSettings settings;
   private final Attempts attempts;
-  private final Ending ending;
+  private final RequestCompleter completer;
   private final RatingSampler sampler;
-  private final DraftRun drafts;
-  private final CallRun calls;
-  private final Intake intake;
-  private final CrashGuard crashes;
+  private final DraftExecutor drafts;
+  private final CallExecutor calls;
+  private final RequestIntake intake;
+  private final CrashGuard crashGuard;
   private boolean stopping;
-  private boolean drained;
+  private boolean ended;
 
   /**
    * Makes the part.
    *
-   * @param parts the other parts that it asks
+   * @param collaborators the other parts that it asks
    * @param settings its bounds
    * @param seed for the spread of pauses and the drawing of samples
    */
-  public RequestPart(RequestCollaborators parts, RequestSettings settings, long seed) {
-    this.parts = parts;
+  public RequestPart(RequestCollaborators collaborators, RequestSettings settings, long seed) {
+    this.collaborators = collaborators;
     this.settings = settings;
-    this.crashes = new CrashGuard(parts);
+    this.crashGuard = new CrashGuard(collaborators);
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-    this.attempts = new Attempts(requests, parts);
-    this.ending = new Ending(requests, parts, attempts);
-    this.sampler = new RatingSampler(settings, parts.quality(), random);
-    Routes routes = new Routes(parts.configuration(), parts.ruleBooks());
-    Planning planning = new Planning(parts, routes);
-    Retries retries = new Retries(requests, settings, random);
+    this.attempts = new Attempts(requests, collaborators);
+    this.completer = new RequestCompleter(requests, collaborators, attempts);
+    this.sampler = new RatingSampler(settings, collaborators.quality(), random);
+    RuleMatcher ruleMatcher =
+        new RuleMatcher(collaborators.configuration(), collaborators.ruleBooks());
+    DraftPlanner planner = new DraftPlanner(collaborators, ruleMatcher);
+    RetryPolicy retryPolicy = new RetryPolicy(requests, settings, random);
     this.drafts =
-        new DraftRun(
+        new DraftExecutor(
             requests,
-            parts,
+            collaborators,
             settings,
-            planning,
+            planner,
             attempts,
-            retries,
-            new Cascade(requests, parts.quality(), settings),
-            new DraftAnswer(requests, parts, planning, sampler, ending),
-            ending,
-            crashes);
+            retryPolicy,
+            new EscalationPolicy(requests, collaborators.quality(), settings),
+            new DraftDelivery(requests, collaborators, planner, sampler, completer),
+            completer,
+            crashGuard);
     this.calls =
-        new CallRun(
-            requests, parts, settings, attempts, retries, new Hedging(settings), ending, crashes);
-    this.intake = new Intake(requests, parts, settings, routes, ending, drafts, calls, crashes);
+        new CallExecutor(
+            requests,
+            collaborators,
+            settings,
+            attempts,
+            retryPolicy,
+            new HedgePolicy(settings),
+            completer,
+            crashGuard);
+    this.intake =
+        new RequestIntake(
+            requests, collaborators, settings, ruleMatcher, completer, drafts, calls, crashGuard);
   }
 
   /** Returns how many requests are held and not yet ended. */
@@ -86,105 +96,105 @@
 
   @Override
   public void apply(Event event, Instant now, Output output) {
-    Turn turn = new Turn(now, output);
+    EventContext context = new EventContext(now, output);
     if (event instanceof CallerEvent callerEvent) {
-      caller(callerEvent, turn);
+      onCallerEvent(callerEvent, context);
     } else if (event instanceof UpstreamEvent upstreamEvent) {
-      upstream(upstreamEvent, turn);
+      onUpstreamEvent(upstreamEvent, context);
     } else if (event instanceof LedgerEvent ledgerEvent) {
-      ledger(ledgerEvent, turn);
+      onLedgerEvent(ledgerEvent, context);
     } else if (event instanceof AdmissionEvent admissionEvent) {
-      admission(admissionEvent, turn);
+      onAdmissionEvent(admissionEvent, context);
     } else if (event instanceof SessionEvent.PinsResolved resolved) {
       ActiveRequest active = requests.find(resolved.requestId());
       if (active != null) {
-        intake.pinsResolved(active, turn);
+        intake.pinsResolved(active, context);
       }
     } else if (event instanceof LifecycleEvent lifecycleEvent) {
-      lifecycle(lifecycleEvent, turn);
+      onLifecycleEvent(lifecycleEvent, context);
     }
-    wakeDue(turn);
-    drainWhenIdle(turn);
+    checkDueRequests(context);
+    endWhenIdle(context);
   }
 
-  private void caller(CallerEvent event, Turn turn) {
+  private void onCallerEvent(CallerEvent event, EventContext context) {
     if (event instanceof CallerEvent.RequestReceived received) {
-      intake.received(received.request(), turn);
+      intake.received(received.request(), context);
     } else if (event instanceof CallerEvent.AnswerDelivered delivered) {
       requests.endDelivery(delivered.requestId());
     } else if (event instanceof CallerEvent.CallerLeft left) {
       requests.endDelivery(left.requestId());
       ActiveRequest active = requests.find(left.requestId());
       if (active != null && !active.callerGone) {
-        ending.callerLeft(active, turn);
+        completer.callerLeft(active, context);
       }
     }
   }
 
-  private void ledger(LedgerEvent event, Turn turn) {
+  private void onLedgerEvent(LedgerEvent event, EventContext context) {
     if (event instanceof LedgerEvent.ClaimAnswered answered) {
       ActiveRequest active = requests.find(answered.requestId());
       if (active == null) {
-        ending.claimAnsweredLate(answered, turn);
+        completer.claimDecidedLate(answered, context);
       } else {
-        calls.claimAnswered(active, answered, turn);
+        calls.claimDecided(active, answered, context);
       }
     } else if (event instanceof LedgerEvent.OutcomeRecorded recorded) {
       ActiveRequest active = requests.find(recorded.requestId());
       if (active != null) {
-        ending.recorded(active, recorded.durable(), turn);
+        completer.outcomeRecorded(active, recorded.durable(), context);
       }
     } else if (event instanceof LedgerEvent.Billed billed) {
       ActiveRequest active = requests.find(billed.requestId());
       if (active != null) {
-        ending.billed(active, billed.durable(), turn);
+        completer.billRecorded(active, billed.durable(), context);
       }
     }
   }
 
-  private void admission(AdmissionEvent event, Turn turn) {
+  private void onAdmissionEvent(AdmissionEvent event, EventContext context) {
     if (event instanceof AdmissionEvent.Admitted admitted) {
       ActiveRequest active = requests.find(admitted.requestId());
       if (active != null) {
-        intake.admitted(active, turn);
+        intake.admitted(active, context);
       }
     } else if (event instanceof AdmissionEvent.WaitRefused refused) {
       ActiveRequest active = requests.find(refused.requestId());
       if (active != null) {
-        intake.waitRefused(active, refused.error(), turn);
+        intake.admissionRefused(active, refused.error(), context);
       }
     }
   }
 
-  private void upstream(UpstreamEvent event, Turn turn) {
+  private void onUpstreamEvent(UpstreamEvent event, EventContext context) {
     if (event instanceof UpstreamEvent.TokensArrived tokens) {
-      Answering found = find(tokens.attemptId(), tokens.echoedRequestId(), turn);
+      AttemptMatch found = findAttempt(tokens.attemptId(), tokens.echoedRequestId(), context);
       if (found != null) {
-        drafts.tokens(found.active, found.attempt, tokens, turn);
+        drafts.tokensArrived(found.active, found.attempt, tokens, context);
       }
     } else if (event instanceof UpstreamEvent.DraftFinished finished) {
-      Answering found = find(finished.attemptId(), finished.echoedRequestId(), turn);
+      AttemptMatch found = findAttempt(finished.attemptId(), finished.echoedRequestId(), context);
       if (found != null) {
-        drafts.finished(found.active, found.attempt, finished, turn);
+        drafts.draftFinished(found.active, found.attempt, finished, context);
       }
     } else if (event instanceof UpstreamEvent.ServiceAnswered answered) {
-      Answering found = find(answered.attemptId(), answered.echoedRequestId(), turn);
+      AttemptMatch found = findAttempt(answered.attemptId(), answered.echoedRequestId(), context);
       if (found != null) {
-        calls.answered(found.active, found.attempt, answered, turn);
+        calls.answerReceived(found.active, found.attempt, answered, context);
       }
     } else if (event instanceof UpstreamEvent.AttemptFailed failed) {
-      attemptFailed(failed, turn);
+      onAttemptFailed(failed, context);
     } else if (event instanceof UpstreamEvent.UpstreamProbed probed) {
-      crashes.probed(probed, turn);
+      crashGuard.probed(probed, context);
     } else if (event instanceof UpstreamEvent.Rated rated) {
-      rated(rated.requestId(), rated.attemptId(), rated.score(), turn);
+      onRating(rated.requestId(), rated.attemptId(), rated.score(), context);
     } else if (event instanceof UpstreamEvent.RatingMissing missing) {
-      rated(missing.requestId(), missing.attemptId(), null, turn);
+      onRating(missing.requestId(), missing.attemptId(), null, context);
     }
   }
 
   /** An attempt and the request that it belongs to. */
-  private record Answering(ActiveRequest active, Attempt attempt) {}
+  private record AttemptMatch(ActiveRequest active, Attempt attempt) {}
 
   /**
    * Finds the attempt that an answer belongs to.
@@ -193,162 +203,166 @@
    * is crossed. Either would reach the wrong caller, so it is dropped, and a crossed connection is
    * not believed again.
    */
-  private @Nullable Answering find(String attemptId, @Nullable String echoed, Turn turn) {
-    ActiveRequest active = requests.ofAttempt(attemptId);
+  private @Nullable AttemptMatch findAttempt(
+      String attemptId, @Nullable String echoed, EventContext context) {
+    ActiveRequest active = requests.findByAttempt(attemptId);
     if (active == null) {
-      turn.count("answers_late", "");
+      context.count("answers_late", "");
       return null;
     }
     Attempt attempt = active.running.get(attemptId);
     if (echoed != null && !echoed.equals(active.id())) {
-      turn.count("answers_crossed", attempt.upstream);
-      attempts.cancel(active, attempt, false, turn);
-      failed(active, attempt, Moment.ANSWER_BEGUN, "the answer names another request", turn);
+      context.count("answers_crossed", attempt.upstream);
+      attempts.cancel(active, attempt, false, context);
+      handleFailure(
+          active, attempt, Moment.ANSWER_BEGUN, "the answer names another request", context);
       return null;
     }
-    return new Answering(active, attempt);
+    return new AttemptMatch(active, attempt);
   }
 
-  private void attemptFailed(UpstreamEvent.AttemptFailed event, Turn turn) {
-    ActiveRequest active = requests.ofAttempt(event.attemptId());
+  private void onAttemptFailed(UpstreamEvent.AttemptFailed event, EventContext context) {
+    ActiveRequest active = requests.findByAttempt(event.attemptId());
     if (active == null) {
-      turn.count("failures_late", event.moment().name());
+      context.count("failures_late", event.moment().name());
       return;
     }
     Attempt attempt = active.running.get(event.attemptId());
-    attempts.end(active, attempt, false, turn);
-    failed(active, attempt, event.moment(), event.detail(), turn);
+    attempts.end(active, attempt, false, context);
+    handleFailure(active, attempt, event.moment(), event.detail(), context);
   }
 
-  private void failed(
-      ActiveRequest active, Attempt attempt, Moment moment, String detail, Turn turn) {
-    turn.timeline("attempt.failed", active, attempt, moment + ": " + detail);
-    turn.count("attempts_failed", moment.name());
-    crashes.lost(active, attempt, moment, turn);
+  private void handleFailure(
+      ActiveRequest active, Attempt attempt, Moment moment, String detail, EventContext context) {
+    context.timeline("attempt.failed", active, attempt, moment + ": " + detail);
+    context.count("attempts_failed", moment.name());
+    crashGuard.attemptLost(active, attempt, moment, context);
     if (active.request.kind().isDraft()) {
-      drafts.failed(active, attempt, moment, detail, turn);
+      drafts.attemptFailed(active, attempt, moment, detail, context);
     } else {
-      calls.failed(active, moment, detail, turn);
+      calls.attemptFailed(active, moment, detail, context);
     }
   }
 
-  private void rated(String requestId, String attemptId, @Nullable Double score, Turn turn) {
+  private void onRating(
+      String requestId, String attemptId, @Nullable Double score, EventContext context) {
     ActiveRequest active = requests.find(requestId);
     if (active != null) {
-      drafts.rated(active, attemptId, score, turn);
+      drafts.ratingReceived(active, attemptId, score, context);
     }
-    sampler.rated(attemptId, score, turn);
+    sampler.ratingReceived(attemptId, score, context);
   }
 
-  private void lifecycle(LifecycleEvent event, Turn turn) {
+  private void onLifecycleEvent(LifecycleEvent event, EventContext context) {
     if (event instanceof LifecycleEvent.StopRequested) {
       stopping = true;
     } else if (event instanceof LifecycleEvent.Ending) {
-      turn.effect(new LifecycleEffect.EndProcess());
+      context.effect(new LifecycleEffect.EndProcess());
     } else if (event instanceof LifecycleEvent.Tick) {
-      crashes.tick(turn);
-      int forgotten = requests.forgetDeliveries(turn.now().minus(settings.deliveryWait()));
-      if (forgotten > 0) {
-        turn.count("deliveries_unknown", "");
+      crashGuard.tick(context);
+      int expired = requests.expireDeliveries(context.now().minus(settings.deliveryTimeout()));
+      if (expired > 0) {
+        context.count("deliveries_unknown", "");
       }
     }
   }
 
-  private void wakeDue(Turn turn) {
-    ActiveRequest due = requests.nextDue(turn.now());
+  private void checkDueRequests(EventContext context) {
+    ActiveRequest due = requests.nextDue(context.now());
     while (due != null) {
-      wake(due, turn);
-      due = requests.nextDue(turn.now());
+      check(due, context);
+      due = requests.nextDue(context.now());
     }
   }
 
-  private void wake(ActiveRequest active, Turn turn) {
-    if (!turn.now().isBefore(active.latestEnd())) {
-      deadline(active, turn);
+  private void check(ActiveRequest active, EventContext context) {
+    if (!context.now().isBefore(active.effectiveDeadline())) {
+      onDeadline(active, context);
     }
     if (requests.find(active.id()) != active) {
       return;
     }
     switch (active.phase) {
-      case PINS -> wakeForPins(active, turn);
-      case PAUSE -> wakeAfterPause(active, turn);
-      case RATING -> wakeForRating(active, turn);
-      case BILL -> ending.billAgain(active, turn);
-      case ATTEMPTS -> wakeForAttempts(active, turn);
+      case PINS -> checkPins(active, context);
+      case PAUSE -> resumeAfterBackoff(active, context);
+      case RATING -> checkRating(active, context);
+      case BILL -> completer.retryBill(active, context);
+      case ATTEMPTS -> checkAttempts(active, context);
       default -> {
         // Admission and the ledger tell by themselves when they are done.
       }
     }
   }
 
-  private void deadline(ActiveRequest active, Turn turn) {
-    boolean served = active.request.kind().isDraft() && drafts.deliverBest(active, turn);
-    if (!served && !turn.now().isBefore(active.request.deadline())) {
-      ending.deadline(active, turn);
+  private void onDeadline(ActiveRequest active, EventContext context) {
+    boolean delivered =
+        active.request.kind().isDraft() && drafts.deliverBestAtDeadline(active, context);
+    if (!delivered && !context.now().isBefore(active.request.deadline())) {
+      completer.deadlineReached(active, context);
     }
   }
 
-  private boolean isOver(ActiveRequest active, Turn turn) {
+  private boolean isPhaseOver(ActiveRequest active, EventContext context) {
     Instant end = active.phaseEnd;
-    if (end == null || !end.isAfter(turn.now())) {
+    if (end == null || !end.isAfter(context.now())) {
       return true;
     }
-    requests.wakeBy(active, end);
+    requests.scheduleCheck(active, end);
     return false;
   }
 
-  private void wakeForPins(ActiveRequest active, Turn turn) {
-    if (isOver(active, turn)) {
-      turn.count("pins_unresolved", "");
-      intake.pinsResolved(active, turn);
+  private void checkPins(ActiveRequest active, EventContext context) {
+    if (isPhaseOver(active, context)) {
+      context.count("pins_unresolved", "");
+      intake.pinsResolved(active, context);
     }
   }
 
-  private void wakeAfterPause(ActiveRequest active, Turn turn) {
-    if (!isOver(active, turn)) {
+  private void resumeAfterBackoff(ActiveRequest active, EventContext context) {
+    if (!isPhaseOver(active, context)) {
       return;
     }
     if (active.request.kind().isDraft()) {
-      drafts.resume(active, turn);
+      drafts.resume(active, context);
     } else {
-      calls.dispatch(active, turn);
+      calls.dispatch(active, context);
     }
   }
 
-  private void wakeForRating(ActiveRequest active, Turn turn) {
-    HeldAnswer held = active.held;
-    if (held != null && isOver(active, turn)) {
-      drafts.rated(active, held.attemptId(), null, turn);
+  private void checkRating(ActiveRequest active, EventContext context) {
+    HeldAnswer held = active.heldAnswer;
+    if (held != null && isPhaseOver(active, context)) {
+      drafts.ratingReceived(active, held.attemptId(), null, context);
     }
   }
 
   /** Fails attempts that are silent for too long, and hedges a slow lookup. */
-  private void wakeForAttempts(ActiveRequest active, Turn turn) {
+  private void checkAttempts(ActiveRequest active, EventContext context) {
     for (Attempt attempt : List.copyOf(active.running.values())) {
-      if (attempt.silentAt().isAfter(turn.now())) {
-        requests.wakeBy(active, attempt.silentAt());
+      if (attempt.timeoutAt().isAfter(context.now())) {
+        requests.scheduleCheck(active, attempt.timeoutAt());
       } else if (active.running.containsKey(attempt.id)) {
-        attempts.cancel(active, attempt, false, turn);
+        attempts.cancel(active, attempt, false, context);
         Moment moment = attempt.tokens > 0 ? Moment.ANSWER_BEGUN : Moment.WRITTEN;
-        failed(active, attempt, moment, "the upstream was silent for too long", turn);
+        handleFailure(active, attempt, moment, "the upstream was silent for too long", context);
       }
     }
     if (requests.find(active.id()) == active) {
-      calls.hedge(active, turn);
+      calls.hedge(active, context);
     }
   }
 
   /** Lets the daemon end once no caller can come any more and none is still served. */
-  private void drainWhenIdle(Turn turn) {
-    boolean done =
+  private void endWhenIdle(EventContext context) {
+    boolean canEnd =
         stopping
-            && !drained
+            && !ended
             && requests.isIdle()
-            && parts.ledger().isSettled()
-            && !parts.listing().acceptsNewWork(turn.now());
-    if (done) {
-      drained = true;
-      turn.output().raise(new LifecycleEvent.Ending());
+            && collaborators.ledger().isSettled()
+            && !collaborators.listing().acceptsNewWork(context.now());
+    if (canEnd) {
+      ended = true;
+      context.output().raise(new LifecycleEvent.Ending());
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Retries.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RetryPolicy.java
@@ -10,7 +10,7 @@
 import org.skylarkfork.core.request.RunState;
 
 /** Decides whether a request whose attempt failed is tried again, and after which pause. */
-final class Retries {
+final class RetryPolicy {
 
   private static final long RETRY_AFTER_MILLIS = 1000;
 
@@ -19,7 +19,7 @@
   private final AttemptBudget budget;
   private final UniformRandomProvider random;
 
-  Retries(ActiveRequests requests, RequestSettings settings, UniformRandomProvider random) {
+  RetryPolicy(ActiveRequests requests, RequestSettings settings, UniformRandomProvider random) {
     this.requests = requests;
     this.settings = settings;
     this.budget = new AttemptBudget(settings.retryShare(), settings.retryReserve());
@@ -27,8 +27,8 @@
   }
 
   /** Takes note of a new request, which earns its share of a retry. */
-  void earn() {
-    budget.earn();
+  void recordRequest() {
+    budget.deposit();
   }
 
   /**
@@ -42,17 +42,17 @@
    * @param resuming whether only the rest of an answer is asked for
    * @param detail what the upstream said
    */
-  @Nullable RoutingError refusal(
+  @Nullable RoutingError retryRefusal(
       ActiveRequest active, Moment moment, boolean resuming, String detail) {
     if (active.stepAttempts >= settings.maxAttempts()) {
-      return failed(active, detail + "; all attempts are used up");
+      return failure(active, detail + "; all attempts are used up");
     }
     if (resuming) {
-      budget.take();
+      budget.withdraw();
       return null;
     }
-    if (RunStates.reachedUpstream(moment) && !budget.tryTake()) {
-      return failed(active, detail + "; the retry budget is used up");
+    if (RunStates.reachedUpstream(moment) && !budget.tryWithdraw()) {
+      return failure(active, detail + "; the retry budget is used up");
     }
     return null;
   }
@@ -66,17 +66,17 @@
    *
    * @return whether it waits
    */
-  boolean waits(ActiveRequest active, Moment moment, Instant now) {
+  boolean backOffIfBudgetEmpty(ActiveRequest active, Moment moment, Instant now) {
     return moment == Moment.REFUSED_NOT_STARTED
         && budget.isEmpty()
         && active.stepAttempts < settings.maxAttempts()
-        && pause(active, now);
+        && backOff(active, now);
   }
 
   /** Makes the refusal of a request that is given up after a failure. */
-  RoutingError failed(ActiveRequest active, String detail) {
-    boolean notRun = active.runState() == RunState.NOT_RUN;
-    if (notRun) {
+  RoutingError failure(ActiveRequest active, String detail) {
+    boolean notStarted = active.runState() == RunState.NOT_RUN;
+    if (notStarted) {
       return noCapacity(detail);
     }
     if (active.idempotent) {
@@ -107,20 +107,20 @@
    *
    * @return whether it waits; false if it waited often enough or its deadline comes first
    */
-  boolean pause(ActiveRequest active, Instant now) {
-    if (active.pauses >= settings.maxPauses()) {
+  boolean backOff(ActiveRequest active, Instant now) {
+    if (active.backoffs >= settings.maxBackoffs()) {
       return false;
     }
-    long full = settings.firstPause().toMillis() << active.pauses;
-    Instant end = now.plus(Duration.ofMillis(full / 2 + random.nextLong(full / 2 + 1)));
+    long maxMillis = settings.firstBackoff().toMillis() << active.backoffs;
+    Instant end = now.plus(Duration.ofMillis(maxMillis / 2 + random.nextLong(maxMillis / 2 + 1)));
     if (!end.isBefore(active.request.deadline())) {
       return false;
     }
-    active.pauses++;
+    active.backoffs++;
     active.triedUpstreams.clear();
     active.phase = ActiveRequest.Phase.PAUSE;
     active.phaseEnd = end;
-    requests.wakeBy(active, end);
+    requests.scheduleCheck(active, end);
     return true;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Routes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RuleMatcher.java
@@ -11,32 +11,32 @@
 import org.skylarkfork.core.routing.RuleBook;
 
 /** The rules of the configuration in force, made ready once a revision. */
-final class Routes {
+final class RuleMatcher {
 
-  private static final long NONE = -1;
+  private static final long NO_REVISION = -1;
 
   private final ConfigurationView configuration;
   private final Function<Configuration, RuleBook> ruleBooks;
-  private long revision = NONE;
-  private @Nullable RuleBook book;
+  private long revision = NO_REVISION;
+  private @Nullable RuleBook ruleBook;
 
-  Routes(ConfigurationView configuration, Function<Configuration, RuleBook> ruleBooks) {
+  RuleMatcher(ConfigurationView configuration, Function<Configuration, RuleBook> ruleBooks) {
     this.configuration = configuration;
     this.ruleBooks = ruleBooks;
   }
 
   Optional<Rule> match(CallerRequest request, String team, Instant now) {
-    return present().match(request, team, now);
+    return currentRuleBook().match(request, team, now);
   }
 
-  private RuleBook present() {
+  private RuleBook currentRuleBook() {
     Configuration current = configuration.current();
-    RuleBook known = book;
-    if (known == null || revision != current.revision()) {
-      known = ruleBooks.apply(current);
-      book = known;
+    RuleBook compiled = ruleBook;
+    if (compiled == null || revision != current.revision()) {
+      compiled = ruleBooks.apply(current);
+      ruleBook = compiled;
       revision = current.revision();
     }
-    return known;
+    return compiled;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/VotersAsJudges.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/VoterCrashReviewers.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.skylarkfork.core.Output;
-import org.skylarkfork.core.crash.CrashJudges;
+import org.skylarkfork.core.crash.CrashReviewers;
 import org.skylarkfork.core.effect.PeerEffect.SendToPeer;
 import org.skylarkfork.core.event.PeerEvent;
 import org.skylarkfork.core.message.CrashMessage;
@@ -11,7 +11,7 @@
  * All voters of the configuration's group are told of requests that were lost, and the one that
  * leads judges: the next leader then knows as much.
  */
-public final class VotersAsJudges implements CrashJudges {
+public final class VoterCrashReviewers implements CrashReviewers {
 
   private final String self;
   private final List<String> voters;
@@ -22,7 +22,7 @@
    * @param self name of this daemon, which may be a voter
    * @param voters names of the voters
    */
-  public VotersAsJudges(String self, List<String> voters) {
+  public VoterCrashReviewers(String self, List<String> voters) {
     this.self = self;
     this.voters = List.copyOf(voters);
   }
@@ -33,7 +33,7 @@
   }
 
   @Override
-  public void tell(CrashMessage message, Output output) {
+  public void report(CrashMessage message, Output output) {
     for (String voter : voters) {
       if (voter.equals(self)) {
         output.raise(new PeerEvent.MessageReceived(self, message));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Applier.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Applier.java
@@ -25,27 +25,27 @@
     this.proposals = proposals;
   }
 
-  void restore(Snapshot snapshot, Turn turn) {
+  void restore(Snapshot snapshot, EventContext context) {
     Invariants.check(snapshot.index() >= appliedIndex, "the state machine never goes back");
     machine.restore(snapshot.state());
     appliedIndex = snapshot.index();
-    turn.raise(new ConsensusEvent.GroupRestored(replica.group, snapshot.index()));
+    context.raise(new ConsensusEvent.GroupRestored(replica.group, snapshot.index()));
   }
 
-  void applyCommitted(Turn turn) {
+  void applyCommitted(EventContext context) {
     while (appliedIndex < replica.commitIndex()) {
       LogEntry entry = replica.log.entry(appliedIndex + 1);
       Invariants.check(entry.index() == appliedIndex + 1, "entries are applied in order");
-      CommandResult result = apply(entry, turn);
+      CommandResult result = apply(entry, context);
       appliedIndex = entry.index();
-      proposals.applied(entry.index(), result, turn);
+      proposals.applied(entry.index(), result, context);
     }
     if (saving == null && appliedIndex - snapshotIndex() >= replica.settings.snapshotEntries()) {
-      takeSnapshot(turn);
+      takeSnapshot(context);
     }
   }
 
-  private CommandResult apply(LogEntry entry, Turn turn) {
+  private CommandResult apply(LogEntry entry, EventContext context) {
     CommandResult result = new CommandResult.Done();
     if (entry.command() instanceof GroupCommand.NoOperation) {
       return result;
@@ -55,9 +55,9 @@
     }
     if (entry.command() instanceof GroupCommand.ChangeMembers change) {
       String facts = "index=" + entry.index() + " " + change.members().describe();
-      turn.log(replica.group, "members_agreed", facts);
+      context.log(replica.group, "members_agreed", facts);
     }
-    turn.raise(
+    context.raise(
         new ConsensusEvent.CommandCommitted(
             replica.group, entry.index(), entry.stampedAt(), entry.command(), result));
     return result;
@@ -75,7 +75,7 @@
    * Given the snapshot before these entries, the storage refused them as older than its log, and
    * the replica took no part until its next start: one more loss and nothing was served.
    */
-  private void takeSnapshot(Turn turn) {
+  private void takeSnapshot(EventContext context) {
     if (appliedIndex > replica.durability.issuedIndex()) {
       return;
     }
@@ -88,7 +88,7 @@
             replica.members.at(last.index()),
             machine.snapshot());
     saving = snapshot;
-    turn.effect(new StorageEffect.SaveSnapshot(replica.group, snapshot));
+    context.effect(new StorageEffect.SaveSnapshot(replica.group, snapshot));
   }
 
   /** Drops entries that a saved snapshot covers, but for some that lagging replicas may need. */
@@ -102,6 +102,6 @@
       return;
     }
     replica.snapshotSaved(snapshot);
-    replica.log.compact(index - replica.settings.keptEntries());
+    replica.log.compact(index - replica.settings.trailingEntries());
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/LeaderLog.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/ConsensusEventLogger.java
@@ -9,7 +9,7 @@
 import org.skylarkfork.core.event.StorageEvent;
 
 /** Tells operators and the time line of elections and of storage that failed. */
-public final class LeaderLog implements Part {
+public final class ConsensusEventLogger implements Part {
 
   private static final String PART = "raft";
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/ConsensusPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/ConsensusPart.java
@@ -84,9 +84,9 @@
    *
    * @param group the group
    */
-  public Instant provenAt(GroupId group) {
+  public Instant leadershipConfirmedAt(GroupId group) {
     RaftGroup hosted = groups.get(group);
-    return hosted == null ? Instant.EPOCH : hosted.provenAt(latest);
+    return hosted == null ? Instant.EPOCH : hosted.leadershipConfirmedAt(latest);
   }
 
   /** Returns the state of a hosted replica, or null if the group isn't hosted here. */
@@ -109,45 +109,45 @@
     if (now.isAfter(latest)) {
       latest = now;
     }
-    Turn turn = new Turn(node, latest, output);
+    EventContext context = new EventContext(node, latest, output);
     if (event instanceof LifecycleEvent.Tick) {
-      tick(turn);
+      tick(context);
     } else if (event instanceof LifecycleEvent.StopRequested) {
-      groups.values().forEach(group -> group.prepareStop(turn));
+      groups.values().forEach(group -> group.prepareStop(context));
     } else if (event instanceof StorageEvent stored) {
-      onStorage(stored, turn);
+      onStorage(stored, context);
     } else if (event instanceof PeerEvent.MessageReceived received) {
-      onMessage(received, turn);
+      onMessage(received, context);
     } else if (event instanceof ConsensusEvent.LeaderChanged change) {
       client.leaderChanged(change);
     }
   }
 
-  private void tick(Turn turn) {
+  private void tick(EventContext context) {
     for (RaftGroup group : groups.values()) {
-      group.tick(turn);
+      group.tick(context);
     }
-    client.tick(turn);
+    client.tick(context);
   }
 
-  private void onStorage(StorageEvent event, Turn turn) {
+  private void onStorage(StorageEvent event, EventContext context) {
     RaftGroup group = groups.get(event.group());
     if (group != null) {
-      group.onStorage(event, turn);
+      group.onStorage(event, context);
     }
   }
 
-  private void onMessage(PeerEvent.MessageReceived received, Turn turn) {
+  private void onMessage(PeerEvent.MessageReceived received, EventContext context) {
     if (!(received.message() instanceof RaftMessage message)) {
       return;
     }
     String from = received.node();
-    client.onMessage(from, message, turn);
+    client.onMessage(from, message, context);
     RaftGroup group = groups.get(message.group());
     if (group != null) {
-      group.onMessage(from, message, turn);
+      group.onMessage(from, message, context);
     } else if (message instanceof SubmitRequest request) {
-      turn.send(
+      context.send(
           from,
           new SubmitRedirect(request.group(), request.session(), request.submissionId(), null));
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/ControlVmPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/ControlVmPart.java
@@ -29,8 +29,8 @@
  */
 public final class ControlVmPart implements Part {
 
-  private static final Duration LIMIT = Duration.ofSeconds(8);
-  private static final long RETRY_MILLIS = 1000;
+  private static final Duration SUBMISSION_TIMEOUT = Duration.ofSeconds(8);
+  private static final long RETRY_AFTER_MILLIS = 1000;
 
   private final List<GroupId> groups;
   private final Submitter submitter;
@@ -73,7 +73,7 @@
     for (GroupId group : groups) {
       long submission = submitter.newSubmissionId();
       bySubmission.put(submission, call);
-      submitter.submit(group, command, submission, now.plus(LIMIT), now, output);
+      submitter.submit(group, command, submission, now.plus(SUBMISSION_TIMEOUT), now, output);
     }
   }
 
@@ -82,8 +82,8 @@
       refuse(call, answered.group() + ": " + rejected.remedy(), output);
       return;
     }
-    call.open().remove(answered.group());
-    if (call.open().isEmpty()) {
+    call.pendingGroups().remove(answered.group());
+    if (call.pendingGroups().isEmpty()) {
       output.effect(
           new OperatorEffect.ControlVmChanged(
               call.request().callId(), call.request().node(), call.request().admit()));
@@ -95,8 +95,8 @@
     output.effect(
         new OperatorEffect.RefuseOperator(
             call.request().callId(),
-            new RoutingError(ErrorKind.NOT_SERVING, remedy, RunState.UNKNOWN, RETRY_MILLIS)));
+            new RoutingError(ErrorKind.NOT_SERVING, remedy, RunState.UNKNOWN, RETRY_AFTER_MILLIS)));
   }
 
-  private record Call(OperatorEvent.ControlVmRequested request, Set<GroupId> open) {}
+  private record Call(OperatorEvent.ControlVmRequested request, Set<GroupId> pendingGroups) {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Durability.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Durability.java
@@ -25,7 +25,7 @@
   private final GroupId group;
   private final RaftLog log;
   private final Deque<Write> inFlight = new ArrayDeque<>();
-  private final Deque<Promise> promises = new ArrayDeque<>();
+  private final Deque<PendingMessage> pendingMessages = new ArrayDeque<>();
   private long sequence;
   private long syncedSequence;
   private long hardStateSequence;
@@ -54,12 +54,12 @@
     return inFlight.size();
   }
 
-  boolean hardStateSynced() {
+  boolean isHardStateSynced() {
     return stagedHardState == null && syncedSequence >= hardStateSequence;
   }
 
   /** Returns whether the hard state, however old, is on the disk. */
-  boolean hardStateWasSynced() {
+  boolean isHardStateStored() {
     return hardStateStored;
   }
 
@@ -97,26 +97,26 @@
   }
 
   /** Sends a message once the newest hard state is synced, at once if it is. */
-  void afterHardState(String node, long term, RaftMessage message, Turn turn) {
+  void sendAfterHardState(String node, long term, RaftMessage message, EventContext context) {
     long needed = stagedHardState == null ? hardStateSequence : sequence + 1;
-    promise(new Promise(needed, term, node, message), turn);
+    sendOnceSynced(new PendingMessage(needed, term, node, message), context);
   }
 
   /** Sends a message once everything up to now is synced. */
-  void afterAll(String node, long term, RaftMessage message, Turn turn) {
-    long needed = hasStaged() ? sequence + 1 : sequence;
-    promise(new Promise(needed, term, node, message), turn);
+  void sendAfterAll(String node, long term, RaftMessage message, EventContext context) {
+    long needed = hasStagedChanges() ? sequence + 1 : sequence;
+    sendOnceSynced(new PendingMessage(needed, term, node, message), context);
   }
 
-  private void promise(Promise promise, Turn turn) {
-    if (promise.sequence <= syncedSequence) {
-      turn.send(promise.node, promise.message);
+  private void sendOnceSynced(PendingMessage pending, EventContext context) {
+    if (pending.sequence <= syncedSequence) {
+      context.send(pending.node, pending.message);
     } else {
-      promises.addLast(promise);
+      pendingMessages.addLast(pending);
     }
   }
 
-  private boolean hasStaged() {
+  private boolean hasStagedChanges() {
     return stagedHardState != null || stagedTruncate > 0 || issuedIndex < log.lastIndex();
   }
 
@@ -125,8 +125,8 @@
   }
 
   /** Issues one write for everything staged. */
-  void flush(Turn turn) {
-    if (!hasStaged()) {
+  void flush(EventContext context) {
+    if (!hasStagedChanges()) {
       return;
     }
     sequence++;
@@ -138,8 +138,8 @@
     for (long index = issuedIndex + 1; index <= last; index++) {
       entries.add(log.entry(index));
     }
-    inFlight.addLast(new Write(sequence, last, turn.now()));
-    turn.effect(
+    inFlight.addLast(new Write(sequence, last, context.now()));
+    context.effect(
         new StorageEffect.Persist(group, sequence, stagedHardState, stagedTruncate, entries));
     issuedIndex = last;
     stagedHardState = null;
@@ -147,26 +147,26 @@
   }
 
   /** Takes note of a sync and sends what waited for it, if it is still of the present term. */
-  void persisted(long upTo, long term, Turn turn) {
+  void persisted(long upTo, long term, EventContext context) {
     Invariants.check(upTo <= sequence, "the disk reports only writes that were asked for");
     syncedSequence = Math.max(syncedSequence, upTo);
     hardStateStored |= hardStateSequence > 0 && upTo >= hardStateSequence;
     while (!inFlight.isEmpty() && inFlight.getFirst().sequence <= upTo) {
       syncedIndex = Math.max(syncedIndex, inFlight.removeFirst().lastIndex);
     }
-    List<Promise> waiting = new ArrayList<>(promises);
-    promises.clear();
-    for (Promise promise : waiting) {
-      if (promise.term != term) {
+    List<PendingMessage> waiting = new ArrayList<>(pendingMessages);
+    pendingMessages.clear();
+    for (PendingMessage pending : waiting) {
+      if (pending.term != term) {
         continue;
       }
-      promise(promise, turn);
+      sendOnceSynced(pending, context);
     }
   }
 
   /** Forgets what waits: the disk failed, so that no promise can be kept. */
   void fail() {
-    promises.clear();
+    pendingMessages.clear();
   }
 
   private static final class Write {
@@ -181,5 +181,5 @@
     }
   }
 
-  private record Promise(long sequence, long term, String node, RaftMessage message) {}
+  private record PendingMessage(long sequence, long term, String node, RaftMessage message) {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Election.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Election.java
@@ -18,14 +18,15 @@
   }
 
   /** Campaigns if no leader was heard for the drawn time. */
-  void tick(Turn turn) {
-    if (replica.leads() || !replica.votes() || !replica.electionDue(turn.now())) {
+  void tick(EventContext context) {
+    if (replica.isLeader() || !replica.isVoter() || !replica.electionDue(context.now())) {
       return;
     }
-    if (replica.durability.stalledSince(turn.now().minus(replica.settings.storageStall()))) {
+    if (replica.durability.stalledSince(
+        context.now().minus(replica.settings.storageStallTimeout()))) {
       return;
     }
-    startPreVote(turn);
+    startPreVote(context);
   }
 
   /**
@@ -34,38 +35,38 @@
    * <p>A voter cut off for a while would otherwise come back with a higher term and depose a
    * working leader, so that callers see a pause though nothing but that voter failed.
    */
-  private void startPreVote(Turn turn) {
-    replica.become(Role.PRE_CANDIDATE, null, turn);
-    replica.drawElectionDeadline(turn.now());
+  private void startPreVote(EventContext context) {
+    replica.become(Role.PRE_CANDIDATE, null, context);
+    replica.resetElectionDeadline(context.now());
     grants.clear();
     grants.add(replica.node);
     if (hasMajority()) {
-      campaign(false, turn);
+      campaign(false, context);
       return;
     }
     VoteRequest request = request(replica.term() + 1, true, false);
     for (Member voter : replica.members.latest().voters()) {
       if (!voter.node().equals(replica.node)) {
-        turn.send(voter.node(), request);
+        context.send(voter.node(), request);
       }
     }
   }
 
   /** Campaigns because the leader asked for it, without waiting for its lease to end. */
-  void takeOver(Turn turn) {
-    campaign(true, turn);
+  void campaignOnTransfer(EventContext context) {
+    campaign(true, context);
   }
 
-  private void campaign(boolean handover, Turn turn) {
+  private void campaign(boolean handover, EventContext context) {
     replica.adoptTerm(replica.term() + 1);
     replica.voteFor(replica.node);
-    replica.become(Role.CANDIDATE, null, turn);
-    replica.drawElectionDeadline(turn.now());
+    replica.become(Role.CANDIDATE, null, context);
+    replica.resetElectionDeadline(context.now());
     grants.clear();
     VoteRequest request = request(replica.term(), false, handover);
     for (Member voter : replica.members.latest().voters()) {
       if (!voter.node().equals(replica.node)) {
-        replica.durability.afterHardState(voter.node(), replica.term(), request, turn);
+        replica.durability.sendAfterHardState(voter.node(), replica.term(), request, context);
       }
     }
   }
@@ -76,11 +77,11 @@
   }
 
   /** Returns whether the votes counted so far, the synced own one among them, are enough. */
-  boolean won() {
+  boolean hasWon() {
     if (replica.role() != Role.CANDIDATE) {
       return false;
     }
-    if (replica.durability.hardStateSynced()) {
+    if (replica.durability.isHardStateSynced()) {
       grants.add(replica.node);
     }
     return hasMajority();
@@ -97,35 +98,35 @@
     return count >= members.quorum();
   }
 
-  void onRequest(String from, VoteRequest request, Turn turn) {
+  void onRequest(String from, VoteRequest request, EventContext context) {
     boolean newerTerm = request.term() > replica.term();
-    boolean leaseGivenUp = request.handover() && !replica.leads();
-    if (newerTerm && !leaseGivenUp && replica.leaseMayHold(turn.now())) {
-      respond(from, request, false, turn);
+    boolean leaseReleased = request.handover() && !replica.isLeader();
+    if (newerTerm && !leaseReleased && replica.leaseMayBeActive(context.now())) {
+      respond(from, request, false, context);
       return;
     }
     if (request.preVote()) {
       boolean upToDate = upToDate(request);
-      respond(from, request, newerTerm && upToDate, turn);
+      respond(from, request, newerTerm && upToDate, context);
       if (newerTerm && !upToDate) {
         // The sender can't win against this voter's log; waiting for another try of it is in vain.
-        replica.campaignSoon(turn.now());
+        replica.expireElectionDeadline(context.now());
       } else if (newerTerm) {
-        replica.yieldTo(turn.now());
+        replica.deferCampaign(context.now());
       }
       return;
     }
     if (newerTerm) {
       replica.adoptTerm(request.term());
-      replica.become(Role.FOLLOWER, null, turn);
+      replica.become(Role.FOLLOWER, null, context);
     }
-    boolean free = replica.votedFor() == null || from.equals(replica.votedFor());
-    boolean granted = request.term() == replica.term() && free && upToDate(request);
+    boolean voteAvailable = replica.votedFor() == null || from.equals(replica.votedFor());
+    boolean granted = request.term() == replica.term() && voteAvailable && upToDate(request);
     if (granted) {
       replica.voteFor(from);
-      replica.drawElectionDeadline(turn.now());
+      replica.resetElectionDeadline(context.now());
     }
-    respond(from, request, granted, turn);
+    respond(from, request, granted, context);
   }
 
   private boolean upToDate(VoteRequest request) {
@@ -136,18 +137,18 @@
     return request.lastIndex() >= log.lastIndex();
   }
 
-  private void respond(String from, VoteRequest request, boolean granted, Turn turn) {
+  private void respond(String from, VoteRequest request, boolean granted, EventContext context) {
     long term = granted ? request.term() : replica.term();
     VoteResponse response =
         new VoteResponse(replica.group, term, replica.instance(), granted, request.preVote());
-    replica.durability.afterHardState(from, replica.term(), response, turn);
+    replica.durability.sendAfterHardState(from, replica.term(), response, context);
   }
 
   /** Counts a vote, unless the disk that gave it isn't the voter's. */
-  void onResponse(String from, VoteResponse response, Turn turn) {
+  void onResponse(String from, VoteResponse response, EventContext context) {
     if (!response.granted() && response.term() > replica.term()) {
       replica.adoptTerm(response.term());
-      replica.become(Role.FOLLOWER, null, turn);
+      replica.become(Role.FOLLOWER, null, context);
       return;
     }
     if (!response.granted() || !replica.members.latest().votes(member(from, response))) {
@@ -158,7 +159,7 @@
         grants.add(from);
       }
       if (hasMajority()) {
-        campaign(false, turn);
+        campaign(false, context);
       }
     } else if (!response.preVote() && response.term() == replica.term()) {
       grants.add(from);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Turn.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/EventContext.java
@@ -17,7 +17,7 @@
  * @param now the present time
  * @param output where effects and events go
  */
-record Turn(String self, Instant now, Output output) {
+record EventContext(String self, Instant now, Output output) {
 
   /** Sends a message; one to this daemon itself arrives as an event after the present one. */
   void send(String node, RaftMessage message) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/FollowerLog.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/FollowerLog.java
@@ -16,15 +16,15 @@
   }
 
   /** Takes over entries of the present leader. */
-  void onAppend(String from, AppendRequest request, Turn turn) {
+  void onAppend(String from, AppendRequest request, EventContext context) {
     long previous = request.previousIndex();
     if (previous > replica.log.lastIndex()) {
-      refuse(from, request, replica.log.lastIndex(), turn);
+      reject(from, request, replica.log.lastIndex(), context);
       return;
     }
-    boolean agreed = previous <= replica.commitIndex();
-    if (!agreed && replica.log.termAt(previous) != request.previousTerm()) {
-      refuse(from, request, replica.commitIndex(), turn);
+    boolean consistent = previous <= replica.commitIndex();
+    if (!consistent && replica.log.termAt(previous) != request.previousTerm()) {
+      reject(from, request, replica.commitIndex(), context);
       return;
     }
     boolean appended = append(request.entries());
@@ -34,11 +34,12 @@
       replica.commit(committed);
     }
     if (appended) {
-      replica.durability.afterAll(from, replica.term(), response(request, true, matched), turn);
+      replica.durability.sendAfterAll(
+          from, replica.term(), response(request, true, matched), context);
     } else {
       long synced = Math.min(matched, replica.durability.syncedIndex());
-      replica.durability.afterHardState(
-          from, replica.term(), response(request, true, synced), turn);
+      replica.durability.sendAfterHardState(
+          from, replica.term(), response(request, true, synced), context);
     }
   }
 
@@ -64,8 +65,9 @@
   }
 
   /** Answers that the logs don't agree before the entries sent. */
-  void refuse(String from, AppendRequest request, long index, Turn turn) {
-    replica.durability.afterHardState(from, replica.term(), response(request, false, index), turn);
+  void reject(String from, AppendRequest request, long index, EventContext context) {
+    replica.durability.sendAfterHardState(
+        from, replica.term(), response(request, false, index), context);
   }
 
   private AppendResponse response(AppendRequest request, boolean matched, long index) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Founding.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/GroupBootstrap.java
@@ -23,63 +23,63 @@
  * the others hold, so the first voter in the settings founds only after each other one has said
  * that its disk is empty as well. A voter that is down therefore delays the founding.
  */
-final class Founding {
+final class GroupBootstrap {
 
   private final Replica replica;
   private final List<String> initialVoters;
   private final boolean mayFound;
-  private final Map<String, Long> emptyDisks = new HashMap<>();
-  private List<String> votersHeardOf = List.of();
+  private final Map<String, Long> emptyInstances = new HashMap<>();
+  private List<String> reportedVoters = List.of();
   private Instant nextRequest = Instant.EPOCH;
-  private boolean askedToJoin;
-  private @Nullable String askedUnder;
+  private boolean joinRequestLogged;
+  private @Nullable String requestedUnderLeader;
 
-  Founding(Replica replica, GroupSetup setup) {
+  GroupBootstrap(Replica replica, GroupSetup setup) {
     this.replica = replica;
     this.initialVoters = setup.initialVoters();
-    this.mayFound = setup.growth().mayFound();
+    this.mayFound = setup.membershipChangePolicy().mayFound();
   }
 
-  void tick(Turn turn) {
+  void tick(EventContext context) {
     boolean member = replica.members.latest().all().contains(replica.self());
-    if (member && replica.leader() != null || !isDue(turn.now())) {
+    if (member && replica.leader() != null || !isDue(context.now())) {
       return;
     }
-    nextRequest = turn.now().plus(replica.settings.resend());
-    askedUnder = replica.leader();
+    nextRequest = context.now().plus(replica.settings.resendInterval());
+    requestedUnderLeader = replica.leader();
     if (mayFound()) {
-      askForFounding(turn);
+      requestBootstrap(context);
     } else {
-      askToJoin(turn);
+      requestJoin(context);
     }
   }
 
   /** A leader that has just been heard of is asked at once; what was asked before it is lost. */
   private boolean isDue(Instant now) {
     String leader = replica.leader();
-    boolean newLeader = leader != null && !leader.equals(askedUnder);
+    boolean newLeader = leader != null && !leader.equals(requestedUnderLeader);
     return newLeader || !now.isBefore(nextRequest);
   }
 
   private boolean mayFound() {
     return mayFound
-        && replica.empty()
+        && replica.isEmpty()
         && !initialVoters.isEmpty()
         && initialVoters.get(0).equals(replica.node);
   }
 
-  private void askForFounding(Turn turn) {
+  private void requestBootstrap(EventContext context) {
     for (String node : initialVoters) {
       if (!node.equals(replica.node)) {
-        turn.send(node, new FoundingRequest(replica.group, replica.instance()));
+        context.send(node, new FoundingRequest(replica.group, replica.instance()));
       }
     }
-    foundIfAllEmpty(turn);
+    bootstrapIfAllEmpty(context);
   }
 
-  private void askToJoin(Turn turn) {
+  private void requestJoin(EventContext context) {
     Set<String> nodes = new LinkedHashSet<>(initialVoters);
-    nodes.addAll(votersHeardOf);
+    nodes.addAll(reportedVoters);
     nodes.addAll(voterNodes());
     String leader = replica.leader();
     if (leader != null) {
@@ -88,17 +88,17 @@
       nodes.add(leader);
     }
     nodes.remove(replica.node);
-    logFirstRequest(nodes, turn);
+    logFirstRequest(nodes, context);
     for (String node : nodes) {
-      turn.send(node, new JoinRequest(replica.group, replica.instance()));
+      context.send(node, new JoinRequest(replica.group, replica.instance()));
     }
   }
 
   /** Voters without a leader ask as well, and again and again; operators need the newcomer's. */
-  private void logFirstRequest(Set<String> nodes, Turn turn) {
-    if (!askedToJoin && !replica.members.latest().all().contains(replica.self())) {
-      askedToJoin = true;
-      turn.log(replica.group, "asks_to_join", "member=" + replica.self() + " nodes=" + nodes);
+  private void logFirstRequest(Set<String> nodes, EventContext context) {
+    if (!joinRequestLogged && !replica.members.latest().all().contains(replica.self())) {
+      joinRequestLogged = true;
+      context.log(replica.group, "asks_to_join", "member=" + replica.self() + " nodes=" + nodes);
     }
   }
 
@@ -106,43 +106,43 @@
     return replica.members.latest().voters().stream().map(Member::node).toList();
   }
 
-  void onJoinRequest(String from, Turn turn) {
+  void onJoinRequest(String from, EventContext context) {
     if (!voterNodes().isEmpty()) {
-      turn.send(from, new JoinResponse(replica.group, voterNodes()));
+      context.send(from, new JoinResponse(replica.group, voterNodes()));
     }
   }
 
   void onJoinResponse(JoinResponse response) {
-    votersHeardOf = response.voters();
+    reportedVoters = response.voters();
   }
 
-  void onRequest(String from, FoundingRequest request, Turn turn) {
-    turn.send(
+  void onRequest(String from, FoundingRequest request, EventContext context) {
+    context.send(
         from,
         new FoundingResponse(
-            replica.group, request.instance(), replica.instance(), replica.empty()));
+            replica.group, request.instance(), replica.instance(), replica.isEmpty()));
   }
 
-  void onResponse(String from, FoundingResponse response, Turn turn) {
+  void onResponse(String from, FoundingResponse response, EventContext context) {
     if (response.askedBy() != replica.instance()) {
       return;
     }
     if (response.empty()) {
-      emptyDisks.put(from, response.instance());
+      emptyInstances.put(from, response.instance());
     } else {
-      emptyDisks.remove(from);
+      emptyInstances.remove(from);
     }
-    foundIfAllEmpty(turn);
+    bootstrapIfAllEmpty(context);
   }
 
-  private void foundIfAllEmpty(Turn turn) {
+  private void bootstrapIfAllEmpty(EventContext context) {
     if (!mayFound()) {
       return;
     }
     List<Member> voters = new ArrayList<>();
     voters.add(replica.self());
     for (String node : initialVoters.subList(1, initialVoters.size())) {
-      Long instance = emptyDisks.get(node);
+      Long instance = emptyInstances.get(node);
       if (instance == null) {
         return;
       }
@@ -150,7 +150,7 @@
     }
     replica.adoptTerm(1);
     Members members = new Members(voters, List.of());
-    replica.append(new GroupCommand.ChangeMembers(members), turn.now());
-    replica.campaignSoon(turn.now());
+    replica.append(new GroupCommand.ChangeMembers(members), context.now());
+    replica.expireElectionDeadline(context.now());
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/GroupSetup.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/GroupSetup.java
@@ -11,16 +11,19 @@
  * @param group name of the group
  * @param initialVoters nodes that found the group while all their disks are empty, the same list on
  *     each daemon; later the place to ask for the leader. The first one founds the group
- * @param growth how the group takes in and drops members by itself
+ * @param membershipChangePolicy how the group takes in and drops members by itself
  * @param stateMachine what this daemon's replica applies commands to, or null if it hosts none
  */
 public record GroupSetup(
-    GroupId group, List<String> initialVoters, Growth growth, @Nullable StateMachine stateMachine) {
+    GroupId group,
+    List<String> initialVoters,
+    MembershipChangePolicy membershipChangePolicy,
+    @Nullable StateMachine stateMachine) {
 
   /** Makes the setup of a group that operators grow. */
   public GroupSetup(
       GroupId group, List<String> initialVoters, @Nullable StateMachine stateMachine) {
-    this(group, initialVoters, Growth.BY_OPERATORS, stateMachine);
+    this(group, initialVoters, MembershipChangePolicy.MANUAL, stateMachine);
   }
 
   /** Copies the list. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/GroupStatus.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/GroupStatus.java
@@ -36,7 +36,7 @@
     boolean storageFailed) {
 
   /** Returns whether the members in the log are known to be agreed on. */
-  public boolean membersAgreed() {
+  public boolean membersCommitted() {
     return membersIndex <= commitIndex;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/MemberChanges.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/MemberChanges.java
@@ -17,35 +17,35 @@
  */
 final class MemberChanges {
 
-  private static final int MAX_JOINERS = 64;
+  private static final int MAX_JOINING_NODES = 64;
 
   private final Replica replica;
   private final Replication replication;
-  private final Growth growth;
-  private final Map<String, Long> joiners = new HashMap<>();
-  private final Map<String, Instant> askedAt = new HashMap<>();
+  private final MembershipChangePolicy policy;
+  private final Map<String, Long> joiningInstances = new HashMap<>();
+  private final Map<String, Instant> joinRequestedAt = new HashMap<>();
 
-  MemberChanges(Replica replica, Replication replication, Growth growth) {
+  MemberChanges(Replica replica, Replication replication, MembershipChangePolicy policy) {
     this.replica = replica;
     this.replication = replication;
-    this.growth = growth;
+    this.policy = policy;
   }
 
   void start() {
-    joiners.clear();
-    askedAt.clear();
+    joiningInstances.clear();
+    joinRequestedAt.clear();
   }
 
   /** Takes note of a replica that waits to be taken in. */
-  void joining(String node, long instance, Instant now) {
-    if (joiners.containsKey(node) || joiners.size() < MAX_JOINERS) {
-      joiners.put(node, instance);
-      askedAt.put(node, now);
+  void recordJoinRequest(String node, long instance, Instant now) {
+    if (joiningInstances.containsKey(node) || joiningInstances.size() < MAX_JOINING_NODES) {
+      joiningInstances.put(node, instance);
+      joinRequestedAt.put(node, now);
     }
   }
 
   /** Returns why no change can be made now, or null if one can. */
-  @Nullable String refusal() {
+  @Nullable String rejectionReason() {
     if (replica.log.termAt(replica.commitIndex()) != replica.term()) {
       return "raft: the leader is new; submit again in a second";
     }
@@ -56,68 +56,68 @@
   }
 
   /** Returns why a node can't be taken in, or null if it can. */
-  @Nullable String refusalToAdmit(String node) {
-    Long instance = joiners.get(node);
+  @Nullable String admitRejectionReason(String node) {
+    Long instance = joiningInstances.get(node);
     if (instance == null) {
       return "raft: " + node + " doesn't ask to join; start it with this group, then submit again";
     }
     if (replica.members.latest().all().contains(new Member(node, instance))) {
       return "raft: " + node + " is a member already; nothing is to be done";
     }
-    if (onlyVoter(node)) {
+    if (isOnlyVoter(node)) {
       return "raft: " + node + " is the only voter; admit another node first";
     }
-    return refusal();
+    return rejectionReason();
   }
 
   GroupCommand.ChangeMembers admit(String node) {
-    Member learner = new Member(node, joiners.get(node));
+    Member learner = new Member(node, joiningInstances.get(node));
     return new GroupCommand.ChangeMembers(replica.members.latest().withLearner(learner));
   }
 
   /** Returns why a node can't be dropped, or null if it can. */
-  @Nullable String refusalToRemove(String node) {
+  @Nullable String removeRejectionReason(String node) {
     if (replica.members.latest().find(node) == null) {
       return "raft: " + node + " isn't a member; nothing is to be done";
     }
-    if (onlyVoter(node)) {
+    if (isOnlyVoter(node)) {
       return "raft: " + node + " is the only voter; admit another node first";
     }
-    return refusal();
+    return rejectionReason();
   }
 
   GroupCommand.ChangeMembers remove(String node) {
     return new GroupCommand.ChangeMembers(replica.members.latest().without(node));
   }
 
-  private boolean onlyVoter(String node) {
+  private boolean isOnlyVoter(String node) {
     Members rest = replica.members.latest().without(node);
     return rest.voters().isEmpty();
   }
 
   /** Returns a change that the leader makes by itself, or null if there is none. */
-  GroupCommand.@Nullable ChangeMembers next(Turn turn) {
-    if (refusal() != null) {
+  GroupCommand.@Nullable ChangeMembers nextChange(EventContext context) {
+    if (rejectionReason() != null) {
       return null;
     }
-    Member learner = replication.caughtUpLearner(turn.now());
-    if (learner != null && wantsVoter(turn.now())) {
+    Member learner = replication.caughtUpLearner(context.now());
+    if (learner != null && needsVoter(context.now())) {
       String facts = "learner=" + learner + " commit=" + replica.commitIndex();
-      turn.log(replica.group, "learner_caught_up", facts);
+      context.log(replica.group, "learner_caught_up", facts);
       return new GroupCommand.ChangeMembers(replica.members.latest().withVoter(learner));
     }
-    for (String node : joiners.keySet()) {
-      if (lostItsDisk(node) && refusalToAdmit(node) == null) {
+    for (String node : joiningInstances.keySet()) {
+      if (hasReplacedDisk(node) && admitRejectionReason(node) == null) {
         return admit(node);
       }
     }
-    return growth.automatic() ? grow(turn.now()) : null;
+    return policy.automatic() ? nextAutomaticChange(context.now()) : null;
   }
 
-  private boolean wantsVoter(Instant now) {
-    return !growth.automatic()
-        || replica.members.latest().voters().size() < growth.wantedVoters()
-        || silentVoter(now) != null;
+  private boolean needsVoter(Instant now) {
+    return !policy.automatic()
+        || replica.members.latest().voters().size() < policy.targetVoters()
+        || unresponsiveVoter(now) != null;
   }
 
   /**
@@ -126,21 +126,22 @@
    * <p>A voter is dropped only after a newcomer has taken its place, so that its loss never leaves
    * the group with fewer copies than it had.
    */
-  private GroupCommand.@Nullable ChangeMembers grow(Instant now) {
+  private GroupCommand.@Nullable ChangeMembers nextAutomaticChange(Instant now) {
     Members members = replica.members.latest();
-    String silent = silentVoter(now);
-    if (members.voters().size() > growth.wantedVoters()) {
-      return remove(silent == null ? newestOtherVoter(members) : silent);
+    String unresponsive = unresponsiveVoter(now);
+    if (members.voters().size() > policy.targetVoters()) {
+      return remove(unresponsive == null ? newestOtherVoter(members) : unresponsive);
     }
     for (Member learner : members.learners()) {
-      if (replication.silentSince(learner, now.minus(growth.silence()))) {
+      if (replication.unresponsiveSince(learner, now.minus(policy.replacementTimeout()))) {
         return remove(learner.node());
       }
     }
-    for (Map.Entry<String, Instant> asked : askedAt.entrySet()) {
-      boolean asksNow = asked.getValue().plus(growth.silence()).isAfter(now);
-      if (asksNow && members.find(asked.getKey()) == null) {
-        return admit(asked.getKey());
+    for (Map.Entry<String, Instant> joinRequest : joinRequestedAt.entrySet()) {
+      boolean requestIsRecent =
+          joinRequest.getValue().plus(policy.replacementTimeout()).isAfter(now);
+      if (requestIsRecent && members.find(joinRequest.getKey()) == null) {
+        return admit(joinRequest.getKey());
       }
     }
     return null;
@@ -159,10 +160,10 @@
     return newest;
   }
 
-  private @Nullable String silentVoter(Instant now) {
+  private @Nullable String unresponsiveVoter(Instant now) {
     for (Member voter : replica.members.latest().voters()) {
       boolean other = !voter.equals(replica.self());
-      if (other && replication.silentSince(voter, now.minus(growth.silence()))) {
+      if (other && replication.unresponsiveSince(voter, now.minus(policy.replacementTimeout()))) {
         return voter.node();
       }
     }
@@ -175,7 +176,7 @@
    * <p>It has forgotten its votes and entries. Counted as the old voter it could help to elect a
    * leader that lacks accepted entries, so it starts again as a learner.
    */
-  private boolean lostItsDisk(String node) {
+  private boolean hasReplacedDisk(String node) {
     Member member = replica.members.latest().find(node);
     return member != null && !member.node().equals(replica.node);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Progress.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Progress.java
@@ -13,9 +13,9 @@
   long sentCommitIndex;
   boolean probing = true;
   boolean probeSent;
-  Instant startedAt = Instant.EPOCH;
+  Instant trackedSince = Instant.EPOCH;
   Instant resetAt = Instant.EPOCH;
-  Instant lastAnsweredAt = Instant.EPOCH;
+  Instant lastResponseAt = Instant.EPOCH;
   @Nullable SnapshotSender snapshot;
 
   Progress(Member member, long nextIndex) {
@@ -24,14 +24,14 @@
   }
 
   /** Takes note that the replica answered something that was sent at that time. */
-  void answered(Instant sentAt) {
-    if (sentAt.isAfter(lastAnsweredAt)) {
-      lastAnsweredAt = sentAt;
+  void recordResponse(Instant sentAt) {
+    if (sentAt.isAfter(lastResponseAt)) {
+      lastResponseAt = sentAt;
     }
   }
 
   /** Takes note that the logs agree up to an index; the snapshot in use may be done with. */
-  void matched(long index, long baseIndex) {
+  void recordMatch(long index, long baseIndex) {
     matchIndex = Math.max(matchIndex, index);
     nextIndex = Math.max(nextIndex, matchIndex + 1);
     probing = false;
@@ -46,14 +46,14 @@
    * <p>Refusals of messages sent before the last step back tell nothing new; obeying each of a full
    * window of them would send the same entries as often.
    */
-  void refused(long index, Instant sentAt, Instant now) {
+  void recordMismatch(long index, Instant sentAt, Instant now) {
     if (snapshot != null || sentAt.isBefore(resetAt)) {
       return;
     }
-    long before = nextIndex;
+    long previousNextIndex = nextIndex;
     nextIndex = Math.max(matchIndex + 1, Math.min(nextIndex, index + 1));
     probing = true;
-    probeSent = nextIndex == before;
+    probeSent = nextIndex == previousNextIndex;
     resetAt = now;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Proposals.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Proposals.java
@@ -14,8 +14,8 @@
 final class Proposals {
 
   private final Replica replica;
-  private final Map<Long, Submission> waiting = new HashMap<>();
-  private final Set<Submission> known = new HashSet<>();
+  private final Map<Long, Submission> submissionsByIndex = new HashMap<>();
+  private final Set<Submission> pendingSubmissions = new HashSet<>();
   private long uncommittedBytes;
 
   Proposals(Replica replica) {
@@ -23,16 +23,16 @@
   }
 
   /** Returns whether the submission was appended and isn't answered yet. */
-  boolean isWaiting(String from, SubmitRequest request) {
-    return known.contains(Submission.of(from, request));
+  boolean isPending(String from, SubmitRequest request) {
+    return pendingSubmissions.contains(Submission.of(from, request));
   }
 
   /** Returns what stands against another entry, or null if there is room. */
-  @Nullable String refusal() {
+  @Nullable String overloadReason() {
     RaftSettings settings = replica.settings;
     long entries = replica.log.lastIndex() - replica.commitIndex();
-    if (entries >= settings.uncommittedEntries()
-        || uncommittedBytes >= settings.uncommittedBytes()) {
+    if (entries >= settings.maxUncommittedEntries()
+        || uncommittedBytes >= settings.maxUncommittedBytes()) {
       return "raft: " + replica.group + " is behind with its commits; submit again later";
     }
     return null;
@@ -40,33 +40,33 @@
 
   void appended(String from, SubmitRequest request, long index) {
     Submission submission = Submission.of(from, request);
-    waiting.put(index, submission);
-    known.add(submission);
+    submissionsByIndex.put(index, submission);
+    pendingSubmissions.add(submission);
     uncommittedBytes += replica.log.sizeAt(index);
   }
 
-  void applied(long index, CommandResult result, Turn turn) {
-    Submission submission = waiting.remove(index);
+  void applied(long index, CommandResult result, EventContext context) {
+    Submission submission = submissionsByIndex.remove(index);
     if (submission == null) {
       return;
     }
-    known.remove(submission);
+    pendingSubmissions.remove(submission);
     uncommittedBytes -= replica.log.sizeAt(index);
-    turn.send(
+    context.send(
         submission.node,
         new SubmitAnswer(replica.group, submission.session, submission.submissionId, result));
   }
 
   /** Sends all waiting submitters to the next leader; the entries may still be committed by it. */
-  void stop(Turn turn) {
-    for (Submission submission : waiting.values()) {
-      turn.send(
+  void redirectAll(EventContext context) {
+    for (Submission submission : submissionsByIndex.values()) {
+      context.send(
           submission.node,
           new SubmitRedirect(
               replica.group, submission.session, submission.submissionId, replica.leader()));
     }
-    waiting.clear();
-    known.clear();
+    submissionsByIndex.clear();
+    pendingSubmissions.clear();
     uncommittedBytes = 0;
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/RaftGroup.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/RaftGroup.java
@@ -44,7 +44,7 @@
   private final Proposals proposals;
   private final MemberChanges memberChanges;
   private final Applier applier;
-  private final Founding founding;
+  private final GroupBootstrap bootstrap;
   private boolean recovered;
   private boolean stopping;
 
@@ -61,9 +61,9 @@
     this.followerLog = new FollowerLog(replica);
     this.snapshotReceiver = new SnapshotReceiver(replica, codec);
     this.proposals = new Proposals(replica);
-    this.memberChanges = new MemberChanges(replica, replication, setup.growth());
+    this.memberChanges = new MemberChanges(replica, replication, setup.membershipChangePolicy());
     this.applier = new Applier(replica, machine, proposals);
-    this.founding = new Founding(replica, setup);
+    this.bootstrap = new GroupBootstrap(replica, setup);
   }
 
   GroupId group() {
@@ -88,38 +88,38 @@
   }
 
   boolean holdsLease(Instant now) {
-    return replica.leads() && replication.holdsLease(now);
+    return replica.isLeader() && replication.holdsLease(now);
   }
 
-  Instant provenAt(Instant now) {
-    return replica.leads() ? replication.provenAt(now) : Instant.EPOCH;
+  Instant leadershipConfirmedAt(Instant now) {
+    return replica.isLeader() ? replication.leadershipConfirmedAt(now) : Instant.EPOCH;
   }
 
-  void onStorage(StorageEvent event, Turn turn) {
+  void onStorage(StorageEvent event, EventContext context) {
     if (event instanceof StorageEvent.Recovered stored) {
-      recover(stored, turn);
+      recover(stored, context);
     } else if (event instanceof StorageEvent.Persisted persisted) {
-      replica.durability.persisted(persisted.sequence(), replica.term(), turn);
+      replica.durability.persisted(persisted.sequence(), replica.term(), context);
     } else if (event instanceof StorageEvent.SnapshotSaved saved) {
-      snapshotSaved(saved.index(), turn);
+      snapshotSaved(saved.index(), context);
     } else if (event instanceof StorageEvent.Failed) {
-      stopLeading("disk_failed", turn);
-      replica.fail(turn);
+      stepDownIfLeader("disk_failed", context);
+      replica.fail(context);
     }
-    finish(turn);
+    processUpdates(context);
   }
 
-  private void recover(StorageEvent.Recovered stored, Turn turn) {
+  private void recover(StorageEvent.Recovered stored, EventContext context) {
     Invariants.check(!recovered, "a group is recovered once");
     recovered = true;
     replica.recoverHardState(stored.hardState());
     Snapshot snapshot = stored.snapshot();
     if (snapshot != null) {
       replica.install(snapshot);
-      applier.restore(snapshot, turn);
+      applier.restore(snapshot, context);
     }
     recoverEntries(stored);
-    replica.started(turn.now());
+    replica.startElectionTimer(context.now());
   }
 
   /**
@@ -147,90 +147,90 @@
     }
   }
 
-  private void snapshotSaved(long index, Turn turn) {
+  private void snapshotSaved(long index, EventContext context) {
     applier.snapshotSaved(index);
     Snapshot installed = snapshotReceiver.saved(index);
     if (installed == null || installed.index() <= replica.commitIndex()) {
       return;
     }
     replica.install(installed);
-    applier.restore(installed, turn);
+    applier.restore(installed, context);
     String leader = replica.leader();
-    if (leader != null && !replica.leads()) {
+    if (leader != null && !replica.isLeader()) {
       AppendResponse response =
           new AppendResponse(
               replica.group, replica.term(), replica.instance(), true, index, Instant.EPOCH);
-      replica.durability.afterAll(leader, replica.term(), response, turn);
+      replica.durability.sendAfterAll(leader, replica.term(), response, context);
     }
   }
 
   /** Looks at deadlines. */
-  void tick(Turn turn) {
-    if (!ready()) {
+  void tick(EventContext context) {
+    if (!canParticipate()) {
       return;
     }
-    if (replica.leads()) {
-      stepDownIfUnfit(turn);
+    if (replica.isLeader()) {
+      stepDownIfUnfit(context);
     }
     if (!stopping && !snapshotReceiver.saving()) {
-      election.tick(turn);
+      election.tick(context);
     }
-    founding.tick(turn);
-    finish(turn);
+    bootstrap.tick(context);
+    processUpdates(context);
   }
 
-  private void stepDownIfUnfit(Turn turn) {
-    Instant stall = turn.now().minus(replica.settings.storageStall());
-    if (replication.lostMajority(turn.now())) {
-      stepDown("majority_silent", turn);
+  private void stepDownIfUnfit(EventContext context) {
+    Instant stall = context.now().minus(replica.settings.storageStallTimeout());
+    if (replication.lostMajorityContact(context.now())) {
+      stepDown("majority_silent", context);
     } else if (replica.durability.stalledSince(stall)) {
-      stepDown("disk_stalled", turn);
+      stepDown("disk_stalled", context);
     }
   }
 
   /** A replica speaks only once its instance is on its disk, and never after its disk failed. */
-  private boolean ready() {
-    return recovered && !replica.failed() && replica.durability.hardStateWasSynced();
+  private boolean canParticipate() {
+    return recovered && !replica.failed() && replica.durability.isHardStateStored();
   }
 
-  void onMessage(String from, RaftMessage message, Turn turn) {
+  void onMessage(String from, RaftMessage message, EventContext context) {
     if (message instanceof SubmitRequest request) {
-      submit(from, request, turn);
-    } else if (ready()) {
-      dispatch(from, message, turn);
+      submit(from, request, context);
+    } else if (canParticipate()) {
+      dispatch(from, message, context);
     }
-    finish(turn);
+    processUpdates(context);
   }
 
-  private void dispatch(String from, RaftMessage message, Turn turn) {
+  private void dispatch(String from, RaftMessage message, EventContext context) {
     if (message instanceof AppendRequest request) {
-      onAppend(from, request, turn);
+      onAppend(from, request, context);
     } else if (message instanceof AppendResponse response) {
-      if (answersThisTerm(response.term(), turn)) {
-        replication.onResponse(from, response, turn);
+      if (isCurrentTermResponse(response.term(), context)) {
+        replication.onResponse(from, response, context);
       }
     } else if (message instanceof VoteRequest request) {
-      election.onRequest(from, request, turn);
+      election.onRequest(from, request, context);
     } else if (message instanceof VoteResponse response) {
-      onVoteResponse(from, response, turn);
+      onVoteResponse(from, response, context);
     } else if (message instanceof SnapshotChunk chunk) {
-      if (acceptLeader(from, chunk.term(), turn)) {
-        snapshotReceiver.onChunk(from, chunk, turn);
+      if (acceptLeader(from, chunk.term(), context)) {
+        snapshotReceiver.onChunk(from, chunk, context);
       }
     } else if (message instanceof ChunkResponse response) {
-      if (answersThisTerm(response.term(), turn)) {
-        replication.onChunkResponse(from, response, turn);
+      if (isCurrentTermResponse(response.term(), context)) {
+        replication.onChunkResponse(from, response, context);
       }
     } else if (message instanceof FoundingRequest request) {
-      founding.onRequest(from, request, turn);
+      bootstrap.onRequest(from, request, context);
     } else if (message instanceof FoundingResponse response) {
-      founding.onResponse(from, response, turn);
-    } else if (message instanceof CampaignNow handover) {
-      onCampaignNow(from, handover, turn);
+      bootstrap.onResponse(from, response, context);
+    } else if (message instanceof CampaignNow transfer) {
+      onCampaignNow(from, transfer, context);
     } else if (message instanceof JoinRequest request) {
-      onJoin(from, request, turn);
+      onJoin(from, request, context);
     } else if (message instanceof JoinResponse response) {
-      founding.onJoinResponse(response);
+      bootstrap.onJoinResponse(response);
     }
   }
 
@@ -241,135 +241,135 @@
    * come to stand where its own stood, and each submitter would be told that its command was
    * applied.
    */
-  private void onVoteResponse(String from, VoteResponse response, Turn turn) {
+  private void onVoteResponse(String from, VoteResponse response, EventContext context) {
     if (!response.granted() && response.term() > replica.term()) {
-      stopLeading("newer_term", turn);
+      stepDownIfLeader("newer_term", context);
     }
-    election.onResponse(from, response, turn);
+    election.onResponse(from, response, context);
   }
 
-  private void onCampaignNow(String from, CampaignNow handover, Turn turn) {
-    boolean current = handover.term() == replica.term() && from.equals(replica.leader());
-    if (current && replica.votes() && !stopping && !snapshotReceiver.saving()) {
-      election.takeOver(turn);
+  private void onCampaignNow(String from, CampaignNow transfer, EventContext context) {
+    boolean current = transfer.term() == replica.term() && from.equals(replica.leader());
+    if (current && replica.isVoter() && !stopping && !snapshotReceiver.saving()) {
+      election.campaignOnTransfer(context);
     }
   }
 
-  private void onJoin(String from, JoinRequest request, Turn turn) {
-    if (replica.leads()) {
-      memberChanges.joining(from, request.instance(), turn.now());
+  private void onJoin(String from, JoinRequest request, EventContext context) {
+    if (replica.isLeader()) {
+      memberChanges.recordJoinRequest(from, request.instance(), context.now());
     } else {
-      founding.onJoinRequest(from, turn);
+      bootstrap.onJoinRequest(from, context);
     }
   }
 
-  private void onAppend(String from, AppendRequest request, Turn turn) {
-    if (!acceptLeader(from, request.term(), turn)) {
-      followerLog.refuse(from, request, 0, turn);
+  private void onAppend(String from, AppendRequest request, EventContext context) {
+    if (!acceptLeader(from, request.term(), context)) {
+      followerLog.reject(from, request, 0, context);
     } else if (snapshotReceiver.saving()) {
-      followerLog.refuse(from, request, replica.commitIndex(), turn);
+      followerLog.reject(from, request, replica.commitIndex(), context);
     } else {
-      followerLog.onAppend(from, request, turn);
+      followerLog.onAppend(from, request, context);
     }
   }
 
   /** Follows the sender unless its term is over. */
-  private boolean acceptLeader(String from, long term, Turn turn) {
+  private boolean acceptLeader(String from, long term, EventContext context) {
     if (term < replica.term()) {
       return false;
     }
-    Invariants.check(!replica.leads() || term > replica.term(), "one leader in a term");
+    Invariants.check(!replica.isLeader() || term > replica.term(), "one leader in a term");
     if (term > replica.term()) {
-      stopLeading("newer_term", turn);
+      stepDownIfLeader("newer_term", context);
       replica.adoptTerm(term);
     }
-    replica.become(Role.FOLLOWER, from, turn);
-    replica.contact(turn.now());
+    replica.become(Role.FOLLOWER, from, context);
+    replica.recordLeaderContact(context.now());
     return true;
   }
 
-  private boolean answersThisTerm(long term, Turn turn) {
+  private boolean isCurrentTermResponse(long term, EventContext context) {
     if (term > replica.term()) {
-      stopLeading("newer_term", turn);
+      stepDownIfLeader("newer_term", context);
       replica.adoptTerm(term);
-      replica.become(Role.FOLLOWER, null, turn);
+      replica.become(Role.FOLLOWER, null, context);
       return false;
     }
-    return term == replica.term() && replica.leads();
+    return term == replica.term() && replica.isLeader();
   }
 
-  private void stopLeading(String why, Turn turn) {
-    if (replica.leads()) {
-      stepDown(why, turn);
+  private void stepDownIfLeader(String reason, EventContext context) {
+    if (replica.isLeader()) {
+      stepDown(reason, context);
     }
   }
 
-  private void stepDown(String why, Turn turn) {
-    String facts = "why=" + why + " term=" + replica.term() + " commit=" + replica.commitIndex();
-    turn.log(replica.group, "stepped_down", facts + " last=" + replica.log.lastIndex());
-    replica.become(Role.FOLLOWER, null, turn);
-    replica.drawElectionDeadline(turn.now());
-    proposals.stop(turn);
+  private void stepDown(String reason, EventContext context) {
+    String facts = "why=" + reason + " term=" + replica.term() + " commit=" + replica.commitIndex();
+    context.log(replica.group, "stepped_down", facts + " last=" + replica.log.lastIndex());
+    replica.become(Role.FOLLOWER, null, context);
+    replica.resetElectionDeadline(context.now());
+    proposals.redirectAll(context);
     replication.stop();
   }
 
   /** Hands the office over before the daemon stops, so that callers needn't wait an election. */
-  void prepareStop(Turn turn) {
+  void prepareStop(EventContext context) {
     stopping = true;
-    if (!replica.leads()) {
+    if (!replica.isLeader()) {
       return;
     }
-    String successor = replication.successor();
-    stepDown("stopping", turn);
-    if (successor != null) {
-      turn.send(successor, new CampaignNow(replica.group, replica.term()));
+    String transferTarget = replication.transferTarget();
+    stepDown("stopping", context);
+    if (transferTarget != null) {
+      context.send(transferTarget, new CampaignNow(replica.group, replica.term()));
     }
-    finish(turn);
+    processUpdates(context);
   }
 
-  private void lead(Turn turn) {
-    replica.become(Role.LEADER, replica.node, turn);
-    replica.append(new GroupCommand.NoOperation(), turn.now());
-    replication.start(turn);
+  private void becomeLeader(EventContext context) {
+    replica.become(Role.LEADER, replica.node, context);
+    replica.append(new GroupCommand.NoOperation(), context.now());
+    replication.start(context);
     memberChanges.start();
   }
 
-  private void submit(String from, SubmitRequest request, Turn turn) {
-    if (!replica.leads()) {
-      turn.send(
+  private void submit(String from, SubmitRequest request, EventContext context) {
+    if (!replica.isLeader()) {
+      context.send(
           from,
           new SubmitRedirect(
               replica.group, request.session(), request.submissionId(), replica.leader()));
       return;
     }
-    if (proposals.isWaiting(from, request)) {
+    if (proposals.isPending(from, request)) {
       return;
     }
-    String refusal = proposals.refusal();
+    String refusal = proposals.overloadReason();
     if (refusal != null) {
-      turn.send(
+      context.send(
           from,
           new SubmitRefusal(replica.group, request.session(), request.submissionId(), refusal));
       return;
     }
-    String rejection = rejection(request.command());
+    String rejection = rejectionReason(request.command());
     if (rejection != null) {
       CommandResult rejected = new CommandResult.Rejected(rejection);
-      turn.send(
+      context.send(
           from,
           new SubmitAnswer(replica.group, request.session(), request.submissionId(), rejected));
       return;
     }
-    LogEntry entry = append(logged(request.command()), turn);
+    LogEntry entry = append(toLogCommand(request.command()), context);
     proposals.appended(from, request, entry.index());
   }
 
-  private @Nullable String rejection(Command command) {
+  private @Nullable String rejectionReason(Command command) {
     if (command instanceof GroupCommand.AdmitMember admit) {
-      return memberChanges.refusalToAdmit(admit.node());
+      return memberChanges.admitRejectionReason(admit.node());
     }
     if (command instanceof GroupCommand.RemoveMember remove) {
-      return memberChanges.refusalToRemove(remove.node());
+      return memberChanges.removeRejectionReason(remove.node());
     }
     if (command instanceof GroupCommand && !(command instanceof GroupCommand.Probe)) {
       return "raft: only a leader makes this command; submit AdmitMember or RemoveMember";
@@ -377,7 +377,7 @@
     return null;
   }
 
-  private Command logged(Command command) {
+  private Command toLogCommand(Command command) {
     if (command instanceof GroupCommand.AdmitMember admit) {
       return memberChanges.admit(admit.node());
     }
@@ -387,8 +387,8 @@
     return command;
   }
 
-  private LogEntry append(Command command, Turn turn) {
-    LogEntry entry = replica.append(command, turn.now());
+  private LogEntry append(Command command, EventContext context) {
+    LogEntry entry = replica.append(command, context.now());
     if (command instanceof GroupCommand.ChangeMembers) {
       replication.membersChanged();
     }
@@ -396,45 +396,45 @@
   }
 
   /** Draws the consequences of an event: leadership, commits, results, writes and messages. */
-  private void finish(Turn turn) {
+  private void processUpdates(EventContext context) {
     if (!recovered || replica.failed()) {
       return;
     }
-    if (election.won()) {
-      lead(turn);
+    if (election.hasWon()) {
+      becomeLeader(context);
     }
-    if (replica.leads()) {
+    if (replica.isLeader()) {
       replication.advanceCommit();
     }
-    applier.applyCommitted(turn);
-    if (replica.leads()) {
-      changeMembers(turn);
+    applier.applyCommitted(context);
+    if (replica.isLeader()) {
+      changeMembers(context);
     }
-    flush(turn);
-    if (replica.leads()) {
-      replication.replicate(turn);
+    flush(context);
+    if (replica.isLeader()) {
+      replication.replicate(context);
     }
   }
 
-  private void changeMembers(Turn turn) {
+  private void changeMembers(EventContext context) {
     boolean settled = replica.members.latestIndex() <= replica.commitIndex();
-    if (settled && !replica.votes()) {
-      stepDown("no_voter", turn);
+    if (settled && !replica.isVoter()) {
+      stepDown("no_voter", context);
       return;
     }
-    GroupCommand.ChangeMembers change = memberChanges.next(turn);
+    GroupCommand.ChangeMembers change = memberChanges.nextChange(context);
     if (change != null) {
-      LogEntry entry = append(change, turn);
+      LogEntry entry = append(change, context);
       String facts = "index=" + entry.index() + " " + change.members().describe();
-      turn.log(replica.group, "members_proposed", facts);
+      context.log(replica.group, "members_proposed", facts);
     }
   }
 
-  private void flush(Turn turn) {
+  private void flush(EventContext context) {
     Durability durability = replica.durability;
-    boolean batching = replica.leads() && durability.writesInFlight() >= MAX_WRITES;
+    boolean batching = replica.isLeader() && durability.writesInFlight() >= MAX_WRITES;
     if (!batching || durability.hasStagedHardState()) {
-      durability.flush(turn);
+      durability.flush(context);
     }
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/RaftSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/RaftSettings.java
@@ -10,38 +10,39 @@
  * @param heartbeat time between two signs of life of a leader
  * @param lease time for which a majority's answers let the leader act alone, counted from the
  *     sending of what they answer; must be less than {@code electionMin}
- * @param storageStall time after which a leader whose disk doesn't sync gives up its office
- * @param resend time after which an unanswered submission is sent again
+ * @param storageStallTimeout time after which a leader whose disk doesn't sync gives up its office
+ * @param resendInterval time after which an unanswered submission is sent again
  * @param snapshotEntries applied entries after which a snapshot is taken
- * @param keptEntries entries kept in memory behind a snapshot for replicas that lag a little
- * @param appendEntries most entries in one message
- * @param appendBytes most bytes of commands in one message, unless one command alone is larger
- * @param windowEntries most entries sent to a replica beyond what it acknowledged
- * @param chunkBytes most bytes of a snapshot in one message
- * @param uncommittedEntries most entries that wait for a commit; submissions beyond are refused
- * @param uncommittedBytes most bytes of commands that wait for a commit
- * @param submissions most submissions of this daemon that wait for a result
- * @param restartWait longest time for which a voter that has just started waits for a leader before
- *     it campaigns. Zero where a leader acts under its lease: a restarted voter doesn't know what
- *     it acknowledged, so its start then counts as contact and its votes wait for the lease's end
+ * @param trailingEntries entries kept in memory behind a snapshot for replicas that lag a little
+ * @param maxAppendEntries most entries in one message
+ * @param maxAppendBytes most bytes of commands in one message, unless one command alone is larger
+ * @param maxInFlightEntries most entries sent to a replica beyond what it acknowledged
+ * @param maxChunkBytes most bytes of a snapshot in one message
+ * @param maxUncommittedEntries most entries that wait for a commit; submissions beyond are refused
+ * @param maxUncommittedBytes most bytes of commands that wait for a commit
+ * @param maxPendingSubmissions most submissions of this daemon that wait for a result
+ * @param maxRestartWait longest time for which a voter that has just started waits for a leader
+ *     before it campaigns. Zero where a leader acts under its lease: a restarted voter doesn't know
+ *     what it acknowledged, so its start then counts as contact and its votes wait for the lease's
+ *     end
  */
 public record RaftSettings(
     Duration electionMin,
     Duration electionMax,
     Duration heartbeat,
     Duration lease,
-    Duration storageStall,
-    Duration resend,
+    Duration storageStallTimeout,
+    Duration resendInterval,
     int snapshotEntries,
-    int keptEntries,
-    int appendEntries,
-    int appendBytes,
-    int windowEntries,
-    int chunkBytes,
-    int uncommittedEntries,
-    int uncommittedBytes,
-    int submissions,
-    Duration restartWait) {
+    int trailingEntries,
+    int maxAppendEntries,
+    int maxAppendBytes,
+    int maxInFlightEntries,
+    int maxChunkBytes,
+    int maxUncommittedEntries,
+    int maxUncommittedBytes,
+    int maxPendingSubmissions,
+    Duration maxRestartWait) {
 
   /**
    * Checks the times against each other.
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Replica.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Replica.java
@@ -30,7 +30,7 @@
   private long term;
   private @Nullable String votedFor;
   private @Nullable String leader;
-  private @Nullable String leaderOfTerm;
+  private @Nullable String currentTermLeader;
   private long announcedTerm;
   private Role role = Role.FOLLOWER;
   private long commitIndex;
@@ -65,7 +65,7 @@
     return role;
   }
 
-  boolean leads() {
+  boolean isLeader() {
     return role == Role.LEADER;
   }
 
@@ -94,12 +94,12 @@
     return new Member(node, instance);
   }
 
-  boolean votes() {
+  boolean isVoter() {
     return members.latest().votes(self());
   }
 
   /** Returns whether neither a term nor an entry was ever stored. */
-  boolean empty() {
+  boolean isEmpty() {
     return term == 0 && log.lastIndex() == 0;
   }
 
@@ -119,7 +119,7 @@
     Invariants.check(newTerm > term, "terms never decrease");
     term = newTerm;
     votedFor = null;
-    leaderOfTerm = null;
+    currentTermLeader = null;
     stageHardState();
   }
 
@@ -136,24 +136,24 @@
   }
 
   /** Changes the role and the known leader, and tells the other parts. */
-  void become(Role newRole, @Nullable String newLeader, Turn turn) {
+  void become(Role newRole, @Nullable String newLeader, EventContext context) {
     if (newLeader != null) {
       Invariants.check(
-          leaderOfTerm == null || leaderOfTerm.equals(newLeader), "one leader in a term");
-      leaderOfTerm = newLeader;
+          currentTermLeader == null || currentTermLeader.equals(newLeader), "one leader in a term");
+      currentTermLeader = newLeader;
     }
     role = newRole;
     boolean changed = !Objects.equals(leader, newLeader);
     leader = newLeader;
     if (changed || (newLeader != null && announcedTerm != term)) {
       announcedTerm = term;
-      turn.raise(new ConsensusEvent.LeaderChanged(group, newLeader, term));
+      context.raise(new ConsensusEvent.LeaderChanged(group, newLeader, term));
     }
   }
 
-  void contact(Instant now) {
+  void recordLeaderContact(Instant now) {
     lastContact = now;
-    drawElectionDeadline(now);
+    resetElectionDeadline(now);
   }
 
   /**
@@ -162,22 +162,22 @@
    * <p>After a crash of all voters there is no leader to wait for. A voter that waits as after a
    * contact adds up to {@link RaftSettings#electionMax} to the time in which nothing is served.
    */
-  void started(Instant now) {
-    long longest = settings.restartWait().toMillis();
+  void startElectionTimer(Instant now) {
+    long longest = settings.maxRestartWait().toMillis();
     if (longest == 0) {
-      contact(now);
+      recordLeaderContact(now);
     } else {
       electionDeadline = now.plusMillis(random.nextLong(longest + 1));
     }
   }
 
-  void drawElectionDeadline(Instant now) {
+  void resetElectionDeadline(Instant now) {
     long spread = settings.electionMax().minus(settings.electionMin()).toMillis();
     Duration wait = settings.electionMin().plusMillis(random.nextLong(spread + 1));
     electionDeadline = now.plus(wait);
   }
 
-  void campaignSoon(Instant now) {
+  void expireElectionDeadline(Instant now) {
     electionDeadline = now;
   }
 
@@ -186,7 +186,7 @@
    *
    * <p>Two that campaign at once split the votes, and the next try comes only after a whole wait.
    */
-  void yieldTo(Instant now) {
+  void deferCampaign(Instant now) {
     Instant later = now.plus(settings.heartbeat());
     if (later.isAfter(electionDeadline)) {
       electionDeadline = later;
@@ -203,8 +203,8 @@
    * <p>A vote given within this time could make a second leader while the first still answers under
    * its lease. A restarted voter doesn't know what it acknowledged, so its start counts as contact.
    */
-  boolean leaseMayHold(Instant now) {
-    return leads() || now.isBefore(lastContact.plus(settings.electionMin()));
+  boolean leaseMayBeActive(Instant now) {
+    return isLeader() || now.isBefore(lastContact.plus(settings.electionMin()));
   }
 
   void commit(long index) {
@@ -255,9 +255,9 @@
   }
 
   /** Stops taking part: a voter that can't store a promise must not give one. */
-  void fail(Turn turn) {
+  void fail(EventContext context) {
     failed = true;
     durability.fail();
-    become(Role.FOLLOWER, null, turn);
+    become(Role.FOLLOWER, null, context);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Replication.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Replication.java
@@ -22,7 +22,7 @@
   private final Replica replica;
   private final GroupCodec codec;
   private final Map<String, Progress> progresses = new LinkedHashMap<>();
-  private Instant leadsSince = Instant.EPOCH;
+  private Instant leaderSince = Instant.EPOCH;
   private Instant nextHeartbeat = Instant.EPOCH;
   private long encodedIndex;
   private byte @Nullable [] encodedSnapshot;
@@ -33,10 +33,10 @@
   }
 
   /** Starts a term of office; the first heartbeat goes out with the next {@link #replicate}. */
-  void start(Turn turn) {
+  void start(EventContext context) {
     progresses.clear();
-    leadsSince = turn.now();
-    nextHeartbeat = turn.now();
+    leaderSince = context.now();
+    nextHeartbeat = context.now();
     membersChanged();
   }
 
@@ -67,80 +67,81 @@
   }
 
   /** Sends what each replica lacks, and signs of life when they are due. */
-  void replicate(Turn turn) {
-    boolean heartbeat = !turn.now().isBefore(nextHeartbeat);
+  void replicate(EventContext context) {
+    boolean heartbeat = !context.now().isBefore(nextHeartbeat);
     if (heartbeat) {
-      nextHeartbeat = turn.now().plus(replica.settings.heartbeat());
+      nextHeartbeat = context.now().plus(replica.settings.heartbeat());
     }
     for (Progress progress : progresses.values()) {
-      if (progress.startedAt.equals(Instant.EPOCH)) {
-        progress.startedAt = turn.now();
+      if (progress.trackedSince.equals(Instant.EPOCH)) {
+        progress.trackedSince = context.now();
       }
-      boolean sent = sendLacking(progress, turn);
+      boolean sent = sendMissing(progress, context);
       if (heartbeat && !sent) {
-        sendHeartbeat(progress, turn);
+        sendHeartbeat(progress, context);
       } else if (!sent && progress.sentCommitIndex < replica.commitIndex() && !progress.probing) {
-        sendEntries(progress, List.of(), turn);
+        sendEntries(progress, List.of(), context);
       }
     }
   }
 
-  private void sendHeartbeat(Progress progress, Turn turn) {
+  private void sendHeartbeat(Progress progress, EventContext context) {
     SnapshotSender snapshot = progress.snapshot;
     if (snapshot == null) {
-      sendEntries(progress, List.of(), turn);
+      sendEntries(progress, List.of(), context);
       return;
     }
-    send(progress, replica.log.baseIndex(), List.of(), turn);
-    snapshot.resend(replica, progress.member.node(), turn);
+    send(progress, replica.log.baseIndex(), List.of(), context);
+    snapshot.resend(replica, progress.member.node(), context);
   }
 
-  private boolean sendLacking(Progress progress, Turn turn) {
+  private boolean sendMissing(Progress progress, EventContext context) {
     if (progress.snapshot != null) {
       return false;
     }
     if (progress.nextIndex <= replica.log.baseIndex()) {
-      startSnapshot(progress, turn);
+      startSnapshot(progress, context);
       return false;
     }
     if (progress.probing) {
-      return probe(progress, turn);
+      return probe(progress, context);
     }
     boolean sent = false;
     long end =
         Math.min(
             replica.durability.issuedIndex(),
-            progress.matchIndex + replica.settings.windowEntries());
+            progress.matchIndex + replica.settings.maxInFlightEntries());
     while (progress.nextIndex <= end) {
       List<LogEntry> entries = batch(progress.nextIndex, end);
-      sendEntries(progress, entries, turn);
+      sendEntries(progress, entries, context);
       progress.nextIndex += entries.size();
       sent = true;
     }
     return sent;
   }
 
-  private boolean probe(Progress progress, Turn turn) {
+  private boolean probe(Progress progress, EventContext context) {
     if (progress.probeSent) {
       return false;
     }
     progress.probeSent = true;
-    sendEntries(progress, List.of(), turn);
+    sendEntries(progress, List.of(), context);
     return true;
   }
 
   private List<LogEntry> batch(long from, long to) {
     RaftSettings settings = replica.settings;
-    return replica.log.slice(from, to, settings.appendEntries(), settings.appendBytes());
+    return replica.log.slice(from, to, settings.maxAppendEntries(), settings.maxAppendBytes());
   }
 
-  private void sendEntries(Progress progress, List<LogEntry> entries, Turn turn) {
-    send(progress, progress.nextIndex - 1, entries, turn);
+  private void sendEntries(Progress progress, List<LogEntry> entries, EventContext context) {
+    send(progress, progress.nextIndex - 1, entries, context);
   }
 
-  private void send(Progress progress, long previous, List<LogEntry> entries, Turn turn) {
+  private void send(
+      Progress progress, long previous, List<LogEntry> entries, EventContext context) {
     progress.sentCommitIndex = replica.commitIndex();
-    turn.send(
+    context.send(
         progress.member.node(),
         new AppendRequest(
             replica.group,
@@ -149,10 +150,10 @@
             replica.log.termAt(previous),
             entries,
             replica.commitIndex(),
-            turn.now()));
+            context.now()));
   }
 
-  private void startSnapshot(Progress progress, Turn turn) {
+  private void startSnapshot(Progress progress, EventContext context) {
     Snapshot snapshot = replica.snapshot();
     Invariants.check(
         snapshot != null && snapshot.index() >= replica.log.baseIndex(),
@@ -165,37 +166,37 @@
     }
     SnapshotSender sender = new SnapshotSender(snapshot.index(), encoded);
     progress.snapshot = sender;
-    sender.send(replica, progress.member.node(), turn);
+    sender.send(replica, progress.member.node(), context);
   }
 
-  void onResponse(String from, AppendResponse response, Turn turn) {
+  void onResponse(String from, AppendResponse response, EventContext context) {
     Progress progress = progress(from, response.instance());
     if (progress == null) {
       return;
     }
-    progress.answered(response.sentAt());
+    progress.recordResponse(response.sentAt());
     if (response.matched()) {
       Invariants.check(
           response.index() <= replica.log.lastIndex(), "replicas match only what the leader has");
-      progress.matched(response.index(), replica.log.baseIndex());
+      progress.recordMatch(response.index(), replica.log.baseIndex());
     } else {
-      progress.refused(response.index(), response.sentAt(), turn.now());
+      progress.recordMismatch(response.index(), response.sentAt(), context.now());
     }
   }
 
-  void onChunkResponse(String from, ChunkResponse response, Turn turn) {
+  void onChunkResponse(String from, ChunkResponse response, EventContext context) {
     Progress progress = progress(from, response.instance());
     if (progress == null) {
       return;
     }
-    progress.answered(response.sentAt());
+    progress.recordResponse(response.sentAt());
     SnapshotSender snapshot = progress.snapshot;
     if (snapshot == null || snapshot.index() != response.index()) {
       return;
     }
-    snapshot.received(response.offset());
-    if (!snapshot.complete()) {
-      snapshot.send(replica, from, turn);
+    snapshot.acknowledged(response.offset());
+    if (!snapshot.isComplete()) {
+      snapshot.send(replica, from, context);
     }
   }
 
@@ -231,49 +232,51 @@
   }
 
   /** Returns whether too long has passed since a majority answered. */
-  boolean lostMajority(Instant now) {
-    return !now.isBefore(answeredByMajority(now, leadsSince).plus(replica.settings.lease()));
+  boolean lostMajorityContact(Instant now) {
+    return !now.isBefore(lastMajorityResponse(now, leaderSince).plus(replica.settings.lease()));
   }
 
   /** Returns whether no other leader can exist yet, and all entries of earlier terms are known. */
   boolean holdsLease(Instant now) {
-    Instant end = answeredByMajority(now, Instant.EPOCH).plus(replica.settings.lease());
+    Instant end = lastMajorityResponse(now, Instant.EPOCH).plus(replica.settings.lease());
     return now.isBefore(end) && replica.log.termAt(replica.commitIndex()) == replica.term();
   }
 
   /** Returns when a majority last showed that it follows, if all earlier entries are committed. */
-  Instant provenAt(Instant now) {
-    boolean knowsAll = replica.log.termAt(replica.commitIndex()) == replica.term();
-    return knowsAll ? answeredByMajority(now, Instant.EPOCH) : Instant.EPOCH;
+  Instant leadershipConfirmedAt(Instant now) {
+    boolean termCommitted = replica.log.termAt(replica.commitIndex()) == replica.term();
+    return termCommitted ? lastMajorityResponse(now, Instant.EPOCH) : Instant.EPOCH;
   }
 
-  private Instant answeredByMajority(Instant now, Instant least) {
+  private Instant lastMajorityResponse(Instant now, Instant earliest) {
     Members members = replica.members.latest();
-    List<Instant> answers = new ArrayList<>();
+    List<Instant> responseTimes = new ArrayList<>();
     for (Member voter : members.voters()) {
       Progress progress = progress(voter.node(), voter.instance());
       if (voter.equals(replica.self())) {
-        answers.add(now);
-      } else if (progress == null || progress.lastAnsweredAt.isBefore(least)) {
-        answers.add(least);
+        responseTimes.add(now);
+      } else if (progress == null || progress.lastResponseAt.isBefore(earliest)) {
+        responseTimes.add(earliest);
       } else {
-        answers.add(progress.lastAnsweredAt);
+        responseTimes.add(progress.lastResponseAt);
       }
     }
-    answers.sort(Collections.reverseOrder());
-    return answers.size() < members.quorum() ? least : answers.get(members.quorum() - 1);
+    responseTimes.sort(Collections.reverseOrder());
+    return responseTimes.size() < members.quorum()
+        ? earliest
+        : responseTimes.get(members.quorum() - 1);
   }
 
   /** Returns whether a replica has answered nothing that was sent since the time. */
-  boolean silentSince(Member member, Instant time) {
+  boolean unresponsiveSince(Member member, Instant time) {
     Progress progress = progress(member.node(), member.instance());
     return progress != null
-        && progress.lastAnsweredAt.isBefore(time)
-        && progress.startedAt.isBefore(time);
+        && progress.lastResponseAt.isBefore(time)
+        && progress.trackedSince.isBefore(time);
   }
 
   /** Returns the voter that has most of the log, or null if this replica is the only one. */
-  @Nullable String successor() {
+  @Nullable String transferTarget() {
     Progress best = null;
     for (Progress progress : progresses.values()) {
       boolean votes = replica.members.latest().votes(progress.member);
@@ -291,7 +294,7 @@
       if (progress == null || progress.matchIndex < replica.commitIndex()) {
         continue;
       }
-      Instant answering = progress.lastAnsweredAt.plus(replica.settings.electionMin());
+      Instant answering = progress.lastResponseAt.plus(replica.settings.electionMin());
       if (now.isBefore(answering)) {
         return learner;
       }
