--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SnapshotReceiver.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SnapshotReceiver.java
@@ -11,14 +11,14 @@
 final class SnapshotReceiver {
 
   /** Most bytes of a snapshot, so that a false length can't take all memory. */
-  private static final int MAX_BYTES = 256 * 1024 * 1024;
+  private static final int MAX_SNAPSHOT_BYTES = 256 * 1024 * 1024;
 
-  private static final byte[] NOTHING = new byte[0];
+  private static final byte[] EMPTY_BUFFER = new byte[0];
 
   private final Replica replica;
   private final GroupCodec codec;
   private long index;
-  private byte[] buffer = NOTHING;
+  private byte[] buffer = EMPTY_BUFFER;
   private int received;
   private @Nullable Snapshot saving;
 
@@ -32,17 +32,17 @@
     return saving != null;
   }
 
-  void onChunk(String from, SnapshotChunk chunk, Turn turn) {
+  void onChunk(String from, SnapshotChunk chunk, EventContext context) {
     if (chunk.index() <= replica.commitIndex()) {
       long synced = Math.min(chunk.index(), replica.durability.syncedIndex());
       AppendResponse response =
           new AppendResponse(
               replica.group, replica.term(), replica.instance(), true, synced, chunk.sentAt());
-      replica.durability.afterHardState(from, replica.term(), response, turn);
+      replica.durability.sendAfterHardState(from, replica.term(), response, context);
       return;
     }
     if (saving == null) {
-      collect(chunk, turn);
+      collect(chunk, context);
     }
     int offset = chunk.index() == index ? received : 0;
     ChunkResponse response =
@@ -53,11 +53,11 @@
             chunk.index(),
             offset,
             chunk.sentAt());
-    replica.durability.afterHardState(from, replica.term(), response, turn);
+    replica.durability.sendAfterHardState(from, replica.term(), response, context);
   }
 
-  private void collect(SnapshotChunk chunk, Turn turn) {
-    if (chunk.length() < 0 || chunk.length() > MAX_BYTES || chunk.offset() < 0) {
+  private void collect(SnapshotChunk chunk, EventContext context) {
+    if (chunk.length() < 0 || chunk.length() > MAX_SNAPSHOT_BYTES || chunk.offset() < 0) {
       return;
     }
     if (chunk.index() != index || chunk.length() != buffer.length) {
@@ -72,11 +72,11 @@
     System.arraycopy(chunk.data(), 0, buffer, received, chunk.data().length);
     received += chunk.data().length;
     if (received == buffer.length) {
-      save(turn);
+      save(context);
     }
   }
 
-  private void save(Turn turn) {
+  private void save(EventContext context) {
     Snapshot snapshot;
     try {
       snapshot = codec.decode(buffer);
@@ -85,8 +85,8 @@
       return;
     }
     saving = snapshot;
-    buffer = NOTHING;
-    turn.effect(new StorageEffect.SaveSnapshot(replica.group, snapshot));
+    buffer = EMPTY_BUFFER;
+    context.effect(new StorageEffect.SaveSnapshot(replica.group, snapshot));
   }
 
   /** Returns the snapshot if it is the one now on the disk, or null. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SnapshotSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SnapshotSender.java
@@ -22,29 +22,29 @@
   }
 
   /** Goes on where the replica says. */
-  void received(int bytes) {
+  void acknowledged(int bytes) {
     offset = Math.min(bytes, encoded.length);
   }
 
   /** Returns whether all bytes have arrived, so that only the replica's disk is waited for. */
-  boolean complete() {
+  boolean isComplete() {
     return offset == encoded.length;
   }
 
-  void send(Replica replica, String node, Turn turn) {
-    int end = Math.min(encoded.length, offset + replica.settings.chunkBytes());
+  void send(Replica replica, String node, EventContext context) {
+    int end = Math.min(encoded.length, offset + replica.settings.maxChunkBytes());
     byte[] data = Arrays.copyOfRange(encoded, offset, end);
-    lastSentAt = turn.now();
-    turn.send(
+    lastSentAt = context.now();
+    context.send(
         node,
         new SnapshotChunk(
-            replica.group, replica.term(), index, offset, encoded.length, data, turn.now()));
+            replica.group, replica.term(), index, offset, encoded.length, data, context.now()));
   }
 
   /** Sends the chunk again if it wasn't answered for a heartbeat. */
-  void resend(Replica replica, String node, Turn turn) {
-    if (!turn.now().isBefore(lastSentAt.plus(replica.settings.heartbeat()))) {
-      send(replica, node, turn);
+  void resend(Replica replica, String node, EventContext context) {
+    if (!context.now().isBefore(lastSentAt.plus(replica.settings.heartbeat()))) {
+      send(replica, node, context);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SubmissionClient.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SubmissionClient.java
@@ -22,17 +22,17 @@
 final class SubmissionClient implements Submitter {
 
   /** Wait before the next try when a voter knows another leader; bounds a loop of redirects. */
-  private static final Duration REDIRECT_PAUSE = Duration.ofMillis(20);
+  private static final Duration REDIRECT_DELAY = Duration.ofMillis(20);
 
   /** Wait before the next try when a voter knows no leader. */
-  private static final Duration LEADERLESS_PAUSE = Duration.ofMillis(100);
+  private static final Duration NO_LEADER_DELAY = Duration.ofMillis(100);
 
   private final String node;
   private final long session;
   private final RaftSettings settings;
   private final Map<GroupId, List<String>> voters = new HashMap<>();
   private final Map<GroupId, String> leaders = new HashMap<>();
-  private final Map<Long, Submission> waiting = new LinkedHashMap<>();
+  private final Map<Long, Submission> pending = new LinkedHashMap<>();
   private long lastSubmissionId;
 
   SubmissionClient(String node, long session, List<GroupSetup> groups, RaftSettings settings) {
@@ -58,57 +58,62 @@
       Instant deadline,
       Instant now,
       Output output) {
-    Turn turn = new Turn(node, now, output);
+    EventContext context = new EventContext(node, now, output);
     if (voters.getOrDefault(group, List.of()).isEmpty()) {
-      fail(group, submissionId, false, "raft: name the voters of " + group + " in settings", turn);
+      fail(
+          group,
+          submissionId,
+          false,
+          "raft: name the voters of " + group + " in settings",
+          context);
       return;
     }
-    if (waiting.size() >= settings.submissions()) {
-      fail(group, submissionId, false, "raft: too many submissions wait; submit later", turn);
+    if (pending.size() >= settings.maxPendingSubmissions()) {
+      fail(group, submissionId, false, "raft: too many submissions wait; submit later", context);
       return;
     }
     Submission submission = new Submission(group, command, submissionId, deadline);
-    waiting.put(submissionId, submission);
-    send(submission, turn);
+    pending.put(submissionId, submission);
+    send(submission, context);
   }
 
-  private void send(Submission submission, Turn turn) {
+  private void send(Submission submission, EventContext context) {
     String leader = leaders.get(submission.group);
-    List<String> others = voters.get(submission.group);
+    List<String> groupVoters = voters.get(submission.group);
     String target = leader;
     if (target == null) {
-      target = others.get(submission.tries % others.size());
+      target = groupVoters.get(submission.attempts % groupVoters.size());
     }
-    submission.tries++;
+    submission.attempts++;
     submission.target = target;
-    submission.nextTry = turn.now().plus(settings.resend());
-    turn.send(
+    submission.nextAttemptAt = context.now().plus(settings.resendInterval());
+    context.send(
         target,
         new SubmitRequest(submission.group, session, submission.submissionId, submission.command));
   }
 
   /** Sends again what is due and gives up what is too late. */
-  void tick(Turn turn) {
-    if (waiting.isEmpty()) {
+  void tick(EventContext context) {
+    if (pending.isEmpty()) {
       return;
     }
-    for (Submission submission : new ArrayList<>(waiting.values())) {
-      if (!turn.now().isBefore(submission.deadline)) {
-        waiting.remove(submission.submissionId);
+    for (Submission submission : new ArrayList<>(pending.values())) {
+      if (!context.now().isBefore(submission.deadline)) {
+        pending.remove(submission.submissionId);
         String remedy = "raft: no result in time; submit again under the same key";
-        fail(submission.group, submission.submissionId, true, remedy, turn);
-      } else if (!turn.now().isBefore(submission.nextTry)) {
-        retry(submission, turn);
+        fail(submission.group, submission.submissionId, true, remedy, context);
+      } else if (!context.now().isBefore(submission.nextAttemptAt)) {
+        retry(submission, context);
       }
     }
   }
 
-  private void retry(Submission submission, Turn turn) {
+  private void retry(Submission submission, EventContext context) {
     if (!submission.redirected) {
       leaders.remove(submission.group, submission.target);
     }
     submission.redirected = false;
-    send(submission, turn);
+    send(submission, context);
   }
 
   /** Remembers the leader that this daemon's own replica has found. */
@@ -120,55 +125,59 @@
     }
   }
 
-  void onMessage(String from, RaftMessage message, Turn turn) {
+  void onMessage(String from, RaftMessage message, EventContext context) {
     if (message instanceof SubmitAnswer answer && answer.session() == session) {
-      onAnswer(from, answer, turn);
+      onAnswer(from, answer, context);
     } else if (message instanceof SubmitRefusal refusal && refusal.session() == session) {
-      onRefusal(refusal, turn);
+      onRefusal(refusal, context);
     } else if (message instanceof SubmitRedirect redirect && redirect.session() == session) {
-      onRedirect(from, redirect, turn);
+      onRedirect(from, redirect, context);
     }
   }
 
-  private void onAnswer(String from, SubmitAnswer answer, Turn turn) {
-    Submission submission = waiting.remove(answer.submissionId());
+  private void onAnswer(String from, SubmitAnswer answer, EventContext context) {
+    Submission submission = pending.remove(answer.submissionId());
     if (submission == null) {
       return;
     }
     leaders.put(submission.group, from);
-    turn.raise(
+    context.raise(
         new ConsensusEvent.SubmissionAnswered(
             submission.group, submission.submissionId, answer.result()));
   }
 
-  private void onRefusal(SubmitRefusal refusal, Turn turn) {
-    Submission submission = waiting.remove(refusal.submissionId());
+  private void onRefusal(SubmitRefusal refusal, EventContext context) {
+    Submission submission = pending.remove(refusal.submissionId());
     if (submission == null) {
       return;
     }
-    boolean sentBefore = submission.tries > 1;
-    fail(submission.group, submission.submissionId, sentBefore, refusal.remedy(), turn);
+    boolean sentBefore = submission.attempts > 1;
+    fail(submission.group, submission.submissionId, sentBefore, refusal.remedy(), context);
   }
 
-  private void onRedirect(String from, SubmitRedirect redirect, Turn turn) {
-    Submission submission = waiting.get(redirect.submissionId());
+  private void onRedirect(String from, SubmitRedirect redirect, EventContext context) {
+    Submission submission = pending.get(redirect.submissionId());
     if (submission == null || !from.equals(submission.target)) {
       return;
     }
     String leader = redirect.leader();
-    boolean known = leader != null && !leader.equals(from);
-    if (known) {
+    boolean leaderKnown = leader != null && !leader.equals(from);
+    if (leaderKnown) {
       leaders.put(submission.group, leader);
     } else {
       leaders.remove(submission.group, from);
     }
     submission.redirected = true;
-    submission.nextTry = turn.now().plus(known ? REDIRECT_PAUSE : LEADERLESS_PAUSE);
+    submission.nextAttemptAt = context.now().plus(leaderKnown ? REDIRECT_DELAY : NO_LEADER_DELAY);
   }
 
   private void fail(
-      GroupId group, long submissionId, boolean mayHaveApplied, String remedy, Turn turn) {
-    turn.raise(new ConsensusEvent.SubmissionFailed(group, submissionId, mayHaveApplied, remedy));
+      GroupId group,
+      long submissionId,
+      boolean mayHaveApplied,
+      String remedy,
+      EventContext context) {
+    context.raise(new ConsensusEvent.SubmissionFailed(group, submissionId, mayHaveApplied, remedy));
   }
 
   private static final class Submission {
@@ -177,8 +186,8 @@
     private final long submissionId;
     private final Instant deadline;
     private @Nullable String target;
-    private Instant nextTry = Instant.EPOCH;
-    private int tries;
+    private Instant nextAttemptAt = Instant.EPOCH;
+    private int attempts;
     private boolean redirected;
 
     private Submission(GroupId group, Command command, long submissionId, Instant deadline) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/MemberPeers.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/MemberPeers.java
@@ -62,7 +62,7 @@
   }
 
   private boolean canBack(Member member) {
-    return member.has(Member.ENTRY)
+    return member.hasRole(Member.ENTRY)
         && !member.zone().equals(members.self().zone())
         && !members.isSuspected(member.name());
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/ChangeSpreader.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/ChangeDisseminator.java
@@ -18,22 +18,23 @@
  *
  * <p>Few daemons get them directly. Of many, those in the own zone do, and in each other zone one
  * or two pass them on: so a change costs each daemon about one message, where gossip would cost
- * three times the logarithm of their number. What gets lost is repaired by {@link TableComparison}.
+ * three times the logarithm of their number. What gets lost is repaired by {@link
+ * DirectoryAntiEntropy}.
  */
-final class ChangeSpreader {
+final class ChangeDisseminator {
 
-  private static final int MOST_IN_A_MESSAGE = 32;
-  private static final int RELAYS = 1;
-  private static final int URGENT_RELAYS = 2;
+  private static final int MAX_RECORDS_PER_MESSAGE = 32;
+  private static final int FORWARDERS_PER_ZONE = 1;
+  private static final int URGENT_FORWARDERS_PER_ZONE = 2;
 
   private final Members members;
   private final DirectorySettings settings;
   private final UniformRandomProvider random;
   private final Map<String, UpstreamRecord> urgent = new LinkedHashMap<>();
-  private final Map<String, UpstreamRecord> other = new LinkedHashMap<>();
+  private final Map<String, UpstreamRecord> regular = new LinkedHashMap<>();
   private Instant nextRound = Instant.MIN;
 
-  ChangeSpreader(Members members, DirectorySettings settings, UniformRandomProvider random) {
+  ChangeDisseminator(Members members, DirectorySettings settings, UniformRandomProvider random) {
     this.members = members;
     this.settings = settings;
     this.random = random;
@@ -42,17 +43,17 @@
   /** Adds a change; an older one of the same upstream that still waits is dropped. */
   void add(UpstreamRecord record) {
     urgent.remove(record.id());
-    other.remove(record.id());
-    (record.takesWork() ? other : urgent).put(record.id(), record);
+    regular.remove(record.id());
+    (record.takesWork() ? regular : urgent).put(record.id(), record);
   }
 
   void tick(Instant now, Output output) {
-    if (now.isBefore(nextRound) || urgent.isEmpty() && other.isEmpty()) {
+    if (now.isBefore(nextRound) || urgent.isEmpty() && regular.isEmpty()) {
       return;
     }
     // What takes an upstream out goes first: new work sent there meanwhile would be refused.
     boolean isUrgent = !urgent.isEmpty();
-    List<UpstreamRecord> batch = take(isUrgent ? urgent : other);
+    List<UpstreamRecord> batch = take(isUrgent ? urgent : regular);
     int sent = 0;
     for (Map.Entry<String, Boolean> target : targets(isUrgent).entrySet()) {
       boolean forward = target.getValue();
@@ -61,7 +62,8 @@
       sent += batch.size();
     }
     nextRound =
-        now.plus(settings.spreadEvery()).plusMillis(1000L * sent / settings.spreadsPerSecond());
+        now.plus(settings.disseminationInterval())
+            .plusMillis(1000L * sent / settings.maxRecordsPerSecond());
   }
 
   /** Passes changes that were news here on to the daemons of this zone. */
@@ -77,7 +79,7 @@
   private List<UpstreamRecord> take(Map<String, UpstreamRecord> waiting) {
     List<UpstreamRecord> batch = new ArrayList<>();
     Iterator<UpstreamRecord> it = waiting.values().iterator();
-    while (it.hasNext() && batch.size() < MOST_IN_A_MESSAGE) {
+    while (it.hasNext() && batch.size() < MAX_RECORDS_PER_MESSAGE) {
       batch.add(it.next());
       it.remove();
     }
@@ -87,8 +89,8 @@
   /** Returns whom to tell, and whether it passes the changes on. */
   private Map<String, Boolean> targets(boolean isUrgent) {
     Map<String, Boolean> targets = new TreeMap<>();
-    Map<String, List<String>> elsewhere = new TreeMap<>();
-    boolean direct = members.live().size() <= settings.directFanout();
+    Map<String, List<String>> remoteZones = new TreeMap<>();
+    boolean direct = members.live().size() <= settings.maxDirectFanout();
     for (Member member : members.live()) {
       if (isSelf(member)) {
         continue;
@@ -96,13 +98,14 @@
       if (direct || member.zone().equals(members.self().zone())) {
         targets.put(member.name(), false);
       } else {
-        elsewhere.computeIfAbsent(member.zone(), zone -> new ArrayList<>()).add(member.name());
+        remoteZones.computeIfAbsent(member.zone(), zone -> new ArrayList<>()).add(member.name());
       }
     }
-    for (List<String> zone : elsewhere.values()) {
+    for (List<String> zone : remoteZones.values()) {
       Shuffle.inPlace(zone, random);
-      int relays = Math.min(zone.size(), isUrgent ? URGENT_RELAYS : RELAYS);
-      zone.subList(0, relays).forEach(relay -> targets.put(relay, true));
+      int forwarders =
+          Math.min(zone.size(), isUrgent ? URGENT_FORWARDERS_PER_ZONE : FORWARDERS_PER_ZONE);
+      zone.subList(0, forwarders).forEach(forwarder -> targets.put(forwarder, true));
     }
     return targets;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/TableComparison.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectoryAntiEntropy.java
@@ -19,26 +19,26 @@
  * <p>One hash each time; if it differs the hashes of all buckets; then the versions in those that
  * differ; then the records themselves.
  */
-final class TableComparison {
+final class DirectoryAntiEntropy {
 
-  private static final int MOST_BUCKETS = 32;
-  private static final int PAGE = 64;
-  private static final int QUICK_ROUNDS = 10;
-  private static final Duration QUICK = Duration.ofMillis(300);
+  private static final int MAX_BUCKETS_PER_MESSAGE = 32;
+  private static final int RECORDS_PER_MESSAGE = 64;
+  private static final int FAST_ROUNDS = 10;
+  private static final Duration FAST_INTERVAL = Duration.ofMillis(300);
 
   /** So many records let the time between comparisons grow by one of its lengths. */
-  private static final int RECORDS_A_STEP = 2000;
+  private static final int RECORDS_PER_INTERVAL_STEP = 2000;
 
-  private static final int OWN_ZONE_SHARE = 4;
+  private static final int ANY_ZONE_ONE_IN = 4;
 
   private final Members members;
   private final DirectorySettings settings;
   private final UpstreamTable table;
   private final UniformRandomProvider random;
-  private int quickRounds = QUICK_ROUNDS;
+  private int fastRounds = FAST_ROUNDS;
   private Instant nextRound = Instant.MIN;
 
-  TableComparison(
+  DirectoryAntiEntropy(
       Members members,
       DirectorySettings settings,
       UpstreamTable table,
@@ -50,8 +50,8 @@
   }
 
   /** Compares often for a while, as after the start or when members come back. */
-  void hurry() {
-    quickRounds = QUICK_ROUNDS;
+  void accelerate() {
+    fastRounds = FAST_ROUNDS;
     nextRound = Instant.MIN;
   }
 
@@ -59,19 +59,20 @@
     if (now.isBefore(nextRound) || members.live().size() < 2) {
       return;
     }
-    Duration normal = settings.digestEvery().multipliedBy(1 + table.size() / RECORDS_A_STEP);
-    nextRound = now.plus(quickRounds > 0 ? QUICK : normal);
-    quickRounds = Math.max(0, quickRounds - 1);
-    send(partner(), new DirectoryMessage.RootHash(table.rootHash()), output);
+    Duration normal =
+        settings.antiEntropyInterval().multipliedBy(1 + table.size() / RECORDS_PER_INTERVAL_STEP);
+    nextRound = now.plus(fastRounds > 0 ? FAST_INTERVAL : normal);
+    fastRounds = Math.max(0, fastRounds - 1);
+    send(randomPeer(), new DirectoryMessage.RootHash(table.rootHash()), output);
   }
 
-  void rootHash(String node, DirectoryMessage.RootHash root, Output output) {
+  void onRootHash(String node, DirectoryMessage.RootHash root, Output output) {
     if (root.hash() != table.rootHash()) {
       send(node, new DirectoryMessage.BucketHashes(table.bucketHashes()), output);
     }
   }
 
-  void bucketHashes(String node, DirectoryMessage.BucketHashes theirs, Output output) {
+  void onBucketHashes(String node, DirectoryMessage.BucketHashes theirs, Output output) {
     List<Long> ours = table.bucketHashes();
     List<Integer> differing = new ArrayList<>();
     for (int i = 0; i < Math.min(ours.size(), theirs.hashes().size()); i++) {
@@ -80,7 +81,8 @@
       }
     }
     Shuffle.inPlace(differing, random);
-    List<Integer> buckets = differing.subList(0, Math.min(MOST_BUCKETS, differing.size()));
+    List<Integer> buckets =
+        differing.subList(0, Math.min(MAX_BUCKETS_PER_MESSAGE, differing.size()));
     List<DirectoryMessage.RecordVersion> versions = new ArrayList<>();
     for (UpstreamRecord record : table.inBuckets(buckets)) {
       versions.add(version(record));
@@ -88,7 +90,7 @@
     send(node, new DirectoryMessage.BucketVersions(buckets, versions), output);
   }
 
-  void bucketVersions(String node, DirectoryMessage.BucketVersions theirs, Output output) {
+  void onBucketVersions(String node, DirectoryMessage.BucketVersions theirs, Output output) {
     Map<String, DirectoryMessage.RecordVersion> missing = new HashMap<>();
     theirs.versions().forEach(version -> missing.put(version.id(), version));
     List<UpstreamRecord> newer = new ArrayList<>();
@@ -110,7 +112,7 @@
     }
   }
 
-  void wanted(String node, DirectoryMessage.Wanted wanted, Output output) {
+  void onWanted(String node, DirectoryMessage.Wanted wanted, Output output) {
     List<UpstreamRecord> records = new ArrayList<>();
     for (String id : wanted.ids()) {
       UpstreamRecord record = table.get(id);
@@ -122,8 +124,9 @@
   }
 
   private void sendRecords(String node, List<UpstreamRecord> records, Output output) {
-    for (int from = 0; from < records.size(); from += PAGE) {
-      List<UpstreamRecord> page = records.subList(from, Math.min(from + PAGE, records.size()));
+    for (int from = 0; from < records.size(); from += RECORDS_PER_MESSAGE) {
+      List<UpstreamRecord> page =
+          records.subList(from, Math.min(from + RECORDS_PER_MESSAGE, records.size()));
       send(node, new DirectoryMessage.Changes(page, false), output);
     }
   }
@@ -150,10 +153,10 @@
         record.state() == UpstreamState.LIVE);
   }
 
-  private String partner() {
-    List<String> near = names(members.liveIn(members.self().zone()));
-    boolean stayNear = !near.isEmpty() && random.nextInt(OWN_ZONE_SHARE) != 0;
-    List<String> candidates = stayNear ? near : names(members.live());
+  private String randomPeer() {
+    List<String> sameZone = names(members.liveIn(members.self().zone()));
+    boolean sameZoneOnly = !sameZone.isEmpty() && random.nextInt(ANY_ZONE_ONE_IN) != 0;
+    List<String> candidates = sameZoneOnly ? sameZone : names(members.live());
     return candidates.get(random.nextInt(candidates.size()));
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectoryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/DirectoryPart.java
@@ -38,20 +38,20 @@
  */
 public final class DirectoryPart implements Part, UpstreamDirectory {
 
-  private static final int FORWARDS_BEFORE_TAKEOVER = 3;
+  private static final int MAX_FORWARDS_BEFORE_TAKEOVER = 3;
 
   private final Members members;
   private final ConfigurationView configuration;
   private final DirectorySettings settings;
   private final UpstreamTable table;
-  private final ChangeSpreader spreader;
-  private final TableComparison comparison;
-  private final LoadFeed loads;
-  private final Map<String, Instant> silentAt = new TreeMap<>();
-  private final Map<String, Instant> orphanedUntil = new TreeMap<>();
-  private final Map<String, Instant> forgetAt = new TreeMap<>();
+  private final ChangeDisseminator disseminator;
+  private final DirectoryAntiEntropy antiEntropy;
+  private final LoadSubscriptions loadSubscriptions;
+  private final Map<String, Instant> heartbeatDeadlines = new TreeMap<>();
+  private final Map<String, Instant> orphanDeadlines = new TreeMap<>();
+  private final Map<String, Instant> removalTimes = new TreeMap<>();
   private final Map<String, Instant> leavingSince = new HashMap<>();
-  private final Map<String, Integer> forwarded = new HashMap<>();
+  private final Map<String, Integer> forwardCounts = new HashMap<>();
 
   /**
    * Makes an empty directory.
@@ -67,23 +67,23 @@
     this.configuration = configuration;
     this.settings = settings;
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-    table = new UpstreamTable(self(), members.self().zone(), settings.subset());
-    spreader = new ChangeSpreader(members, settings, random);
-    comparison = new TableComparison(members, settings, table, random);
-    loads = new LoadFeed(members, settings, table);
+    table = new UpstreamTable(self(), members.self().zone(), settings.subsetSize());
+    disseminator = new ChangeDisseminator(members, settings, random);
+    antiEntropy = new DirectoryAntiEntropy(members, settings, table, random);
+    loadSubscriptions = new LoadSubscriptions(members, settings, table);
   }
 
   @Override
   public void apply(Event event, Instant now, Output output) {
     if (event instanceof UpstreamEvent.Announced announced) {
-      announced(announced.announcement(), true, now, output);
+      onAnnouncement(announced.announcement(), true, now, output);
     } else if (event instanceof LifecycleEvent.Tick) {
       tick(now, output);
     } else if (event instanceof MembershipEvent membership) {
       memberChanged(membership, now);
     } else if (event instanceof PeerEvent.MessageReceived received
         && received.message() instanceof DirectoryMessage message) {
-      received(received.node(), message, now, output);
+      onMessage(received.node(), message, now, output);
     }
   }
 
@@ -113,18 +113,18 @@
   }
 
   /** Returns the time after which an upstream that announces itself here is to do so again. */
-  public Duration announceEvery() {
-    Duration affordable =
+  public Duration announceInterval() {
+    Duration sustainableInterval =
         Duration.ofSeconds(1)
-            .multipliedBy(silentAt.size())
-            .dividedBy(settings.heartbeatsPerSecond());
-    return affordable.compareTo(settings.announceEvery()) > 0
-        ? affordable
-        : settings.announceEvery();
+            .multipliedBy(heartbeatDeadlines.size())
+            .dividedBy(settings.maxHeartbeatsPerSecond());
+    return sustainableInterval.compareTo(settings.announceInterval()) > 0
+        ? sustainableInterval
+        : settings.announceInterval();
   }
 
-  private Duration silence() {
-    return announceEvery().multipliedBy(settings.missedHeartbeats());
+  private Duration heartbeatTimeout() {
+    return announceInterval().multipliedBy(settings.maxMissedHeartbeats());
   }
 
   private String self() {
@@ -140,21 +140,21 @@
   }
 
   private void tick(Instant now, Output output) {
-    for (String id : due(silentAt, now)) {
-      lose(id, now, output);
+    for (String id : removeDue(heartbeatDeadlines, now)) {
+      markLost(id, now, output);
     }
-    for (String id : due(orphanedUntil, now)) {
-      loseOrphan(id, now, output);
+    for (String id : removeDue(orphanDeadlines, now)) {
+      markOrphanLost(id, now, output);
     }
-    for (String id : due(forgetAt, now)) {
+    for (String id : removeDue(removalTimes, now)) {
       table.remove(id);
     }
-    spreader.tick(now, output);
-    comparison.tick(now, output);
-    loads.tick(now, output);
+    disseminator.tick(now, output);
+    antiEntropy.tick(now, output);
+    loadSubscriptions.tick(now, output);
   }
 
-  private static List<String> due(Map<String, Instant> times, Instant now) {
+  private static List<String> removeDue(Map<String, Instant> times, Instant now) {
     List<String> due = new ArrayList<>();
     times.forEach(
         (id, time) -> {
@@ -166,101 +166,108 @@
     return due;
   }
 
-  private void received(String node, DirectoryMessage message, Instant now, Output output) {
+  private void onMessage(String node, DirectoryMessage message, Instant now, Output output) {
     if (message instanceof DirectoryMessage.Changes changes) {
-      List<UpstreamRecord> news = new ArrayList<>();
+      List<UpstreamRecord> newRecords = new ArrayList<>();
       for (UpstreamRecord record : changes.records()) {
         if (merge(record, now, output)) {
-          news.add(record);
+          newRecords.add(record);
         }
       }
-      if (changes.forward() && !news.isEmpty()) {
-        spreader.forward(news, node, output);
+      if (changes.forward() && !newRecords.isEmpty()) {
+        disseminator.forward(newRecords, node, output);
       }
-    } else if (message instanceof DirectoryMessage.Heard heard) {
-      announced(heard.announcement(), false, now, output);
+    } else if (message instanceof DirectoryMessage.Heard received) {
+      onAnnouncement(received.announcement(), false, now, output);
     } else if (message instanceof DirectoryMessage.RootHash root) {
-      comparison.rootHash(node, root, output);
+      antiEntropy.onRootHash(node, root, output);
     } else if (message instanceof DirectoryMessage.BucketHashes hashes) {
-      comparison.bucketHashes(node, hashes, output);
+      antiEntropy.onBucketHashes(node, hashes, output);
     } else if (message instanceof DirectoryMessage.BucketVersions versions) {
-      comparison.bucketVersions(node, versions, output);
+      antiEntropy.onBucketVersions(node, versions, output);
     } else if (message instanceof DirectoryMessage.Wanted wanted) {
-      comparison.wanted(node, wanted, output);
+      antiEntropy.onWanted(node, wanted, output);
     } else if (message instanceof DirectoryMessage.FollowLoads follow) {
-      loads.follow(node, follow, now);
-    } else if (message instanceof DirectoryMessage.Loads told) {
-      loads.loads(told);
+      loadSubscriptions.onSubscription(node, follow, now);
+    } else if (message instanceof DirectoryMessage.Loads loads) {
+      loadSubscriptions.onLoads(loads);
     }
   }
 
-  private void announced(Announcement heard, boolean directly, Instant now, Output output) {
-    UpstreamRecord known = table.get(heard.id());
-    if (known != null && isLate(heard, known)) {
+  private void onAnnouncement(Announcement received, boolean directly, Instant now, Output output) {
+    UpstreamRecord known = table.get(received.id());
+    if (known != null && isLate(received, known)) {
       output.effect(new TraceEffect.Count("announcements_late", "", 1));
       return;
     }
-    Announcement said = keepLeaving(heard, known, now);
-    UpstreamState state = said.gone() ? UpstreamState.GONE : UpstreamState.LIVE;
-    boolean same = known != null && known.state() == state && !differs(said, known.announcement());
-    if (same && directly && isLeftToOwner(known)) {
-      output.effect(new PeerEffect.SendToPeer(known.owner(), new DirectoryMessage.Heard(said)));
+    Announcement announcement = retainLeaving(received, known, now);
+    UpstreamState state = announcement.gone() ? UpstreamState.GONE : UpstreamState.LIVE;
+    boolean same =
+        known != null && known.state() == state && !differs(announcement, known.announcement());
+    if (same && directly && isForwardedToOwner(known)) {
+      output.effect(
+          new PeerEffect.SendToPeer(known.owner(), new DirectoryMessage.Heard(announcement)));
       return;
     }
-    retireFormerAt(said, now, output);
-    forwarded.remove(said.id());
+    endFormerUpstreamAt(announcement, now, output);
+    forwardCounts.remove(announcement.id());
     // A daemon that restarted finds its own records at others; by a new one they see it hears
     // again.
     boolean owned =
-        known != null && known.owner().equals(self()) && silentAt.containsKey(said.id());
+        known != null
+            && known.owner().equals(self())
+            && heartbeatDeadlines.containsKey(announcement.id());
     if (same && owned) {
-      table.putLoad(said.id(), said.load());
+      table.putLoad(announcement.id(), announcement.load());
     } else {
-      change(said, state, nextSequence(known, now), now, output);
+      publishChange(announcement, state, nextSequence(known, now), now, output);
     }
     if (state == UpstreamState.LIVE) {
-      silentAt.put(said.id(), now.plus(silence()));
+      heartbeatDeadlines.put(announcement.id(), now.plus(heartbeatTimeout()));
     }
   }
 
-  private static boolean isLate(Announcement said, UpstreamRecord known) {
+  private static boolean isLate(Announcement announcement, UpstreamRecord known) {
     long newest = known.announcement().incarnation();
     // A heartbeat that was under way while its process ended would bring the upstream back.
-    return said.incarnation() < newest
-        || said.incarnation() == newest && known.state() == UpstreamState.GONE;
+    return announcement.incarnation() < newest
+        || announcement.incarnation() == newest && known.state() == UpstreamState.GONE;
   }
 
   /** Keeps an upstream leaving for a while, since heartbeats may cross on their ways. */
-  private Announcement keepLeaving(Announcement said, @Nullable UpstreamRecord known, Instant now) {
+  private Announcement retainLeaving(
+      Announcement announcement, @Nullable UpstreamRecord known, Instant now) {
     boolean wasLeaving =
         known != null
             && known.announcement().leaving()
-            && known.announcement().incarnation() == said.incarnation();
-    if (said.leaving() || !wasLeaving) {
-      if (said.leaving()) {
-        leavingSince.put(said.id(), now);
+            && known.announcement().incarnation() == announcement.incarnation();
+    if (announcement.leaving() || !wasLeaving) {
+      if (announcement.leaving()) {
+        leavingSince.put(announcement.id(), now);
       }
-      return said;
+      return announcement;
     }
-    Instant since = leavingSince.getOrDefault(said.id(), Instant.MIN);
-    return now.isBefore(since.plus(silence())) ? UpstreamTable.asLeaving(said) : said;
+    Instant since = leavingSince.getOrDefault(announcement.id(), Instant.MIN);
+    return now.isBefore(since.plus(heartbeatTimeout()))
+        ? UpstreamTable.asLeaving(announcement)
+        : announcement;
   }
 
   /** Returns whether another daemon that is well owns the upstream, so that it is to be told. */
-  private boolean isLeftToOwner(UpstreamRecord known) {
+  private boolean isForwardedToOwner(UpstreamRecord known) {
     String owner = known.owner();
     if (owner.equals(self()) || isOrphan(known) || members.isSuspected(owner)) {
       return false;
     }
-    return forwarded.merge(known.id(), 1, Integer::sum) <= FORWARDS_BEFORE_TAKEOVER;
+    return forwardCounts.merge(known.id(), 1, Integer::sum) <= MAX_FORWARDS_BEFORE_TAKEOVER;
   }
 
   /** Two processes can't listen at one address, so the newer ends the record of the older. */
-  private void retireFormerAt(Announcement said, Instant now, Output output) {
-    UpstreamRecord former = table.atAddress(said.host(), said.port());
-    if (former != null && !former.id().equals(said.id())) {
-      long sequence = nextSequence(former, now);
-      change(former.announcement(), UpstreamState.GONE, sequence, now, output);
+  private void endFormerUpstreamAt(Announcement announcement, Instant now, Output output) {
+    UpstreamRecord previous = table.findByAddress(announcement.host(), announcement.port());
+    if (previous != null && !previous.id().equals(announcement.id())) {
+      long sequence = nextSequence(previous, now);
+      publishChange(previous.announcement(), UpstreamState.GONE, sequence, now, output);
     }
   }
 
@@ -276,52 +283,52 @@
   }
 
   /** Makes this daemon the owner of a new record. */
-  private void change(
-      Announcement said, UpstreamState state, long sequence, Instant now, Output output) {
-    Announcement kept = UpstreamTable.withLoad(said, said.load());
+  private void publishChange(
+      Announcement announcement, UpstreamState state, long sequence, Instant now, Output output) {
+    Announcement kept = UpstreamTable.withLoad(announcement, announcement.load());
     long incarnation = members.self().incarnation();
     UpstreamRecord record = new UpstreamRecord(kept, self(), incarnation, sequence, state);
     put(record, now, output);
-    spreader.add(record);
+    disseminator.add(record);
   }
 
   /** Takes a record from another daemon and returns whether it was news. */
   private boolean merge(UpstreamRecord record, Instant now, Output output) {
-    if (!isNews(record, table.get(record.id()))) {
+    if (!isNewInformation(record, table.get(record.id()))) {
       return false;
     }
-    UpstreamRecord former =
-        table.atAddress(record.announcement().host(), record.announcement().port());
+    UpstreamRecord previous =
+        table.findByAddress(record.announcement().host(), record.announcement().port());
     boolean live = record.state() == UpstreamState.LIVE;
-    if (live && former != null && !former.id().equals(record.id())) {
-      if (former.sequence() > record.sequence()) {
+    if (live && previous != null && !previous.id().equals(record.id())) {
+      if (previous.sequence() > record.sequence()) {
         return false;
       }
-      put(former.with(UpstreamState.GONE), now, output);
+      put(previous.with(UpstreamState.GONE), now, output);
     }
     if (!record.owner().equals(self())) {
-      silentAt.remove(record.id());
+      heartbeatDeadlines.remove(record.id());
     }
-    forwarded.remove(record.id());
+    forwardCounts.remove(record.id());
     put(record, now, output);
     if (live && isOrphan(record)) {
-      orphanedUntil.put(record.id(), now.plus(silence()));
+      orphanDeadlines.put(record.id(), now.plus(heartbeatTimeout()));
     }
     return true;
   }
 
-  private boolean isNews(UpstreamRecord record, @Nullable UpstreamRecord known) {
+  private boolean isNewInformation(UpstreamRecord record, @Nullable UpstreamRecord known) {
     if (known == null) {
       return record.state() == UpstreamState.LIVE;
     }
     // An upstream dropped here while its owner seemed dead has the same record at the owner.
-    boolean wronglyDropped =
+    boolean wronglyMarkedLost =
         known.state() == UpstreamState.LOST
             && known.sequence() == record.sequence()
             && known.owner().equals(record.owner())
             && record.state() == UpstreamState.LIVE
             && !isOrphan(record);
-    return wronglyDropped || record.isNewerThan(known);
+    return wronglyMarkedLost || record.isNewerThan(known);
   }
 
   /** Returns whether no running process that this daemon knows of hears the upstream. */
@@ -331,25 +338,26 @@
             .find(record.owner())
             .filter(owner -> owner.incarnation() == record.ownerIncarnation())
             .isPresent();
-    boolean mine = record.owner().equals(self());
-    return !ownerRuns || mine && !silentAt.containsKey(record.id());
+    boolean ownedHere = record.owner().equals(self());
+    return !ownerRuns || ownedHere && !heartbeatDeadlines.containsKey(record.id());
   }
 
   private void put(UpstreamRecord record, Instant now, Output output) {
     final UpstreamRecord known = table.get(record.id());
     table.put(record);
-    orphanedUntil.remove(record.id());
-    forgetAt.remove(record.id());
+    orphanDeadlines.remove(record.id());
+    removalTimes.remove(record.id());
     if (record.state() != UpstreamState.LIVE) {
-      silentAt.remove(record.id());
+      heartbeatDeadlines.remove(record.id());
       leavingSince.remove(record.id());
-      forwarded.remove(record.id());
-      forgetAt.put(record.id(), now.plus(settings.forgetAfter()));
+      forwardCounts.remove(record.id());
+      removalTimes.put(record.id(), now.plus(settings.upstreamRetention()));
     }
-    note(record, known, output);
+    logStateChange(record, known, output);
   }
 
-  private void note(UpstreamRecord record, @Nullable UpstreamRecord known, Output output) {
+  private void logStateChange(
+      UpstreamRecord record, @Nullable UpstreamRecord known, Output output) {
     String now = stateName(record);
     if (known == null || !stateName(known).equals(now)) {
       String sentence = record.id() + " is " + now + ", says " + record.owner();
@@ -363,21 +371,21 @@
     return leaving ? "leaving" : record.state().name().toLowerCase(Locale.ROOT);
   }
 
-  private void lose(String id, Instant now, Output output) {
+  private void markLost(String id, Instant now, Output output) {
     UpstreamRecord known = table.get(id);
     if (known != null && known.state() == UpstreamState.LIVE) {
       long sequence = nextSequence(known, now);
-      change(known.announcement(), UpstreamState.LOST, sequence, now, output);
+      publishChange(known.announcement(), UpstreamState.LOST, sequence, now, output);
     }
   }
 
-  private void loseOrphan(String id, Instant now, Output output) {
+  private void markOrphanLost(String id, Instant now, Output output) {
     UpstreamRecord known = table.get(id);
     if (known == null || known.state() != UpstreamState.LIVE || !isOrphan(known)) {
       return;
     }
     if (known.owner().equals(self())) {
-      lose(id, now, output);
+      markLost(id, now, output);
     } else {
       // Nobody can speak for it, so each daemon drops it by itself and any new record prevails.
       put(known.with(UpstreamState.LOST), now, output);
@@ -386,22 +394,22 @@
 
   private void memberChanged(MembershipEvent event, Instant now) {
     if (event instanceof MembershipEvent.MemberJoined joined) {
-      comparison.hurry();
-      orphan(joined.member().name(), now);
+      antiEntropy.accelerate();
+      startOrphanDeadlines(joined.member().name(), now);
     } else if (event instanceof MembershipEvent.MemberDied died) {
-      orphan(died.member().name(), now);
+      startOrphanDeadlines(died.member().name(), now);
     } else if (event instanceof MembershipEvent.MemberLeft left) {
-      orphan(left.member().name(), now);
+      startOrphanDeadlines(left.member().name(), now);
     }
   }
 
   /** Gives the upstreams of a daemon that hears them no more time to be heard by another. */
-  private void orphan(String owner, Instant now) {
-    Instant until = now.plus(silence()).plus(settings.announceEvery());
+  private void startOrphanDeadlines(String owner, Instant now) {
+    Instant until = now.plus(heartbeatTimeout()).plus(settings.announceInterval());
     for (UpstreamRecord record : table.all()) {
       boolean live = record.state() == UpstreamState.LIVE;
       if (live && record.owner().equals(owner) && isOrphan(record)) {
-        orphanedUntil.putIfAbsent(record.id(), until);
+        orphanDeadlines.putIfAbsent(record.id(), until);
       }
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Dissemination.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Dissemination.java
@@ -12,7 +12,7 @@
 /** News of members that still have to be passed on, each a bounded number of times. */
 final class Dissemination {
 
-  private static final int REPEAT_FACTOR = 3;
+  private static final int RETRANSMIT_FACTOR = 3;
 
   private final Map<String, Item> items = new LinkedHashMap<>();
   private final int updatesPerMessage;
@@ -37,7 +37,7 @@
    * @param members number of live members, by which the number of repeats grows
    */
   List<MemberUpdate> take(@Nullable String first, int members) {
-    int repeats = REPEAT_FACTOR * (Long.SIZE - Long.numberOfLeadingZeros(members));
+    int maxTransmissions = RETRANSMIT_FACTOR * (Long.SIZE - Long.numberOfLeadingZeros(members));
     List<Item> chosen =
         items.values().stream()
             .sorted(Comparator.comparingInt((Item item) -> item.rank(first)))
@@ -47,8 +47,8 @@
     Set<String> finished = new TreeSet<>();
     for (Item item : chosen) {
       updates.add(item.update);
-      item.told++;
-      if (item.told >= repeats) {
+      item.transmissions++;
+      if (item.transmissions >= maxTransmissions) {
         finished.add(item.update.name());
       }
     }
@@ -58,14 +58,14 @@
 
   private static final class Item {
     private final MemberUpdate update;
-    private int told;
+    private int transmissions;
 
     private Item(MemberUpdate update) {
       this.update = update;
     }
 
     private int rank(@Nullable String first) {
-      return update.name().equals(first) ? -1 : told;
+      return update.name().equals(first) ? -1 : transmissions;
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/EntryList.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/EntryList.java
@@ -16,7 +16,7 @@
   private final ConfigurationView configuration;
   private final EntryListSettings settings;
   private boolean stopping;
-  private @Nullable Instant offListSince;
+  private @Nullable Instant delistedSince;
 
   /**
    * Makes a list.
@@ -37,11 +37,11 @@
       stopping = true;
     }
     if (event instanceof LifecycleEvent.Tick || event instanceof LifecycleEvent.StopRequested) {
-      boolean off = stopping || isDrained(members.self());
-      if (!off) {
-        offListSince = null;
-      } else if (offListSince == null) {
-        offListSince = now;
+      boolean delisted = stopping || isDrained(members.self());
+      if (!delisted) {
+        delistedSince = null;
+      } else if (delistedSince == null) {
+        delistedSince = now;
       }
     }
   }
@@ -49,10 +49,10 @@
   @Override
   public EntryPage entries(Instant now) {
     List<Member> listed = members.live().stream().filter(member -> isListed(member, now)).toList();
-    List<Member> sound =
+    List<Member> unsuspected =
         listed.stream().filter(member -> !members.isSuspected(member.name())).toList();
     // If most others look dead, this daemon rather than they may be cut off: name them all then.
-    List<Member> chosen = sound.size() * 2 >= listed.size() ? sound : listed;
+    List<Member> chosen = unsuspected.size() * 2 >= listed.size() ? unsuspected : listed;
     List<Entry> entries = chosen.stream().map(EntryList::entry).toList();
     return new EntryPage(entries, settings.lifetime().toMillis());
   }
@@ -62,17 +62,17 @@
     if (!configuration.mayServe(now) || members.isSuperseded()) {
       return false;
     }
-    return offListSince == null || now.isBefore(refusesFrom(offListSince));
+    return delistedSince == null || now.isBefore(refusalStart(delistedSince));
   }
 
-  private Instant refusesFrom(Instant since) {
+  private Instant refusalStart(Instant since) {
     // Another entry may name this one until it hears of the change, and a caller keeps that list
     // for its lifetime; refusing earlier would turn away callers who did as they were told.
-    return since.plus(settings.spreadMargin()).plus(settings.lifetime());
+    return since.plus(settings.propagationMargin()).plus(settings.lifetime());
   }
 
   private boolean isListed(Member member, Instant now) {
-    if (!member.has(Member.ENTRY) || isDrained(member)) {
+    if (!member.hasRole(Member.ENTRY) || isDrained(member)) {
       return false;
     }
     if (member.name().equals(members.self().name())) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/EntryListSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/EntryListSettings.java
@@ -6,9 +6,9 @@
  * How long callers keep the list of entries.
  *
  * @param lifetime how long a caller may use a list
- * @param spreadMargin time until each entry's list shows a change, and for clocks and delays
+ * @param propagationMargin time until each entry's list shows a change, and for clocks and delays
  */
-public record EntryListSettings(Duration lifetime, Duration spreadMargin) {
+public record EntryListSettings(Duration lifetime, Duration propagationMargin) {
 
   /** Settings for everyday use. */
   public static final EntryListSettings DEFAULT =
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/FailureDetector.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/FailureDetector.java
@@ -44,7 +44,7 @@
 
     void ping(String node, long sequence);
 
-    void askToPing(String helper, String target, long sequence);
+    void requestPing(String helper, String target, long sequence);
 
     void ack(String node, long sequence);
 
@@ -53,24 +53,24 @@
 
   /** Starts what is due and returns the daemons whose probes failed for good. */
   List<String> tick(Instant now) {
-    List<String> silent = new ArrayList<>();
+    List<String> unresponsive = new ArrayList<>();
     for (Iterator<Probe> it = probes.values().iterator(); it.hasNext(); ) {
       Probe probe = it.next();
       if (probe.origin != null) {
-        dropIfLate(probe, it, now);
-      } else if (!now.isBefore(probe.start.plus(health.stretch(settings.probeDeadline())))) {
+        expireRelayedProbe(probe, it, now);
+      } else if (!now.isBefore(probe.start.plus(health.scale(settings.probeDeadline())))) {
         it.remove();
-        failed(probe, silent);
+        recordFailure(probe, unresponsive);
       } else if (!probe.indirect
-          && !now.isBefore(probe.start.plus(health.stretch(settings.probeTimeout())))) {
+          && !now.isBefore(probe.start.plus(health.scale(settings.probeTimeout())))) {
         probeIndirectly(probe);
       }
     }
     if (!now.isBefore(nextProbe)) {
-      nextProbe = now.plus(health.stretch(settings.probeEvery()));
+      nextProbe = now.plus(health.scale(settings.probeInterval()));
       probeNext(now);
     }
-    return silent;
+    return unresponsive;
   }
 
   /** Probes a daemon out of turn, such as one held dead; its silence has no consequence. */
@@ -78,11 +78,11 @@
     messenger.ping(node, ++lastSequence);
   }
 
-  void relay(String origin, long originSequence, String target, Instant now) {
+  void relayProbe(String origin, long originSequence, String target, Instant now) {
     start(new Probe(++lastSequence, target, now, origin, originSequence));
   }
 
-  void acked(long sequence) {
+  void onAck(long sequence) {
     Probe probe = probes.remove(sequence);
     if (probe == null) {
       return;
@@ -90,39 +90,39 @@
     if (probe.origin != null) {
       messenger.ack(probe.origin, probe.originSequence);
     } else {
-      health.better();
+      health.improve();
     }
   }
 
-  void nacked(long sequence) {
+  void onNack(long sequence) {
     Probe probe = probes.get(sequence);
     if (probe != null && probe.origin == null) {
-      probe.nacksMissing--;
+      probe.missingNacks--;
     }
   }
 
-  private void dropIfLate(Probe probe, Iterator<Probe> it, Instant now) {
+  private void expireRelayedProbe(Probe probe, Iterator<Probe> it, Instant now) {
     if (!now.isBefore(probe.start.plus(settings.probeTimeout()))) {
       it.remove();
       messenger.nack(String.valueOf(probe.origin), probe.originSequence);
     }
   }
 
-  private void failed(Probe probe, List<String> silent) {
+  private void recordFailure(Probe probe, List<String> unresponsive) {
     // A helper that neither reached the target nor said so is a sign that this daemon is cut off.
-    health.worse(probe.helpers == 0 ? 1 : Math.max(0, probe.nacksMissing));
-    silent.add(probe.target);
+    health.degrade(probe.helperCount == 0 ? 1 : Math.max(0, probe.missingNacks));
+    unresponsive.add(probe.target);
   }
 
   private void probeIndirectly(Probe probe) {
     probe.indirect = true;
-    List<String> helpers = new ArrayList<>(table.contacts(self));
+    List<String> helpers = new ArrayList<>(table.peers(self));
     helpers.remove(probe.target);
     Shuffle.inPlace(helpers, random);
     for (String helper : helpers.subList(0, Math.min(settings.indirectProbes(), helpers.size()))) {
-      probe.helpers++;
-      probe.nacksMissing++;
-      messenger.askToPing(helper, probe.target, probe.sequence);
+      probe.helperCount++;
+      probe.missingNacks++;
+      messenger.requestPing(helper, probe.target, probe.sequence);
     }
     // The first ping may have been lost alone.
     messenger.ping(probe.target, probe.sequence);
@@ -130,9 +130,9 @@
 
   private void probeNext(Instant now) {
     if (position >= round.size()) {
-      List<String> next = new ArrayList<>(table.contacts(self));
-      Shuffle.inPlace(next, random);
-      round = next;
+      List<String> nextRound = new ArrayList<>(table.peers(self));
+      Shuffle.inPlace(nextRound, random);
+      round = nextRound;
       position = 0;
     }
     while (position < round.size()) {
@@ -161,8 +161,8 @@
     private final @Nullable String origin;
     private final long originSequence;
     private boolean indirect;
-    private int helpers;
-    private int nacksMissing;
+    private int helperCount;
+    private int missingNacks;
 
     private Probe(
         long sequence, String target, Instant start, @Nullable String origin, long originSequence) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/LoadFeed.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/LoadSubscriptions.java
@@ -19,43 +19,43 @@
 import org.skylarkfork.core.upstream.UpstreamState;
 
 /** Sends loads of this daemon's upstreams to the daemons that use them, and asks for others'. */
-final class LoadFeed {
+final class LoadSubscriptions {
 
-  private static final Duration RENEW = Duration.ofSeconds(20);
-  private static final Duration LOOK = Duration.ofSeconds(1);
-  private static final Duration EXPIRY = Duration.ofSeconds(60);
+  private static final Duration SUBSCRIPTION_RENEWAL_INTERVAL = Duration.ofSeconds(20);
+  private static final Duration SUBSCRIPTION_CHECK_INTERVAL = Duration.ofSeconds(1);
+  private static final Duration SUBSCRIPTION_LIFETIME = Duration.ofSeconds(60);
 
   /** About what one load takes in a message, in bytes. */
   private static final int LOAD_BYTES = 110;
 
   /** Smaller changes of the prefix cache's use are not worth a message. */
-  private static final double CACHE_STEP = 0.1;
+  private static final double MIN_CACHE_CHANGE = 0.1;
 
   private final Members members;
   private final DirectorySettings settings;
   private final UpstreamTable table;
-  private final Map<String, Follower> followers = new TreeMap<>();
-  private Map<String, Set<String>> followed = Map.of();
-  private Instant nextLook = Instant.MIN;
+  private final Map<String, Subscriber> subscribers = new TreeMap<>();
+  private Map<String, Set<String>> subscriptions = Map.of();
+  private Instant nextCheck = Instant.MIN;
   private Instant nextRenewal = Instant.MIN;
 
-  LoadFeed(Members members, DirectorySettings settings, UpstreamTable table) {
+  LoadSubscriptions(Members members, DirectorySettings settings, UpstreamTable table) {
     this.members = members;
     this.settings = settings;
     this.table = table;
   }
 
-  void follow(String node, DirectoryMessage.FollowLoads wish, Instant now) {
-    Follower known = followers.get(node);
-    Follower follower = new Follower(wish, now.plus(EXPIRY));
+  void onSubscription(String node, DirectoryMessage.FollowLoads request, Instant now) {
+    Subscriber known = subscribers.get(node);
+    Subscriber subscriber = new Subscriber(request, now.plus(SUBSCRIPTION_LIFETIME));
     if (known != null) {
-      follower.sent.putAll(known.sent);
-      follower.sent.keySet().retainAll(wish.ids());
+      subscriber.sent.putAll(known.sent);
+      subscriber.sent.keySet().retainAll(request.ids());
     }
-    followers.put(node, follower);
+    subscribers.put(node, subscriber);
   }
 
-  void loads(DirectoryMessage.Loads loads) {
+  void onLoads(DirectoryMessage.Loads loads) {
     for (DirectoryMessage.UpstreamLoad load : loads.loads()) {
       UpstreamRecord known = table.get(load.id());
       if (known != null && known.announcement().incarnation() == load.incarnation()) {
@@ -65,26 +65,26 @@
   }
 
   void tick(Instant now, Output output) {
-    if (!now.isBefore(nextLook)) {
-      nextLook = now.plus(LOOK);
-      askOwners(now, output);
+    if (!now.isBefore(nextCheck)) {
+      nextCheck = now.plus(SUBSCRIPTION_CHECK_INTERVAL);
+      subscribeToOwners(now, output);
     }
-    for (Iterator<Map.Entry<String, Follower>> it = followers.entrySet().iterator();
+    for (Iterator<Map.Entry<String, Subscriber>> it = subscribers.entrySet().iterator();
         it.hasNext(); ) {
-      Map.Entry<String, Follower> entry = it.next();
-      Follower follower = entry.getValue();
-      if (!now.isBefore(follower.expiry)) {
+      Map.Entry<String, Subscriber> entry = it.next();
+      Subscriber subscriber = entry.getValue();
+      if (!now.isBefore(subscriber.expiry)) {
         it.remove();
-      } else if (!now.isBefore(follower.nextReport)) {
-        report(entry.getKey(), follower, now, output);
+      } else if (!now.isBefore(subscriber.nextReport)) {
+        report(entry.getKey(), subscriber, now, output);
       }
     }
   }
 
-  private void askOwners(Instant now, Output output) {
+  private void subscribeToOwners(Instant now, Output output) {
     Map<String, Set<String>> byOwner = new TreeMap<>();
     int count = 0;
-    for (String id : table.used()) {
+    for (String id : table.usedIds()) {
       UpstreamRecord record = table.get(id);
       if (record != null && !record.owner().equals(members.self().name())) {
         byOwner.computeIfAbsent(record.owner(), owner -> new TreeSet<>()).add(id);
@@ -92,31 +92,31 @@
       }
     }
     boolean renew = !now.isBefore(nextRenewal);
-    long affordable = 1000L * LOAD_BYTES * count / settings.loadBytesPerSecond();
-    long every = Math.max(settings.loadEvery().toMillis(), affordable);
+    long sustainableMillis = 1000L * LOAD_BYTES * count / settings.maxLoadBytesPerSecond();
+    long intervalMillis = Math.max(settings.loadReportInterval().toMillis(), sustainableMillis);
     for (Map.Entry<String, Set<String>> entry : byOwner.entrySet()) {
-      if (renew || !entry.getValue().equals(followed.get(entry.getKey()))) {
+      if (renew || !entry.getValue().equals(subscriptions.get(entry.getKey()))) {
         List<String> ids = List.copyOf(entry.getValue());
-        send(entry.getKey(), new DirectoryMessage.FollowLoads(ids, every), output);
+        send(entry.getKey(), new DirectoryMessage.FollowLoads(ids, intervalMillis), output);
       }
     }
-    followed = byOwner;
+    subscriptions = byOwner;
     if (renew) {
-      nextRenewal = now.plus(RENEW);
+      nextRenewal = now.plus(SUBSCRIPTION_RENEWAL_INTERVAL);
     }
   }
 
-  private void report(String node, Follower follower, Instant now, Output output) {
-    follower.nextReport = now.plusMillis(follower.wish.everyMillis());
+  private void report(String node, Subscriber subscriber, Instant now, Output output) {
+    subscriber.nextReport = now.plusMillis(subscriber.request.everyMillis());
     List<DirectoryMessage.UpstreamLoad> loads = new ArrayList<>();
-    for (String id : follower.wish.ids()) {
+    for (String id : subscriber.request.ids()) {
       UpstreamRecord record = table.get(id);
-      boolean mine = record != null && record.owner().equals(members.self().name());
-      if (!mine || record.state() != UpstreamState.LIVE) {
+      boolean ownedHere = record != null && record.owner().equals(members.self().name());
+      if (!ownedHere || record.state() != UpstreamState.LIVE) {
         continue;
       }
       LoadReport load = record.announcement().load();
-      if (isNews(load, follower.sent.put(id, load))) {
+      if (isSignificantChange(load, subscriber.sent.put(id, load))) {
         long incarnation = record.announcement().incarnation();
         loads.add(new DirectoryMessage.UpstreamLoad(id, incarnation, load));
       }
@@ -126,25 +126,25 @@
     }
   }
 
-  private static boolean isNews(LoadReport load, @Nullable LoadReport sent) {
+  private static boolean isSignificantChange(LoadReport load, @Nullable LoadReport sent) {
     return sent == null
         || load.running() != sent.running()
         || load.queued() != sent.queued()
-        || Math.abs(load.cacheUsed() - sent.cacheUsed()) >= CACHE_STEP;
+        || Math.abs(load.cacheUsed() - sent.cacheUsed()) >= MIN_CACHE_CHANGE;
   }
 
   private static void send(String node, DirectoryMessage message, Output output) {
     output.effect(new PeerEffect.SendToPeer(node, message));
   }
 
-  private static final class Follower {
-    private final DirectoryMessage.FollowLoads wish;
+  private static final class Subscriber {
+    private final DirectoryMessage.FollowLoads request;
     private final Instant expiry;
     private final Map<String, LoadReport> sent = new HashMap<>();
     private Instant nextReport = Instant.MIN;
 
-    private Follower(DirectoryMessage.FollowLoads wish, Instant expiry) {
-      this.wish = wish;
+    private Subscriber(DirectoryMessage.FollowLoads request, Instant expiry) {
+      this.request = request;
       this.expiry = expiry;
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/LocalHealth.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/LocalHealth.java
@@ -11,16 +11,16 @@
  */
 final class LocalHealth {
 
-  private static final int WORST = 8;
+  private static final int MAX_SCORE = 8;
 
   private int score;
 
   /** Adds to the score; 0 is the best. */
-  void worse(int by) {
-    score = Math.min(WORST, score + by);
+  void degrade(int by) {
+    score = Math.min(MAX_SCORE, score + by);
   }
 
-  void better() {
+  void improve() {
     score = Math.max(0, score - 1);
   }
 
@@ -28,7 +28,7 @@
     return score;
   }
 
-  Duration stretch(Duration normal) {
+  Duration scale(Duration normal) {
     return normal.multipliedBy(score + 1L);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Member.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Member.java
@@ -44,7 +44,7 @@
   }
 
   /** Returns whether the daemon has a role. */
-  public boolean has(String role) {
+  public boolean hasRole(String role) {
     return roles.contains(role);
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MemberTable.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MemberTable.java
@@ -12,11 +12,11 @@
 final class MemberTable {
 
   /** Successors on the ring that a daemon always watches. */
-  private static final int SUCCESSORS = 4;
+  private static final int SUCCESSOR_COUNT = 4;
 
   private final TreeMap<String, MemberUpdate> known = new TreeMap<>();
   private List<Member> live = List.of();
-  private @Nullable List<String> contacts;
+  private @Nullable List<String> peers;
 
   @Nullable MemberUpdate get(String name) {
     return known.get(name);
@@ -53,11 +53,11 @@
    * watched by as many as it watches, in all zones; news reach all in about as many hops as the
    * binary logarithm; and connections, with their costly TLS handshakes, last.
    */
-  List<String> contacts(String self) {
-    if (contacts == null) {
-      contacts = ringContacts(self);
+  List<String> peers(String self) {
+    if (peers == null) {
+      peers = ringPeers(self);
     }
-    return contacts;
+    return peers;
   }
 
   /** Returns a hash over live members; equal tables have equal hashes. */
@@ -71,7 +71,7 @@
   }
 
   private void changed() {
-    contacts = null;
+    peers = null;
     live =
         known.values().stream()
             .filter(update -> update.status().isLive())
@@ -79,16 +79,16 @@
             .toList();
   }
 
-  private List<String> ringContacts(String self) {
+  private List<String> ringPeers(String self) {
     Comparator<String> order = Comparator.comparingLong(Hashes::of);
     List<String> ring =
         live.stream().map(Member::name).sorted(order.thenComparing(name -> name)).toList();
-    int here = ring.indexOf(self);
+    int selfIndex = ring.indexOf(self);
     List<String> result = new ArrayList<>();
     int offset = 1;
-    while (here >= 0 && offset < ring.size()) {
-      result.add(ring.get((here + offset) % ring.size()));
-      offset = offset < SUCCESSORS ? offset + 1 : offset * 2;
+    while (selfIndex >= 0 && offset < ring.size()) {
+      result.add(ring.get((selfIndex + offset) % ring.size()));
+      offset = offset < SUCCESSOR_COUNT ? offset + 1 : offset * 2;
     }
     return List.copyOf(result);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MemberUpdate.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MemberUpdate.java
@@ -15,7 +15,7 @@
   }
 
   /** Returns whether this prevails over what is known of the same daemon. */
-  public boolean prevailsOver(MemberUpdate known) {
+  public boolean overrides(MemberUpdate known) {
     if (member.incarnation() != known.member.incarnation()) {
       return member.incarnation() > known.member.incarnation();
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipNotices.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipEventPublisher.java
@@ -7,9 +7,9 @@
 import org.skylarkfork.core.event.MembershipEvent;
 
 /** Tells the other parts, the log and the metrics what changed. */
-final class MembershipNotices {
+final class MembershipEventPublisher {
 
-  private MembershipNotices() {}
+  private MembershipEventPublisher() {}
 
   /** Raises the events of an update that has just prevailed over what was known. */
   static void raise(MemberUpdate update, @Nullable MemberUpdate known, Output out) {
@@ -46,8 +46,8 @@
     out.effect(new TraceEffect.Count("membership_changes", label, 1));
   }
 
-  static void log(Member member, String what, boolean warning, Output out) {
-    String sentence = member.name() + " at " + member.address() + " " + what;
+  static void log(Member member, String change, boolean warning, Output out) {
+    String sentence = member.name() + " at " + member.address() + " " + change;
     out.effect(new TraceEffect.LogLine(warning, "membership", sentence));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipPart.java
@@ -31,8 +31,8 @@
  */
 public final class MembershipPart implements Part, Members {
 
-  private static final int PAGE = 64;
-  private static final int JOIN_TARGETS = 3;
+  private static final int FULL_STATE_PAGE_SIZE = 64;
+  private static final int MAX_JOIN_TARGETS = 3;
 
   private final ConfigurationView configuration;
   private final List<Seed> seeds;
@@ -40,18 +40,18 @@
   private final UniformRandomProvider random;
   private final MemberTable table = new MemberTable();
   private final LocalHealth health = new LocalHealth();
-  private final Dissemination news;
+  private final Dissemination dissemination;
   private final FailureDetector detector;
   private final Map<String, Suspicion> suspicions = new TreeMap<>();
-  private final Map<String, Instant> forgetAt = new TreeMap<>();
-  private final Map<String, Long> warnedOf = new TreeMap<>();
+  private final Map<String, Instant> removalTimes = new TreeMap<>();
+  private final Map<String, Long> warnedIncarnations = new TreeMap<>();
   private Member self;
   private boolean superseded;
   private boolean left;
   private Instant nextGossip = Instant.MIN;
   private Instant nextSync = Instant.MIN;
   private Instant nextJoin = Instant.MIN;
-  private Output out = new Discard();
+  private Output out = new DiscardingOutput();
 
   /**
    * Makes a part that knows only itself.
@@ -74,7 +74,7 @@
     this.configuration = configuration;
     this.settings = settings;
     random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-    news = new Dissemination(settings.updatesPerMessage());
+    dissemination = new Dissemination(settings.updatesPerMessage());
     detector =
         new FailureDetector(self.name(), settings, table, health, random, new PeerMessenger());
     table.put(alive(self));
@@ -84,12 +84,12 @@
   public void apply(Event event, Instant now, Output output) {
     out = output;
     if (event instanceof LifecycleEvent lifecycle) {
-      lifecycle(lifecycle, now);
+      onLifecycleEvent(lifecycle, now);
     } else if (event instanceof PeerEvent.MessageReceived received
         && received.message() instanceof MembershipMessage message) {
-      received(received.node(), message, now);
+      onMessage(received.node(), message, now);
     }
-    out = new Discard();
+    out = new DiscardingOutput();
   }
 
   @Override
@@ -125,32 +125,32 @@
     return superseded;
   }
 
-  private void lifecycle(LifecycleEvent event, Instant now) {
+  private void onLifecycleEvent(LifecycleEvent event, Instant now) {
     if (event instanceof LifecycleEvent.Started) {
-      seeds.forEach(seed -> learn(seed.node(), seed.host(), seed.port()));
+      seeds.forEach(seed -> registerPeer(seed.node(), seed.host(), seed.port()));
       join(now);
     } else if (event instanceof LifecycleEvent.Tick && !left) {
       tick(now);
     } else if (event instanceof LifecycleEvent.StopRequested) {
-      renew(ServingState.LEAVING);
-      tellContacts();
+      publishRevision(ServingState.LEAVING);
+      gossipToAllPeers();
     } else if (event instanceof LifecycleEvent.Ending) {
       leave();
     }
   }
 
   private void tick(Instant now) {
-    followLease(now);
+    updateServingState(now);
     if (!superseded) {
       detector.tick(now).forEach(node -> suspect(node, self.name(), now));
-      if (!news.isEmpty() && !now.isBefore(nextGossip)) {
-        nextGossip = now.plus(settings.gossipEvery());
+      if (!dissemination.isEmpty() && !now.isBefore(nextGossip)) {
+        nextGossip = now.plus(settings.gossipInterval());
         gossip();
       }
     }
     if (!now.isBefore(nextSync)) {
-      nextSync = now.plus(settings.syncEvery());
-      randomContacts(1)
+      nextSync = now.plus(settings.syncInterval());
+      randomPeers(1)
           .forEach(
               node ->
                   send(node, new MembershipMessage.StateHash(self.incarnation(), table.hash())));
@@ -158,24 +158,24 @@
     if (!now.isBefore(nextJoin)) {
       join(now);
     }
-    endSuspicions(now);
-    forgetDead(now);
+    expireSuspicions(now);
+    removeExpired(now);
   }
 
-  private void followLease(Instant now) {
+  private void updateServingState(Instant now) {
     if (self.serving() == ServingState.LEAVING) {
       return;
     }
     boolean serves = configuration.mayServe(now);
     ServingState state = serves ? ServingState.SERVING : ServingState.NOT_SERVING;
     if (self.serving() != state) {
-      renew(state);
+      publishRevision(state);
     }
   }
 
   /** Speaks to seeds and to daemons held dead, so that separated groups find each other again. */
   private void join(Instant now) {
-    nextJoin = now.plus(settings.joinEvery());
+    nextJoin = now.plus(settings.joinInterval());
     List<String> missing = new ArrayList<>();
     for (Seed seed : seeds) {
       if (!table.isLive(seed.node())) {
@@ -183,7 +183,7 @@
       }
     }
     Shuffle.inPlace(missing, random);
-    for (String seed : missing.subList(0, Math.min(JOIN_TARGETS, missing.size()))) {
+    for (String seed : missing.subList(0, Math.min(MAX_JOIN_TARGETS, missing.size()))) {
       send(seed, new MembershipMessage.FullState(self.incarnation(), List.of(alive(self)), true));
     }
     List<String> dead = new ArrayList<>();
@@ -194,26 +194,26 @@
     }
     if (!dead.isEmpty()) {
       String target = dead.get(random.nextInt(dead.size()));
-      news.add(update(target));
+      dissemination.add(requireKnown(target));
       detector.probeOnce(target);
     }
   }
 
-  private void received(String node, MembershipMessage message, Instant now) {
-    if (isOfReplacedProcess(node, message)) {
+  private void onMessage(String node, MembershipMessage message, Instant now) {
+    if (isFromReplacedProcess(node, message)) {
       return;
     }
     if (message instanceof MembershipMessage.Ping ping) {
       merge(ping.updates(), now);
       send(node, new MembershipMessage.Ack(self.incarnation(), ping.sequence(), take(node)));
-      askUnknown(node);
+      exchangeStateIfUnknown(node);
     } else if (message instanceof MembershipMessage.Ack ack) {
       merge(ack.updates(), now);
-      detector.acked(ack.sequence());
+      detector.onAck(ack.sequence());
     } else if (message instanceof MembershipMessage.Nack nack) {
-      detector.nacked(nack.sequence());
+      detector.onNack(nack.sequence());
     } else if (message instanceof MembershipMessage.PingRequest request) {
-      detector.relay(node, request.sequence(), request.target(), now);
+      detector.relayProbe(node, request.sequence(), request.target(), now);
     } else if (message instanceof MembershipMessage.Gossip gossip) {
       merge(gossip.updates(), now);
     } else if (message instanceof MembershipMessage.StateHash state) {
@@ -234,22 +234,23 @@
    * <p>Answers to the old process go to the newer one's address. So it sees all others silent and
    * would spread their deaths; without its messages it only loses its lease and refuses new work.
    */
-  private boolean isOfReplacedProcess(String node, MembershipMessage message) {
+  private boolean isFromReplacedProcess(String node, MembershipMessage message) {
     MemberUpdate known = table.get(node);
     if (known == null || message.incarnation() >= known.member().incarnation()) {
       return false;
     }
     // If it is the newer process and its clock was set back, it takes a higher number on this news.
-    news.add(known);
+    dissemination.add(known);
     out.effect(new TraceEffect.Count("membership_replaced_senders", "", 1));
-    if (!Long.valueOf(message.incarnation()).equals(warnedOf.put(node, message.incarnation()))) {
+    if (!Long.valueOf(message.incarnation())
+        .equals(warnedIncarnations.put(node, message.incarnation()))) {
       String what = "has replaced a process that still runs; stop the older one";
-      MembershipNotices.log(known.member(), what, true, out);
+      MembershipEventPublisher.log(known.member(), what, true, out);
     }
     return true;
   }
 
-  private void askUnknown(String node) {
+  private void exchangeStateIfUnknown(String node) {
     if (!table.isLive(node) && !left) {
       // It holds this daemon to be there while it was forgotten or is held dead here.
       sendFullState(node, true);
@@ -258,8 +259,8 @@
 
   private void sendFullState(String node, boolean wantAnswer) {
     List<MemberUpdate> all = List.copyOf(table.all());
-    for (int from = 0; from < all.size(); from += PAGE) {
-      int to = Math.min(from + PAGE, all.size());
+    for (int from = 0; from < all.size(); from += FULL_STATE_PAGE_SIZE) {
+      int to = Math.min(from + FULL_STATE_PAGE_SIZE, all.size());
       boolean last = to == all.size();
       send(
           node,
@@ -283,23 +284,23 @@
     if (known == null && !update.status().isLive()) {
       return;
     }
-    if (known != null && !update.prevailsOver(known)) {
+    if (known != null && !update.overrides(known)) {
       confirm(update, known);
       return;
     }
     table.put(update);
-    news.add(update);
-    followAddress(update.member(), known);
+    dissemination.add(update);
+    registerAddress(update.member(), known);
     suspicions.remove(update.name());
-    forgetAt.remove(update.name());
+    removalTimes.remove(update.name());
     if (update.status() == MemberStatus.SUSPECTED) {
       suspicions.put(update.name(), new Suspicion(settings, now, update.accuser()));
     } else if (!update.status().isLive()) {
-      forgetAt.put(update.name(), now.plus(settings.forgetAfter()));
+      removalTimes.put(update.name(), now.plus(settings.memberRetention()));
     }
-    MembershipNotices.raise(update, known, out);
+    MembershipEventPublisher.raise(update, known, out);
     if (update.status() == MemberStatus.LEFT) {
-      forgetPeer(update.name());
+      unregisterPeer(update.name());
     }
   }
 
@@ -307,49 +308,49 @@
     Suspicion suspicion = suspicions.get(update.name());
     boolean same = update.status() == known.status() && update.member().equals(known.member());
     if (suspicion != null && same && suspicion.confirm(update.accuser())) {
-      news.add(update);
+      dissemination.add(update);
     }
   }
 
-  private void followAddress(Member member, @Nullable MemberUpdate known) {
+  private void registerAddress(Member member, @Nullable MemberUpdate known) {
     if (known == null || !known.status().isLive() || !known.member().sameAddress(member)) {
-      learn(member.name(), member.host(), member.framePort());
+      registerPeer(member.name(), member.host(), member.framePort());
     }
   }
 
   private void mergeSelf(MemberUpdate update) {
-    Member said = update.member();
-    if (left || said.incarnation() < self.incarnation()) {
+    Member reported = update.member();
+    if (left || reported.incarnation() < self.incarnation()) {
       return;
     }
     boolean ended = !update.status().isLive();
-    if (said.incarnation() > self.incarnation()) {
-      if (ended || said.sameAddress(self)) {
+    if (reported.incarnation() > self.incarnation()) {
+      if (ended || reported.sameAddress(self)) {
         // An earlier process of this daemon had the higher number, since the clock was set back.
-        renumber(said.incarnation() + 1);
+        raiseIncarnation(reported.incarnation() + 1);
       } else {
-        supersede(said);
+        markSuperseded(reported);
       }
-    } else if (!said.sameAddress(self) && !ended) {
-      if (said.address().compareTo(self.address()) > 0) {
-        supersede(said);
+    } else if (!reported.sameAddress(self) && !ended) {
+      if (reported.address().compareTo(self.address()) > 0) {
+        markSuperseded(reported);
       }
-    } else if (update.status() != MemberStatus.ALIVE && said.revision() >= self.revision()) {
+    } else if (update.status() != MemberStatus.ALIVE && reported.revision() >= self.revision()) {
       superseded = false;
-      health.worse(1);
+      health.degrade(1);
       out.effect(new TraceEffect.Count("membership_refutations", "", 1));
-      self = self.with(self.incarnation(), said.revision(), self.serving());
-      renew(self.serving());
+      self = self.with(self.incarnation(), reported.revision(), self.serving());
+      publishRevision(self.serving());
     }
   }
 
-  private void renumber(long incarnation) {
+  private void raiseIncarnation(long incarnation) {
     superseded = false;
     self = self.with(incarnation, 0, self.serving());
-    renew(self.serving());
+    publishRevision(self.serving());
   }
 
-  private void supersede(Member other) {
+  private void markSuperseded(Member other) {
     if (!superseded) {
       superseded = true;
       String sentence =
@@ -367,7 +368,7 @@
     }
   }
 
-  private void endSuspicions(Instant now) {
+  private void expireSuspicions(Instant now) {
     List<String> due = new ArrayList<>();
     suspicions.forEach(
         (node, suspicion) -> {
@@ -376,48 +377,49 @@
           }
         });
     for (String node : due) {
-      MemberUpdate known = update(node);
+      MemberUpdate known = requireKnown(node);
       merge(List.of(new MemberUpdate(known.member(), MemberStatus.DEAD, known.accuser())), now);
     }
   }
 
-  private void forgetDead(Instant now) {
-    for (Iterator<Map.Entry<String, Instant>> it = forgetAt.entrySet().iterator(); it.hasNext(); ) {
+  private void removeExpired(Instant now) {
+    for (Iterator<Map.Entry<String, Instant>> it = removalTimes.entrySet().iterator();
+        it.hasNext(); ) {
       Map.Entry<String, Instant> entry = it.next();
       if (!now.isBefore(entry.getValue())) {
         it.remove();
         table.remove(entry.getKey());
-        warnedOf.remove(entry.getKey());
-        forgetPeer(entry.getKey());
+        warnedIncarnations.remove(entry.getKey());
+        unregisterPeer(entry.getKey());
       }
     }
   }
 
   /** Gives this daemon a new revision and tells the others of it. */
-  private void renew(ServingState state) {
+  private void publishRevision(ServingState state) {
     self = self.with(self.incarnation(), self.revision() + 1, state);
     table.put(alive(self));
-    news.add(alive(self));
+    dissemination.add(alive(self));
     out.raise(new MembershipEvent.MemberChanged(self));
   }
 
   private void leave() {
     left = true;
     MemberUpdate update = new MemberUpdate(self, MemberStatus.LEFT, "");
-    news.add(update);
-    tellContacts();
+    dissemination.add(update);
+    gossipToAllPeers();
   }
 
-  private void tellContacts() {
+  private void gossipToAllPeers() {
     if (!superseded) {
-      for (String node : table.contacts(self.name())) {
+      for (String node : table.peers(self.name())) {
         send(node, new MembershipMessage.Gossip(self.incarnation(), take(self.name())));
       }
     }
   }
 
   private void gossip() {
-    for (String node : randomContacts(settings.gossipFanout())) {
+    for (String node : randomPeers(settings.gossipFanout())) {
       List<MemberUpdate> updates = take(node);
       if (!updates.isEmpty()) {
         send(node, new MembershipMessage.Gossip(self.incarnation(), updates));
@@ -426,16 +428,16 @@
   }
 
   private List<MemberUpdate> take(String first) {
-    return superseded ? List.of() : news.take(first, table.live().size());
+    return superseded ? List.of() : dissemination.take(first, table.live().size());
   }
 
-  private List<String> randomContacts(int count) {
-    List<String> contacts = new ArrayList<>(table.contacts(self.name()));
-    Shuffle.inPlace(contacts, random);
-    return contacts.subList(0, Math.min(count, contacts.size()));
+  private List<String> randomPeers(int count) {
+    List<String> peers = new ArrayList<>(table.peers(self.name()));
+    Shuffle.inPlace(peers, random);
+    return peers.subList(0, Math.min(count, peers.size()));
   }
 
-  private MemberUpdate update(String node) {
+  private MemberUpdate requireKnown(String node) {
     MemberUpdate known = table.get(node);
     if (known == null) {
       throw new IllegalStateException(node + " is timed but unknown");
@@ -451,11 +453,11 @@
     out.effect(new PeerEffect.SendToPeer(node, message));
   }
 
-  private void learn(String node, String host, int port) {
+  private void registerPeer(String node, String host, int port) {
     out.effect(new PeerEffect.LearnPeer(node, host, port));
   }
 
-  private void forgetPeer(String node) {
+  private void unregisterPeer(String node) {
     // A seed's address stays known, or nobody could reach it before it speaks itself.
     if (seeds.stream().noneMatch(seed -> seed.node().equals(node))) {
       out.effect(new PeerEffect.ForgetPeer(node));
@@ -470,7 +472,7 @@
     }
 
     @Override
-    public void askToPing(String helper, String target, long sequence) {
+    public void requestPing(String helper, String target, long sequence) {
       send(helper, new MembershipMessage.PingRequest(self.incarnation(), sequence, target));
     }
 
@@ -485,7 +487,7 @@
     }
   }
 
-  private static final class Discard implements Output {
+  private static final class DiscardingOutput implements Output {
 
     @Override
     public void effect(Effect effect) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Suspicion.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/Suspicion.java
@@ -26,9 +26,10 @@
   /** Returns when the suspected daemon counts as dead. */
   Instant deadline(LocalHealth health) {
     double confirmations = Math.min(accusers.size() - 1, settings.confirmations());
-    double share = Math.log(confirmations + 1) / Math.log(settings.confirmations() + 1.0);
-    long span = settings.suspicionMax().minus(settings.suspicionMin()).toMillis();
-    Duration time = settings.suspicionMax().minusMillis(Math.round(share * span));
-    return since.plus(health.stretch(time));
+    double confirmedShare = Math.log(confirmations + 1) / Math.log(settings.confirmations() + 1.0);
+    long adjustableMillis = settings.suspicionMax().minus(settings.suspicionMin()).toMillis();
+    Duration time =
+        settings.suspicionMax().minusMillis(Math.round(confirmedShare * adjustableMillis));
+    return since.plus(health.scale(time));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamPool.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamPool.java
@@ -17,14 +17,14 @@
 final class UpstreamPool {
 
   /** One of so many in a subset is from another zone, for the loss of the own one. */
-  private static final int ELSEWHERE_SHARE = 4;
+  private static final int OTHER_ZONES_ONE_IN = 4;
 
   private final String self;
   private final String zone;
   private final int subset;
-  private final TreeMap<String, Announcement> members = new TreeMap<>();
-  private @Nullable List<Announcement> chosen;
-  private @Nullable List<String> chosenIds;
+  private final TreeMap<String, Announcement> announcements = new TreeMap<>();
+  private @Nullable List<Announcement> selected;
+  private @Nullable List<String> selectedIds;
 
   UpstreamPool(String self, String zone, int subset) {
     this.self = self;
@@ -33,54 +33,54 @@
   }
 
   boolean isEmpty() {
-    return members.isEmpty();
+    return announcements.isEmpty();
   }
 
   void add(Announcement announcement) {
-    members.put(announcement.id(), announcement);
-    chosen = null;
-    chosenIds = null;
+    announcements.put(announcement.id(), announcement);
+    selected = null;
+    selectedIds = null;
   }
 
   void remove(String id) {
-    members.remove(id);
-    chosen = null;
-    chosenIds = null;
+    announcements.remove(id);
+    selected = null;
+    selectedIds = null;
   }
 
   /** Takes a newer announcement that leaves the choice of the subset as it is. */
   void replace(Announcement announcement) {
-    members.put(announcement.id(), announcement);
-    chosen = null;
+    announcements.put(announcement.id(), announcement);
+    selected = null;
   }
 
   /** Returns the upstreams to use, in the order of ids. */
   List<Announcement> subset() {
-    if (chosen == null) {
-      chosen =
-          members.size() <= subset
-              ? List.copyOf(members.values())
-              : ids().stream().map(members::get).toList();
+    if (selected == null) {
+      selected =
+          announcements.size() <= subset
+              ? List.copyOf(announcements.values())
+              : subsetIds().stream().map(announcements::get).toList();
     }
-    return chosen;
+    return selected;
   }
 
-  private List<String> ids() {
-    if (chosenIds == null) {
-      chosenIds = choose();
+  private List<String> subsetIds() {
+    if (selectedIds == null) {
+      selectedIds = selectIds();
     }
-    return chosenIds;
+    return selectedIds;
   }
 
-  private List<String> choose() {
-    List<Announcement> near = new ArrayList<>();
-    List<Announcement> far = new ArrayList<>();
-    for (Announcement member : members.values()) {
-      (member.zone().equals(zone) ? near : far).add(member);
+  private List<String> selectIds() {
+    List<Announcement> sameZone = new ArrayList<>();
+    List<Announcement> otherZones = new ArrayList<>();
+    for (Announcement member : announcements.values()) {
+      (member.zone().equals(zone) ? sameZone : otherZones).add(member);
     }
-    int fromFar = Math.max(subset / ELSEWHERE_SHARE, subset - near.size());
-    List<String> ids = first(far, fromFar);
-    ids.addAll(first(near, subset - ids.size()));
+    int otherZoneCount = Math.max(subset / OTHER_ZONES_ONE_IN, subset - sameZone.size());
+    List<String> ids = first(otherZones, otherZoneCount);
+    ids.addAll(first(sameZone, subset - ids.size()));
     ids.sort(Comparator.naturalOrder());
     return ids;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamTable.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamTable.java
@@ -69,7 +69,7 @@
   }
 
   /** Returns the names of all upstreams that this daemon uses. */
-  Set<String> used() {
+  Set<String> usedIds() {
     Set<String> ids = new TreeSet<>();
     engines.values().forEach(pool -> pool.subset().forEach(one -> ids.add(one.id())));
     services.values().forEach(pool -> pool.subset().forEach(one -> ids.add(one.id())));
@@ -77,37 +77,37 @@
   }
 
   /** Returns the record of the live upstream at an address, or null. */
-  @Nullable UpstreamRecord atAddress(String host, int port) {
+  @Nullable UpstreamRecord findByAddress(String host, int port) {
     String id = idByAddress.get(host + ":" + port);
     return id == null ? null : records.get(id);
   }
 
   /** Puts a record in the place of the one that stands. */
   void put(UpstreamRecord incoming) {
-    UpstreamRecord known = records.put(incoming.id(), incoming);
-    if (known != null) {
-      unindex(known);
+    UpstreamRecord existing = records.put(incoming.id(), incoming);
+    if (existing != null) {
+      unindex(existing);
     }
     index(incoming);
   }
 
   /** Replaces the load of an upstream, which counts as no change of its record. */
   void putLoad(String id, LoadReport load) {
-    UpstreamRecord known = records.get(id);
-    if (known == null || known.announcement().load().equals(load)) {
+    UpstreamRecord existing = records.get(id);
+    if (existing == null || existing.announcement().load().equals(load)) {
       return;
     }
-    Announcement announcement = withLoad(known.announcement(), load);
-    records.put(id, known.with(announcement));
-    if (known.takesWork()) {
+    Announcement announcement = withLoad(existing.announcement(), load);
+    records.put(id, existing.with(announcement));
+    if (existing.takesWork()) {
       pools(announcement).forEach(pool -> pool.replace(announcement));
     }
   }
 
   void remove(String id) {
-    UpstreamRecord known = records.remove(id);
-    if (known != null) {
-      unindex(known);
+    UpstreamRecord existing = records.remove(id);
+    if (existing != null) {
+      unindex(existing);
     }
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -5,7 +5,7 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.Output;
 import org.skylarkfork.core.Part;
-import org.skylarkfork.core.crash.CrashWatch;
+import org.skylarkfork.core.crash.CrashDetector;
 import org.skylarkfork.core.effect.RelayEffect;
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.LifecycleEvent;
@@ -35,13 +35,13 @@
   private static final Duration MAX_OVERRUN = Duration.ofMillis(60);
 
   private final ModelPolicy models;
-  private final VersionLedger counts;
+  private final VersionStatistics counts;
   private final ShutdownPolicy shutdownPolicy;
   private final RequestTrace trace;
   private final FirstByteTimeout firstByteTimeout = new FirstByteTimeout();
   private final SentPrefixes prompts = new SentPrefixes();
   private final ActiveRelays active = new ActiveRelays();
-  private final CrashWatch crashes;
+  private final CrashDetector crashes;
   private final RateLimitRecorder rateLimits = new RateLimitRecorder();
   private final RequestIntake intake;
   private final SchedulerClient schedulers;
@@ -59,14 +59,14 @@
    * @param seed seed of random choices
    */
   public RelayRequestPart(
-      RelayEntryPart entry, RelayRequestSettings settings, VersionLedger counts, long seed) {
+      RelayEntryPart entry, RelayRequestSettings settings, VersionStatistics counts, long seed) {
     this(entry, settings, counts, new AnswerTimes(), seed);
   }
 
   private RelayRequestPart(
       RelayEntryPart entry,
       RelayRequestSettings settings,
-      VersionLedger counts,
+      VersionStatistics counts,
       AnswerTimes answerTimes,
       long seed) {
     this(
@@ -79,7 +79,7 @@
             seed),
         new ConfidenceCascade(answerTimes),
         answerTimes,
-        new VersionRule(entry, settings.canaryShare()),
+        new VersionSelector(entry, settings.canaryShare()),
         new RetryBudget(settings.retryRatio()),
         counts,
         new ShutdownPolicy(settings.grace()),
@@ -92,16 +92,16 @@
       UpstreamPicker picker,
       ModelPolicy models,
       AnswerTimes answerTimes,
-      VersionRule versions,
+      VersionSelector versions,
       RetryBudget budget,
-      VersionLedger counts,
+      VersionStatistics counts,
       ShutdownPolicy shutdownPolicy,
       long seed) {
     this.models = models;
     this.counts = counts;
     this.shutdownPolicy = shutdownPolicy;
     this.trace = new RequestTrace(view);
-    this.crashes = new CrashWatch(new LeaderAsJudge(view), "relay_upstreams_ended");
+    this.crashes = new CrashDetector(new LeaderCrashReviewers(view), "relay_upstreams_ended");
     this.schedulers = new SchedulerClient(view);
     this.sender = new AttemptSender(view, zone, picker, schedulers, versions, prompts, trace);
     this.completer = new RequestCompleter(active, sender, answerTimes, trace);
@@ -145,13 +145,13 @@
       if (relay != null) {
         answerBegan(relay, began, now, output);
       }
-    } else if (event instanceof RelayEvent.AttemptFailed failed) {
-      ActiveRelay relay = active.find(failed.request(), failed.attempt());
+    } else if (event instanceof RelayEvent.AttemptFailed serverError) {
+      ActiveRelay relay = active.find(serverError.request(), serverError.attempt());
       if (relay != null) {
-        failures.onAttemptFailed(relay, failed, now, output);
+        failures.onAttemptFailed(relay, serverError, now, output);
       }
     } else if (event instanceof RelayEvent.UpstreamProbed probed) {
-      crashes.probed(probed.upstream(), probed.reachable(), now, output);
+      crashes.onProbeResult(probed.upstream(), probed.reachable(), now, output);
     } else if (event instanceof RelayEvent.AnswerSilent silent) {
       ActiveRelay relay = active.find(silent.request(), silent.attempt());
       if (relay != null) {
@@ -160,7 +160,7 @@
     } else if (event instanceof RelayEvent.AnswerEnded ended) {
       ActiveRelay relay = active.find(ended.request(), ended.attempt());
       if (relay != null) {
-        crashes.served(relay.requestKey, output);
+        crashes.recordServed(relay.requestKey, output);
         completer.complete(relay, now, output);
       }
     }
@@ -200,7 +200,7 @@
     if (!serverError) {
       trace.answered(relay, began.status(), now, output);
       track.recordSuccess();
-      counts.answered(track.instance(), millis);
+      counts.recordAnswer(track.instance(), millis);
     }
     if (relay.forwarding || serverError || relay.modelIndex < 0 || !escalate(relay, now, output)) {
       forwardAnswer(relay, track, output);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionOwners.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionOwners.java
@@ -21,7 +21,7 @@
   SessionOwners(List<Member> members, String region) {
     this(
         members.stream()
-            .filter(member -> member.has(Member.ENTRY) && member.region().equals(region))
+            .filter(member -> member.hasRole(Member.ENTRY) && member.region().equals(region))
             .filter(member -> member.serving() != ServingState.LEAVING)
             .map(SessionOwners::candidate)
             .toList());
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftSimulation.java
@@ -60,15 +60,15 @@
 final class CrashingDraftSimulation {
 
   /** Engines that end under a draft until it is known what it does. */
-  static final int ENDS_THAT_TELL = 3;
+  static final int CRASHES_BEFORE_QUARANTINE = 3;
 
   /** Time in which all entries in touch can know it. */
-  private static final Duration KNOWN = Duration.ofSeconds(3);
+  private static final Duration PROPAGATION_TIME = Duration.ofSeconds(3);
 
   private static final GroupId GROUP = GroupId.CONFIGURATION;
   private static final String OPERATOR = Sha256.hex("operator");
   private static final String TEAM_KEY = Sha256.hex("team");
-  private static final String DEADLY = "deadly";
+  private static final String CRASHING = "deadly";
   private static final Duration STEP = Duration.ofMillis(10);
 
   final List<String> voters = List.of("v1", "v2", "v3");
@@ -77,41 +77,42 @@
   final UniformRandomProvider random;
 
   /** Engines that ended under each deadly prompt. */
-  final Map<String, List<Instant>> endsByPrompt = new LinkedHashMap<>();
+  final Map<String, List<Instant>> crashesByPrompt = new LinkedHashMap<>();
 
   /** Sends of deadly prompts later than all entries could know. */
   int lateSends;
 
   int goodAnswered;
   final Map<ErrorKind, Integer> goodRefused = new HashMap<>();
-  final Map<ErrorKind, Integer> deadlyRefused = new HashMap<>();
+  final Map<ErrorKind, Integer> crashingRefused = new HashMap<>();
 
   /** Good drafts that were taken for deadly ones though they lost fewer engines. */
-  int refusedUnsuspected;
+  int wronglyQuarantined;
 
   /** Refusals that said "not run" of a request that an engine had begun. */
   int falseNotRun;
 
   private final Map<String, ConsensusPart> groups = new HashMap<>();
-  private final Map<String, RequestFixture> fakes = new HashMap<>();
+  private final Map<String, RequestFixture> fixtures = new HashMap<>();
   private final Map<String, Attempt> running = new LinkedHashMap<>();
   private final Set<String> engines = new LinkedHashSet<>();
-  private final Set<String> begun = new LinkedHashSet<>();
+  private final Set<String> startedRequests = new LinkedHashSet<>();
   private final Map<String, String> prompts = new HashMap<>();
   private final Map<String, Integer> enginesLost = new HashMap<>();
   private final List<Snapshot> snapshots = new ArrayList<>();
-  private final PriorityQueue<Due> due = new PriorityQueue<>(Comparator.comparing(Due::at));
+  private final PriorityQueue<ScheduledAction> scheduled =
+      new PriorityQueue<>(Comparator.comparing(ScheduledAction::at));
   private int lastRequest;
   private int lastEngine;
 
-  private record Due(Instant at, Runnable action) {}
+  private record ScheduledAction(Instant at, Runnable action) {}
 
   private record Attempt(String entry, String engine, String prompt) {}
 
   CrashingDraftSimulation(long seed, int engineCount) {
     network = new MiniNetwork(seed);
     random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-    network.listen(this::carryOut);
+    network.listen(this::handleEffect);
     for (int engine = 0; engine < engineCount; engine++) {
       startEngine();
     }
@@ -119,7 +120,7 @@
     all.addAll(entries);
     for (String name : all) {
       List<GroupId> hosted = voters.contains(name) ? List.of(GROUP) : List.of();
-      network.add(name, hosted, start -> boot(name, all, start));
+      network.add(name, hosted, start -> createReducer(name, all, start));
     }
     all.forEach(network::start);
     run(Duration.ofSeconds(3));
@@ -133,7 +134,7 @@
   private static Configuration configuration() {
     Configuration base = RequestFixture.configuration(1, List.of());
     Team team = base.teams().get(0);
-    Team keyed =
+    Team withKey =
         new Team(
             team.name(),
             List.of(new Team.Key("k", TEAM_KEY)),
@@ -143,7 +144,7 @@
             1);
     return new Configuration(
         1,
-        List.of(keyed),
+        List.of(withKey),
         base.models().subList(0, 2),
         base.services(),
         List.of(),
@@ -156,7 +157,7 @@
         List.of());
   }
 
-  private Reducer boot(String name, List<String> all, long seed) {
+  private Reducer createReducer(String name, List<String> all, long seed) {
     boolean votes = voters.contains(name);
     ConfigurationMachine machine = votes ? new ConfigurationMachine() : null;
     ConsensusPart consensus =
@@ -179,7 +180,7 @@
     groups.put(name, consensus);
     List<Part> parts = new ArrayList<>(List.of(consensus, configuration));
     if (votes) {
-      parts.add(new CrashJudgePart(configuration, now -> consensus.holdsLease(GROUP, now)));
+      parts.add(new CrashReviewPart(configuration, now -> consensus.holdsLease(GROUP, now)));
     } else {
       parts.add(requestPart(name, configuration, seed));
     }
@@ -187,23 +188,23 @@
   }
 
   private RequestPart requestPart(String name, ConfigurationPart configuration, long seed) {
-    RequestFixture fake = new RequestFixture();
-    fakes.put(name, fake);
-    fake.upstreams.keySet().removeIf(id -> !id.startsWith("s"));
-    engines.forEach(fake::restart);
+    RequestFixture fixture = new RequestFixture();
+    fixtures.put(name, fixture);
+    fixture.upstreams.keySet().removeIf(id -> !id.startsWith("s"));
+    engines.forEach(fixture::addEngine);
     return new RequestPart(
         new RequestCollaborators(
             configuration,
-            current -> fake,
-            (query, at) -> Optional.of(new Plan(fake.steps, 0.8, 0, "as the test says")),
-            fake,
+            current -> fixture,
+            (query, at) -> Optional.of(new Plan(fixture.steps, 0.8, 0, "as the test says")),
+            fixture,
             new RandomChooser(),
-            fake,
-            fake.pins,
-            fake.ledger,
+            fixture,
+            fixture.pins,
+            fixture.ledger,
             new OpenAdmission(),
-            fake,
-            new VotersAsJudges(name, voters)),
+            fixture,
+            new VoterCrashReviewers(name, voters)),
         RequestFixture.SETTINGS,
         seed);
   }
@@ -213,8 +214,8 @@
     Instant end = network.now().plus(time);
     while (network.now().isBefore(end)) {
       network.run(STEP);
-      while (!due.isEmpty() && !due.peek().at.isAfter(network.now())) {
-        due.remove().action.run();
+      while (!scheduled.isEmpty() && !scheduled.peek().at.isAfter(network.now())) {
+        scheduled.remove().action.run();
       }
       settleBills();
     }
@@ -222,30 +223,30 @@
 
   private void settleBills() {
     for (String entry : entries) {
-      RequestFixture fake = fakes.get(entry);
-      while (fake != null && network.isUp(entry) && !fake.ledger.answers.isEmpty()) {
-        network.inject(entry, fake.ledger.answers.removeFirst());
+      RequestFixture fixture = fixtures.get(entry);
+      while (fixture != null && network.isUp(entry) && !fixture.ledger.pendingEvents.isEmpty()) {
+        network.inject(entry, fixture.ledger.pendingEvents.removeFirst());
       }
     }
   }
 
-  private void later(long millis, Runnable action) {
-    due.add(new Due(network.now().plusMillis(millis), action));
+  private void schedule(long millis, Runnable action) {
+    scheduled.add(new ScheduledAction(network.now().plusMillis(millis), action));
   }
 
   /** Sends good drafts, each another one, from now on. */
-  void load(int pauseMillis) {
-    ask("good-" + lastRequest);
-    later(pauseMillis, () -> load(pauseMillis));
+  void sendGoodDrafts(int pauseMillis) {
+    sendDraft("good-" + lastRequest);
+    schedule(pauseMillis, () -> sendGoodDrafts(pauseMillis));
   }
 
   /** Sends one and the same draft that ends its engines, to any entry, from now on. */
-  void deadly(String name, int pauseMillis) {
-    ask(DEADLY + name);
-    later(pauseMillis, () -> deadly(name, pauseMillis));
+  void sendCrashingDrafts(String name, int pauseMillis) {
+    sendDraft(CRASHING + name);
+    schedule(pauseMillis, () -> sendCrashingDrafts(name, pauseMillis));
   }
 
-  private void ask(String prompt) {
+  private void sendDraft(String prompt) {
     String id = "r" + ++lastRequest;
     String entry = entries.get(random.nextInt(entries.size()));
     prompts.put(id, prompt);
@@ -276,13 +277,13 @@
     network.inject(entry, new CallerEvent.RequestReceived(request));
   }
 
-  private void carryOut(String entry, Effect effect) {
+  private void handleEffect(String entry, Effect effect) {
     if (effect instanceof UpstreamEffect.DispatchDraft draft) {
-      sent(entry, draft);
+      onDispatch(entry, draft);
     } else if (effect instanceof UpstreamEffect.CancelAttempt cancel) {
       running.remove(entry + cancel.attemptId());
     } else if (effect instanceof UpstreamEffect.ProbeUpstream probe) {
-      later(
+      schedule(
           2,
           () ->
               inject(
@@ -290,62 +291,65 @@
                   new UpstreamEvent.UpstreamProbed(
                       probe.upstream(), engines.contains(probe.upstream().id()))));
     } else if (effect instanceof CallerEffect.Refuse refuse) {
-      refused(refuse.requestId(), refuse.error());
+      onRefusal(refuse.requestId(), refuse.error());
     } else if (effect instanceof CallerEffect.BreakStream broken) {
-      refused(broken.requestId(), broken.error());
+      onRefusal(broken.requestId(), broken.error());
     }
   }
 
-  private void refused(String id, RoutingError error) {
-    boolean good = !prompts.get(id).startsWith(DEADLY);
-    (good ? goodRefused : deadlyRefused).merge(error.kind(), 1, Integer::sum);
+  private void onRefusal(String id, RoutingError error) {
+    boolean good = !prompts.get(id).startsWith(CRASHING);
+    (good ? goodRefused : crashingRefused).merge(error.kind(), 1, Integer::sum);
     int lost = enginesLost.getOrDefault(prompts.get(id), 0);
-    if (good && error.kind() == ErrorKind.QUARANTINED && lost < ENDS_THAT_TELL) {
-      refusedUnsuspected++;
+    if (good && error.kind() == ErrorKind.QUARANTINED && lost < CRASHES_BEFORE_QUARANTINE) {
+      wronglyQuarantined++;
     }
-    if (error.runState() == RunState.NOT_RUN && begun.contains(id)) {
+    if (error.runState() == RunState.NOT_RUN && startedRequests.contains(id)) {
       falseNotRun++;
     }
   }
 
-  private void sent(String entry, UpstreamEffect.DispatchDraft draft) {
+  private void onDispatch(String entry, UpstreamEffect.DispatchDraft draft) {
     String prompt = draft.request().prompt();
     String attempt = draft.attemptId();
     if (!engines.contains(draft.upstream())) {
-      later(1, () -> inject(entry, failed(attempt, Moment.BEFORE_CONNECT)));
+      schedule(1, () -> inject(entry, failed(attempt, Moment.BEFORE_CONNECT)));
       return;
     }
-    begun.add(draft.request().requestId());
+    startedRequests.add(draft.request().requestId());
     running.put(entry + attempt, new Attempt(entry, draft.upstream(), prompt));
-    if (prompt.startsWith(DEADLY)) {
+    if (prompt.startsWith(CRASHING)) {
       countLate(prompt);
-      later(1 + random.nextInt(120), () -> end(draft.upstream(), entry + attempt));
+      schedule(1 + random.nextInt(120), () -> crashEngine(draft.upstream(), entry + attempt));
     } else {
-      later(100 + random.nextInt(200), () -> answer(entry, attempt, draft.request().requestId()));
+      schedule(
+          100 + random.nextInt(200), () -> answer(entry, attempt, draft.request().requestId()));
     }
   }
 
   private void countLate(String prompt) {
-    List<Instant> ends = endsByPrompt.getOrDefault(prompt, List.of());
+    List<Instant> crashes = crashesByPrompt.getOrDefault(prompt, List.of());
     boolean known =
-        ends.size() >= ENDS_THAT_TELL
-            && network.now().isAfter(ends.get(ENDS_THAT_TELL - 1).plus(KNOWN));
+        crashes.size() >= CRASHES_BEFORE_QUARANTINE
+            && network
+                .now()
+                .isAfter(crashes.get(CRASHES_BEFORE_QUARANTINE - 1).plus(PROPAGATION_TIME));
     lateSends += known ? 1 : 0;
   }
 
   /** An engine ends under an attempt, if that still runs, with all that it runs. */
-  private void end(String engine, String under) {
-    Attempt attempt = running.get(under);
+  private void crashEngine(String engine, String attemptKey) {
+    Attempt attempt = running.get(attemptKey);
     if (attempt == null || !engines.contains(engine)) {
       return;
     }
-    endsByPrompt.computeIfAbsent(attempt.prompt, none -> new ArrayList<>()).add(network.now());
-    endEngine(engine);
+    crashesByPrompt.computeIfAbsent(attempt.prompt, none -> new ArrayList<>()).add(network.now());
+    stopEngine(engine);
   }
 
-  private void endEngine(String engine) {
+  private void stopEngine(String engine) {
     engines.remove(engine);
-    fakes.values().forEach(fake -> fake.upstreams.remove(engine));
+    fixtures.values().forEach(fixture -> fixture.upstreams.remove(engine));
     for (Map.Entry<String, Attempt> lost : List.copyOf(running.entrySet())) {
       if (lost.getValue().engine.equals(engine)) {
         running.remove(lost.getKey());
@@ -355,14 +359,14 @@
         inject(entry, failed(attempt, Moment.ANSWER_BEGUN));
       }
     }
-    later(1000 + random.nextInt(2000), this::startEngine);
+    schedule(1000 + random.nextInt(2000), this::startEngine);
   }
 
   /** Ends a share of the engines by themselves. */
-  void endEngines(double share) {
+  void stopEngines(double share) {
     for (String engine : List.copyOf(engines)) {
       if (random.nextDouble() < share) {
-        endEngine(engine);
+        stopEngine(engine);
       }
     }
   }
@@ -389,7 +393,7 @@
   private void startEngine() {
     String id = "engine-" + ++lastEngine;
     engines.add(id);
-    fakes.values().forEach(fake -> fake.restart(id));
+    fixtures.values().forEach(fixture -> fixture.addEngine(id));
   }
 
   /** Returns the voter that leads, or the first one. */
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftTest.java
@@ -14,111 +14,114 @@
 public final class CrashingDraftTest {
 
   private static final String SEEDS_PROPERTY = "skylarkfork.drafts.seeds";
-  private static final String FIRST_PROPERTY = "skylarkfork.drafts.first";
-  private static final int USUAL_SEEDS = 12;
+  private static final String FIRST_SEED_PROPERTY = "skylarkfork.drafts.first";
+  private static final int DEFAULT_SEEDS = 12;
   private static final int ENGINES = 9;
 
   /** Sends that may still reach engines once all entries in touch can know. */
-  private static final int MOST_LATE_SENDS = 3;
+  private static final int MAX_LATE_SENDS = 3;
 
-  private static CrashingDraftSimulation loaded(long seed) {
-    CrashingDraftSimulation run = new CrashingDraftSimulation(seed, ENGINES);
-    run.load(40);
-    run.run(Duration.ofSeconds(2));
-    return run;
+  private static CrashingDraftSimulation startSimulation(long seed) {
+    CrashingDraftSimulation simulation = new CrashingDraftSimulation(seed, ENGINES);
+    simulation.sendGoodDrafts(40);
+    simulation.run(Duration.ofSeconds(2));
+    return simulation;
   }
 
-  private static void check(CrashingDraftSimulation run) {
-    assertTrue(run.lateSends <= MOST_LATE_SENDS, run.lateSends + " late sends");
-    assertEquals(run.falseNotRun, 0, "refusals that say not run of what has run");
-    assertEquals(run.refusedUnsuspected, 0, run.goodRefused.toString());
-    assertTrue(run.goodAnswered > 100, run.goodAnswered + " good drafts answered");
+  private static void check(CrashingDraftSimulation simulation) {
+    assertTrue(simulation.lateSends <= MAX_LATE_SENDS, simulation.lateSends + " late sends");
+    assertEquals(simulation.falseNotRun, 0, "refusals that say not run of what has run");
+    assertEquals(simulation.wronglyQuarantined, 0, simulation.goodRefused.toString());
+    assertTrue(simulation.goodAnswered > 100, simulation.goodAnswered + " good drafts answered");
   }
 
   /** Guards against engines that end for good because each entry begins to count anew. */
   @Test
-  public void engineCountIsOneOverAllEntries() {
-    CrashingDraftSimulation run = loaded(1);
-    run.deadly("-1", 300);
-    run.run(Duration.ofSeconds(30));
-    check(run);
-    assertTrue(run.deadlyRefused.getOrDefault(ErrorKind.QUARANTINED, 0) > 20);
-    int ends = run.endsByPrompt.values().iterator().next().size();
-    assertTrue(ends >= CrashingDraftSimulation.ENDS_THAT_TELL, ends + " ends");
+  public void countsCrashesOverAllEntries() {
+    CrashingDraftSimulation simulation = startSimulation(1);
+    simulation.sendCrashingDrafts("-1", 300);
+    simulation.run(Duration.ofSeconds(30));
+    check(simulation);
+    assertTrue(simulation.crashingRefused.getOrDefault(ErrorKind.QUARANTINED, 0) > 20);
+    int crashes = simulation.crashesByPrompt.values().iterator().next().size();
+    assertTrue(crashes >= CrashingDraftSimulation.CRASHES_BEFORE_QUARANTINE, crashes + " ends");
   }
 
   /** Guards against a draft that is unknown again once all daemons were killed. */
   @Test
-  public void quarantineOutlivesAllDaemons() {
-    CrashingDraftSimulation run = loaded(2);
-    run.deadly("-1", 300);
-    run.run(Duration.ofSeconds(5));
-    assertTrue(run.deadlyRefused.containsKey(ErrorKind.QUARANTINED));
-    final int ends = run.endsByPrompt.values().iterator().next().size();
-    List<String> all = new ArrayList<>(run.voters);
-    all.addAll(run.entries);
-    all.forEach(run.network::crash);
-    all.forEach(run.network::start);
-    run.run(Duration.ofSeconds(10));
-    assertEquals(run.endsByPrompt.values().iterator().next().size(), ends);
-    check(run);
+  public void quarantineSurvivesRestartOfAllDaemons() {
+    CrashingDraftSimulation simulation = startSimulation(2);
+    simulation.sendCrashingDrafts("-1", 300);
+    simulation.run(Duration.ofSeconds(5));
+    assertTrue(simulation.crashingRefused.containsKey(ErrorKind.QUARANTINED));
+    final int crashes = simulation.crashesByPrompt.values().iterator().next().size();
+    List<String> all = new ArrayList<>(simulation.voters);
+    all.addAll(simulation.entries);
+    all.forEach(simulation.network::crash);
+    all.forEach(simulation.network::start);
+    simulation.run(Duration.ofSeconds(10));
+    assertEquals(simulation.crashesByPrompt.values().iterator().next().size(), crashes);
+    check(simulation);
   }
 
   /** Guards against good drafts that are refused because engines end by themselves. */
   @Test
-  public void goodDraftsAreServedWhereEnginesEndByThemselves() {
-    CrashingDraftSimulation run = loaded(3);
+  public void servesGoodDraftsWhileEnginesStopByThemselves() {
+    CrashingDraftSimulation simulation = startSimulation(3);
     for (int second = 0; second < 60; second++) {
-      run.run(Duration.ofSeconds(1));
-      run.endEngines(0.1);
+      simulation.run(Duration.ofSeconds(1));
+      simulation.stopEngines(0.1);
     }
-    check(run);
-    assertFalse(run.goodRefused.containsKey(ErrorKind.QUARANTINED), run.goodRefused.toString());
+    check(simulation);
+    assertFalse(
+        simulation.goodRefused.containsKey(ErrorKind.QUARANTINED),
+        simulation.goodRefused.toString());
   }
 
   /** Guards against a count that is lost with the leader, with an entry or in a freeze. */
   @Test
-  public void crashingDraftsAreBoundedInRandomRuns() {
-    long first = Long.getLong(FIRST_PROPERTY, 1);
-    int seeds = Integer.getInteger(SEEDS_PROPERTY, USUAL_SEEDS);
-    int ended = 0;
+  public void boundsCrashesInRandomRuns() {
+    long first = Long.getLong(FIRST_SEED_PROPERTY, 1);
+    int seeds = Integer.getInteger(SEEDS_PROPERTY, DEFAULT_SEEDS);
+    int crashes = 0;
     int refused = 0;
     for (long seed = first; seed < first + seeds; seed++) {
       try {
-        CrashingDraftSimulation run = randomRun(seed);
-        ended += run.endsByPrompt.values().stream().mapToInt(List::size).sum();
-        refused += run.goodRefused.getOrDefault(ErrorKind.QUARANTINED, 0);
+        CrashingDraftSimulation simulation = randomRun(seed);
+        crashes += simulation.crashesByPrompt.values().stream().mapToInt(List::size).sum();
+        refused += simulation.goodRefused.getOrDefault(ErrorKind.QUARANTINED, 0);
       } catch (AssertionError failed) {
         throw new AssertionError("seed " + seed, failed);
       }
     }
     System.out.println(
-        seeds + " seeds, " + ended + " engines ended under drafts, " + refused + " good refused");
+        seeds + " seeds, " + crashes + " engines ended under drafts, " + refused + " good refused");
   }
 
   private static CrashingDraftSimulation randomRun(long seed) {
-    CrashingDraftSimulation run = loaded(seed);
-    run.network.weather(0.01, 0.01, 3);
-    for (int strike = 1; strike <= 4; strike++) {
-      run.deadly("-" + strike, 700);
-      run.run(Duration.ofMillis(run.random.nextInt(1500)));
-      strike(run);
-      run.run(Duration.ofSeconds(6));
+    CrashingDraftSimulation simulation = startSimulation(seed);
+    simulation.network.weather(0.01, 0.01, 3);
+    for (int round = 1; round <= 4; round++) {
+      simulation.sendCrashingDrafts("-" + round, 700);
+      simulation.run(Duration.ofMillis(simulation.random.nextInt(1500)));
+      injectFault(simulation);
+      simulation.run(Duration.ofSeconds(6));
     }
-    check(run);
-    return run;
+    check(simulation);
+    return simulation;
   }
 
-  private static void strike(CrashingDraftSimulation run) {
-    List<String> struck = new ArrayList<>();
-    switch (run.random.nextInt(4)) {
-      case 0 -> struck.add(run.leader());
-      case 1 -> struck.add(run.entries.get(run.random.nextInt(run.entries.size())));
-      case 2 -> struck.addAll(run.voters);
-      default -> run.endEngines(0.2);
+  private static void injectFault(CrashingDraftSimulation simulation) {
+    List<String> crashed = new ArrayList<>();
+    switch (simulation.random.nextInt(4)) {
+      case 0 -> crashed.add(simulation.leader());
+      case 1 ->
+          crashed.add(simulation.entries.get(simulation.random.nextInt(simulation.entries.size())));
+      case 2 -> crashed.addAll(simulation.voters);
+      default -> simulation.stopEngines(0.2);
     }
-    struck.forEach(run.network::crash);
-    run.run(Duration.ofMillis(200 + run.random.nextInt(1500)));
-    struck.forEach(run.network::start);
+    crashed.forEach(simulation.network::crash);
+    simulation.run(Duration.ofMillis(200 + simulation.random.nextInt(1500)));
+    crashed.forEach(simulation.network::start);
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/FakeLedger.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/FakeLedger.java
@@ -17,16 +17,16 @@
 /** A ledger in memory whose answers wait until the test takes them. */
 final class FakeLedger implements Ledger {
 
-  final Deque<LedgerEvent> answers = new ArrayDeque<>();
+  final Deque<LedgerEvent> pendingEvents = new ArrayDeque<>();
   final Map<String, String> owners = new HashMap<>();
   final Map<String, ClaimOutcome> outcomes = new HashMap<>();
   final Map<String, Bill> bills = new HashMap<>();
-  final List<Bill> handedIn = new ArrayList<>();
+  final List<Bill> submittedBills = new ArrayList<>();
   boolean reachable = true;
 
   @Override
   public void claim(CallerRequest request, String team, String key, Instant now) {
-    answers.add(decide(request.requestId(), team + "/" + key));
+    pendingEvents.add(decide(request.requestId(), team + "/" + key));
   }
 
   private LedgerEvent.ClaimAnswered decide(String id, String key) {
@@ -53,15 +53,15 @@
     if (reachable && requestId.equals(owners.get(team + "/" + key))) {
       outcomes.put(team + "/" + key, outcome);
     }
-    answers.add(new LedgerEvent.OutcomeRecorded(requestId, reachable));
+    pendingEvents.add(new LedgerEvent.OutcomeRecorded(requestId, reachable));
   }
 
   @Override
   public void bill(Bill bill, Instant now) {
-    handedIn.add(bill);
+    submittedBills.add(bill);
     if (reachable) {
       bills.putIfAbsent(bill.team() + "/" + bill.key(), bill);
     }
-    answers.add(new LedgerEvent.Billed(bill.requestId(), reachable));
+    pendingEvents.add(new LedgerEvent.Billed(bill.requestId(), reachable));
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/QuarantinedDraftTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/QuarantinedDraftTest.java
@@ -26,19 +26,19 @@
 /** Each way by which one content could reach a further upstream after it was quarantined. */
 public final class QuarantinedDraftTest {
 
-  private RequestFixture own = new RequestFixture();
+  private RequestFixture fixture = new RequestFixture();
   private int engines = 3;
 
   /** Each test begins anew. */
   @BeforeMethod
   public void setUp() {
-    own = new RequestFixture();
+    fixture = new RequestFixture();
     engines = 3;
   }
 
   private RequestKey keyOf(String request) {
     UpstreamEffect.DispatchDraft sent =
-        own.list(UpstreamEffect.DispatchDraft.class).stream()
+        fixture.effectsOf(UpstreamEffect.DispatchDraft.class).stream()
             .filter(draft -> draft.request().requestId().equals(request))
             .findFirst()
             .orElseThrow();
@@ -50,39 +50,39 @@
   }
 
   private void propose(ConfigurationChange change) {
-    own.apply(new ConfigurationEvent.ChangeProposed("id", "operator", change));
+    fixture.apply(new ConfigurationEvent.ChangeProposed("id", "operator", change));
   }
 
   private int sends() {
-    return own.list(UpstreamEffect.DispatchDraft.class).size()
-        + own.list(UpstreamEffect.DispatchCall.class).size();
+    return fixture.effectsOf(UpstreamEffect.DispatchDraft.class).size()
+        + fixture.effectsOf(UpstreamEffect.DispatchCall.class).size();
   }
 
-  private String newest() {
-    List<String> attempts = own.attempts();
+  private String newestAttempt() {
+    List<String> attempts = fixture.dispatchedAttempts();
     return attempts.get(attempts.size() - 1);
   }
 
   /** Ends the engine of an attempt under it, while another one is started. */
-  private void endUnder(String attempt) {
-    UpstreamEffect.DispatchDraft sent = own.last(UpstreamEffect.DispatchDraft.class);
-    own.upstreams.remove(sent.upstream());
-    own.restart("e" + ++engines);
-    own.fail(attempt, Moment.ANSWER_BEGUN);
-    own.pass(Duration.ofSeconds(1));
+  private void crashEngineOf(String attempt) {
+    UpstreamEffect.DispatchDraft sent = fixture.lastEffect(UpstreamEffect.DispatchDraft.class);
+    fixture.upstreams.remove(sent.upstream());
+    fixture.addEngine("e" + ++engines);
+    fixture.fail(attempt, Moment.ANSWER_BEGUN);
+    fixture.advance(Duration.ofSeconds(1));
   }
 
   private RoutingError refusal(List<Effect> effects) {
-    List<CallerEffect.Refuse> refusals = RequestFixture.only(effects, CallerEffect.Refuse.class);
+    List<CallerEffect.Refuse> refusals = RequestFixture.filter(effects, CallerEffect.Refuse.class);
     return refusals.get(refusals.size() - 1).error();
   }
 
   /** Guards against a caller who is told to come back with what nobody will run. */
   @Test
-  public void callerIsToldAtOnceThatItHasNotRunAndNoTimeToComeBack() {
-    own.ask("r1", RequestFixture.stream());
+  public void refusesNewRequestAsNotRunWithoutRetryTime() {
+    fixture.send("r1", RequestFixture.stream());
     quarantine(keyOf("r1"));
-    RoutingError error = refusal(own.ask("r2", RequestFixture.stream()));
+    RoutingError error = refusal(fixture.send("r2", RequestFixture.stream()));
     assertEquals(error.kind(), ErrorKind.QUARANTINED);
     assertEquals(error.kind().status(), 400);
     assertEquals(error.runState(), RunState.NOT_RUN);
@@ -93,52 +93,52 @@
 
   /** Guards against a retry, and against a refusal that says not run of what has begun. */
   @Test
-  public void nextAttemptIsNotMade() {
-    own.ask("r1", RequestFixture.chat());
+  public void doesNotRetry() {
+    fixture.send("r1", RequestFixture.chat());
     quarantine(keyOf("r1"));
-    RoutingError error = refusal(own.fail("r1.1", Moment.WRITTEN));
+    RoutingError error = refusal(fixture.fail("r1.1", Moment.WRITTEN));
     assertEquals(error.kind(), ErrorKind.QUARANTINED);
     assertEquals(error.runState(), RunState.UNKNOWN);
-    assertEquals(own.attempts(), List.of("r1.1"));
+    assertEquals(fixture.dispatchedAttempts(), List.of("r1.1"));
   }
 
   /** Guards against a resumed stream: its body differs, but it is the same request. */
   @Test
-  public void streamIsNotResumed() {
-    own.ask("r1", RequestFixture.stream());
-    own.tokens("r1.1", 0, 2);
+  public void doesNotResumeStream() {
+    fixture.send("r1", RequestFixture.stream());
+    fixture.tokens("r1.1", 0, 2);
     quarantine(keyOf("r1"));
-    own.fail("r1.1", Moment.ANSWER_BEGUN);
-    assertEquals(own.attempts(), List.of("r1.1"));
-    assertEquals(own.list(CallerEffect.BreakStream.class).size(), 1);
+    fixture.fail("r1.1", Moment.ANSWER_BEGUN);
+    assertEquals(fixture.dispatchedAttempts(), List.of("r1.1"));
+    assertEquals(fixture.effectsOf(CallerEffect.BreakStream.class).size(), 1);
   }
 
   /** Guards against a larger model that is asked for what has ended the smaller one's engines. */
   @Test
-  public void largerModelIsNotAskedAndBothModelsCount() {
-    own.steps =
+  public void doesNotEscalateAndCountsCrashesOfBothModels() {
+    fixture.steps =
         List.of(
             new Plan.Step(RequestFixture.SMALL, true), new Plan.Step(RequestFixture.LARGE, false));
-    own.ask("r1", RequestFixture.chat());
-    own.finish(newest(), 0);
-    while (own.list(CallerEffect.Refuse.class).isEmpty() && engines < 12) {
-      endUnder(newest());
+    fixture.send("r1", RequestFixture.chat());
+    fixture.finish(newestAttempt(), 0);
+    while (fixture.effectsOf(CallerEffect.Refuse.class).isEmpty() && engines < 12) {
+      crashEngineOf(newestAttempt());
     }
-    assertEquals(own.configuration.quarantined().size(), 1, "" + own.attempts());
+    assertEquals(fixture.configuration.quarantined().size(), 1, "" + fixture.dispatchedAttempts());
   }
 
   /** Guards against an operator's own order that is taken for the doing of a draft. */
   @Test
-  public void engineThatLeavesOrWasDrainedIsNotCounted() {
+  public void doesNotCountLeavingEngines() {
     for (int request = 1; request <= 4; request++) {
-      own.ask("r" + request, RequestFixture.stream());
-      UpstreamEffect.DispatchDraft sent = own.last(UpstreamEffect.DispatchDraft.class);
-      own.upstreams.put(sent.upstream(), leaving(own.upstreams.get(sent.upstream())));
-      own.fail("r" + request + ".1", Moment.ANSWER_BEGUN);
-      own.pass(Duration.ofSeconds(1));
+      fixture.send("r" + request, RequestFixture.stream());
+      UpstreamEffect.DispatchDraft sent = fixture.lastEffect(UpstreamEffect.DispatchDraft.class);
+      fixture.upstreams.put(sent.upstream(), leaving(fixture.upstreams.get(sent.upstream())));
+      fixture.fail("r" + request + ".1", Moment.ANSWER_BEGUN);
+      fixture.advance(Duration.ofSeconds(1));
     }
-    assertEquals(own.list(UpstreamEffect.ProbeUpstream.class), List.of());
-    assertEquals(own.configuration.quarantined(), List.of());
+    assertEquals(fixture.effectsOf(UpstreamEffect.ProbeUpstream.class), List.of());
+    assertEquals(fixture.configuration.quarantined(), List.of());
   }
 
   private static Announcement leaving(Announcement before) {
@@ -162,82 +162,82 @@
 
   /** Guards against a cut connection that is taken for the end of an engine. */
   @Test
-  public void engineThatStillTakesConnectionsHasNotEnded() {
+  public void doesNotCountReachableEngines() {
     for (int request = 1; request <= 5; request++) {
-      own.ask("r" + request, RequestFixture.stream());
-      own.fail("r" + request + ".1", Moment.ANSWER_BEGUN);
-      own.pass(Duration.ofSeconds(1));
+      fixture.send("r" + request, RequestFixture.stream());
+      fixture.fail("r" + request + ".1", Moment.ANSWER_BEGUN);
+      fixture.advance(Duration.ofSeconds(1));
     }
-    assertTrue(own.list(UpstreamEffect.ProbeUpstream.class).size() > 0);
-    assertEquals(own.configuration.quarantined(), List.of());
+    assertTrue(fixture.effectsOf(UpstreamEffect.ProbeUpstream.class).size() > 0);
+    assertEquals(fixture.configuration.quarantined(), List.of());
   }
 
   /** Guards against a draft that stays refused though its engines were mended. */
   @Test
-  public void liftedDraftIsSentAgainAndOneMoreEndIsEnough() {
-    own.ask("r1", RequestFixture.chat());
-    while (own.configuration.quarantined().isEmpty()) {
-      endUnder(newest());
+  public void liftedDraftRunsAgainAndOneMoreCrashQuarantinesIt() {
+    fixture.send("r1", RequestFixture.chat());
+    while (fixture.configuration.quarantined().isEmpty()) {
+      crashEngineOf(newestAttempt());
       assertTrue(sends() < 8, "found after three ends");
     }
-    final RequestKey key = own.configuration.quarantined().get(0);
-    own.pass(Duration.ofSeconds(1));
-    own.pass(Duration.ofMinutes(10));
-    assertEquals(own.configuration.quarantined(), List.of(), "lifted by itself");
-    own.pass(Duration.ofSeconds(1));
-    own.ask("r9", RequestFixture.chat());
-    assertEquals(newest(), "r9.1");
-    endUnder("r9.1");
-    assertEquals(own.configuration.quarantined(), List.of(key));
+    final RequestKey key = fixture.configuration.quarantined().get(0);
+    fixture.advance(Duration.ofSeconds(1));
+    fixture.advance(Duration.ofMinutes(10));
+    assertEquals(fixture.configuration.quarantined(), List.of(), "lifted by itself");
+    fixture.advance(Duration.ofSeconds(1));
+    fixture.send("r9", RequestFixture.chat());
+    assertEquals(newestAttempt(), "r9.1");
+    crashEngineOf("r9.1");
+    assertEquals(fixture.configuration.quarantined(), List.of(key));
   }
 
   /** Guards against one team whose draft has another team's refused. */
   @Test
-  public void teamsAreApart() {
-    own.ask("r1", RequestFixture.chat());
+  public void quarantineAppliesToOneTeam() {
+    fixture.send("r1", RequestFixture.chat());
     RequestKey key = keyOf("r1");
     quarantine(new RequestKey("other", key.content()));
-    own.ask("r2", RequestFixture.chat());
-    assertEquals(newest(), "r2.1");
+    fixture.send("r2", RequestFixture.chat());
+    assertEquals(newestAttempt(), "r2.1");
   }
 
   /** Guards against a call that is sent to a second service process by its hedge. */
   @Test
-  public void callIsNotSentAgainOnceItIsRefused() {
-    own.ask("c1", RequestFixture.call("GET", null));
-    UpstreamEffect.DispatchCall sent = own.last(UpstreamEffect.DispatchCall.class);
+  public void doesNotRetryQuarantinedCall() {
+    fixture.send("c1", RequestFixture.call("GET", null));
+    UpstreamEffect.DispatchCall sent = fixture.lastEffect(UpstreamEffect.DispatchCall.class);
     RequestKey key = CrashGuard.keyOf("jury", sent.request());
-    own.apply(
+    fixture.apply(
         new ConfigurationEvent.ChangeProposed(
             "id", "operator", new ConfigurationChange.QuarantineRequest(key)));
-    assertEquals(refusal(own.fail("c1.1", Moment.WRITTEN)).kind(), ErrorKind.QUARANTINED);
-    assertEquals(own.attempts(), List.of("c1.1"));
+    assertEquals(refusal(fixture.fail("c1.1", Moment.WRITTEN)).kind(), ErrorKind.QUARANTINED);
+    assertEquals(fixture.dispatchedAttempts(), List.of("c1.1"));
   }
 
   /** Guards against calls that change something and end each process of their service. */
   @Test
-  public void changingCallThatEndsItsServiceIsFoundAndNeverSentTwice() {
+  public void quarantinesCrashingNonIdempotentCallWithoutRetries() {
     for (int call = 1; call <= 3; call++) {
-      own.ask("c" + call, RequestFixture.call("POST", "key-" + call));
-      own.settle();
-      String upstream = own.last(UpstreamEffect.DispatchCall.class).upstream();
-      own.upstreams.remove(upstream);
-      own.fail("c" + call + ".1", Moment.WRITTEN);
-      own.settle();
-      own.pass(Duration.ofSeconds(1));
+      fixture.send("c" + call, RequestFixture.call("POST", "key-" + call));
+      fixture.settleLedger();
+      String upstream = fixture.lastEffect(UpstreamEffect.DispatchCall.class).upstream();
+      fixture.upstreams.remove(upstream);
+      fixture.fail("c" + call + ".1", Moment.WRITTEN);
+      fixture.settleLedger();
+      fixture.advance(Duration.ofSeconds(1));
     }
-    assertEquals(own.attempts(), List.of("c1.1", "c2.1", "c3.1"));
-    assertEquals(own.configuration.quarantined().size(), 1);
-    RoutingError error = refusal(own.ask("c4", RequestFixture.call("POST", "key-4")));
+    assertEquals(fixture.dispatchedAttempts(), List.of("c1.1", "c2.1", "c3.1"));
+    assertEquals(fixture.configuration.quarantined().size(), 1);
+    RoutingError error = refusal(fixture.send("c4", RequestFixture.call("POST", "key-4")));
     assertEquals(error.kind(), ErrorKind.QUARANTINED);
     assertEquals(error.runState(), RunState.NOT_RUN);
   }
 
   /** Guards against a probe's word for an attempt that nobody knows any more. */
   @Test
-  public void lateWordOfProbeIsIgnored() {
-    own.ask("r1", RequestFixture.chat());
-    own.apply(new UpstreamEvent.UpstreamProbed(new UpstreamRun("none", 1), false));
+  public void ignoresLateProbeResult() {
+    fixture.send("r1", RequestFixture.chat());
+    fixture.apply(new UpstreamEvent.UpstreamProbed(new UpstreamRun("none", 1), false));
     assertEquals(sends(), 1);
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RandomFaultsTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RandomFaultsTest.java
@@ -48,8 +48,8 @@
 public class RandomFaultsTest {
 
   private static final int STEPS = 6000;
-  private static final int LENGTH = 6;
-  private static final Map<String, Double> TOTALS = new TreeMap<>();
+  private static final int ANSWER_TOKENS = 6;
+  private static final Map<String, Double> COUNTER_TOTALS = new TreeMap<>();
 
   @DataProvider
   static Object[][] seeds() {
@@ -65,18 +65,20 @@
     // Callers see one whole answer of their own, or one true refusal, or leave. Upstreams fail at
     // each moment, answer late, doubled, crossed or cut; the ledger is away at times; versions are
     // withdrawn and restored. What the services ran is kept apart and compared at the end.
-    Run run = new Run(seed);
+    Simulation simulation = new Simulation(seed);
     for (int step = 0; step < STEPS; step++) {
-      run.step();
+      simulation.step();
     }
-    run.finish();
-    run.checkEnds();
-    assertTrue(run.whole * 5 > run.number, "answers " + run.whole + " of " + run.number);
+    simulation.finish();
+    simulation.checkEnds();
+    assertTrue(
+        simulation.answeredCount * 5 > simulation.requestCount,
+        "answers " + simulation.answeredCount + " of " + simulation.requestCount);
   }
 
   @Test(dependsOnMethods = "keepsAllPromises")
-  public void meetsEveryKindOfFault() {
-    System.out.println("request: counted in the randomised runs: " + TOTALS);
+  public void injectsEveryKindOfFault() {
+    System.out.println("request: counted in the randomised runs: " + COUNTER_TOTALS);
     for (String name :
         List.of(
             "answers_crossed",
@@ -91,12 +93,12 @@
             "requests_refused",
             "requests_answered",
             "attempts_failed")) {
-      assertTrue(TOTALS.getOrDefault(name, 0.0) > 0, name);
+      assertTrue(COUNTER_TOTALS.getOrDefault(name, 0.0) > 0, name);
     }
   }
 
   /** An attempt as its upstream sees it. */
-  private static final class Dispatched {
+  private static final class DispatchedAttempt {
     final String id;
     final String request;
     final boolean draft;
@@ -104,7 +106,7 @@
     final long start;
     boolean open = true;
 
-    Dispatched(String id, String request, boolean draft, long offset) {
+    DispatchedAttempt(String id, String request, boolean draft, long offset) {
       this.id = id;
       this.request = request;
       this.draft = draft;
@@ -137,61 +139,63 @@
     }
   }
 
-  private static final class Run {
+  private static final class Simulation {
     final UniformRandomProvider random;
     final WaitingAdmission admission;
     final RequestFixture fixture;
-    final Map<String, Dispatched> attempts = new LinkedHashMap<>();
+    final Map<String, DispatchedAttempt> attempts = new LinkedHashMap<>();
     final Map<String, CallerRequest> requests = new TreeMap<>();
-    final Map<String, Integer> ends = new HashMap<>();
+    final Map<String, Integer> finalEffects = new HashMap<>();
     final Set<String> left = new HashSet<>();
     final Map<String, StringBuilder> streams = new HashMap<>();
     final Set<String> mayHaveRun = new HashSet<>();
     final Map<String, Set<String>> runsByKey = new HashMap<>();
-    int number;
-    int whole;
+    int requestCount;
+    int answeredCount;
 
-    Run(long seed) {
+    Simulation(long seed) {
       random = RandomSource.XO_SHI_RO_256_PP.create(seed);
       admission = new WaitingAdmission(random);
-      Admission used =
+      Admission chosenAdmission =
           seed % 2 == 0
               ? admission
               : new FairAdmission(
                   (lane, now) -> 5, new EvenShares(() -> 1), new AdmissionSettings(10, 10));
-      fixture = new RequestFixture(RequestFixture.settings(0.5, 50, 0.2), used, seed);
+      fixture = new RequestFixture(RequestFixture.settings(0.5, 50, 0.2), chosenAdmission, seed);
     }
 
     void step() {
       fixture.effects.clear();
       int choice = random.nextInt(100);
       if (choice < 4) {
-        ask();
+        sendRequest();
       } else if (choice < 70) {
-        upstream();
+        sendUpstreamEvent();
       } else if (choice < 82) {
-        ledger();
+        deliverLedgerEvent();
       } else if (choice < 87) {
-        admit();
+        decideAdmission();
       } else if (choice < 97) {
-        fixture.pass(Duration.ofMillis(random.nextInt(random.nextInt(50) == 0 ? 9000 : 100)));
+        fixture.advance(Duration.ofMillis(random.nextInt(random.nextInt(50) == 0 ? 9000 : 100)));
       } else if (choice < 98) {
-        leave();
+        disconnectCaller();
       } else {
-        change();
+        changeEnvironment();
       }
-      fixture.effects.forEach(this::look);
+      fixture.effects.forEach(this::handleEffect);
     }
 
-    private void ask() {
-      RequestFixture.Ask ask =
+    private void sendRequest() {
+      RequestFixture.RequestOptions options =
           random.nextBoolean()
               ? RequestFixture.chat()
               : RequestFixture.call(random.nextBoolean() ? "POST" : "GET", null);
-      ask.stream = ask.kind.isDraft() && random.nextBoolean();
-      ask.session = ask.kind.isDraft() && random.nextBoolean() ? "s" + random.nextInt(5) : null;
-      ask.key = random.nextInt(3) == 0 ? ask.method + ask.kind + random.nextInt(40) : null;
-      ask.deadline = Duration.ofMillis(200 + random.nextInt(20_000));
+      options.stream = options.kind.isDraft() && random.nextBoolean();
+      options.session =
+          options.kind.isDraft() && random.nextBoolean() ? "s" + random.nextInt(5) : null;
+      options.key =
+          random.nextInt(3) == 0 ? options.method + options.kind + random.nextInt(40) : null;
+      options.deadline = Duration.ofMillis(200 + random.nextInt(20_000));
       fixture.pins.lookup =
           random.nextInt(4) == 0 ? SessionPins.Lookup.PENDING : SessionPins.Lookup.KNOWN;
       fixture.steps =
@@ -200,21 +204,22 @@
               : List.of(
                   new Plan.Step(RequestFixture.SMALL, true),
                   new Plan.Step(RequestFixture.LARGE, false));
-      fixture.ask("r" + number++, ask);
+      fixture.send("r" + requestCount++, options);
     }
 
-    private void upstream() {
-      List<Dispatched> known = new ArrayList<>(attempts.values());
-      if (known.isEmpty()) {
+    private void sendUpstreamEvent() {
+      List<DispatchedAttempt> dispatched = new ArrayList<>(attempts.values());
+      if (dispatched.isEmpty()) {
         return;
       }
-      Dispatched attempt = known.get(known.size() - 1 - random.nextInt(Math.min(30, known.size())));
+      DispatchedAttempt attempt =
+          dispatched.get(dispatched.size() - 1 - random.nextInt(Math.min(30, dispatched.size())));
       boolean crossed = random.nextInt(100) == 0;
       String echoed = crossed ? "another" : attempt.request;
       if (random.nextInt(20) == 0) {
-        fail(attempt);
+        failAttempt(attempt);
       } else if (attempt.draft) {
-        draft(attempt, echoed);
+        sendDraftEvent(attempt, echoed);
       } else {
         mayHaveRun(attempt);
         String body = crossed ? "of another" : attempt.request;
@@ -224,7 +229,7 @@
       }
     }
 
-    private void fail(Dispatched attempt) {
+    private void failAttempt(DispatchedAttempt attempt) {
       Moment moment = Moment.values()[random.nextInt(Moment.values().length)];
       boolean notStarted = RunStates.after(moment) == RunState.NOT_RUN;
       if (!notStarted) {
@@ -238,24 +243,24 @@
       fixture.fail(attempt.id, moment);
     }
 
-    private void mayHaveRun(Dispatched attempt) {
+    private void mayHaveRun(DispatchedAttempt attempt) {
       if (attempt.open) {
         mayHaveRun.add(attempt.id);
       }
     }
 
-    private void draft(Dispatched attempt, String echoed) {
+    private void sendDraftEvent(DispatchedAttempt attempt, String echoed) {
       mayHaveRun(attempt);
       int choice = random.nextInt(20);
-      boolean own = echoed.equals(attempt.request);
+      boolean ownRequest = echoed.equals(attempt.request);
       long offset = attempt.offset;
       if (choice == 0) {
         offset = attempt.start + random.nextInt((int) (attempt.offset - attempt.start) + 1);
       } else if (choice == 1) {
         offset = attempt.offset + 1;
       }
-      if (attempt.offset < LENGTH) {
-        String text = own ? text(attempt.request, offset, 1) : "not yours";
+      if (attempt.offset < ANSWER_TOKENS) {
+        String text = ownRequest ? text(attempt.request, offset, 1) : "not yours";
         fixture.apply(new UpstreamEvent.TokensArrived(attempt.id, echoed, offset, 1, text));
         attempt.offset = Math.max(attempt.offset, offset + 1);
         return;
@@ -274,13 +279,13 @@
       return text.toString();
     }
 
-    private void ledger() {
-      if (!fixture.ledger.answers.isEmpty()) {
-        fixture.apply(fixture.ledger.answers.removeFirst());
+    private void deliverLedgerEvent() {
+      if (!fixture.ledger.pendingEvents.isEmpty()) {
+        fixture.apply(fixture.ledger.pendingEvents.removeFirst());
       }
     }
 
-    private void admit() {
+    private void decideAdmission() {
       if (admission.waiting.isEmpty()) {
         return;
       }
@@ -295,16 +300,16 @@
       }
     }
 
-    private void leave() {
-      if (number == 0) {
+    private void disconnectCaller() {
+      if (requestCount == 0) {
         return;
       }
-      String id = "r" + (number - 1 - random.nextInt(Math.min(number, 10)));
+      String id = "r" + (requestCount - 1 - random.nextInt(Math.min(requestCount, 10)));
       left.add(id);
       fixture.apply(new CallerEvent.CallerLeft(id));
     }
 
-    private void change() {
+    private void changeEnvironment() {
       int choice = random.nextInt(6);
       if (choice == 0) {
         boolean withdrawn = fixture.configuration.withdrawn().isEmpty();
@@ -315,11 +320,11 @@
       } else if (choice == 1) {
         fixture.ledger.reachable = random.nextInt(4) != 0;
       } else {
-        fixture.apply(new SessionEvent.PinsResolved("r" + Math.max(0, number - 1)));
+        fixture.apply(new SessionEvent.PinsResolved("r" + Math.max(0, requestCount - 1)));
       }
     }
 
-    private void look(Effect effect) {
+    private void handleEffect(Effect effect) {
       if (effect instanceof UpstreamEffect.DispatchDraft draft) {
         assertFalse(fixture.configuration.isWithdrawn(draft.version()));
         requests.put(draft.request().requestId(), draft.request());
@@ -340,33 +345,33 @@
                     ? new UpstreamEvent.RatingMissing(id, attempt, "silent")
                     : new UpstreamEvent.Rated(id, attempt, random.nextDouble()),
                 fixture.now);
-        more.forEach(this::look);
+        more.forEach(this::handleEffect);
       } else if (effect instanceof TraceEffect.Count count) {
-        TOTALS.merge(count.name(), count.amount(), Double::sum);
+        COUNTER_TOTALS.merge(count.name(), count.amount(), Double::sum);
       } else if (effect instanceof CallerEffect caller) {
-        lookAtAnswer(caller);
+        checkCallerEffect(caller);
       }
     }
 
     private void dispatched(String id, CallerRequest request, long offset) {
       boolean draft = request.kind() != RequestKind.SERVICE;
-      attempts.put(id, new Dispatched(id, request.requestId(), draft, offset));
+      attempts.put(id, new DispatchedAttempt(id, request.requestId(), draft, offset));
     }
 
-    private void lookAtAnswer(CallerEffect effect) {
+    private void checkCallerEffect(CallerEffect effect) {
       String id = effect.requestId();
       if (effect instanceof CallerEffect.SendTokens tokens) {
         streams.computeIfAbsent(id, each -> new StringBuilder()).append(tokens.text());
       }
-      if (!RequestFixture.isEnd(effect)) {
+      if (!RequestFixture.isFinal(effect)) {
         return;
       }
-      assertEquals(ends.merge(id, 1, Integer::sum), 1, "one end for " + id);
+      assertEquals(finalEffects.merge(id, 1, Integer::sum), 1, "one end for " + id);
       assertFalse(left.contains(id), "nothing is sent to a caller that left");
       if (effect instanceof CallerEffect.Refuse refuse) {
         checkRefusal(id, refuse.error());
       } else if (!(effect instanceof CallerEffect.BreakStream)) {
-        whole++;
+        answeredCount++;
         checkAnswer(id, effect);
       }
     }
@@ -380,9 +385,9 @@
 
     private void checkAnswer(String id, CallerEffect effect) {
       if (effect instanceof CallerEffect.EndStream) {
-        assertEquals(streams.get(id).toString(), text(id, 0, LENGTH));
+        assertEquals(streams.get(id).toString(), text(id, 0, ANSWER_TOKENS));
       } else if (effect instanceof CallerEffect.SendDraft draft) {
-        assertEquals(draft.text(), text(id, 0, LENGTH));
+        assertEquals(draft.text(), text(id, 0, ANSWER_TOKENS));
       } else if (effect instanceof CallerEffect.SendServiceAnswer answer) {
         boolean recorded = answer.facts().notice() != null;
         assertTrue(recorded || answer.body().text().equals(id), "own answer for " + id);
@@ -399,10 +404,10 @@
       fixture.ledger.reachable = true;
       for (int round = 0; round < 3000 && fixture.part.activeRequests() > 0; round++) {
         fixture.effects.clear();
-        ledger();
-        admit();
-        fixture.pass(Duration.ofMillis(100));
-        fixture.effects.forEach(this::look);
+        deliverLedgerEvent();
+        decideAdmission();
+        fixture.advance(Duration.ofMillis(100));
+        fixture.effects.forEach(this::handleEffect);
       }
     }
 
@@ -411,8 +416,8 @@
       assertEquals(fixture.part.heldBytes(), 0);
       assertTrue(admission.running.isEmpty() && admission.waiting.isEmpty());
       fixture.inFlight.forEach((upstream, count) -> assertEquals(count.intValue(), 0, upstream));
-      for (int request = 0; request < number; request++) {
-        boolean ended = ends.containsKey("r" + request) || left.contains("r" + request);
+      for (int request = 0; request < requestCount; request++) {
+        boolean ended = finalEffects.containsKey("r" + request) || left.contains("r" + request);
         assertTrue(ended, "r" + request + " has an end");
       }
       for (String attempt : mayHaveRun) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RequestFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RequestFixture.java
@@ -76,7 +76,7 @@
   final RequestPart part;
   final Reducer reducer;
   List<Plan.Step> steps = List.of(new Plan.Step(SMALL, false));
-  double chance = 0.9;
+  double estimatedQuality = 0.9;
   boolean listed = true;
   boolean serving = true;
   Configuration configuration = configuration(1, List.of());
@@ -87,7 +87,7 @@
   }
 
   RequestFixture(RequestSettings settings, Admission admission, long seed) {
-    RequestCollaborators parts =
+    RequestCollaborators collaborators =
         new RequestCollaborators(
             this,
             current -> this,
@@ -101,12 +101,12 @@
             ledger,
             admission,
             this,
-            new VotersAsJudges(SELF, List.of(SELF)));
-    part = new RequestPart(parts, settings, seed);
-    Part judge = new CrashJudgePart(this, at -> true);
-    List<Part> all = new ArrayList<>(List.of(part, judge, this::agree));
-    if (admission instanceof Part behind) {
-      all.add(1, behind);
+            new VoterCrashReviewers(SELF, List.of(SELF)));
+    part = new RequestPart(collaborators, settings, seed);
+    Part crashReview = new CrashReviewPart(this, at -> true);
+    List<Part> all = new ArrayList<>(List.of(part, crashReview, this::applyQuarantineChange));
+    if (admission instanceof Part admissionPart) {
+      all.add(1, admissionPart);
     }
     reducer = new Reducer(all);
     for (String id : List.of("e1", "e2", "e3")) {
@@ -123,14 +123,14 @@
         100,
         10_000,
         base.maxAttempts(),
-        base.maxPauses(),
-        base.firstPause(),
-        base.silence(),
-        base.longestFirstToken(),
+        base.maxBackoffs(),
+        base.firstBackoff(),
+        base.tokenTimeout(),
+        base.maxFirstTokenTimeout(),
         base.watchdogGrace(),
-        base.pinWait(),
-        base.ratingWait(),
-        base.deliveryWait(),
+        base.pinTimeout(),
+        base.ratingTimeout(),
+        base.deliveryTimeout(),
         retryShare,
         retryReserve,
         base.hedgeShare(),
@@ -191,12 +191,12 @@
   }
 
   /** Starts an engine under a new id. */
-  void restart(String id) {
+  void addEngine(String id) {
     upstreams.put(id, announcement(id, UpstreamKind.ENGINE));
   }
 
   /** What a request of a test differs in. */
-  static final class Ask {
+  static final class RequestOptions {
     RequestKind kind = RequestKind.CHAT;
     String model = CallerRequest.AUTO;
     String service = "";
@@ -208,63 +208,64 @@
     Duration deadline = Duration.ofSeconds(30);
   }
 
-  static Ask chat() {
-    return new Ask();
+  static RequestOptions chat() {
+    return new RequestOptions();
   }
 
-  static Ask stream() {
-    Ask ask = new Ask();
-    ask.stream = true;
-    return ask;
+  static RequestOptions stream() {
+    RequestOptions options = new RequestOptions();
+    options.stream = true;
+    return options;
   }
 
-  static Ask call(String method, @Nullable String key) {
-    Ask ask = new Ask();
-    ask.kind = RequestKind.SERVICE;
-    ask.model = "";
-    ask.service = "certificates";
-    ask.method = method;
-    ask.key = key;
-    return ask;
+  static RequestOptions call(String method, @Nullable String key) {
+    RequestOptions options = new RequestOptions();
+    options.kind = RequestKind.SERVICE;
+    options.model = "";
+    options.service = "certificates";
+    options.method = method;
+    options.key = key;
+    return options;
   }
 
-  List<Effect> ask(String id, Ask ask) {
+  List<Effect> send(String id, RequestOptions options) {
     CallerRequest request =
         new CallerRequest(
             id,
-            ask.keyHash,
-            ask.kind,
-            ask.model,
-            ask.service,
-            ask.method,
+            options.keyHash,
+            options.kind,
+            options.model,
+            options.service,
+            options.method,
             "",
             List.of(),
             "prompt",
             Bytes.EMPTY,
             10,
             100,
-            ask.stream,
+            options.stream,
             5,
-            ask.session,
+            options.session,
             null,
-            ask.key,
-            now.plus(ask.deadline),
+            options.key,
+            now.plus(options.deadline),
             null);
     return apply(new CallerEvent.RequestReceived(request));
   }
 
   List<Effect> apply(Event event) {
-    List<Effect> fresh = reducer.apply(event, now);
-    effects.addAll(fresh);
-    for (UpstreamEffect.ProbeUpstream probe : only(fresh, UpstreamEffect.ProbeUpstream.class)) {
+    List<Effect> newEffects = reducer.apply(event, now);
+    effects.addAll(newEffects);
+    for (UpstreamEffect.ProbeUpstream probe :
+        filter(newEffects, UpstreamEffect.ProbeUpstream.class)) {
       boolean runs = upstreams.containsKey(probe.upstream().id());
       apply(new UpstreamEvent.UpstreamProbed(probe.upstream(), runs));
     }
-    return fresh;
+    return newEffects;
   }
 
   /** Accepts proposed quarantines at once, as the group of the configuration does. */
-  private void agree(Event event, Instant at, Output output) {
+  private void applyQuarantineChange(Event event, Instant at, Output output) {
     if (event instanceof ConfigurationEvent.ChangeProposed proposed) {
       List<RequestKey> keys = new ArrayList<>(configuration.quarantined());
       if (proposed.change() instanceof ConfigurationChange.QuarantineRequest added) {
@@ -294,15 +295,15 @@
   }
 
   /** Hands out all that the ledger has to say. */
-  List<Effect> settle() {
-    List<Effect> fresh = new ArrayList<>();
-    while (!ledger.answers.isEmpty()) {
-      fresh.addAll(apply(ledger.answers.removeFirst()));
+  List<Effect> settleLedger() {
+    List<Effect> newEffects = new ArrayList<>();
+    while (!ledger.pendingEvents.isEmpty()) {
+      newEffects.addAll(apply(ledger.pendingEvents.removeFirst()));
     }
-    return fresh;
+    return newEffects;
   }
 
-  List<Effect> pass(Duration time) {
+  List<Effect> advance(Duration time) {
     now = now.plus(time);
     return apply(new LifecycleEvent.Tick());
   }
@@ -337,40 +338,40 @@
         new UpstreamEvent.ServiceAnswered(attempt, id, status, List.of(), Bytes.ofText(body)));
   }
 
-  <T> List<T> list(Class<T> type) {
-    return only(effects, type);
+  <T> List<T> effectsOf(Class<T> type) {
+    return filter(effects, type);
   }
 
-  static <T> List<T> only(List<Effect> from, Class<T> type) {
+  static <T> List<T> filter(List<Effect> from, Class<T> type) {
     return from.stream().filter(type::isInstance).map(type::cast).toList();
   }
 
-  <T> T last(Class<T> type) {
-    List<T> found = list(type);
+  <T> T lastEffect(Class<T> type) {
+    List<T> found = effectsOf(type);
     return found.get(found.size() - 1);
   }
 
-  List<String> attempts() {
+  List<String> dispatchedAttempts() {
     List<String> ids = new ArrayList<>();
-    list(UpstreamEffect.DispatchDraft.class).forEach(each -> ids.add(each.attemptId()));
-    list(UpstreamEffect.DispatchCall.class).forEach(each -> ids.add(each.attemptId()));
+    effectsOf(UpstreamEffect.DispatchDraft.class).forEach(each -> ids.add(each.attemptId()));
+    effectsOf(UpstreamEffect.DispatchCall.class).forEach(each -> ids.add(each.attemptId()));
     return ids;
   }
 
-  double counted(String name) {
-    return list(TraceEffect.Count.class).stream()
+  double counterTotal(String name) {
+    return effectsOf(TraceEffect.Count.class).stream()
         .filter(count -> count.name().equals(name))
         .mapToDouble(TraceEffect.Count::amount)
         .sum();
   }
 
-  long ends(String requestId) {
-    return list(CallerEffect.class).stream()
-        .filter(effect -> effect.requestId().equals(requestId) && isEnd(effect))
+  long finalEffectCount(String requestId) {
+    return effectsOf(CallerEffect.class).stream()
+        .filter(effect -> effect.requestId().equals(requestId) && isFinal(effect))
         .count();
   }
 
-  static boolean isEnd(CallerEffect effect) {
+  static boolean isFinal(CallerEffect effect) {
     return !(effect instanceof CallerEffect.BeginStream)
         && !(effect instanceof CallerEffect.SendTokens);
   }
@@ -418,15 +419,15 @@
 
   @Override
   public List<Announcement> engines(ModelVersion version, Instant at) {
-    return ofKind(UpstreamKind.ENGINE);
+    return upstreamsOf(UpstreamKind.ENGINE);
   }
 
   @Override
   public List<Announcement> services(String service, Instant at) {
-    return ofKind(UpstreamKind.SERVICE);
+    return upstreamsOf(UpstreamKind.SERVICE);
   }
 
-  private List<Announcement> ofKind(UpstreamKind kind) {
+  private List<Announcement> upstreamsOf(UpstreamKind kind) {
     return upstreams.values().stream().filter(each -> each.kind() == kind).toList();
   }
 
@@ -461,7 +462,7 @@
 
   @Override
   public Estimate estimate(ModelVersion version, String team, int promptTokens, double target) {
-    return new Estimate(chance, 0.1, 10);
+    return new Estimate(estimatedQuality, 0.1, 10);
   }
 
   @Override
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationOverLogTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationOverLogTest.java
@@ -97,18 +97,18 @@
         usual.electionMax(),
         usual.heartbeat(),
         usual.lease(),
-        usual.storageStall(),
-        usual.resend(),
+        usual.storageStallTimeout(),
+        usual.resendInterval(),
         snapshotEntries,
         16,
-        usual.appendEntries(),
-        usual.appendBytes(),
-        usual.windowEntries(),
-        usual.chunkBytes(),
-        usual.uncommittedEntries(),
-        usual.uncommittedBytes(),
-        usual.submissions(),
-        usual.restartWait());
+        usual.maxAppendEntries(),
+        usual.maxAppendBytes(),
+        usual.maxInFlightEntries(),
+        usual.maxChunkBytes(),
+        usual.maxUncommittedEntries(),
+        usual.maxUncommittedBytes(),
+        usual.maxPendingSubmissions(),
+        usual.maxRestartWait());
   }
 
   private String send(
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/GrowthTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/AutomaticMembershipTest.java
@@ -14,9 +14,10 @@
 import org.testng.annotations.Test;
 
 /** Tests of groups that change their members by themselves. */
-public final class GrowthTest {
+public final class AutomaticMembershipTest {
 
-  private static final Growth AUTOMATIC = new Growth(true, 3, Duration.ofSeconds(2));
+  private static final MembershipChangePolicy AUTOMATIC =
+      new MembershipChangePolicy(true, 3, Duration.ofSeconds(2));
   private static final int RANDOM_RUNS = 120;
   private static final int STEPS = 12;
 
@@ -36,7 +37,7 @@
    * another address copies the log, votes, and only then the lost one is dropped.
    */
   @Test
-  public void newcomerTakesThePlaceOfLostVoter() {
+  public void joiningNodeReplacesLostVoter() {
     TestCluster cluster = cluster(1);
     cluster.write(cluster.awaitLeader(), "before-", 30);
     cluster.network.crash("node-3");
@@ -56,7 +57,7 @@
    * again only once it has copied what it had promised to keep.
    */
   @Test
-  public void wipedVoterVotesAgainOnceItHasCaughtUp() {
+  public void wipedVoterVotesAgainAfterCatchingUp() {
     TestCluster cluster = cluster(2);
     cluster.write(cluster.awaitLeader(), "before-", 30);
     cluster.network.crash("node-2");
@@ -71,10 +72,13 @@
    * founded now would hide that what was accepted is gone.
    */
   @Test
-  public void groupIsNotFoundedOnceTheSystemHasRun() {
+  public void groupIsNotBootstrappedAgainAfterService() {
     TestCluster cluster =
         new TestCluster(
-            3, 3, TestCluster.settings(20), new Growth(false, 3, Duration.ofSeconds(2)));
+            3,
+            3,
+            TestCluster.settings(20),
+            new MembershipChangePolicy(false, 3, Duration.ofSeconds(2)));
     cluster.network.run(Duration.ofSeconds(20));
     assertNull(cluster.leader());
     assertEquals(cluster.status("node-1").members(), Members.NONE);
@@ -95,7 +99,7 @@
    * at a time.
    */
   @Test
-  public void nothingIsLostInRandomRuns() {
+  public void answeredChangesSurviveRandomFaults() {
     for (long seed = 0; seed < RANDOM_RUNS; seed++) {
       try {
         randomRun(seed, cluster(seed));
@@ -110,10 +114,10 @@
    * only a leader's lease would be.
    */
   @Test
-  public void nothingIsLostInRandomRunsWithQuickRestarts() {
+  public void answeredChangesSurviveRandomFaultsWithQuickRestarts() {
     for (long seed = 0; seed < RANDOM_RUNS; seed++) {
       try {
-        randomRun(seed, new TestCluster(seed, 3, TestCluster.quickRestarts(20), AUTOMATIC));
+        randomRun(seed, new TestCluster(seed, 3, TestCluster.quickRestartSettings(20), AUTOMATIC));
       } catch (AssertionError failed) {
         throw new AssertionError("seed " + seed, failed);
       }
@@ -125,9 +129,10 @@
    * so that there is no leader for whom a restarted one should wait.
    */
   @Test
-  public void votersElectSoonAfterAllWereRestarted() {
+  public void leaderIsElectedSoonAfterRestartOfAllVoters() {
     for (long seed = 1; seed <= 20; seed++) {
-      TestCluster cluster = new TestCluster(seed, 3, TestCluster.quickRestarts(20), AUTOMATIC);
+      TestCluster cluster =
+          new TestCluster(seed, 3, TestCluster.quickRestartSettings(20), AUTOMATIC);
       cluster.write(cluster.awaitLeader(), "before-", 30);
       List<String> names = List.copyOf(cluster.daemons.keySet());
       names.forEach(cluster.network::crash);
@@ -148,7 +153,7 @@
     List<String> names = new ArrayList<>(cluster.daemons.keySet());
     for (int step = 0; step < STEPS; step++) {
       String victim = names.get(random.nextInt(names.size()));
-      strike(cluster, victim, random.nextInt(4));
+      injectFault(cluster, victim, random.nextInt(4));
       for (int key = 0; key < 5; key++) {
         cluster.submit(names.get(random.nextInt(names.size())), "key-" + step + "-" + key);
       }
@@ -157,24 +162,24 @@
       if (!cluster.network.isUp(victim)) {
         cluster.network.start(victim);
       }
-      settle(cluster);
+      awaitFullRedundancy(cluster);
     }
     cluster.assertNothingLost();
   }
 
-  private static void strike(TestCluster cluster, String victim, int kind) {
-    if (kind == 0) {
+  private static void injectFault(TestCluster cluster, String victim, int faultKind) {
+    if (faultKind == 0) {
       cluster.network.isolate(victim);
       return;
     }
     cluster.network.crash(victim);
-    if (kind == 1) {
+    if (faultKind == 1) {
       cluster.network.wipe(victim);
     }
   }
 
   /** Waits until the next disk may be lost: three voters that have all that was accepted. */
-  private static void settle(TestCluster cluster) {
+  private static void awaitFullRedundancy(TestCluster cluster) {
     assertTrue(cluster.awaitVoters(3), cluster.statuses());
     cluster.network.run(Duration.ofSeconds(2));
     assertTrue(cluster.awaitVoters(3), cluster.statuses());
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/ConsensusPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/ConsensusPartTest.java
@@ -25,9 +25,9 @@
     return cluster;
   }
 
-  private static String other(TestCluster cluster, String... not) {
+  private static String other(TestCluster cluster, String... excluded) {
     for (String name : cluster.daemons.keySet()) {
-      if (!java.util.List.of(not).contains(name)) {
+      if (!java.util.List.of(excluded).contains(name)) {
         return name;
       }
     }
@@ -35,7 +35,7 @@
   }
 
   @Test
-  public void daemonWithoutReplicaGetsItsResult() {
+  public void daemonWithoutReplicaReceivesResult() {
     TestCluster cluster = cluster(1, 3, 1000);
     cluster.add("entry", false);
     cluster.write("entry", "a", 20);
@@ -44,7 +44,7 @@
   }
 
   @Test
-  public void oneVoterAloneAgreesWithItself() {
+  public void singleVoterCommits() {
     TestCluster cluster = cluster(2, 1, 10);
     cluster.write("node-1", "a", 100);
     cluster.assertNothingLost();
@@ -54,15 +54,15 @@
   // loses its lease before the others elect; an operator at the others is answered. After the cut
   // the old leader drops what it alone had, and its operator learns the result by the resend.
   @Test
-  public void leaderCutOffInSilenceAcceptsNothing() {
+  public void isolatedLeaderAcceptsNothing() {
     TestCluster cluster = cluster(3, 3, 1000);
-    String old = cluster.leader();
-    String free = other(cluster, old);
-    cluster.network.isolate(old);
-    cluster.submit(old, "cut-off");
-    cluster.submit(free, "free");
+    String oldLeader = cluster.leader();
+    String reachable = other(cluster, oldLeader);
+    cluster.network.isolate(oldLeader);
+    cluster.submit(oldLeader, "cut-off");
+    cluster.submit(reachable, "free");
     cluster.network.run(Duration.ofMillis(280));
-    assertNotEquals(cluster.status(old).role(), Role.LEADER);
+    assertNotEquals(cluster.status(oldLeader).role(), Role.LEADER);
     assertTrue(cluster.awaitAnswer("free"), cluster.statuses());
     assertFalse(cluster.answers.containsKey("cut-off"));
     cluster.network.heal();
@@ -75,22 +75,23 @@
    * was deposed by a late vote's answer took another leader's entry at that index for its own.
    */
   @Test
-  public void leaderDeposedByLateVoteAnswersNothing() {
+  public void leaderSteppingDownOnLateVoteResponseAnswersNothing() {
     TestCluster cluster = cluster(3, 3, 1000);
-    String old = cluster.leader();
-    final String free = other(cluster, old);
-    cluster.network.isolate(old);
-    cluster.submit(old, "cut-off");
+    String oldLeader = cluster.leader();
+    final String reachable = other(cluster, oldLeader);
+    cluster.network.isolate(oldLeader);
+    cluster.submit(oldLeader, "cut-off");
     cluster.network.run(Duration.ofMillis(60));
-    GroupStatus status = cluster.status(old);
+    GroupStatus status = cluster.status(oldLeader);
     assertEquals(status.role(), Role.LEADER);
     long term = status.term() + 1;
-    long instance = cluster.status(free).instance();
+    long instance = cluster.status(reachable).instance();
     cluster.network.inject(
-        old,
+        oldLeader,
         new PeerEvent.MessageReceived(
-            free, new RaftMessage.VoteResponse(TestCluster.GROUP, term, instance, false, false)));
-    cluster.write(free, "free-", 1);
+            reachable,
+            new RaftMessage.VoteResponse(TestCluster.GROUP, term, instance, false, false)));
+    cluster.write(reachable, "free-", 1);
     cluster.network.heal();
     assertTrue(cluster.awaitAnswer("cut-off"), cluster.statuses());
     cluster.assertNothingLost();
@@ -99,7 +100,7 @@
   // A voter is cut off for a minute and comes back. Without the pre-vote it would have taken a new
   // term each half second, and its return would depose the leader: callers would see a pause.
   @Test
-  public void returningVoterDeposesNobody() {
+  public void returningVoterDoesNotDisruptLeader() {
     TestCluster cluster = cluster(4, 3, 1000);
     String leader = cluster.leader();
     final long term = cluster.status(leader).term();
@@ -124,7 +125,7 @@
     cluster.network.start(repaired);
     cluster.write(cluster.awaitLeader(), "between-", 30);
     assertTrue(
-        cluster.network.runUntil(Duration.ofSeconds(30), () -> countsAgain(cluster, repaired)));
+        cluster.network.runUntil(Duration.ofSeconds(30), () -> isRepaired(cluster, repaired)));
     String lost = other(cluster, repaired);
     cluster.network.wipe(lost);
     cluster.awaitLeader();
@@ -134,7 +135,7 @@
     cluster.assertNothingLost();
   }
 
-  private static boolean countsAgain(TestCluster cluster, String node) {
+  private static boolean isRepaired(TestCluster cluster, String node) {
     String leader = cluster.leader();
     if (leader == null
         || cluster.status(leader).commitIndex() < cluster.status(leader).lastIndex()) {
@@ -150,17 +151,17 @@
   // Two of three voters lose their disks at once, one accepted change is left on the third alone.
   // The two empty disks must not elect a leader without it: the group stands still instead.
   @Test
-  public void twoWipedVotersAreNoMajority() {
+  public void twoWipedVotersDoNotFormMajority() {
     TestCluster cluster = cluster(5, 3, 1000);
     cluster.write("node-1", "kept-", 5);
-    String kept = cluster.leader();
+    String survivor = cluster.leader();
     for (String name : cluster.daemons.keySet()) {
-      if (!name.equals(kept)) {
+      if (!name.equals(survivor)) {
         cluster.network.wipe(name);
         cluster.network.start(name);
       }
     }
-    cluster.network.isolate(kept);
+    cluster.network.isolate(survivor);
     cluster.network.run(Duration.ofSeconds(20));
     assertEquals(cluster.leader(), null);
     cluster.network.heal();
@@ -187,7 +188,7 @@
   // A voter was away while the log was compacted, so that the leader has to send its snapshot in
   // chunks. Messages get lost meanwhile; it must still catch up.
   @Test
-  public void laggingVoterGetsSnapshot() {
+  public void laggingVoterReceivesSnapshot() {
     TestCluster cluster = cluster(7, 3, 20);
     String lagging = other(cluster, cluster.leader());
     cluster.network.crash(lagging);
@@ -202,7 +203,7 @@
 
   // The leader's disk fails. It must give up its office and acknowledge nothing; the others go on.
   @Test
-  public void failedSyncStopsTheVoterOnly() {
+  public void failedSyncStopsOnlyTheVoter() {
     TestCluster cluster = cluster(8, 3, 1000);
     String failing = cluster.leader();
     cluster.network.failDisk(failing);
@@ -258,7 +259,7 @@
   // The leader's daemon is stopped on plan. It hands its office over, so that callers wait for no
   // election time-out.
   @Test
-  public void plannedStopHandsOver() {
+  public void plannedStopTransfersLeadership() {
     TestCluster cluster = cluster(16, 3, 1000);
     String stopped = cluster.leader();
     Instant before = cluster.network.now();
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/ControlVmPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/ControlVmPartTest.java
@@ -60,7 +60,7 @@
 
   /** Starts each test without what an earlier one left, since TestNG keeps one instance. */
   @BeforeMethod
-  public void forgetEarlierTests() {
+  public void clearRecordedOutput() {
     submitted.clear();
     effects.clear();
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/RandomRunTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/RandomFaultsTest.java
@@ -19,14 +19,14 @@
  * <p>The cluster checks at each event that a term has one leader, that at most one leader holds a
  * lease and has all accepted entries, and that all replicas apply the same commands in order.
  */
-public class RandomRunTest {
+public class RandomFaultsTest {
 
   private static final int STEPS = 400;
-  private static final int KINDS_OF_FAULT = 14;
+  private static final int FAULT_KINDS = 14;
 
   private TestCluster cluster;
-  private @Nullable String repaired;
-  private long instanceBefore;
+  private @Nullable String repairedNode;
+  private long wipedInstance;
   private int submitted;
   private int wiped;
 
@@ -34,16 +34,16 @@
   // messages are lost, doubled and late, while all daemons submit. Afterwards everything accepted
   // is there and the group works again.
   @Test(dataProvider = "runs")
-  public void acceptedEntriesSurviveAnything(long seed, int voters, int snapshotEntries) {
+  public void acceptedEntriesSurviveRandomFaults(long seed, int voters, int snapshotEntries) {
     cluster = new TestCluster(seed, voters, TestCluster.settings(snapshotEntries));
     cluster.awaitLeader();
     cluster.add("spare", true);
     cluster.add("entry", false);
-    repaired = null;
+    repairedNode = null;
     submitted = 0;
     wiped = 0;
     for (int step = 0; step < STEPS; step++) {
-      fault();
+      injectFault();
       submit();
       cluster.network.run(Duration.ofMillis(20 + random(400)));
     }
@@ -77,9 +77,9 @@
     }
   }
 
-  private void fault() {
+  private void injectFault() {
     String name = anyDaemon();
-    switch (random(KINDS_OF_FAULT)) {
+    switch (random(FAULT_KINDS)) {
       case 0 -> cluster.network.crash(name);
       case 1, 2, 3 -> cluster.daemons.keySet().forEach(this::startIfDown);
       case 4 -> cluster.network.isolate(name);
@@ -88,14 +88,14 @@
       case 8 -> cluster.network.weather(random(30) / 100.0, random(30) / 100.0, 1 + random(200));
       case 9 -> cluster.network.weather(0, 0, 1 + random(5));
       case 10 -> cluster.network.syncMillis(1 + random(random(2) == 0 ? 5 : 150));
-      case 11 -> wipeIfAllCount(name);
+      case 11 -> wipeIfFullyRedundant(name);
       case 12 -> stop(name);
       default -> changeMembers();
     }
   }
 
   /** Empties a disk, but only while each voter has what it promised, as a repair must wait for. */
-  private void wipeIfAllCount(String name) {
+  private void wipeIfFullyRedundant(String name) {
     String leader = cluster.leader();
     if (leader == null || !cluster.daemons.get(name).hosts) {
       return;
@@ -103,26 +103,22 @@
     GroupStatus status = cluster.status(leader);
     Member member = status.members().find(name);
     boolean settled = status.commitIndex() == status.lastIndex();
-    if (!settled
-        || member == null
-        || status.members().voters().size() < 3
-        || !countsAgain(status)) {
+    if (!settled || member == null || status.members().voters().size() < 3 || !isRepaired(status)) {
       return;
     }
-    repaired = name;
-    instanceBefore = member.instance();
+    repairedNode = name;
+    wipedInstance = member.instance();
     wiped++;
     cluster.network.wipe(name);
     cluster.network.start(name);
   }
 
-  private boolean countsAgain(GroupStatus status) {
-    if (repaired == null) {
+  private boolean isRepaired(GroupStatus status) {
+    if (repairedNode == null) {
       return true;
     }
-    Member member = status.members().find(repaired);
-    return member == null
-        || (member.instance() != instanceBefore && status.members().votes(member));
+    Member member = status.members().find(repairedNode);
+    return member == null || (member.instance() != wipedInstance && status.members().votes(member));
   }
 
   private void changeMembers() {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/PromisesTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/ReplicaSafetyTest.java
@@ -36,7 +36,7 @@
 import org.testng.annotations.Test;
 
 /** What one replica promises and believes, message by message. */
-public class PromisesTest {
+public class ReplicaSafetyTest {
 
   private static final GroupId GROUP = GroupId.LEDGER;
   private static final GroupId OTHER = new GroupId("ledger", 1);
@@ -75,8 +75,8 @@
   // A voter that answers before its vote is on the disk, and then loses power, votes twice in the
   // term: two leaders accept different changes.
   @Test
-  public void voteWaitsForItsSync() {
-    pass(400);
+  public void voteIsSentAfterSync() {
+    advanceTime(400);
     receive("b", new VoteRequest(GROUP, 9, 2, 2, false, false));
     assertFalse(granted());
     sync();
@@ -86,7 +86,7 @@
   // A leader counts what is acknowledged. An entry acknowledged from memory is gone after a power
   // failure, though its caller was told that it was accepted.
   @Test
-  public void acknowledgementWaitsForItsSync() {
+  public void acknowledgementIsSentAfterSync() {
     receive("b", new AppendRequest(GROUP, 3, 2, 2, List.of(), 0, now));
     sync();
     AppendRequest request = append(3, entry(3, 3, new GroupCommand.Probe("three")));
@@ -101,12 +101,12 @@
   // least election time, also of a voter that has just restarted and doesn't know what it
   // acknowledged, would let a second leader change what the first still answers.
   @Test
-  public void noVoteWhileLeaseMayHold() {
-    pass(280);
+  public void noVoteWhileLeaseMayBeActive() {
+    advanceTime(280);
     receive("b", new VoteRequest(GROUP, 9, 2, 2, false, false));
-    pass(40);
+    advanceTime(40);
     receive("c", append(3, entry(3, 3, new GroupCommand.Probe("three"))));
-    pass(280);
+    advanceTime(280);
     receive("b", new VoteRequest(GROUP, 9, 5, 5, false, false));
     receive("b", new VoteRequest(GROUP, 9, 5, 5, true, false));
     sync();
@@ -118,8 +118,8 @@
   // replaced by another leader, so nobody may be told that it is accepted until one of the
   // leader's own term has reached a majority.
   @Test
-  public void entryOfEarlierTermIsNotCounted() {
-    lead();
+  public void entryOfEarlierTermIsNotCommittedByCounting() {
+    becomeLeader();
     receive("b", acknowledge(2, 2));
     assertEquals(part.status(GROUP).commitIndex(), 0);
     receive("b", acknowledge(2, 3));
@@ -145,8 +145,8 @@
   // Voter c comes back with an empty disk and is taken in as a learner. Counted before it has all
   // accepted entries, it would stand for them when a second voter is lost.
   @Test
-  public void learnerCountsOnlyOnceCaughtUp() {
-    lead();
+  public void learnerBecomesVoterOnceCaughtUp() {
+    becomeLeader();
     receive("b", acknowledge(2, 3));
     receive("c", new RaftMessage.JoinRequest(GROUP, 9));
     sync();
@@ -162,7 +162,7 @@
   // Power fails after a leader's snapshot was saved and before the entries that it contradicts were
   // dropped. Kept, they would stand in the log as if they continued the snapshot.
   @Test
-  public void entriesContradictedBySnapshotAreDropped() {
+  public void entriesConflictingWithSnapshotAreTruncated() {
     Snapshot snapshot = new Snapshot(10, 5, now, MEMBERS, new GroupState.Empty());
     List<LogEntry> stale = List.of(entry(11, 3, new GroupCommand.Probe("stale")));
     apply(new StorageEvent.Recovered(OTHER, new HardState(5, null, 1), snapshot, stale));
@@ -172,9 +172,9 @@
 
   // The disk under one group fails. That group's voter stops; the daemon's other group goes on.
   @Test
-  public void failedGroupLeavesOthersAlone() {
+  public void diskFailureOfOneGroupDoesNotAffectOthers() {
     apply(new StorageEvent.Recovered(OTHER, new HardState(2, null, 1), null, List.of()));
-    lead();
+    becomeLeader();
     apply(new StorageEvent.Failed(OTHER, "no space left on device"));
     receive("b", acknowledge(2, 3));
     assertTrue(part.status(OTHER).storageFailed());
@@ -182,13 +182,13 @@
   }
 
   private void campaign() {
-    pass(700);
+    advanceTime(700);
     receive("b", new VoteResponse(GROUP, 3, 2, true, true));
     sync();
     assertEquals(part.status(GROUP).role(), Role.CANDIDATE);
   }
 
-  private void lead() {
+  private void becomeLeader() {
     campaign();
     receive("b", new VoteResponse(GROUP, 3, 2, true, false));
     sync();
@@ -225,8 +225,8 @@
     apply(new PeerEvent.MessageReceived(from, message));
   }
 
-  private void pass(long millis) {
-    for (long passed = 0; passed < millis; passed += Reducer.TICK.toMillis()) {
+  private void advanceTime(long millis) {
+    for (long elapsed = 0; elapsed < millis; elapsed += Reducer.TICK.toMillis()) {
       now = now.plus(Reducer.TICK);
       apply(new LifecycleEvent.Tick());
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/TestCluster.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/TestCluster.java
@@ -35,7 +35,7 @@
 
   static final GroupId GROUP = GroupId.LEDGER;
 
-  private static final long HOLD_MILLIS = 3_600_000;
+  private static final long CLAIM_HOLD_MILLIS = 3_600_000;
 
   final MiniNetwork network;
   final Map<String, Daemon> daemons = new LinkedHashMap<>();
@@ -47,21 +47,21 @@
 
   private final List<String> voters;
   private final RaftSettings settings;
-  private final Growth growth;
+  private final MembershipChangePolicy policy;
   private final MemoryCodec codec = new MemoryCodec();
-  private final Map<Long, Command> agreed = new HashMap<>();
-  private final Map<String, Long> indexes = new HashMap<>();
-  private final Map<Long, String> leaders = new HashMap<>();
-  private long newestAnswered;
+  private final Map<Long, Command> committedCommands = new HashMap<>();
+  private final Map<String, Long> indexByKey = new HashMap<>();
+  private final Map<Long, String> leaderByTerm = new HashMap<>();
+  private long highestAnsweredIndex;
 
   TestCluster(long seed, int voterCount, RaftSettings settings) {
-    this(seed, voterCount, settings, Growth.BY_OPERATORS);
+    this(seed, voterCount, settings, MembershipChangePolicy.MANUAL);
   }
 
-  TestCluster(long seed, int voterCount, RaftSettings settings, Growth growth) {
+  TestCluster(long seed, int voterCount, RaftSettings settings, MembershipChangePolicy policy) {
     this.network = new MiniNetwork(seed);
     this.settings = settings;
-    this.growth = growth;
+    this.policy = policy;
     List<String> names = new ArrayList<>();
     for (int i = 1; i <= voterCount; i++) {
       names.add("node-" + i);
@@ -70,7 +70,7 @@
     for (String name : names) {
       add(name, true);
     }
-    if (settings.restartWait().isZero()) {
+    if (settings.maxRestartWait().isZero()) {
       network.check(this::checkLeases);
     }
   }
@@ -83,8 +83,8 @@
         defaults.electionMax(),
         defaults.heartbeat(),
         defaults.lease(),
-        defaults.storageStall(),
-        defaults.resend(),
+        defaults.storageStallTimeout(),
+        defaults.resendInterval(),
         snapshotEntries,
         4,
         8,
@@ -98,24 +98,24 @@
   }
 
   /** The same, but a voter campaigns soon after its start, so that no leader has a lease. */
-  static RaftSettings quickRestarts(int snapshotEntries) {
+  static RaftSettings quickRestartSettings(int snapshotEntries) {
     RaftSettings usual = settings(snapshotEntries);
     return new RaftSettings(
         usual.electionMin(),
         usual.electionMax(),
         usual.heartbeat(),
         usual.lease(),
-        usual.storageStall(),
-        usual.resend(),
+        usual.storageStallTimeout(),
+        usual.resendInterval(),
         usual.snapshotEntries(),
-        usual.keptEntries(),
-        usual.appendEntries(),
-        usual.appendBytes(),
-        usual.windowEntries(),
-        usual.chunkBytes(),
-        usual.uncommittedEntries(),
-        usual.uncommittedBytes(),
-        usual.submissions(),
+        usual.trailingEntries(),
+        usual.maxAppendEntries(),
+        usual.maxAppendBytes(),
+        usual.maxInFlightEntries(),
+        usual.maxChunkBytes(),
+        usual.maxUncommittedEntries(),
+        usual.maxUncommittedBytes(),
+        usual.maxPendingSubmissions(),
         Duration.ofMillis(100));
   }
 
@@ -147,7 +147,7 @@
     daemons
         .get(daemon)
         .submissions
-        .add(new LedgerCommand.Claim("team", key, key, "hash", daemon, HOLD_MILLIS));
+        .add(new LedgerCommand.Claim("team", key, key, "hash", daemon, CLAIM_HOLD_MILLIS));
   }
 
   void submit(String daemon, Command command) {
@@ -197,15 +197,15 @@
     write(leader(), "last-" + network.now() + "-", 1);
     network.run(Duration.ofSeconds(3));
     for (String key : answers.keySet()) {
-      boolean probe = !key.contains("Member[");
-      if (probe && !indexes.containsKey(key)) {
+      boolean keyed = !key.contains("Member[");
+      if (keyed && !indexByKey.containsKey(key)) {
         throw new AssertionError(key + " was answered but never applied");
       }
     }
     Members members = status(leader()).members();
     for (Daemon daemon : daemons.values()) {
       boolean member = members.find(daemon.name) != null;
-      if (member && network.isUp(daemon.name) && daemon.applied < newestAnswered) {
+      if (member && network.isUp(daemon.name) && daemon.applied < highestAnsweredIndex) {
         throw new AssertionError(daemon.name + " lacks accepted entries:" + statuses());
       }
       if (member && network.isUp(daemon.name)) {
@@ -226,7 +226,7 @@
         throw new AssertionError("two leaders under a lease" + statuses());
       }
       holder = daemon.name;
-      if (status(holder).commitIndex() < newestAnswered) {
+      if (status(holder).commitIndex() < highestAnsweredIndex) {
         throw new AssertionError("a leader under its lease lacks accepted entries" + statuses());
       }
     }
@@ -250,7 +250,7 @@
 
     private Reducer boot(long seed) {
       machine = hosts ? new LedgerMachine(LedgerBounds.DEFAULT) : null;
-      GroupSetup setup = new GroupSetup(GROUP, voters, growth, machine);
+      GroupSetup setup = new GroupSetup(GROUP, voters, policy, machine);
       part = new ConsensusPart(name, List.of(setup), settings, codec, seed);
       keys.clear();
       applied = 0;
@@ -273,7 +273,7 @@
       } else if (event instanceof ConsensusEvent.SubmissionFailed failed) {
         failures.put(keys.remove(failed.submissionId()), failed.remedy());
       } else if (event instanceof ConsensusEvent.LeaderChanged change) {
-        changed(change);
+        leaderChanged(change);
       }
     }
 
@@ -290,22 +290,22 @@
         throw new AssertionError(name + " applied " + committed.index() + " after " + applied);
       }
       applied = committed.index();
-      Command other = agreed.putIfAbsent(committed.index(), committed.command());
+      Command other = committedCommands.putIfAbsent(committed.index(), committed.command());
       if (other != null && !other.equals(committed.command())) {
         throw new AssertionError(name + " applied " + committed + " where another had " + other);
       }
-      indexes.putIfAbsent(key(committed.command()), committed.index());
+      indexByKey.putIfAbsent(key(committed.command()), committed.index());
     }
 
     private void answered(ConsensusEvent.SubmissionAnswered answered) {
       String key = keys.remove(answered.submissionId());
       answers.put(key, answered.result());
-      newestAnswered = Math.max(newestAnswered, indexes.getOrDefault(key, 0L));
+      highestAnsweredIndex = Math.max(highestAnsweredIndex, indexByKey.getOrDefault(key, 0L));
     }
 
-    private void changed(ConsensusEvent.LeaderChanged change) {
+    private void leaderChanged(ConsensusEvent.LeaderChanged change) {
       if (name.equals(change.node())) {
-        String other = leaders.putIfAbsent(change.term(), name);
+        String other = leaderByTerm.putIfAbsent(change.term(), name);
         if (other != null && !other.equals(name)) {
           throw new AssertionError("two leaders in term " + change.term());
         }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/DirectorySpreadTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/DirectoryDisseminationTest.java
@@ -15,12 +15,12 @@
 import org.testng.annotations.Test;
 
 /** Tests what all daemons know of upstreams that announce themselves to one. */
-public final class DirectorySpreadTest {
+public final class DirectoryDisseminationTest {
 
   @Test
-  public void changesAndLoadsReachAllSoon() {
-    TestNetwork network = with(9, 20);
-    everywhere(network, 20);
+  public void changesAndLoadsReachAllDaemons() {
+    TestNetwork network = networkWith(9, 20);
+    assertUpstreamsOnAllDaemons(network, 20);
     TestUpstream leaving = network.upstreams.get(3);
     TestUpstream busy = network.upstreams.get(4);
     leaving.leaving = true;
@@ -40,11 +40,11 @@
 
   /** An upstream falls silent; new work sent to it would wait for nothing, at any entry. */
   @Test
-  public void silentUpstreamIsOutEverywhere() {
-    TestNetwork network = with(9, 20);
+  public void silentUpstreamIsRemovedOnAllDaemons() {
+    TestNetwork network = networkWith(9, 20);
     network.upstreams.remove(0);
     network.run(Duration.ofSeconds(5));
-    everywhere(network, 19);
+    assertUpstreamsOnAllDaemons(network, 19);
   }
 
   /**
@@ -52,8 +52,8 @@
    * within a second; callers of the other entries must not find it missing meanwhile.
    */
   @Test
-  public void upstreamsOutliveTheirOwner() {
-    TestNetwork network = with(9, 20);
+  public void upstreamsSurviveLossOfOwner() {
+    TestNetwork network = networkWith(9, 20);
     for (int round = 2; round < 12; round++) {
       TestDaemon owner = network.daemons.get(network.random.nextInt(9));
       int number = Integer.parseInt(owner.self.name().substring("entry-".length()));
@@ -61,17 +61,17 @@
       if (round % 2 == 0) {
         for (int i = 0; i < 300; i++) {
           network.run(Duration.ofMillis(100));
-          everywhere(network, 20);
+          assertUpstreamsOnAllDaemons(network, 20);
         }
       }
       TestDaemon restarted = network.start(number, round);
       for (int i = 0; i < 200; i++) {
         network.run(Duration.ofMillis(100));
         network.daemons.remove(restarted);
-        everywhere(network, 20);
+        assertUpstreamsOnAllDaemons(network, 20);
         network.daemons.add(restarted);
       }
-      everywhere(network, 20);
+      assertUpstreamsOnAllDaemons(network, 20);
     }
   }
 
@@ -81,12 +81,12 @@
    */
   @Test
   public void upstreamsLostWithTheirOwnerAreDropped() {
-    TestNetwork network = with(9, 20);
+    TestNetwork network = networkWith(9, 20);
     TestDaemon owner = network.daemons.get(5);
     network.upstreams.removeIf(upstream -> upstream.entry % 9 == 5);
     network.kill(owner);
     network.run(Duration.ofSeconds(12));
-    everywhere(network, network.upstreams.size());
+    assertUpstreamsOnAllDaemons(network, network.upstreams.size());
   }
 
   /**
@@ -94,8 +94,8 @@
    * third. After it heals, entries of both sides must send new work to neither old one.
    */
   @Test
-  public void changesDuringPartitionArriveAfterIt() {
-    TestNetwork network = with(9, 20);
+  public void changesDuringPartitionAreDisseminatedAfterIt() {
+    TestNetwork network = networkWith(9, 20);
     network.partition(List.of("127.0.0.1", "127.0.0.4", "127.0.0.7", "127.0.0.8"));
     TestUpstream leaving = network.upstreams.get(0);
     leaving.leaving = true;
@@ -114,21 +114,22 @@
   }
 
   @Test
-  public void largePoolIsSharedEvenly() {
-    Map<String, Integer> uses = new HashMap<>();
+  public void largePoolIsDistributedEvenly() {
+    Map<String, Integer> useCounts = new HashMap<>();
     for (int entry = 1; entry <= 50; entry++) {
       UpstreamPool pool = new UpstreamPool("entry-" + entry, "utrecht-a", 16);
       for (int i = 0; i < 200; i++) {
         pool.add(Announcements.engine("engine-" + i, 1, i));
       }
       List<Announcement> subset = pool.subset();
-      subset.forEach(one -> uses.merge(one.id(), 1, Integer::sum));
+      subset.forEach(one -> useCounts.merge(one.id(), 1, Integer::sum));
       pool.remove(subset.get(0).id());
       List<Announcement> kept = new ArrayList<>(subset);
       kept.retainAll(pool.subset());
       assertEquals(kept.size(), 15);
     }
-    assertTrue(uses.size() > 185 && uses.values().stream().allMatch(count -> count <= 14));
+    assertTrue(
+        useCounts.size() > 185 && useCounts.values().stream().allMatch(count -> count <= 14));
   }
 
   /**
@@ -136,21 +137,21 @@
    * and a partition. Once that ends, each entry must know just the upstreams that are there.
    */
   @Test
-  public void agreesWithTheTruthAfterRandomFailures() {
+  public void convergesAfterRandomFailures() {
     for (int seed = 200; seed < 208; seed++) {
-      TestNetwork network = new TestNetwork(seed).with(7);
+      TestNetwork network = new TestNetwork(seed).withEntries(7);
       network.loss = 0.05;
       for (int i = 0; i < 15; i++) {
         network.startUpstream("engine-" + i, 1, 7100 + i, i);
       }
       for (int step = 2; step < 22; step++) {
-        disturb(network, step);
+        injectFault(network, step);
         network.run(Duration.ofMillis(500 + network.random.nextInt(6000)));
       }
       network.loss = 0;
       network.partition(List.of());
       for (int i = 1; i <= 7; i++) {
-        network.cut("127.0.0." + i, false);
+        network.isolate("127.0.0." + i, false);
       }
       network.run(Duration.ofSeconds(90));
       TreeSet<String> expected = new TreeSet<>();
@@ -165,7 +166,7 @@
     }
   }
 
-  private static void disturb(TestNetwork network, int step) {
+  private static void injectFault(TestNetwork network, int step) {
     int daemon = network.random.nextInt(network.daemons.size());
     String host = network.daemons.get(daemon).self.host();
     TestUpstream upstream = network.upstreams.get(network.random.nextInt(network.upstreams.size()));
@@ -175,8 +176,8 @@
         network.kill(network.daemons.get(daemon));
         network.start(Integer.parseInt(name.substring("entry-".length())), step);
       }
-      case 1 -> network.cut(host, true);
-      case 2 -> network.cut(host, false);
+      case 1 -> network.isolate(host, true);
+      case 2 -> network.isolate(host, false);
       case 3 -> network.partition(List.of("127.0.0.2", "127.0.0.3", host));
       case 4 -> network.partition(List.of());
       case 5 -> upstream.leaving = !upstream.leaving;
@@ -194,8 +195,8 @@
     }
   }
 
-  private static TestNetwork with(int daemons, int upstreams) {
-    TestNetwork network = new TestNetwork(8).with(daemons);
+  private static TestNetwork networkWith(int daemons, int upstreams) {
+    TestNetwork network = new TestNetwork(8).withEntries(daemons);
     for (int i = 0; i < upstreams; i++) {
       network.startUpstream("engine-" + i, 1, 7100 + i, i);
     }
@@ -203,7 +204,7 @@
     return network;
   }
 
-  private static void everywhere(TestNetwork network, int upstreams) {
+  private static void assertUpstreamsOnAllDaemons(TestNetwork network, int upstreams) {
     Instant now = network.now;
     for (TestDaemon daemon : network.daemons) {
       assertEquals(daemon.directory.all().size(), upstreams, daemon.self.name() + " at " + now);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/DirectoryPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/DirectoryPartTest.java
@@ -30,13 +30,13 @@
   }
 
   @Test
-  public void silentUpstreamIsOutAndBackOnceHeard() {
-    say(Announcements.engine("engine-1", 1, 7001));
+  public void silentUpstreamIsRemovedUntilNextAnnouncement() {
+    announce(Announcements.engine("engine-1", 1, 7001));
     assertEquals(engines(), List.of("engine-1"));
-    pass(4000);
+    advanceTime(4000);
     assertEquals(engines(), List.of());
     assertTrue(directory.find("engine-1").isEmpty());
-    say(Announcements.engine("engine-1", 1, 7001));
+    announce(Announcements.engine("engine-1", 1, 7001));
     assertEquals(engines(), List.of("engine-1"));
     configuration.set(List.of("engine-1"), List.of(), List.of());
     assertEquals(engines(), List.of());
@@ -50,25 +50,25 @@
    */
   @Test
   public void goneAndReplacedUpstreamsDoNotReturn() {
-    say(Announcements.engine("engine-2", 1, 7002));
-    say(Announcements.engine("engine-2", 1, 7002, false, true, 0));
-    say(Announcements.engine("engine-2", 1, 7002));
+    announce(Announcements.engine("engine-2", 1, 7002));
+    announce(Announcements.engine("engine-2", 1, 7002, false, true, 0));
+    announce(Announcements.engine("engine-2", 1, 7002));
     assertTrue(directory.find("engine-2").isEmpty());
-    say(Announcements.engine("engine-2", 2, 7002));
+    announce(Announcements.engine("engine-2", 2, 7002));
     assertTrue(directory.find("engine-2").isPresent());
-    say(Announcements.engine("engine-3", 1, 7002));
+    announce(Announcements.engine("engine-3", 1, 7002));
     assertTrue(directory.find("engine-2").isEmpty());
     assertTrue(directory.find("engine-3").isPresent());
-    say(Announcements.engine("engine-3", 1, 7002, true, false, 3));
+    announce(Announcements.engine("engine-3", 1, 7002, true, false, 3));
     assertEquals(engines(), List.of());
     assertEquals(directory.find("engine-3").orElseThrow().load().running(), 3);
   }
 
-  private void say(Announcement announcement) {
+  private void announce(Announcement announcement) {
     reducer.apply(new UpstreamEvent.Announced(announcement), now);
   }
 
-  private void pass(long millis) {
+  private void advanceTime(long millis) {
     now = now.plusMillis(millis);
     reducer.apply(new LifecycleEvent.Tick(), now);
   }
