--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/MembershipPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/MembershipPartTest.java
@@ -15,8 +15,8 @@
 public final class MembershipPartTest {
 
   @Test
-  public void allFindEachOtherThroughSeeds() {
-    TestNetwork network = new TestNetwork(1).with(9);
+  public void daemonsDiscoverEachOtherThroughSeeds() {
+    TestNetwork network = new TestNetwork(1).withEntries(9);
     for (TestDaemon daemon : network.daemons) {
       assertEquals(daemon.liveNames().size(), 9);
       assertEquals(daemon.listed(network.now).size(), 9);
@@ -30,21 +30,21 @@
    * others for dead as fast, and once the cut ends all are there again without a restart.
    */
   @Test
-  public void silentlyCutVmIsOutAndComesBack() {
-    TestNetwork network = new TestNetwork(2).with(9);
-    TestDaemon lost = network.daemons.get(4);
-    network.cut(lost.self.host(), true);
+  public void isolatedVmIsRemovedAndRejoins() {
+    TestNetwork network = new TestNetwork(2).withEntries(9);
+    TestDaemon isolated = network.daemons.get(4);
+    network.isolate(isolated.self.host(), true);
     network.run(Duration.ofSeconds(8));
     for (TestDaemon daemon : network.daemons) {
-      if (daemon != lost) {
+      if (daemon != isolated) {
         assertFalse(daemon.liveNames().contains("entry-5"), daemon.self.name());
         assertEquals(daemon.liveNames().size(), 8);
       }
     }
     network.run(Duration.ofSeconds(15));
-    assertEquals(lost.deathsSeen(), 0);
+    assertEquals(isolated.deathsSeen(), 0);
     network.run(Duration.ofSeconds(90));
-    network.cut(lost.self.host(), false);
+    network.isolate(isolated.self.host(), false);
     network.run(Duration.ofSeconds(30));
     for (TestDaemon daemon : network.daemons) {
       assertEquals(daemon.liveNames().size(), 9, daemon.self.name());
@@ -56,12 +56,12 @@
    * up to 2 s. It is suspected, hears of it and refutes; callers keep it.
    */
   @Test
-  public void slowVmIsSuspectedAndNotDead() {
-    TestNetwork network = new TestNetwork(3).with(9);
+  public void slowVmIsSuspectedButNotDead() {
+    TestNetwork network = new TestNetwork(3).withEntries(9);
     TestDaemon slow = network.daemons.get(3);
-    slow.slowness = Duration.ofMillis(700);
+    slow.sendDelay = Duration.ofMillis(700);
     for (int i = 0; i < 20; i++) {
-      slow.stuckUntil = network.now.plusMillis(500 + network.random.nextInt(1500));
+      slow.stalledUntil = network.now.plusMillis(500 + network.random.nextInt(1500));
       network.run(Duration.ofSeconds(4));
     }
     boolean suspected =
@@ -80,8 +80,8 @@
    * to the newest process, and the replaced one may do no harm.
    */
   @Test
-  public void restartsAndReplacedAddresses() {
-    TestNetwork network = new TestNetwork(4).with(5);
+  public void newestProcessReplacesEarlierOnes() {
+    TestNetwork network = new TestNetwork(4).withEntries(5);
     network.kill(network.daemons.get(2));
     network.start(3, 10);
     network.run(Duration.ofSeconds(5));
@@ -92,14 +92,14 @@
     network.start(3, 4);
     network.run(Duration.ofSeconds(20));
     assertTrue(first.membership.find("entry-3").orElseThrow().incarnation() > 10);
-    TestDaemon old = network.daemons.get(4);
-    network.cut(old.self.host(), true);
+    TestDaemon replaced = network.daemons.get(4);
+    network.isolate(replaced.self.host(), true);
     network.start("entry-3", "127.0.0.33", 3, 20);
     network.run(Duration.ofSeconds(20));
-    network.cut(old.self.host(), false);
+    network.isolate(replaced.self.host(), false);
     network.run(Duration.ofSeconds(60));
     for (TestDaemon daemon : network.daemons) {
-      if (daemon != old) {
+      if (daemon != replaced) {
         assertEquals(daemon.membership.find("entry-3").orElseThrow().host(), "127.0.0.33");
         assertEquals(daemon.liveNames().size(), 5);
       }
@@ -115,8 +115,8 @@
    * expired; no list names it after a moment. Then it ends and the others do not look for it.
    */
   @Test
-  public void plannedStopLeavesTheListFirst() {
-    TestNetwork network = new TestNetwork(5).with(9);
+  public void plannedStopRemovesEntryFromListFirst() {
+    TestNetwork network = new TestNetwork(5).withEntries(9);
     TestDaemon leaving = network.daemons.get(7);
     network.apply(leaving, new LifecycleEvent.StopRequested());
     assertFalse(leaving.listed(network.now).contains("entry-8"));
@@ -140,8 +140,8 @@
   }
 
   @Test
-  public void drainedAndLeaselessEntriesAreOffTheList() {
-    TestNetwork network = new TestNetwork(6).with(4);
+  public void drainedAndLeaselessEntriesAreNotListed() {
+    TestNetwork network = new TestNetwork(6).withEntries(4);
     TestDaemon leaseless = network.daemons.get(2);
     leaseless.configuration.lease(false);
     final TestDaemon drained = network.daemons.get(3);
@@ -168,8 +168,8 @@
   }
 
   @Test(dataProvider = "losses")
-  public void lossKillsNobody(double loss) {
-    TestNetwork network = new TestNetwork(7).with(9);
+  public void messageLossCausesNoDeaths(double loss) {
+    TestNetwork network = new TestNetwork(7).withEntries(9);
     network.loss = loss;
     network.run(Duration.ofMinutes(10));
     for (TestDaemon daemon : network.daemons) {
@@ -182,18 +182,18 @@
    * and slowed at random while messages get lost; once that ends, all agree on who is there.
    */
   @Test
-  public void agreesAfterRandomFailures() {
+  public void convergesAfterRandomFailures() {
     for (int seed = 100; seed < 110; seed++) {
-      TestNetwork network = new TestNetwork(seed).with(7);
+      TestNetwork network = new TestNetwork(seed).withEntries(7);
       network.loss = 0.05;
       for (int step = 1; step <= 15; step++) {
         int number = 1 + network.random.nextInt(7);
-        disturb(network, number, 1 + step);
+        injectFault(network, number, 1 + step);
         network.run(Duration.ofMillis(500 + network.random.nextInt(9000)));
       }
       network.loss = 0;
       for (int i = 1; i <= 7; i++) {
-        network.cut("127.0.0." + i, false);
+        network.isolate("127.0.0." + i, false);
       }
       network.run(Duration.ofSeconds(90));
       for (TestDaemon daemon : network.daemons) {
@@ -210,7 +210,7 @@
     }
   }
 
-  private static void disturb(TestNetwork network, int number, long incarnation) {
+  private static void injectFault(TestNetwork network, int number, long incarnation) {
     TestDaemon daemon =
         network.daemons.stream()
             .filter(other -> other.self.name().equals("entry-" + number))
@@ -221,9 +221,9 @@
         network.kill(daemon);
         network.start(number, incarnation);
       }
-      case 1 -> network.cut(daemon.self.host(), true);
-      case 2 -> network.cut(daemon.self.host(), false);
-      default -> daemon.stuckUntil = network.now.plusMillis(network.random.nextInt(5000));
+      case 1 -> network.isolate(daemon.self.host(), true);
+      case 2 -> network.isolate(daemon.self.host(), false);
+      default -> daemon.stalledUntil = network.now.plusMillis(network.random.nextInt(5000));
     }
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestDaemon.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestDaemon.java
@@ -34,8 +34,8 @@
   public final List<String> warnings = new ArrayList<>();
   public final Map<String, String> addressBook = new HashMap<>();
   public final Reducer reducer;
-  public Duration slowness = Duration.ZERO;
-  public Instant stuckUntil = Instant.MIN;
+  public Duration sendDelay = Duration.ZERO;
+  public Instant stalledUntil = Instant.MIN;
   public boolean running = true;
 
   TestDaemon(Member self, List<Seed> seeds, long seed) {
@@ -53,7 +53,7 @@
     reducer = new Reducer(List.of(membership, entries, directory, sessions, recorder));
   }
 
-  void take(TraceEffect.LogLine line) {
+  void recordWarning(TraceEffect.LogLine line) {
     if (line.warning()) {
       warnings.add(line.sentence());
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestNetwork.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestNetwork.java
@@ -30,8 +30,8 @@
   public Instant now = START;
   public double loss;
   final List<TestUpstream> upstreams = new ArrayList<>();
-  private final Set<String> island = new HashSet<>();
-  private final Set<String> cut = new HashSet<>();
+  private final Set<String> partitionedHosts = new HashSet<>();
+  private final Set<String> isolate = new HashSet<>();
   private final PriorityQueue<Delivery> queue =
       new PriorityQueue<>(Comparator.comparing(Delivery::at).thenComparingLong(Delivery::order));
   private long order;
@@ -42,7 +42,7 @@
   }
 
   /** Starts entries 1 to n, of which the first two are seeds, and lets them find each other. */
-  public TestNetwork with(int count) {
+  public TestNetwork withEntries(int count) {
     for (int i = 1; i <= count; i++) {
       start(i, 1);
     }
@@ -88,18 +88,18 @@
   }
 
   /** Loses all that goes to and from a host, without an error at either end. */
-  public void cut(String host, boolean isCut) {
+  public void isolate(String host, boolean isCut) {
     if (isCut) {
-      cut.add(host);
+      isolate.add(host);
     } else {
-      cut.remove(host);
+      isolate.remove(host);
     }
   }
 
   /** Loses all that goes between these hosts and the others; none heals the network. */
   void partition(List<String> hosts) {
-    island.clear();
-    island.addAll(hosts);
+    partitionedHosts.clear();
+    partitionedHosts.addAll(hosts);
   }
 
   TestUpstream startUpstream(String id, long incarnation, int port, int entry) {
@@ -120,7 +120,7 @@
       }
       now = next;
       for (TestDaemon daemon : List.copyOf(daemons)) {
-        if (!now.isBefore(daemon.stuckUntil)) {
+        if (!now.isBefore(daemon.stalledUntil)) {
           apply(daemon, new LifecycleEvent.Tick());
         }
       }
@@ -134,26 +134,26 @@
       return;
     }
     for (Effect effect : daemon.reducer.apply(event, now)) {
-      carryOut(daemon, effect);
+      execute(daemon, effect);
     }
   }
 
   /** Lets an upstream announce itself when that is due, to the next entry if one fails. */
   private void announce(TestUpstream upstream) {
-    if (now.isBefore(upstream.next)) {
+    if (now.isBefore(upstream.nextAnnouncement)) {
       return;
     }
     TestDaemon daemon = daemons.get(upstream.entry % daemons.size());
-    if (cut.contains(daemon.self.host()) || now.isBefore(daemon.stuckUntil)) {
+    if (isolate.contains(daemon.self.host()) || now.isBefore(daemon.stalledUntil)) {
       upstream.entry++;
-      upstream.next = now.plusMillis(500);
+      upstream.nextAnnouncement = now.plusMillis(500);
       return;
     }
     apply(daemon, new UpstreamEvent.Announced(upstream.announcement()));
-    upstream.next = now.plus(daemon.directory.announceEvery());
+    upstream.nextAnnouncement = now.plus(daemon.directory.announceInterval());
   }
 
-  private void carryOut(TestDaemon daemon, Effect effect) {
+  private void execute(TestDaemon daemon, Effect effect) {
     if (effect instanceof PeerEffect.LearnPeer learn) {
       daemon.addressBook.put(learn.node(), learn.host());
     } else if (effect instanceof PeerEffect.ForgetPeer forget) {
@@ -161,33 +161,37 @@
     } else if (effect instanceof PeerEffect.SendToPeer send) {
       send(daemon, send);
     } else if (effect instanceof TraceEffect.LogLine line) {
-      daemon.take(line);
+      daemon.recordWarning(line);
     }
   }
 
   private void send(TestDaemon from, PeerEffect.SendToPeer send) {
     String to = from.addressBook.get(send.node());
-    boolean apart = to != null && island.contains(to) != island.contains(from.self.host());
-    if (to == null || apart || cut.contains(from.self.host()) || random.nextDouble() < loss) {
+    boolean partitioned =
+        to != null && partitionedHosts.contains(to) != partitionedHosts.contains(from.self.host());
+    if (to == null
+        || partitioned
+        || isolate.contains(from.self.host())
+        || random.nextDouble() < loss) {
       return;
     }
-    Duration delay = Duration.ofMillis(1 + random.nextInt(5)).plus(from.slowness);
+    Duration delay = Duration.ofMillis(1 + random.nextInt(5)).plus(from.sendDelay);
     PeerEvent event = new PeerEvent.MessageReceived(from.self.name(), send.message());
     queue.add(new Delivery(now.plus(delay), order++, to, send.node(), event));
   }
 
   private void deliver(Delivery delivery) {
-    if (cut.contains(delivery.host())) {
+    if (isolate.contains(delivery.host())) {
       return;
     }
     for (TestDaemon daemon : List.copyOf(daemons)) {
       if (!daemon.self.host().equals(delivery.host())) {
         continue;
       }
-      if (now.isBefore(daemon.stuckUntil)) {
+      if (now.isBefore(daemon.stalledUntil)) {
         queue.add(
             new Delivery(
-                daemon.stuckUntil, order++, delivery.host(), delivery.name(), delivery.event()));
+                daemon.stalledUntil, order++, delivery.host(), delivery.name(), delivery.event()));
       } else if (daemon.self.name().equals(delivery.name())) {
         apply(daemon, delivery.event());
       }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestUpstream.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/membership/TestUpstream.java
@@ -13,7 +13,7 @@
   boolean leaving;
   boolean gone;
   int running;
-  Instant next = Instant.MIN;
+  Instant nextAnnouncement = Instant.MIN;
 
   TestUpstream(String id, long incarnation, int port, int entry) {
     this.id = id;
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
@@ -19,7 +19,7 @@
 import org.skylarkfork.core.consensus.ConsensusPart;
 import org.skylarkfork.core.consensus.GroupSetup;
 import org.skylarkfork.core.consensus.GroupStatus;
-import org.skylarkfork.core.consensus.Growth;
+import org.skylarkfork.core.consensus.MembershipChangePolicy;
 import org.skylarkfork.core.effect.Effect;
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.RelayEvent;
@@ -44,7 +44,8 @@
   /** The current run's view of each entry, by peer name. */
   final Map<String, RelayEntryPart> entryParts = new HashMap<>();
 
-  private final RelaySimulation.SnapshotNumbers codec = new RelaySimulation.SnapshotNumbers();
+  private final RelaySimulation.InMemorySnapshotCodec codec =
+      new RelaySimulation.InMemorySnapshotCodec();
   private final Map<String, ConsensusPart> groups = new HashMap<>();
   private final Map<String, Integer> starts = new HashMap<>();
   private final Map<String, Instant> disturbedAt = new HashMap<>();
@@ -99,7 +100,8 @@
   private Reducer bootControl(String name, long seed) {
     boolean first = starts.merge(name, 1, Integer::sum) == 1;
     RelayMachine machine = new RelayMachine();
-    Growth growth = new Growth(first, CONTROLS, RelaySimulation.VOTER_SILENCE);
+    MembershipChangePolicy growth =
+        new MembershipChangePolicy(first, CONTROLS, RelaySimulation.VOTER_TIMEOUT);
     ConsensusPart consensus =
         new ConsensusPart(
             name,
@@ -116,7 +118,7 @@
   }
 
   private Reducer bootEntry(String name, long seed) {
-    VersionLedger counts = new VersionLedger();
+    VersionStatistics counts = new VersionStatistics();
     EntryIdentity self = new EntryIdentity(name + ":80", "a", starts.merge(name, 1, Integer::sum));
     RelayEntryPart entry = new RelayEntryPart(self, controls, RelaySimulation.times(), counts);
     entryParts.put(name, entry);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/session/SessionPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/session/SessionPartTest.java
@@ -30,7 +30,7 @@
 
   @Test
   public void eachEntryLearnsThePin() {
-    TestNetwork network = new TestNetwork(11).with(7);
+    TestNetwork network = new TestNetwork(11).withEntries(7);
     pin(network, network.daemons.get(0), "s", ONE);
     for (TestDaemon daemon : network.daemons) {
       assertEquals(ask(network, daemon, "s", null).orElseThrow(), ONE);
@@ -48,7 +48,7 @@
   @Test
   public void equalTimePinsEndAsOne() {
     for (int seed = 0; seed < 20; seed++) {
-      TestNetwork network = new TestNetwork(seed).with(5);
+      TestNetwork network = new TestNetwork(seed).withEntries(5);
       ask(network, network.daemons.get(0), "s", null);
       ask(network, network.daemons.get(1), "s", null);
       Instant first = network.now.plusMillis(seed % 3);
@@ -69,9 +69,9 @@
    */
   @Test
   public void waitsForSlowOwners() {
-    TestNetwork network = new TestNetwork(13).with(5);
+    TestNetwork network = new TestNetwork(13).withEntries(5);
     pin(network, network.daemons.get(0), "s", ONE);
-    network.daemons.forEach(daemon -> daemon.slowness = Duration.ofMillis(200));
+    network.daemons.forEach(daemon -> daemon.sendDelay = Duration.ofMillis(200));
     for (TestDaemon daemon : network.daemons) {
       assertEquals(ask(network, daemon, "s", null), Optional.of(ONE));
     }
@@ -79,7 +79,7 @@
 
   @Test
   public void replacedPinReachesEntriesThatKnewTheOldOne() {
-    TestNetwork network = new TestNetwork(12).with(5);
+    TestNetwork network = new TestNetwork(12).withEntries(5);
     pin(network, network.daemons.get(0), "s", ONE);
     ask(network, network.daemons.get(1), "s", null);
     pin(network, network.daemons.get(2), "s", TWO);
@@ -95,7 +95,7 @@
    */
   @Test
   public void tokenOutlivesAllEntries() {
-    TestNetwork network = new TestNetwork(13).with(3);
+    TestNetwork network = new TestNetwork(13).withEntries(3);
     String token = pin(network, network.daemons.get(0), "s", ONE);
     for (int number = 1; number <= 3; number++) {
       network.kill(network.daemons.get(0));
@@ -119,10 +119,10 @@
    */
   @Test
   public void silentOwnersCostOneBoundedWait() {
-    TestNetwork network = new TestNetwork(14).with(5);
+    TestNetwork network = new TestNetwork(14).withEntries(5);
     String token = pin(network, network.daemons.get(0), "s", ONE);
     TestDaemon cut = network.daemons.get(4);
-    network.cut(cut.self.host(), true);
+    network.isolate(cut.self.host(), true);
     for (int i = 0; i < 20; i++) {
       assertEquals(ask(network, cut, "new" + i, null), Optional.empty());
     }
@@ -136,7 +136,7 @@
   @Test
   public void sessionsKeepVersionsThroughLossOfEachEntry() {
     for (int seed = 30; seed < 34; seed++) {
-      TestNetwork network = new TestNetwork(seed).with(6);
+      TestNetwork network = new TestNetwork(seed).withEntries(6);
       Map<String, ModelVersion> expected = new HashMap<>();
       for (int step = 0; step < 120; step++) {
         TestDaemon entry = network.daemons.get(network.random.nextInt(network.daemons.size()));
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/DaemonNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/DaemonNode.java
@@ -195,7 +195,7 @@
     adminAddress = admin.start();
     NodeParts made = new NodeParts(settings, self(), codec, seed);
     parts = made;
-    queries.attach(made.configuration(), made.entries(), made.directory()::announceEvery);
+    queries.attach(made.configuration(), made.entries(), made.directory()::announceInterval);
     if (journal != null) {
       journal.begin(new JournalStart(seed, self()));
     }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
@@ -15,11 +15,11 @@
 import org.skylarkfork.core.admission.LeasedShares;
 import org.skylarkfork.core.admission.ShareSettings;
 import org.skylarkfork.core.admission.TeamLoad;
-import org.skylarkfork.core.attempt.CrashJudgePart;
+import org.skylarkfork.core.attempt.CrashReviewPart;
 import org.skylarkfork.core.attempt.RequestCollaborators;
 import org.skylarkfork.core.attempt.RequestPart;
 import org.skylarkfork.core.attempt.RequestSettings;
-import org.skylarkfork.core.attempt.VotersAsJudges;
+import org.skylarkfork.core.attempt.VoterCrashReviewers;
 import org.skylarkfork.core.command.CompositeMachine;
 import org.skylarkfork.core.command.ConfigurationCommand;
 import org.skylarkfork.core.command.GroupId;
@@ -36,10 +36,10 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 import org.skylarkfork.core.configuration.Team;
 import org.skylarkfork.core.configuration.ZoneTree;
+import org.skylarkfork.core.consensus.ConsensusEventLogger;
 import org.skylarkfork.core.consensus.ConsensusPart;
 import org.skylarkfork.core.consensus.ControlVmPart;
 import org.skylarkfork.core.consensus.GroupSetup;
-import org.skylarkfork.core.consensus.LeaderLog;
 import org.skylarkfork.core.consensus.RaftSettings;
 import org.skylarkfork.core.effect.TraceEffect;
 import org.skylarkfork.core.event.ConfigurationEvent;
@@ -203,7 +203,7 @@
 
   private static EntryListSettings listSettings(DaemonSettings settings) {
     return new EntryListSettings(
-        settings.entryListLifetime(), EntryListSettings.DEFAULT.spreadMargin());
+        settings.entryListLifetime(), EntryListSettings.DEFAULT.propagationMargin());
   }
 
   private SharedQualityBook qualityBook(long incarnation) {
@@ -243,7 +243,7 @@
   private int servingEntries() {
     return (int)
         membership.live().stream()
-            .filter(member -> member.has(Member.ENTRY))
+            .filter(member -> member.hasRole(Member.ENTRY))
             .filter(member -> member.serving() == ServingState.SERVING)
             .count();
   }
@@ -276,7 +276,7 @@
             ledger,
             admission,
             entries,
-            new VotersAsJudges(settings.node(), settings.voters())),
+            new VoterCrashReviewers(settings.node(), settings.voters())),
         RequestSettings.DEFAULT,
         seed);
   }
@@ -293,7 +293,7 @@
         new ArrayList<>(
             List.of(
                 consensus,
-                new LeaderLog(),
+                new ConsensusEventLogger(),
                 new ControlVmPart(ALL_GROUPS, consensus.submitter()),
                 membership,
                 configuration,
@@ -308,7 +308,7 @@
                 ledger));
     if (settings.isVoter()) {
       parts.add(orders);
-      parts.add(new CrashJudgePart(configuration, this::leadsConfiguration));
+      parts.add(new CrashReviewPart(configuration, this::leadsConfiguration));
     }
     return new Reducer(parts);
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayAdmin.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayAdmin.java
@@ -169,7 +169,7 @@
             status.leader(),
             status.term(),
             status.commitIndex(),
-            status.membersAgreed(),
+            status.membersCommitted(),
             status.members().voters(),
             status.members().learners()));
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -25,7 +25,7 @@
 import org.skylarkfork.core.command.GroupId;
 import org.skylarkfork.core.consensus.ConsensusPart;
 import org.skylarkfork.core.consensus.GroupSetup;
-import org.skylarkfork.core.consensus.Growth;
+import org.skylarkfork.core.consensus.MembershipChangePolicy;
 import org.skylarkfork.core.effect.Effect;
 import org.skylarkfork.core.effect.PeerEffect;
 import org.skylarkfork.core.effect.RelayEffect;
@@ -44,7 +44,7 @@
 import org.skylarkfork.core.relay.RelayTimings;
 import org.skylarkfork.core.relay.RollOutSettings;
 import org.skylarkfork.core.relay.SchedulerPart;
-import org.skylarkfork.core.relay.VersionLedger;
+import org.skylarkfork.core.relay.VersionStatistics;
 import org.skylarkfork.core.routing.StableHash;
 import org.skylarkfork.runtime.codec.BinaryCodec;
 import org.skylarkfork.runtime.loop.EventLoopReducer;
@@ -193,8 +193,9 @@
 
   private void addControl(List<Part> parts) {
     RelayMachine machine = new RelayMachine();
-    Growth growth =
-        new Growth(settings.mayFound(), settings.voters(), RelayPeerLimits.VOTER_SILENCE);
+    MembershipChangePolicy growth =
+        new MembershipChangePolicy(
+            settings.mayFound(), settings.voters(), RelayPeerLimits.VOTER_SILENCE);
     ConsensusPart consensus =
         new ConsensusPart(
             settings.peerName(),
@@ -256,7 +257,7 @@
   }
 
   private void addEntry(List<Part> parts, InetSocketAddress caller) {
-    VersionLedger counts = new VersionLedger();
+    VersionStatistics counts = new VersionStatistics();
     EntryIdentity self =
         new EntryIdentity(
             caller.getAddress().getHostAddress() + ":" + caller.getPort(),
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/MeasuredNetwork.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/MeasuredNetwork.java
@@ -94,7 +94,7 @@
     MeasuredDaemon daemon = daemons.get(engine.entry);
     engine.running = random.nextInt(8);
     apply(daemon, new UpstreamEvent.Announced(engine.announcement()));
-    Duration every = daemon.directory.announceEvery();
+    Duration every = daemon.directory.announceInterval();
     boolean first = engine.next.equals(Instant.MIN);
     engine.next = now.plusMillis(first ? random.nextInt(1000) : every.toMillis());
   }
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/MeasuredDaemon.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/MeasuredDaemon.java
@@ -16,7 +16,7 @@
 import org.skylarkfork.core.attempt.RequestCollaborators;
 import org.skylarkfork.core.attempt.RequestPart;
 import org.skylarkfork.core.attempt.RequestSettings;
-import org.skylarkfork.core.attempt.VotersAsJudges;
+import org.skylarkfork.core.attempt.VoterCrashReviewers;
 import org.skylarkfork.core.configuration.ConfigurationChange;
 import org.skylarkfork.core.consensus.Submitter;
 import org.skylarkfork.core.effect.Effect;
@@ -128,7 +128,7 @@
                 ledger,
                 admission,
                 new AlwaysListed(),
-                new VotersAsJudges(NODE, List.of())),
+                new VoterCrashReviewers(NODE, List.of())),
             requestSettings(),
             seed);
     List<Part> parts =
@@ -228,20 +228,20 @@
         usual.maxRequests(),
         usual.maxHeldBytes(),
         usual.maxAttempts(),
-        usual.maxPauses(),
-        usual.firstPause(),
-        usual.silence(),
-        usual.longestFirstToken(),
+        usual.maxBackoffs(),
+        usual.firstBackoff(),
+        usual.tokenTimeout(),
+        usual.maxFirstTokenTimeout(),
         usual.watchdogGrace(),
-        usual.pinWait(),
-        usual.ratingWait(),
-        usual.deliveryWait(),
+        usual.pinTimeout(),
+        usual.ratingTimeout(),
+        usual.deliveryTimeout(),
         usual.retryShare(),
         usual.retryReserve(),
         usual.hedgeShare(),
         usual.hedgePercentile(),
         Integer.MAX_VALUE,
-        usual.sampledRatings());
+        usual.sampledRatingShare());
   }
 
   /** The daemon is alone. */
