--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerRateDivision.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerRateDivision.java
@@ -2,7 +2,10 @@
 
 import java.time.Instant;
 
-/** A scheduler's part of what limited engines of its group take: all but what entries keep. */
+/**
+ * Assigns a scheduler its part of the rate of the limited engines of its group: all but the
+ * entries' part.
+ */
 final class SchedulerRateDivision implements RateDivision {
 
   private final SchedulerRole role;
@@ -12,11 +15,11 @@
   }
 
   @Override
-  public RateShare share(RelayService service, TrackedUpstream track, Instant now) {
-    if (!role.ownsEngine(track.instance().id(), now)) {
+  public RateShare share(RelayService service, TrackedUpstream upstream, Instant now) {
+    if (!role.ownsEngine(upstream.instance().id(), now)) {
       return RateShare.NONE;
     }
-    RateLimit limit = track.rateLimit();
+    RateLimit limit = upstream.rateLimit();
     double perSecond = RateDivision.perSecond(limit) * ColdStartLimiter.SCHEDULER_SHARE;
     double burst = RateDivision.burst(limit) - RateDivision.maxDirectSenders(limit);
     return new RateShare(perSecond, burst, 0, role.since());
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UrgencyTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UrgencyTest.java
@@ -21,27 +21,27 @@
             team,
             RelayFixture.START,
             RelayFixture.START.plusSeconds(2));
-    TrackedUpstream track =
+    TrackedUpstream upstream =
         new TrackedUpstream(
             new UpstreamStatus(RelayFixture.instance("up", "v1"), UpstreamCondition.READY));
-    return Urgency.of(relay, new Placement(track, 0, workMillis, workMillis, 1, null));
+    return Urgency.of(relay, new Placement(upstream, 0, workMillis, workMillis, 1, null));
   }
 
   @Test
-  public void shortReadingGoesFirst() {
+  public void shortPrefillGoesFirst() {
     assertTrue(rank(5, null) < rank(80, null));
     assertTrue(rank(80, null) < rank(800, null));
     assertEquals(rank(0, null), rank(20, null));
   }
 
   @Test
-  public void priorityDecidesAmongReadingOfTheSameLength() {
+  public void priorityDecidesBetweenEqualPrefills() {
     assertTrue(rank(100, 0) < rank(100, 1));
     assertEquals(rank(100, 1), rank(100, null), "the route has priority 1");
   }
 
   @Test
-  public void ranksStayWithinWhatEnginesTellApart() {
+  public void ranksStayInTheRangeOfEngines() {
     assertEquals(rank(1_000_000, 9), 9);
     assertEquals(rank(1, -3), 0);
   }
