--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/FairAdmission.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/FairAdmission.java
@@ -68,7 +68,7 @@
   @Override
   public Verdict submit(CallerRequest request, Team team, int priority, Instant now) {
     Waiter newcomer = waiter(request, team, priority);
-    usage(team, now).asked(newcomer.cost());
+    usage(team, now).recordSubmission(newcomer.cost());
     LaneQueue lane = lanes.computeIfAbsent(newcomer.lane(), key -> new LaneQueue());
     boolean first = lane.waitingOf(team.name()) == 0;
     if (first
@@ -103,7 +103,7 @@
 
   private TeamUsage usage(Team team, Instant now) {
     TeamUsage usage = usages.computeIfAbsent(team.name(), name -> new TeamUsage());
-    usage.follow(shares.share(team, now), now);
+    usage.applyShare(shares.share(team, now), now);
     return usage;
   }
 
@@ -114,7 +114,7 @@
 
   private void start(Waiter waiter, LaneQueue lane, Instant now) {
     lane.started(waiter.team().name(), waiter.team().weight(), waiter.cost());
-    usage(waiter.team(), now).started(waiter.cost(), now);
+    usage(waiter.team(), now).recordStart(waiter.cost(), now);
     running.put(waiter.requestId(), new Running(waiter, now));
   }
 
@@ -217,7 +217,7 @@
       Waiter request = ended.request;
       boolean wasRun = tokens > 0 || !request.lane().equals(Lane.DRAFTS);
       lanes.get(request.lane()).ended(Duration.between(ended.since, now), wasRun);
-      usage(request.team(), now).ended(request.cost(), tokens, now);
+      usage(request.team(), now).recordEnd(request.cost(), tokens, now);
     }
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/KnownCapacity.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/KnownCapacity.java
@@ -19,12 +19,12 @@
  */
 public final class KnownCapacity implements LaneCapacity {
 
-  private static final Duration KEPT = Duration.ofMillis(500);
+  private static final Duration CACHE_TIME = Duration.ofMillis(500);
 
   private final UpstreamDirectory directory;
   private final IntSupplier liveEntries;
   private final double headroom;
-  private final Map<Lane, Known> known = new HashMap<>();
+  private final Map<Lane, Known> cached = new HashMap<>();
 
   private record Known(int capacity, Instant until) {}
 
@@ -43,10 +43,10 @@
 
   @Override
   public int capacity(Lane lane, Instant now) {
-    Known last = known.get(lane);
+    Known last = cached.get(lane);
     if (last == null || !now.isBefore(last.until)) {
-      last = new Known(sum(lane, now), now.plus(KEPT));
-      known.put(lane, last);
+      last = new Known(sum(lane, now), now.plus(CACHE_TIME));
+      cached.put(lane, last);
     }
     return last.capacity;
   }
@@ -54,14 +54,14 @@
   private int sum(Lane lane, Instant now) {
     List<Announcement> upstreams =
         lane.equals(Lane.DRAFTS)
-            ? directory.all().stream().filter(KnownCapacity::takesDrafts).toList()
+            ? directory.all().stream().filter(KnownCapacity::acceptsDrafts).toList()
             : directory.services(lane.service(), now);
     long total = upstreams.stream().mapToLong(Announcement::capacity).sum();
     double share = total * headroom / Math.max(1, liveEntries.getAsInt());
     return (int) Math.max(1, Math.min(total, Math.ceil(share)));
   }
 
-  private static boolean takesDrafts(Announcement upstream) {
+  private static boolean acceptsDrafts(Announcement upstream) {
     return upstream.kind() == UpstreamKind.ENGINE && !upstream.leaving();
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareHolder.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareHolder.java
@@ -12,49 +12,49 @@
 
   private record Promise(TeamShare share, Instant demandSentAt, Instant end) {}
 
-  private final List<Promise> promises = new ArrayList<>();
+  private final List<Promise> leases = new ArrayList<>();
   private @Nullable TeamDemand demand;
   private Instant sentAt = Instant.MIN;
-  private Instant heardUntil = Instant.MIN;
+  private Instant demandExpiresAt = Instant.MIN;
 
   /** Takes a demand; returns false for one that is no newer than the last. */
-  boolean hear(TeamDemand newest, Instant newestSentAt, Instant until) {
-    if (!newestSentAt.isAfter(sentAt)) {
+  boolean recordDemand(TeamDemand newDemand, Instant newSentAt, Instant expiresAt) {
+    if (!newSentAt.isAfter(sentAt)) {
       return false;
     }
-    demand = newest;
-    sentAt = newestSentAt;
-    heardUntil = until;
-    promises.removeIf(promise -> promise.demandSentAt.isBefore(newest.using()));
+    demand = newDemand;
+    sentAt = newSentAt;
+    demandExpiresAt = expiresAt;
+    leases.removeIf(lease -> lease.demandSentAt.isBefore(newDemand.using()));
     return true;
   }
 
   /** Returns the last demand, or null if it is too old. */
   @Nullable TeamDemand demand(Instant now) {
-    return now.isBefore(heardUntil) ? demand : null;
+    return now.isBefore(demandExpiresAt) ? demand : null;
   }
 
-  void promise(TeamShare share, Instant end) {
-    promises.add(new Promise(share, sentAt, end));
+  void addLease(TeamShare share, Instant end) {
+    leases.add(new Promise(share, sentAt, end));
   }
 
   /** Returns the most that the entry may use of each amount under any lease not yet ended. */
-  TeamShare held(String team, Instant now) {
-    promises.removeIf(promise -> !now.isBefore(promise.end));
+  TeamShare leased(String team, Instant now) {
+    leases.removeIf(lease -> !now.isBefore(lease.end));
     double rate = 0;
     int slots = 0;
     long tokens = 0;
-    for (Promise promise : promises) {
-      rate = Math.max(rate, promise.share.requestsPerSecond());
-      slots = Math.max(slots, promise.share.concurrentRequests());
-      tokens = Math.max(tokens, promise.share.tokensPerMinute());
+    for (Promise lease : leases) {
+      rate = Math.max(rate, lease.share.requestsPerSecond());
+      slots = Math.max(slots, lease.share.concurrentRequests());
+      tokens = Math.max(tokens, lease.share.tokensPerMinute());
     }
     return new TeamShare(team, rate, slots, tokens);
   }
 
   /** Returns whether it neither asks for anything nor may use anything. */
-  boolean isDone(Instant now) {
-    promises.removeIf(promise -> !now.isBefore(promise.end));
-    return promises.isEmpty() && demand(now) == null;
+  boolean isIdle(Instant now) {
+    leases.removeIf(lease -> !now.isBefore(lease.end));
+    return leases.isEmpty() && demand(now) == null;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
@@ -35,7 +35,7 @@
       return true;
     }
     TokenBucket bucket = bucket(service, track, now);
-    return bucket != null && bucket.has(1, now);
+    return bucket != null && bucket.isAvailable(1, now);
   }
 
   /** Takes note of a request that this daemon sends to an upstream by its own choice. */
@@ -43,7 +43,7 @@
     if (track.rateLimit().isBounded()) {
       TokenBucket bucket = bucket(service, track, now);
       if (bucket != null) {
-        bucket.take(1, now);
+        bucket.consume(1, now);
       }
     }
   }
@@ -70,12 +70,12 @@
     if (share.isNothing()) {
       bucket = null;
     } else if (bucket != null && account.since.equals(share.since())) {
-      bucket.change(share.perSecond(), share.burst(), now);
+      bucket.reconfigure(share.perSecond(), share.burst(), now);
     } else {
       bucket = new TokenBucket(share.perSecond(), share.burst(), now);
       // A part that comes later, with other entries' restarts, begins empty: another entry may
       // have just used it up.
-      bucket.take(share.burst() - (account.settled ? 0 : share.initial()), now);
+      bucket.consume(share.burst() - (account.settled ? 0 : share.initial()), now);
       account.since = share.since();
     }
     account.bucket = bucket;
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/ShareBench.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/ShareBench.java
@@ -126,8 +126,8 @@
           new TeamLoad(
               running,
               waiting,
-              old.askedRequests() + newRequests,
-              old.askedTokens() + 100L * newRequests));
+              old.submittedRequests() + newRequests,
+              old.submittedTokens() + 100L * newRequests));
       shares.share(team(team), network.now());
     }
 
