--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/KnownCapacity.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/KnownCapacity.java
@@ -24,9 +24,9 @@
   private final UpstreamDirectory directory;
   private final IntSupplier liveEntries;
   private final double headroom;
-  private final Map<Lane, Known> cached = new HashMap<>();
+  private final Map<Lane, CachedCapacity> cached = new HashMap<>();
 
-  private record Known(int capacity, Instant until) {}
+  private record CachedCapacity(int capacity, Instant until) {}
 
   /**
    * Makes a capacity.
@@ -43,12 +43,12 @@
 
   @Override
   public int capacity(Lane lane, Instant now) {
-    Known last = cached.get(lane);
-    if (last == null || !now.isBefore(last.until)) {
-      last = new Known(sum(lane, now), now.plus(CACHE_TIME));
-      cached.put(lane, last);
+    CachedCapacity latest = cached.get(lane);
+    if (latest == null || !now.isBefore(latest.until)) {
+      latest = new CachedCapacity(sum(lane, now), now.plus(CACHE_TIME));
+      cached.put(lane, latest);
     }
-    return last.capacity;
+    return latest.capacity;
   }
 
   private int sum(Lane lane, Instant now) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LeasedTeam.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LeasedTeam.java
@@ -8,8 +8,8 @@
 /** A team's demand at this entry, and the share that this entry has a lease for. */
 final class LeasedTeam {
 
-  private static final double SMOOTHING = 0.5;
-  private static final double MILLIS = 1000;
+  private static final double SMOOTHING_FACTOR = 0.5;
+  private static final double MILLIS_PER_SECOND = 1000;
   private static final double MILLIS_PER_MINUTE = 60_000;
 
   private final String name;
@@ -61,11 +61,12 @@
   /** Returns the demand to report, with rates smoothed over reports. */
   TeamDemand demand(TeamLoad load, Instant now) {
     double millis = Math.max(1, Duration.between(reportedAt, now).toMillis());
-    double requests = (load.submittedRequests() - reported.submittedRequests()) / millis * MILLIS;
+    double requests =
+        (load.submittedRequests() - reported.submittedRequests()) / millis * MILLIS_PER_SECOND;
     double tokens =
         (load.submittedTokens() - reported.submittedTokens()) / millis * MILLIS_PER_MINUTE;
-    requestsPerSecond += SMOOTHING * (requests - requestsPerSecond);
-    tokensPerMinute += SMOOTHING * (tokens - tokensPerMinute);
+    requestsPerSecond += SMOOTHING_FACTOR * (requests - requestsPerSecond);
+    tokensPerMinute += SMOOTHING_FACTOR * (tokens - tokensPerMinute);
     reported = load;
     reportedAt = now;
     return new TeamDemand(
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/OwnedTeam.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/OwnedTeam.java
@@ -171,12 +171,12 @@
     }
     long rotation = now.getEpochSecond() / Math.max(1, 2 * ownerLease.toSeconds());
     TreeMap<String, Long> remainders = new TreeMap<>();
-    int left = pool;
+    int remaining = pool;
     for (Map.Entry<String, ShareHolder> holder : holders.entrySet()) {
-      long wanted = (long) pool * wantedSlots(holder.getValue(), now);
-      left -= (int) (wanted / total);
-      if (wanted > 0) {
-        remainders.put(holder.getKey(), wanted % total);
+      long scaledDemand = (long) pool * wantedSlots(holder.getValue(), now);
+      remaining -= (int) (scaledDemand / total);
+      if (scaledDemand > 0) {
+        remainders.put(holder.getKey(), scaledDemand % total);
       }
     }
     List<String> order =
@@ -186,9 +186,9 @@
                     .reversed()
                     .thenComparing(name -> Hashes.mix(Hashes.of(name) ^ rotation)))
             .toList();
-    long whole = (long) pool * wantedSlots(holders.get(entry), now) / total;
+    long wholeSlots = (long) pool * wantedSlots(holders.get(entry), now) / total;
     int index = order.indexOf(entry);
-    return (int) whole + (index >= 0 && index < left ? 1 : 0);
+    return (int) wholeSlots + (index >= 0 && index < remaining ? 1 : 0);
   }
 
   private static int wantedSlots(ShareHolder holder, Instant now) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareHolder.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareHolder.java
@@ -10,9 +10,9 @@
 /** What the owner of a team's limits knows of one entry: its demand and what it may still use. */
 final class ShareHolder {
 
-  private record Promise(TeamShare share, Instant demandSentAt, Instant end) {}
+  private record Lease(TeamShare share, Instant demandSentAt, Instant end) {}
 
-  private final List<Promise> leases = new ArrayList<>();
+  private final List<Lease> leases = new ArrayList<>();
   private @Nullable TeamDemand demand;
   private Instant sentAt = Instant.MIN;
   private Instant demandExpiresAt = Instant.MIN;
@@ -35,7 +35,7 @@
   }
 
   void addLease(TeamShare share, Instant end) {
-    leases.add(new Promise(share, sentAt, end));
+    leases.add(new Lease(share, sentAt, end));
   }
 
   /** Returns the most that the entry may use of each amount under any lease not yet ended. */
@@ -44,7 +44,7 @@
     double rate = 0;
     int slots = 0;
     long tokens = 0;
-    for (Promise lease : leases) {
+    for (Lease lease : leases) {
       rate = Math.max(rate, lease.share.requestsPerSecond());
       slots = Math.max(slots, lease.share.concurrentRequests());
       tokens = Math.max(tokens, lease.share.tokensPerMinute());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/TeamUsage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/TeamUsage.java
@@ -109,8 +109,8 @@
       return NO_SHARE_RETRY_SECONDS;
     }
     double byRate = requests == null ? 0 : requests.secondsUntil(ahead + 1, now);
-    long wanted = Math.min(estimatedTokens, limits.tokensPerMinute());
-    double byTokens = tokens == null ? 0 : tokens.secondsUntil(wanted, now);
+    long neededTokens = Math.min(estimatedTokens, limits.tokensPerMinute());
+    double byTokens = tokens == null ? 0 : tokens.secondsUntil(neededTokens, now);
     int slots = limits.concurrentRequests();
     double byConcurrency =
         slots == 0 || running + ahead < slots
