--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/KnownCapacity.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/AnnouncedCapacity.java
@@ -17,7 +17,7 @@
  * a headroom of 2 the upstreams' own queues hold at most as much again as runs. The sum over the
  * upstreams is made once in a while and not for each request.
  */
-public final class KnownCapacity implements LaneCapacity {
+public final class AnnouncedCapacity implements LaneCapacity {
 
   private static final Duration CACHE_TIME = Duration.ofMillis(500);
 
@@ -35,7 +35,7 @@
    * @param liveEntries how many entries there are, this one included
    * @param headroom by how much an entry exceeds its even share, at least 1
    */
-  public KnownCapacity(UpstreamDirectory directory, IntSupplier liveEntries, double headroom) {
+  public AnnouncedCapacity(UpstreamDirectory directory, IntSupplier liveEntries, double headroom) {
     this.directory = directory;
     this.liveEntries = liveEntries;
     this.headroom = headroom;
@@ -54,7 +54,7 @@
   private int sum(Lane lane, Instant now) {
     List<Announcement> upstreams =
         lane.equals(Lane.DRAFTS)
-            ? directory.all().stream().filter(KnownCapacity::acceptsDrafts).toList()
+            ? directory.all().stream().filter(AnnouncedCapacity::acceptsDrafts).toList()
             : directory.services(lane.service(), now);
     long total = upstreams.stream().mapToLong(Announcement::capacity).sum();
     double share = total * headroom / Math.max(1, liveEntries.getAsInt());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/FairAdmission.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/FairAdmission.java
@@ -51,7 +51,7 @@
   /** Whether a place or a waiter came since the queues were looked at. */
   private boolean drainNeeded;
 
-  private record RunningRequest(QueuedRequest request, Instant since) {}
+  private record RunningRequest(QueuedRequest request, Instant startedAt) {}
 
   /**
    * Makes an admission.
@@ -221,7 +221,7 @@
     if (finished != null) {
       QueuedRequest request = finished.request;
       boolean wasRun = tokens > 0 || !request.lane().equals(Lane.DRAFTS);
-      lanes.get(request.lane()).recordEnd(Duration.between(finished.since, now), wasRun);
+      lanes.get(request.lane()).recordEnd(Duration.between(finished.startedAt, now), wasRun);
       usage(request.team(), now).recordEnd(request.cost(), tokens, now);
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareHolder.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LeaseHolder.java
@@ -8,9 +8,9 @@
 import org.skylarkfork.core.message.LimitMessage.TeamShare;
 
 /** What the owner of a team's limits knows of one entry: its demand and what it may still use. */
-final class ShareHolder {
+final class LeaseHolder {
 
-  private record Lease(TeamShare share, Instant demandSentAt, Instant end) {}
+  private record Lease(TeamShare share, Instant demandSentAt, Instant endsAt) {}
 
   private final List<Lease> leases = new ArrayList<>();
   private @Nullable TeamDemand demand;
@@ -40,7 +40,7 @@
 
   /** Returns the most that the entry may use of each amount under any lease not yet ended. */
   TeamShare leased(String team, Instant now) {
-    leases.removeIf(lease -> !now.isBefore(lease.end));
+    leases.removeIf(lease -> !now.isBefore(lease.endsAt));
     double rate = 0;
     int slots = 0;
     long tokens = 0;
@@ -54,7 +54,7 @@
 
   /** Returns whether it neither asks for anything nor may use anything. */
   boolean isIdle(Instant now) {
-    leases.removeIf(lease -> !now.isBefore(lease.end));
+    leases.removeIf(lease -> !now.isBefore(lease.endsAt));
     return leases.isEmpty() && demand(now) == null;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/OwnedTeam.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/OwnedTeam.java
@@ -25,7 +25,7 @@
   private final String name;
   private final Instant ownedSince;
   private final Duration ownerLease;
-  private final TreeMap<String, ShareHolder> holders = new TreeMap<>();
+  private final TreeMap<String, LeaseHolder> holders = new TreeMap<>();
 
   OwnedTeam(String name, Instant ownedSince, Duration ownerLease) {
     this.name = name;
@@ -40,7 +40,7 @@
   /** Takes a demand; returns false for one that is no newer than the entry's last. */
   boolean recordDemand(String entry, TeamDemand demand, Instant sentAt, Instant now) {
     return holders
-        .computeIfAbsent(entry, key -> new ShareHolder())
+        .computeIfAbsent(entry, key -> new LeaseHolder())
         .recordDemand(demand, sentAt, now.plus(ownerLease));
   }
 
@@ -103,7 +103,7 @@
     double rate = 0;
     int slots = 0;
     long tokens = 0;
-    for (Map.Entry<String, ShareHolder> holder : holders.entrySet()) {
+    for (Map.Entry<String, LeaseHolder> holder : holders.entrySet()) {
       if (!holder.getKey().equals(entry)) {
         TeamShare leased = holder.getValue().leased(name, now);
         rate += leased.requestsPerSecond();
@@ -123,7 +123,7 @@
    */
   private int slotsOfOthers(String entry, int unleasedSlots, Instant now) {
     int slots = 0;
-    for (Map.Entry<String, ShareHolder> holder : holders.entrySet()) {
+    for (Map.Entry<String, LeaseHolder> holder : holders.entrySet()) {
       if (!holder.getKey().equals(entry)) {
         int running = demand(holder.getValue(), now).running() - unleasedSlots;
         slots += Math.max(running, holder.getValue().leased(name, now).concurrentRequests());
@@ -135,23 +135,23 @@
   /** Returns an entry's part of all demand. */
   private double demandFraction(String entry, ToDoubleFunction<TeamDemand> amount, Instant now) {
     double total = 0;
-    for (ShareHolder holder : activeHolders(now)) {
+    for (LeaseHolder holder : activeHolders(now)) {
       total += amount.applyAsDouble(demand(holder, now));
     }
     double floor = Math.max(EPSILON, total * MIN_DEMAND_FRACTION);
     double own = Math.max(floor, amount.applyAsDouble(demand(holders.get(entry), now)));
     double sum = 0;
-    for (ShareHolder holder : activeHolders(now)) {
+    for (LeaseHolder holder : activeHolders(now)) {
       sum += Math.max(floor, amount.applyAsDouble(demand(holder, now)));
     }
     return own / sum;
   }
 
-  private List<ShareHolder> activeHolders(Instant now) {
+  private List<LeaseHolder> activeHolders(Instant now) {
     return holders.values().stream().filter(holder -> holder.demand(now) != null).toList();
   }
 
-  private static TeamDemand demand(ShareHolder holder, Instant now) {
+  private static TeamDemand demand(LeaseHolder holder, Instant now) {
     return Optional.ofNullable(holder.demand(now)).orElse(NO_DEMAND);
   }
 
@@ -163,7 +163,7 @@
    */
   private int slots(String entry, int pool, Instant now) {
     int total = 0;
-    for (ShareHolder holder : activeHolders(now)) {
+    for (LeaseHolder holder : activeHolders(now)) {
       total += wantedSlots(holder, now);
     }
     if (total == 0) {
@@ -172,7 +172,7 @@
     long rotation = now.getEpochSecond() / Math.max(1, 2 * ownerLease.toSeconds());
     TreeMap<String, Long> remainders = new TreeMap<>();
     int remaining = pool;
-    for (Map.Entry<String, ShareHolder> holder : holders.entrySet()) {
+    for (Map.Entry<String, LeaseHolder> holder : holders.entrySet()) {
       long scaledDemand = (long) pool * wantedSlots(holder.getValue(), now);
       remaining -= (int) (scaledDemand / total);
       if (scaledDemand > 0) {
@@ -191,7 +191,7 @@
     return (int) wholeSlots + (index >= 0 && index < remaining ? 1 : 0);
   }
 
-  private static int wantedSlots(ShareHolder holder, Instant now) {
+  private static int wantedSlots(LeaseHolder holder, Instant now) {
     TeamDemand demand = demand(holder, now);
     boolean hasArrivals = demand.requestsPerSecond() > EPSILON;
     return Math.max(hasArrivals ? 1 : 0, demand.running() + demand.waiting());
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/AdmissionBench.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/AdmissionSimulation.java
@@ -21,7 +21,7 @@
 import org.skylarkfork.core.request.RequestKind;
 
 /** Hands requests to an admission and ends each a set time after its start. */
-final class AdmissionBench implements Output {
+final class AdmissionSimulation implements Output {
 
   final Admission admission;
   final Map<String, RoutingError> refused = new HashMap<>();
@@ -41,7 +41,7 @@
     }
   }
 
-  AdmissionBench(Admission admission, Duration runTime) {
+  AdmissionSimulation(Admission admission, Duration runTime) {
     this.admission = admission;
     this.runTime = runTime;
   }
@@ -74,14 +74,14 @@
             now.plus(timeout),
             null);
     submittedAt.put(id, now);
-    Admission.Result verdict = admission.submit(request, team, priority, now);
-    if (verdict.decision() == Admission.Decision.ADMITTED) {
+    Admission.Result result = admission.submit(request, team, priority, now);
+    if (result.decision() == Admission.Decision.ADMITTED) {
       start(id);
-    } else if (verdict.decision() == Admission.Decision.REFUSED) {
-      refused.put(id, verdict.error());
+    } else if (result.decision() == Admission.Decision.REFUSED) {
+      refused.put(id, result.error());
     }
     apply(new LifecycleEvent.Started());
-    return verdict.decision();
+    return result.decision();
   }
 
   private void start(String id) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/FairAdmissionTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/FairAdmissionTest.java
@@ -19,15 +19,15 @@
 
   private static final Duration SECOND = Duration.ofSeconds(1);
   private static final Duration LONG = Duration.ofMinutes(10);
-  private static final Team LARGE = AdmissionBench.team("large", Limits.NONE, 1);
-  private static final Team SMALL = AdmissionBench.team("small", Limits.NONE, 1);
+  private static final Team LARGE = AdmissionSimulation.team("large", Limits.NONE, 1);
+  private static final Team SMALL = AdmissionSimulation.team("small", Limits.NONE, 1);
 
-  private static AdmissionBench simulation(int slots, AdmissionSettings settings) {
-    return new AdmissionBench(
+  private static AdmissionSimulation simulation(int slots, AdmissionSettings settings) {
+    return new AdmissionSimulation(
         new FairAdmission((lane, now) -> slots, new EvenShares(() -> 1), settings), SECOND);
   }
 
-  private static AdmissionBench simulation(int slots) {
+  private static AdmissionSimulation simulation(int slots) {
     return simulation(slots, AdmissionSettings.DEFAULT);
   }
 
@@ -40,12 +40,12 @@
         new FairAdmission((l, n) -> 20, new EvenShares(() -> 1), AdmissionSettings.DEFAULT);
     Admission[] policies = {new FifoAdmission(20, 5000), fair};
     for (int policy = 0; policy < policies.length; policy++) {
-      AdmissionBench simulation = new AdmissionBench(policies[policy], SECOND);
+      AdmissionSimulation simulation = new AdmissionSimulation(policies[policy], SECOND);
       for (int request = 0; request < 800; request++) {
         simulation.submit("large" + request, LARGE, "", 5, LONG);
       }
       for (int request = 0; request < 180; request++) {
-        Team team = AdmissionBench.team("small" + request % 9, Limits.NONE, 1);
+        Team team = AdmissionSimulation.team("small" + request % 9, Limits.NONE, 1);
         simulation.submit("small" + request, team, "", 5, LONG);
       }
       simulation.advance(Duration.ofSeconds(120));
@@ -69,8 +69,8 @@
 
   @Test
   public void sharesByWeightAndReusesIdleCapacity() {
-    AdmissionBench simulation = simulation(6);
-    Team heavy = AdmissionBench.team("heavy", Limits.NONE, 2);
+    AdmissionSimulation simulation = simulation(6);
+    Team heavy = AdmissionSimulation.team("heavy", Limits.NONE, 2);
     for (int request = 0; request < 60; request++) {
       simulation.submit("l" + request, LARGE, "", 5, LONG);
       simulation.submit("h" + request, heavy, "", 5, LONG);
@@ -85,7 +85,7 @@
 
   @Test
   public void ordersByPriorityThenDeadlineWithinTeam() {
-    AdmissionBench simulation = simulation(1);
+    AdmissionSimulation simulation = simulation(1);
     simulation.submit("running", LARGE, "", 5, LONG);
     simulation.submit("late", LARGE, "", 5, LONG);
     simulation.submit("soon", LARGE, "", 5, Duration.ofSeconds(30));
@@ -97,7 +97,7 @@
   @Test
   public void lookupsDoNotWaitBehindDrafts() {
     // Every place for drafts is taken and more wait. A scoreboard's lookup has a lane of its own.
-    AdmissionBench simulation = simulation(2);
+    AdmissionSimulation simulation = simulation(2);
     for (int request = 0; request < 50; request++) {
       simulation.submit("d" + request, LARGE, "", 0, LONG);
     }
@@ -110,7 +110,7 @@
   public void refusesEarlyWithAccurateRetryTime() {
     // The queue needs 25 s, the caller waits 5 s. It is refused at once, as not-run, and a resend
     // at the stated time is served within the same patience.
-    AdmissionBench simulation = simulation(2);
+    AdmissionSimulation simulation = simulation(2);
     simulation.submit("first", LARGE, "", 5, LONG);
     simulation.advance(Duration.ofSeconds(2));
     for (int request = 0; request < 50; request++) {
@@ -129,7 +129,7 @@
 
   @Test
   public void refusesExpiredQueuedRequestsAtOnce() {
-    AdmissionBench simulation = simulation(1);
+    AdmissionSimulation simulation = simulation(1);
     simulation.submit("running", LARGE, "", 5, LONG);
     simulation.submit("w", LARGE, "", 5, Duration.ofMillis(100));
     simulation.advance(Duration.ofMillis(100));
@@ -138,10 +138,10 @@
 
   @Test
   public void enforcesRateConcurrencyAndTokenLimits() {
-    AdmissionBench simulation = simulation(1000);
-    Team rated = AdmissionBench.team("rated", new Limits(5, 0, 0), 1);
-    Team narrow = AdmissionBench.team("narrow", new Limits(0, 3, 0), 1);
-    Team metered = AdmissionBench.team("metered", new Limits(0, 0, 1200), 1);
+    AdmissionSimulation simulation = simulation(1000);
+    Team rated = AdmissionSimulation.team("rated", new Limits(5, 0, 0), 1);
+    Team narrow = AdmissionSimulation.team("narrow", new Limits(0, 3, 0), 1);
+    Team metered = AdmissionSimulation.team("metered", new Limits(0, 0, 1200), 1);
     for (int request = 0; request < 100; request++) {
       simulation.submit("r" + request, rated, "", 5, LONG);
       simulation.submit("n" + request, narrow, "", 5, LONG);
@@ -153,14 +153,14 @@
     assertEquals(count(simulation, "m"), 12 + 2);
   }
 
-  private static long count(AdmissionBench simulation, String prefix) {
+  private static long count(AdmissionSimulation simulation, String prefix) {
     return simulation.started.stream().filter(id -> id.startsWith(prefix)).count();
   }
 
   @Test
   public void limitedTeamDoesNotBlockOthers() {
-    AdmissionBench simulation = simulation(4);
-    Team narrow = AdmissionBench.team("narrow", new Limits(0, 1, 0), 1);
+    AdmissionSimulation simulation = simulation(4);
+    Team narrow = AdmissionSimulation.team("narrow", new Limits(0, 1, 0), 1);
     for (int request = 0; request < 10; request++) {
       simulation.submit("n" + request, narrow, "", 0, LONG);
     }
@@ -171,7 +171,7 @@
   public void boundsQueueAndEvictsFromLargestTeam() {
     // A large team fills the queue. A newcomer of a small team is not turned away for it: the last
     // of the large team is refused in its place, with the time to come back.
-    AdmissionBench simulation = simulation(1, new AdmissionSettings(50, 100));
+    AdmissionSimulation simulation = simulation(1, new AdmissionSettings(50, 100));
     for (int request = 0; request < 200; request++) {
       simulation.submit("l" + request, LARGE, "", 5, LONG);
     }
@@ -186,7 +186,8 @@
   public void sharesLimitsEvenlyBetweenEntries() {
     Limits share =
         new EvenShares(() -> 9)
-            .share(AdmissionBench.team("t", new Limits(90, 4, 900), 1), java.time.Instant.EPOCH);
+            .share(
+                AdmissionSimulation.team("t", new Limits(90, 4, 900), 1), java.time.Instant.EPOCH);
     assertEquals(share, new Limits(10, 1, 100));
   }
 
@@ -194,10 +195,12 @@
   public void releasesAllCapacityInRandomRuns() {
     for (long seed = 0; seed < 20; seed++) {
       UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-      AdmissionBench simulation = simulation(1 + random.nextInt(5), new AdmissionSettings(40, 20));
+      AdmissionSimulation simulation =
+          simulation(1 + random.nextInt(5), new AdmissionSettings(40, 20));
       for (int request = 0; request < 1000; request++) {
         Limits limits = new Limits(random.nextInt(3) * 5, random.nextInt(3), 0);
-        Team team = AdmissionBench.team("t" + random.nextInt(5), limits, 1 + random.nextInt(3));
+        Team team =
+            AdmissionSimulation.team("t" + random.nextInt(5), limits, 1 + random.nextInt(3));
         String service = random.nextBoolean() ? "" : "chips";
         Duration timeout = Duration.ofMillis(random.nextInt(8000));
         simulation.submit("r" + request, team, service, random.nextInt(10), timeout);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/LeasedSharesTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/LeasedSharesTest.java
@@ -20,11 +20,11 @@
 
   private static final Limits WIDE = new Limits(90, 90, 90_000);
 
-  private static ShareBench nineEntries(Limits limits) {
-    return new ShareBench(7, 9, Map.of("team", limits));
+  private static ShareSimulation nineEntries(Limits limits) {
+    return new ShareSimulation(7, 9, Map.of("team", limits));
   }
 
-  private static String owner(ShareBench simulation) {
+  private static String owner(ShareSimulation simulation) {
     return Hashes.rendezvous("team", simulation.entries.keySet()).get(0);
   }
 
@@ -38,7 +38,7 @@
         Map.of("wide", new Limits(90, 40, 9000), "narrow", new Limits(0.5, 2, 3));
     int granted = 0;
     for (long seed = 0; seed < 20; seed++) {
-      ShareBench simulation = new ShareBench(seed, 5, limits);
+      ShareSimulation simulation = new ShareSimulation(seed, 5, limits);
       simulation.network.weather(0.1, 0.1, 800);
       simulation.network.check(
           () -> limits.forEach((team, limit) -> assertWithin(simulation.total(team), limit)));
@@ -63,7 +63,7 @@
         sum + " of " + limit);
   }
 
-  private static void injectFault(ShareBench simulation, UniformRandomProvider random) {
+  private static void injectFault(ShareSimulation simulation, UniformRandomProvider random) {
     List<String> names = new ArrayList<>(simulation.entries.keySet());
     names.stream().filter(name -> !simulation.network.isUp(name)).forEach(simulation::restart);
     simulation.network.heal();
@@ -89,10 +89,10 @@
     }
   }
 
-  private static void setRandomDemand(ShareBench simulation, Set<String> teams) {
+  private static void setRandomDemand(ShareSimulation simulation, Set<String> teams) {
     UniformRandomProvider random = simulation.network.random();
     for (String team : teams) {
-      for (ShareBench.Entry entry : simulation.entries.values()) {
+      for (ShareSimulation.Entry entry : simulation.entries.values()) {
         int running = random.nextInt(simulation.slots(entry.name, team) + 1);
         int asked = random.nextInt(4) == 0 ? 50 : random.nextInt(2);
         entry.setLoad(team, running, asked / 2, asked);
@@ -103,7 +103,7 @@
   @Test
   public void oneBusyEntryGetsNearlyTheWholeLimit() {
     Limits limits = new Limits(90, 90, 0);
-    ShareBench simulation = nineEntries(limits);
+    ShareSimulation simulation = nineEntries(limits);
     LimitShares even = new EvenShares(() -> 9);
     long leased = admitted(simulation, simulation.entries.get("entry-3").shares);
     long baseline = admitted(nineEntries(limits), even);
@@ -117,10 +117,10 @@
   }
 
   /** Asks one entry for 100 requests a second; returns how many start from second 15 to 45. */
-  private static long admitted(ShareBench simulation, LimitShares shares) {
+  private static long admitted(ShareSimulation simulation, LimitShares shares) {
     AdmissionSettings settings = new AdmissionSettings(1000, 1000);
     FairAdmission admission = new FairAdmission((lane, now) -> 1000, shares, settings);
-    AdmissionBench requests = new AdmissionBench(admission, Duration.ofMillis(200));
+    AdmissionSimulation requests = new AdmissionSimulation(admission, Duration.ofMillis(200));
     long before = 0;
     for (int tick = 0; tick < 45 * 50; tick++) {
       requests.now = simulation.network.now();
@@ -142,7 +142,7 @@
     // then callers that went to another entry get it there. If the dead entry was the owner too,
     // the next owner waits for leases that it can't know of.
     for (boolean ownerDies : List.of(false, true)) {
-      ShareBench simulation = nineEntries(WIDE);
+      ShareSimulation simulation = nineEntries(WIDE);
       List<String> order = Hashes.rendezvous("team", simulation.entries.keySet());
       String busy = ownerDies ? order.get(0) : order.get(1);
       for (int second = 0; second < 15; second++) {
@@ -172,10 +172,10 @@
   public void slotsRotateWhenFewerThanEntries() {
     // Three places and nine entries, all with demand: even shares let nine run. Here at most three
     // do, and the places move on, so that no entry's callers wait for ever.
-    ShareBench simulation = nineEntries(new Limits(0, 3, 0));
+    ShareSimulation simulation = nineEntries(new Limits(0, 3, 0));
     Set<String> served = new HashSet<>();
     for (int second = 0; second < 240; second++) {
-      for (ShareBench.Entry entry : simulation.entries.values()) {
+      for (ShareSimulation.Entry entry : simulation.entries.values()) {
         served.addAll(simulation.slots(entry.name, "team") > 0 ? List.of(entry.name) : List.of());
         entry.setLoad("team", 0, 5, 1);
       }
@@ -189,12 +189,12 @@
   public void slotsOfRunningRequestsAreNotLeasedAgain() {
     // An entry runs 60 long drafts, then demand moves to another. The drafts outlive their lease:
     // leased again, their places would let 142 of 90 run.
-    ShareBench simulation = nineEntries(WIDE);
+    ShareSimulation simulation = nineEntries(WIDE);
     String owner = owner(simulation);
     List<String> others =
         simulation.entries.keySet().stream().filter(name -> !name.equals(owner)).toList();
-    ShareBench.Entry first = simulation.entries.get(others.get(0));
-    ShareBench.Entry second = simulation.entries.get(others.get(1));
+    ShareSimulation.Entry first = simulation.entries.get(others.get(0));
+    ShareSimulation.Entry second = simulation.entries.get(others.get(1));
     for (int time = 0; time < 30; time++) {
       first.setLoad("team", time < 12 ? 0 : 60, time < 12 ? 60 : 0, 0);
       second.setLoad("team", 0, time < 12 ? 0 : 2000, 0);
@@ -209,7 +209,7 @@
 
   @Test
   public void singleEntryHasWholeLimit() {
-    ShareBench simulation = new ShareBench(1, 1, Map.of("team", WIDE));
+    ShareSimulation simulation = new ShareSimulation(1, 1, Map.of("team", WIDE));
     assertEquals(simulation.share("entry-1", "team"), WIDE);
   }
 
@@ -224,11 +224,11 @@
   public void firstLookupDoesNotWaitForLease() {
     // Two places and nine entries: this entry has no share yet. Its first lookup starts at once; a
     // draft waits, as a second lookup beside the first does.
-    ShareBench simulation = nineEntries(new Limits(0, 2, 0));
+    ShareSimulation simulation = nineEntries(new Limits(0, 2, 0));
     LimitShares shares = simulation.entries.get("entry-3").shares;
     FairAdmission admission =
         new FairAdmission((lane, now) -> 10, shares, AdmissionSettings.DEFAULT);
-    AdmissionBench requests = new AdmissionBench(admission, Duration.ofMillis(5));
+    AdmissionSimulation requests = new AdmissionSimulation(admission, Duration.ofMillis(5));
     requests.now = simulation.network.now();
     Duration timeout = Duration.ofSeconds(30);
     Team team = simulation.team("team");
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/ShareBench.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/ShareSimulation.java
@@ -16,13 +16,13 @@
 import org.skylarkfork.core.testing.MiniNetwork;
 
 /** Entries that lease shares from each other over a network with faults. */
-final class ShareBench {
+final class ShareSimulation {
 
   final MiniNetwork network;
   final TreeMap<String, Entry> entries = new TreeMap<>();
   private final Map<String, Limits> limits;
 
-  ShareBench(long seed, int count, Map<String, Limits> limits) {
+  ShareSimulation(long seed, int count, Map<String, Limits> limits) {
     this.network = new MiniNetwork(seed);
     this.limits = limits;
     for (int i = 1; i <= count; i++) {
@@ -43,7 +43,7 @@
   }
 
   Team team(String name) {
-    return AdmissionBench.team(name, limits.get(name), 1);
+    return AdmissionSimulation.team(name, limits.get(name), 1);
   }
 
   Limits share(String entry, String team) {
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
@@ -10,8 +10,8 @@
 import org.skylarkfork.core.Part;
 import org.skylarkfork.core.Reducer;
 import org.skylarkfork.core.admission.AdmissionSettings;
+import org.skylarkfork.core.admission.AnnouncedCapacity;
 import org.skylarkfork.core.admission.FairAdmission;
-import org.skylarkfork.core.admission.KnownCapacity;
 import org.skylarkfork.core.admission.LeasedShares;
 import org.skylarkfork.core.admission.ShareSettings;
 import org.skylarkfork.core.admission.TeamLoad;
@@ -158,7 +158,7 @@
     shares = new LeasedShares(membership, this::load, this::limits, ShareSettings.DEFAULT);
     admission =
         new FairAdmission(
-            new KnownCapacity(directory, this::servingEntries, HEADROOM),
+            new AnnouncedCapacity(directory, this::servingEntries, HEADROOM),
             shares,
             AdmissionSettings.DEFAULT);
     requests = requestPart(planner);
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/MeasuredDaemon.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/MeasuredDaemon.java
@@ -8,10 +8,10 @@
 import org.skylarkfork.core.Reducer;
 import org.skylarkfork.core.admission.Admission;
 import org.skylarkfork.core.admission.AdmissionSettings;
+import org.skylarkfork.core.admission.AnnouncedCapacity;
 import org.skylarkfork.core.admission.EvenShares;
 import org.skylarkfork.core.admission.FairAdmission;
 import org.skylarkfork.core.admission.FifoAdmission;
-import org.skylarkfork.core.admission.KnownCapacity;
 import org.skylarkfork.core.admission.OpenAdmission;
 import org.skylarkfork.core.attempt.RequestCollaborators;
 import org.skylarkfork.core.attempt.RequestPart;
@@ -206,7 +206,7 @@
     return switch (policy.admission()) {
       case FAIR ->
           new FairAdmission(
-              new KnownCapacity(directory, () -> 1, 1),
+              new AnnouncedCapacity(directory, () -> 1, 1),
               new EvenShares(() -> 1),
               AdmissionSettings.DEFAULT);
       case FIFO -> new FifoAdmission(slots(), MOST_WAITING);
