--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualityEstimator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualityEstimator.java
@@ -24,7 +24,7 @@
     this.priorStrength = priorStrength;
   }
 
-  QualityBook.Estimate estimate(EvidenceKey key, double target) {
+  VersionQuality.Estimate estimate(EvidenceKey key, double target) {
     double first = allSizes(key.version(), false, target, prior(key.version()));
     double drawnTo = key.escalated() ? allSizes(key.version(), true, target, first) : first;
     double[] seen = counts.of(key);
@@ -32,7 +32,7 @@
     double reaching = DecayedCounts.reaching(seen, target);
     double weight = ratings + priorStrength;
     double mean = (reaching + priorStrength * drawnTo) / weight;
-    return new QualityBook.Estimate(mean, Math.sqrt(mean * (1 - mean) / (weight + 1)), ratings);
+    return new VersionQuality.Estimate(mean, Math.sqrt(mean * (1 - mean) / (weight + 1)), ratings);
   }
 
   /** Returns the mean time to a whole answer in milliseconds, or 0 if none was seen. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SharedQualityBook.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SharedVersionQuality.java
@@ -30,7 +30,7 @@
  * <p>Each entry counts for itself and tells a few peers a second what changed. Each runs the test
  * for bad versions on the merged counts; the first that finds one tells all others at once.
  */
-public final class SharedQualityBook implements QualityBook, Part {
+public final class SharedVersionQuality implements VersionQuality, Part {
 
   private static final Duration ROUND = Duration.ofSeconds(1);
 
@@ -68,7 +68,7 @@
    * @param withdrawer submits withdrawals
    * @param seed seed of the choice of peers
    */
-  public SharedQualityBook(
+  public SharedVersionQuality(
       String entry,
       long incarnation,
       QualitySettings settings,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualityBook.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/VersionQuality.java
@@ -4,7 +4,7 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 
 /** What is known of how good each version's answers are, over all entries. */
-public interface QualityBook {
+public interface VersionQuality {
 
   /**
    * Returns the chance that an answer of the version reaches a target, with its uncertainty.
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/LeastCostPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/LeastCostPlanner.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.Usage;
 
@@ -27,7 +27,7 @@
   private static final int MOST_CANDIDATES = 8;
 
   private final Candidates candidates;
-  private final QualityBook quality;
+  private final VersionQuality quality;
   private final PlannerSettings settings;
   private final UniformRandomProvider random;
 
@@ -40,7 +40,7 @@
    * @param seed seed of what explores
    */
   public LeastCostPlanner(
-      Candidates candidates, QualityBook quality, PlannerSettings settings, long seed) {
+      Candidates candidates, VersionQuality quality, PlannerSettings settings, long seed) {
     this.candidates = candidates;
     this.quality = quality;
     this.settings = settings;
@@ -174,8 +174,8 @@
       Candidates.Candidate candidate,
       double costMicros,
       double millis,
-      QualityBook.Estimate estimate,
-      QualityBook.Estimate escalated) {
+      VersionQuality.Estimate estimate,
+      VersionQuality.Estimate escalated) {
 
     boolean isPinned() {
       return candidate.choice().pinned();
@@ -183,7 +183,7 @@
 
     /** Returns the chance that its answer is good enough, taken with caution. */
     double chance(boolean first, double caution) {
-      QualityBook.Estimate from = first ? estimate : escalated;
+      VersionQuality.Estimate from = first ? estimate : escalated;
       return Math.max(0, from.mean() - caution * from.standardDeviation());
     }
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/BookNetwork.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/QualityNetwork.java
@@ -25,12 +25,12 @@
 import org.skylarkfork.core.event.PeerEvent;
 
 /** Some entries' books with a network between them that may lose, repeat and reorder. */
-final class BookNetwork implements ConfigurationView {
+final class QualityNetwork implements ConfigurationView {
 
   static final ModelVersion OLD = new ModelVersion("ruling", "1");
   static final ModelVersion NEW = new ModelVersion("ruling", "2");
 
-  final List<SharedQualityBook> books = new ArrayList<>();
+  final List<SharedVersionQuality> books = new ArrayList<>();
   final List<String> withdrawals = new ArrayList<>();
   final UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(42L);
   List<ModelVersion> withdrawn = List.of();
@@ -43,14 +43,14 @@
   private final List<Sent> inFlight = new ArrayList<>();
   private long requests;
 
-  BookNetwork(int entries) {
+  QualityNetwork(int entries) {
     List<String> names = new ArrayList<>();
     for (int i = 0; i < entries; i++) {
       names.add("entry" + i);
     }
     for (String name : names) {
-      SharedQualityBook book =
-          new SharedQualityBook(
+      SharedVersionQuality book =
+          new SharedVersionQuality(
               name,
               1,
               QualitySettings.DEFAULT,
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/SharedQualityBookTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/SharedVersionQualityTest.java
@@ -9,7 +9,7 @@
 import org.testng.annotations.Test;
 
 /** Tests that entries learn together and agree on bad versions. */
-public class SharedQualityBookTest {
+public class SharedVersionQualityTest {
 
   /*
    * Three entries serve the same version and tell each other their counts over a network that
@@ -19,14 +19,14 @@
    */
   @Test
   public void repeatedAndReorderedMessagesCountOnce() {
-    BookNetwork network = new BookNetwork(3);
+    QualityNetwork network = new QualityNetwork(3);
     network.repeatRate = 0.7;
-    BookNetwork alone = new BookNetwork(1);
+    QualityNetwork alone = new QualityNetwork(1);
     for (int second = 0; second < 40; second++) {
       for (int entry = 0; entry < 3; entry++) {
         double rating = network.random.nextDouble();
-        network.record(entry, BookNetwork.OLD, rating);
-        alone.record(0, BookNetwork.OLD, rating);
+        network.record(entry, QualityNetwork.OLD, rating);
+        alone.record(0, QualityNetwork.OLD, rating);
       }
       network.second();
       alone.second();
@@ -35,9 +35,9 @@
       network.second();
       alone.second();
     }
-    QualityBook.Estimate expected = estimate(alone, 0, 0.5);
+    VersionQuality.Estimate expected = estimate(alone, 0, 0.5);
     for (int entry = 0; entry < 3; entry++) {
-      QualityBook.Estimate merged = estimate(network, entry, 0.5);
+      VersionQuality.Estimate merged = estimate(network, entry, 0.5);
       assertEquals(merged.samples(), expected.samples(), expected.samples() * 1e-6);
       assertEquals(merged.mean(), expected.mean(), 1e-6);
     }
@@ -45,17 +45,17 @@
 
   @Test
   public void estimateStartsAtThePriorAndFollowsDrift() {
-    BookNetwork network = new BookNetwork(1);
+    QualityNetwork network = new QualityNetwork(1);
     assertEquals(estimate(network, 0, 0.7).mean(), 0.8, 1e-9);
     double priorDeviation = estimate(network, 0, 0.7).standardDeviation();
     for (int second = 0; second < 1_200; second++) {
-      network.record(0, BookNetwork.OLD, second % 10 == 0 ? 0.2 : 0.9);
+      network.record(0, QualityNetwork.OLD, second % 10 == 0 ? 0.2 : 0.9);
       network.second();
     }
     assertEquals(estimate(network, 0, 0.7).mean(), 0.9, 0.02);
     assertTrue(estimate(network, 0, 0.7).standardDeviation() < priorDeviation / 5);
     for (int second = 0; second < 1_800; second++) {
-      network.record(0, BookNetwork.OLD, second % 2 == 0 ? 0.2 : 0.9);
+      network.record(0, QualityNetwork.OLD, second % 2 == 0 ? 0.2 : 0.9);
       network.second();
     }
     assertEquals(estimate(network, 0, 0.7).mean(), 0.5, 0.06, "half-life is 10 minutes");
@@ -63,14 +63,14 @@
 
   @Test
   public void missingRatingsAreNotBadOnes() {
-    BookNetwork network = new BookNetwork(1);
+    QualityNetwork network = new QualityNetwork(1);
     for (int second = 0; second < 600; second++) {
-      network.record(0, BookNetwork.OLD, second % 10 == 0 ? 0.95 : null);
+      network.record(0, QualityNetwork.OLD, second % 10 == 0 ? 0.95 : null);
       network.second();
     }
     assertTrue(estimate(network, 0, 0.9).mean() > 0.95);
     assertTrue(estimate(network, 0, 1.0).mean() > 0.95, "the last class counts for target 1");
-    assertFalse(network.books.get(0).isSuspect(BookNetwork.OLD));
+    assertFalse(network.books.get(0).isSuspect(QualityNetwork.OLD));
   }
 
   /*
@@ -80,67 +80,68 @@
    */
   @Test
   public void nineEntriesFindBadVersionTogetherInSpiteOfLoss() {
-    BookNetwork network = new BookNetwork(9);
+    QualityNetwork network = new QualityNetwork(9);
     network.lossRate = 0.3;
     network.withdrawAutomatically = true;
     serve(network, 300, 0.9);
-    assertFalse(network.books.stream().anyMatch(book -> book.isSuspect(BookNetwork.NEW)));
+    assertFalse(network.books.stream().anyMatch(book -> book.isSuspect(QualityNetwork.NEW)));
     int seconds = 0;
-    while (!network.books.stream().allMatch(book -> book.isSuspect(BookNetwork.NEW))) {
+    while (!network.books.stream().allMatch(book -> book.isSuspect(QualityNetwork.NEW))) {
       for (int entry = 0; entry < 9; entry += 3) {
-        rate(network, entry, BookNetwork.OLD, 0.9);
-        rate(network, entry, BookNetwork.NEW, 0.4);
+        rate(network, entry, QualityNetwork.OLD, 0.9);
+        rate(network, entry, QualityNetwork.NEW, 0.4);
       }
       network.second();
       seconds++;
       assertTrue(seconds <= 40, "not found by all entries in 40 seconds");
     }
-    assertFalse(network.books.stream().anyMatch(book -> book.isSuspect(BookNetwork.OLD)));
+    assertFalse(network.books.stream().anyMatch(book -> book.isSuspect(QualityNetwork.OLD)));
     assertEquals(network.withdrawals.stream().distinct().count(), 1, "one change, however often");
   }
 
   @Test
   public void suspectIsClearedWhenOperatorsReinstateIt() {
-    BookNetwork network = new BookNetwork(2);
+    QualityNetwork network = new QualityNetwork(2);
     serve(network, 300, 0.9);
     serve(network, 60, 0.3);
-    assertTrue(network.books.get(1).isSuspect(BookNetwork.NEW));
-    network.withdrawn = List.of(BookNetwork.NEW);
+    assertTrue(network.books.get(1).isSuspect(QualityNetwork.NEW));
+    network.withdrawn = List.of(QualityNetwork.NEW);
     network.second();
-    assertTrue(network.books.get(1).isSuspect(BookNetwork.NEW));
+    assertTrue(network.books.get(1).isSuspect(QualityNetwork.NEW));
     network.withdrawn = List.of();
     serve(network, 5, 0.9);
-    assertFalse(network.books.get(0).isSuspect(BookNetwork.NEW));
-    assertFalse(network.books.get(1).isSuspect(BookNetwork.NEW));
+    assertFalse(network.books.get(0).isSuspect(QualityNetwork.NEW));
+    assertFalse(network.books.get(1).isSuspect(QualityNetwork.NEW));
   }
 
   @Test
   public void suspectIsReinstatedOnlyAfterGoodEvidenceOfLongEnough() {
-    BookNetwork network = new BookNetwork(2);
+    QualityNetwork network = new QualityNetwork(2);
     serve(network, 300, 0.9);
     serve(network, 60, 0.3);
     serve(network, 540, 0.9);
-    assertTrue(network.books.get(0).isSuspect(BookNetwork.NEW), "held for ten minutes");
+    assertTrue(network.books.get(0).isSuspect(QualityNetwork.NEW), "held for ten minutes");
     serve(network, 700, 0.9);
-    assertFalse(network.books.get(0).isSuspect(BookNetwork.NEW));
-    assertFalse(network.books.get(1).isSuspect(BookNetwork.NEW));
+    assertFalse(network.books.get(0).isSuspect(QualityNetwork.NEW));
+    assertFalse(network.books.get(1).isSuspect(QualityNetwork.NEW));
   }
 
   /** Lets entries in turn serve both versions, one rated answer a second each. */
-  private static void serve(BookNetwork network, int seconds, double chanceOfNew) {
+  private static void serve(QualityNetwork network, int seconds, double chanceOfNew) {
     for (int second = 0; second < seconds; second++) {
       int entry = network.random.nextInt(network.books.size());
-      rate(network, entry, BookNetwork.OLD, 0.9);
-      rate(network, entry, BookNetwork.NEW, chanceOfNew);
+      rate(network, entry, QualityNetwork.OLD, 0.9);
+      rate(network, entry, QualityNetwork.NEW, chanceOfNew);
       network.second();
     }
   }
 
-  private static void rate(BookNetwork network, int entry, ModelVersion version, double chance) {
+  private static void rate(QualityNetwork network, int entry, ModelVersion version, double chance) {
     network.record(entry, version, network.random.nextDouble() < chance ? 0.9 : 0.2);
   }
 
-  private static QualityBook.Estimate estimate(BookNetwork network, int entry, double target) {
-    return network.books.get(entry).estimate(BookNetwork.OLD, "club", 100, target);
+  private static VersionQuality.Estimate estimate(
+      QualityNetwork network, int entry, double target) {
+    return network.books.get(entry).estimate(QualityNetwork.OLD, "club", 100, target);
   }
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
@@ -62,7 +62,7 @@
 import org.skylarkfork.core.order.OrderPart;
 import org.skylarkfork.core.order.OrderSettings;
 import org.skylarkfork.core.quality.QualitySettings;
-import org.skylarkfork.core.quality.SharedQualityBook;
+import org.skylarkfork.core.quality.SharedVersionQuality;
 import org.skylarkfork.core.routing.Candidates;
 import org.skylarkfork.core.routing.ChooserSettings;
 import org.skylarkfork.core.routing.CompiledRules;
@@ -104,7 +104,7 @@
   private final ConfigurationPart configuration;
   private final DirectoryPart directory;
   private final EntryList entries;
-  private final SharedQualityBook quality;
+  private final SharedVersionQuality quality;
   private final SessionPart sessions;
   private final LedgerPart ledger;
   private final OrderPart orders;
@@ -206,8 +206,8 @@
         settings.entryListLifetime(), EntryListSettings.DEFAULT.propagationMargin());
   }
 
-  private SharedQualityBook qualityBook(long incarnation) {
-    return new SharedQualityBook(
+  private SharedVersionQuality qualityBook(long incarnation) {
+    return new SharedVersionQuality(
         settings.node(),
         incarnation,
         QualitySettings.DEFAULT,
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/MeasuredDaemon.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/MeasuredDaemon.java
@@ -33,9 +33,9 @@
 import org.skylarkfork.core.membership.MembershipPart;
 import org.skylarkfork.core.membership.MembershipSettings;
 import org.skylarkfork.core.membership.ServingState;
-import org.skylarkfork.core.quality.QualityBook;
 import org.skylarkfork.core.quality.QualitySettings;
-import org.skylarkfork.core.quality.SharedQualityBook;
+import org.skylarkfork.core.quality.SharedVersionQuality;
+import org.skylarkfork.core.quality.VersionQuality;
 import org.skylarkfork.core.quality.VersionWithdrawer;
 import org.skylarkfork.core.routing.BestModelPlanner;
 import org.skylarkfork.core.routing.Candidates;
@@ -70,7 +70,7 @@
   private final FakeConfiguration configuration;
   private final MembershipPart membership;
   private final DirectoryPart directory;
-  private final SharedQualityBook shared;
+  private final SharedVersionQuality shared;
   private final CountingLedger ledger;
   private final Reducer reducer;
 
@@ -95,7 +95,7 @@
         new MembershipPart(self, List.of(), configuration, MembershipSettings.DEFAULT, seed);
     directory = new DirectoryPart(membership, configuration, DirectorySettings.DEFAULT, seed);
     shared = sharedBook();
-    QualityBook quality = shared;
+    VersionQuality quality = shared;
     Part qualityPart = shared;
     if (policy.detection() != Policy.DetectionKind.SEQUENTIAL) {
       boolean detects = policy.detection() == Policy.DetectionKind.THRESHOLD;
@@ -165,7 +165,7 @@
         ServingState.SERVING);
   }
 
-  private SharedQualityBook sharedBook() {
+  private SharedVersionQuality sharedBook() {
     VersionWithdrawer withdrawer =
         policy.detection() == Policy.DetectionKind.SEQUENTIAL
             ? (version, changeId, reason, now, output) ->
@@ -175,11 +175,11 @@
                         "quality",
                         new ConfigurationChange.WithdrawVersion(version, null)))
             : VersionWithdrawer.NONE;
-    return new SharedQualityBook(
+    return new SharedVersionQuality(
         NODE, 1, QualitySettings.DEFAULT, configuration, List::of, withdrawer, seed);
   }
 
-  private Planner planner(Versions versions, QualityBook quality) {
+  private Planner planner(Versions versions, VersionQuality quality) {
     Candidates candidates = new Candidates(configuration, versions);
     Planner cheapest =
         switch (policy.planner()) {
