--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/OwnCounters.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/OwnCounters.java
@@ -14,9 +14,9 @@
   private final long incarnation;
 
   /** The counts in the order of their last change. */
-  private final LinkedHashMap<Slot, Counted> slots = new LinkedHashMap<>();
+  private final LinkedHashMap<EpochKey, ChangedCounts> slots = new LinkedHashMap<>();
 
-  private final Map<String, Long> toldUpTo = new HashMap<>();
+  private final Map<String, Long> sentUpTo = new HashMap<>();
   private long changes;
 
   OwnCounters(String entry, long incarnation) {
@@ -26,48 +26,48 @@
 
   /** Adds counts to an epoch. */
   void add(long epoch, EvidenceKey key, long[] counts) {
-    Slot slot = new Slot(epoch, key);
-    Counted counted = slots.remove(slot);
+    EpochKey slot = new EpochKey(epoch, key);
+    ChangedCounts counted = slots.remove(slot);
     long[] sum = counted == null ? new long[Counters.SIZE] : counted.counts();
     Counters.add(sum, counts);
     changes++;
-    slots.put(slot, new Counted(sum, changes));
+    slots.put(slot, new ChangedCounts(sum, changes));
   }
 
   /**
    * Returns what a peer was not yet told, the oldest change first.
    *
    * @param peer node name of the peer
-   * @param most bound for the number of counters
+   * @param limit bound for the number of counters
    */
-  List<QualityCounters> news(String peer, int most) {
-    long told = toldUpTo.getOrDefault(peer, 0L);
-    List<QualityCounters> news = new ArrayList<>();
-    for (Map.Entry<Slot, Counted> slot : slots.entrySet()) {
-      Counted counted = slot.getValue();
-      if (counted.change() > told && news.size() < most) {
-        news.add(message(slot.getKey(), counted));
-        toldUpTo.put(peer, counted.change());
+  List<QualityCounters> unsentCounters(String peer, int limit) {
+    long sent = sentUpTo.getOrDefault(peer, 0L);
+    List<QualityCounters> unsent = new ArrayList<>();
+    for (Map.Entry<EpochKey, ChangedCounts> slot : slots.entrySet()) {
+      ChangedCounts counted = slot.getValue();
+      if (counted.change() > sent && unsent.size() < limit) {
+        unsent.add(toCounters(slot.getKey(), counted));
+        sentUpTo.put(peer, counted.change());
       }
     }
-    return news;
+    return unsent;
   }
 
   /** Forgets what a peer was told, so that it is told all again. */
-  void forgetPeer(String peer) {
-    toldUpTo.remove(peer);
+  void resetPeer(String peer) {
+    sentUpTo.remove(peer);
   }
 
-  void forgetBefore(long epoch) {
+  void removeBefore(long epoch) {
     slots.keySet().removeIf(slot -> slot.epoch() < epoch);
   }
 
-  private QualityCounters message(Slot slot, Counted counted) {
+  private QualityCounters toCounters(EpochKey slot, ChangedCounts counted) {
     List<Long> counts = Arrays.stream(counted.counts()).boxed().toList();
     return new QualityCounters(entry, incarnation, slot.epoch(), slot.key(), counts);
   }
 
-  private record Slot(long epoch, EvidenceKey key) {}
+  private record EpochKey(long epoch, EvidenceKey key) {}
 
-  private record Counted(long[] counts, long change) {}
+  private record ChangedCounts(long[] counts, long change) {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/VersionQuality.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/VersionQuality.java
@@ -54,11 +54,11 @@
    * Returns the share of a version's answers that should be rated.
    *
    * @param version the version
-   * @param usual share that operators set, 0 to 1
+   * @param configuredShare share that operators set, 0 to 1
    * @return the usual share, or more while it is not clear whether the version is good
    */
-  default double ratingShare(ModelVersion version, double usual) {
-    return usual;
+  default double ratingShare(ModelVersion version, double configuredShare) {
+    return configuredShare;
   }
 
   /** Returns whether the evidence shows the version to be bad, so that it gets no new sessions. */
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/QualityNetwork.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/QualityNetwork.java
@@ -36,7 +36,7 @@
   List<ModelVersion> withdrawn = List.of();
   boolean withdrawAutomatically;
   double lossRate;
-  double repeatRate;
+  double duplicateRate;
   Instant now = Instant.parse("2026-05-04T08:00:00Z");
 
   private final Map<String, Reducer> reducers = new HashMap<>();
@@ -56,7 +56,7 @@
               QualitySettings.DEFAULT,
               this,
               () -> names,
-              (version, changeId, reason, at, output) -> withdrawals.add(changeId),
+              (version, changeId, reason, time, output) -> withdrawals.add(changeId),
               names.indexOf(name));
       books.add(book);
       reducers.put(name, new Reducer(List.of(book)));
@@ -91,7 +91,7 @@
   }
 
   @Override
-  public boolean mayServe(Instant at) {
+  public boolean mayServe(Instant time) {
     return true;
   }
 
@@ -118,14 +118,14 @@
   }
 
   /** Lets a second pass: each entry ticks, then the messages of the second before arrive. */
-  void second() {
+  void runSecond() {
     now = now.plusSeconds(1);
-    List<Sent> arriving = new ArrayList<>(inFlight);
+    List<Sent> delivered = new ArrayList<>(inFlight);
     inFlight.clear();
-    for (int i = arriving.size() - 1; i > 0; i--) {
-      arriving.set(i, arriving.set(random.nextInt(i + 1), arriving.get(i)));
+    for (int i = delivered.size() - 1; i > 0; i--) {
+      delivered.set(i, delivered.set(random.nextInt(i + 1), delivered.get(i)));
     }
-    for (Sent sent : arriving) {
+    for (Sent sent : delivered) {
       deliver(sent.to(), new PeerEvent.MessageReceived(sent.from(), sent.effect().message()));
     }
     for (String name : reducers.keySet().stream().sorted().toList()) {
@@ -137,7 +137,7 @@
     for (Effect effect : reducers.get(name).apply(event, now)) {
       if (effect instanceof PeerEffect.SendToPeer send && random.nextDouble() >= lossRate) {
         inFlight.add(new Sent(name, send.node(), send));
-        if (random.nextDouble() < repeatRate) {
+        if (random.nextDouble() < duplicateRate) {
           inFlight.add(new Sent(name, send.node(), send));
         }
       }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/SharedVersionQualityTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/SharedVersionQualityTest.java
@@ -20,22 +20,22 @@
   @Test
   public void repeatedAndReorderedMessagesCountOnce() {
     QualityNetwork network = new QualityNetwork(3);
-    network.repeatRate = 0.7;
-    QualityNetwork alone = new QualityNetwork(1);
+    network.duplicateRate = 0.7;
+    QualityNetwork single = new QualityNetwork(1);
     for (int second = 0; second < 40; second++) {
       for (int entry = 0; entry < 3; entry++) {
         double rating = network.random.nextDouble();
         network.record(entry, QualityNetwork.OLD, rating);
-        alone.record(0, QualityNetwork.OLD, rating);
+        single.record(0, QualityNetwork.OLD, rating);
       }
-      network.second();
-      alone.second();
+      network.runSecond();
+      single.runSecond();
     }
     for (int second = 0; second < 10; second++) {
-      network.second();
-      alone.second();
+      network.runSecond();
+      single.runSecond();
     }
-    VersionQuality.Estimate expected = estimate(alone, 0, 0.5);
+    VersionQuality.Estimate expected = estimate(single, 0, 0.5);
     for (int entry = 0; entry < 3; entry++) {
       VersionQuality.Estimate merged = estimate(network, entry, 0.5);
       assertEquals(merged.samples(), expected.samples(), expected.samples() * 1e-6);
@@ -44,29 +44,29 @@
   }
 
   @Test
-  public void estimateStartsAtThePriorAndFollowsDrift() {
+  public void estimateStartsAtPriorAndFollowsDrift() {
     QualityNetwork network = new QualityNetwork(1);
     assertEquals(estimate(network, 0, 0.7).mean(), 0.8, 1e-9);
     double priorDeviation = estimate(network, 0, 0.7).standardDeviation();
     for (int second = 0; second < 1_200; second++) {
       network.record(0, QualityNetwork.OLD, second % 10 == 0 ? 0.2 : 0.9);
-      network.second();
+      network.runSecond();
     }
     assertEquals(estimate(network, 0, 0.7).mean(), 0.9, 0.02);
     assertTrue(estimate(network, 0, 0.7).standardDeviation() < priorDeviation / 5);
     for (int second = 0; second < 1_800; second++) {
       network.record(0, QualityNetwork.OLD, second % 2 == 0 ? 0.2 : 0.9);
-      network.second();
+      network.runSecond();
     }
     assertEquals(estimate(network, 0, 0.7).mean(), 0.5, 0.06, "half-life is 10 minutes");
   }
 
   @Test
-  public void missingRatingsAreNotBadOnes() {
+  public void missingRatingsDoNotLowerEstimate() {
     QualityNetwork network = new QualityNetwork(1);
     for (int second = 0; second < 600; second++) {
       network.record(0, QualityNetwork.OLD, second % 10 == 0 ? 0.95 : null);
-      network.second();
+      network.runSecond();
     }
     assertTrue(estimate(network, 0, 0.9).mean() > 0.95);
     assertTrue(estimate(network, 0, 1.0).mean() > 0.95, "the last class counts for target 1");
@@ -79,7 +79,7 @@
    * giving it new sessions within seconds.
    */
   @Test
-  public void nineEntriesFindBadVersionTogetherInSpiteOfLoss() {
+  public void nineEntriesDetectBadVersionDespiteMessageLoss() {
     QualityNetwork network = new QualityNetwork(9);
     network.lossRate = 0.3;
     network.withdrawAutomatically = true;
@@ -88,10 +88,10 @@
     int seconds = 0;
     while (!network.books.stream().allMatch(book -> book.isSuspect(QualityNetwork.NEW))) {
       for (int entry = 0; entry < 9; entry += 3) {
-        rate(network, entry, QualityNetwork.OLD, 0.9);
-        rate(network, entry, QualityNetwork.NEW, 0.4);
+        recordRandomRating(network, entry, QualityNetwork.OLD, 0.9);
+        recordRandomRating(network, entry, QualityNetwork.NEW, 0.4);
       }
-      network.second();
+      network.runSecond();
       seconds++;
       assertTrue(seconds <= 40, "not found by all entries in 40 seconds");
     }
@@ -106,7 +106,7 @@
     serve(network, 60, 0.3);
     assertTrue(network.books.get(1).isSuspect(QualityNetwork.NEW));
     network.withdrawn = List.of(QualityNetwork.NEW);
-    network.second();
+    network.runSecond();
     assertTrue(network.books.get(1).isSuspect(QualityNetwork.NEW));
     network.withdrawn = List.of();
     serve(network, 5, 0.9);
@@ -115,7 +115,7 @@
   }
 
   @Test
-  public void suspectIsReinstatedOnlyAfterGoodEvidenceOfLongEnough() {
+  public void suspectIsClearedOnlyAfterEnoughGoodEvidence() {
     QualityNetwork network = new QualityNetwork(2);
     serve(network, 300, 0.9);
     serve(network, 60, 0.3);
@@ -127,16 +127,17 @@
   }
 
   /** Lets entries in turn serve both versions, one rated answer a second each. */
-  private static void serve(QualityNetwork network, int seconds, double chanceOfNew) {
+  private static void serve(QualityNetwork network, int seconds, double newVersionChance) {
     for (int second = 0; second < seconds; second++) {
       int entry = network.random.nextInt(network.books.size());
-      rate(network, entry, QualityNetwork.OLD, 0.9);
-      rate(network, entry, QualityNetwork.NEW, chanceOfNew);
-      network.second();
+      recordRandomRating(network, entry, QualityNetwork.OLD, 0.9);
+      recordRandomRating(network, entry, QualityNetwork.NEW, newVersionChance);
+      network.runSecond();
     }
   }
 
-  private static void rate(QualityNetwork network, int entry, ModelVersion version, double chance) {
+  private static void recordRandomRating(
+      QualityNetwork network, int entry, ModelVersion version, double chance) {
     network.record(entry, version, network.random.nextDouble() < chance ? 0.9 : 0.2);
   }
 
