--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/Admission.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/Admission.java
@@ -10,42 +10,42 @@
 public interface Admission {
 
   /**
-   * Asks for a start.
+   * Admits, queues or refuses a request.
    *
-   * <p>A request that is told to wait is later named by one {@code AdmissionEvent}: admitted or
-   * refused.
+   * <p>For each queued request, one {@code AdmissionEvent} follows that admits or refuses it.
    *
    * @param request the request
-   * @param team team that sent it
-   * @param priority priority after rules, 0 to 9
+   * @param team the team that sent the request
+   * @param priority priority after the rules, from 0, the most urgent, to 9
    * @param now the present time
    */
   Result submit(CallerRequest request, Team team, int priority, Instant now);
 
   /**
-   * Gives back what an admitted request held, or takes a waiting one out of its queue.
+   * Releases the slot and the unused tokens of an admitted request, or removes a queued request
+   * from its queue.
    *
    * @param requestId id of the request; an unknown one is ignored
-   * @param tokens tokens that it used
+   * @param tokens tokens that the request used
    * @param now the present time
    */
   void release(String requestId, long tokens, Instant now);
 
   /**
-   * An answer of {@link #submit}.
+   * The result of {@link #submit}.
    *
-   * @param decision what was decided
-   * @param error why it was refused, with the time to come back; null unless refused
+   * @param decision the decision on the request
+   * @param error why the request was refused, with the time until a retry; null unless refused
    */
   record Result(Decision decision, @Nullable RoutingError error) {}
 
-  /** What was decided. */
+  /** The decision on a request. */
   enum Decision {
-    /** It may start at once. */
+    /** The request may start at once. */
     ADMITTED,
-    /** It waits in a bounded queue. */
+    /** The request waits in a bounded queue. */
     WAITING,
-    /** It is refused and was not run. */
+    /** The request is refused and was not run. */
     REFUSED
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/AdmissionSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/AdmissionSettings.java
@@ -1,10 +1,10 @@
 package org.skylarkfork.core.admission;
 
 /**
- * Bounds of the queues.
+ * Bounds of the admission queues.
  *
- * @param maxWaiting requests that wait at this entry at the same time
- * @param maxWaitingPerTeam requests of one team that wait in one lane
+ * @param maxWaiting maximum number of queued requests at this entry
+ * @param maxWaitingPerTeam maximum number of queued requests of one team in one lane
  */
 public record AdmissionSettings(int maxWaiting, int maxWaitingPerTeam) {
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/AnnouncedCapacity.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/AnnouncedCapacity.java
@@ -11,11 +11,11 @@
 import org.skylarkfork.core.upstream.UpstreamKind;
 
 /**
- * Capacity from what the known upstreams announce, shared between the live entries.
+ * Lane capacity from the capacities that upstreams announce, split between the live entries.
  *
- * <p>Callers don't spread evenly over the entries, so an entry takes more than its even share: with
- * a headroom of 2 the upstreams' own queues hold at most as much again as runs. The sum over the
- * upstreams is made once in a while and not for each request.
+ * <p>Callers don't spread evenly over the entries, so an entry uses more than its even share: with
+ * a headroom of 2, the upstreams' own queues hold at most as many requests as run there. The sum
+ * over the upstreams is cached and not computed for each request.
  */
 public final class AnnouncedCapacity implements LaneCapacity {
 
@@ -29,11 +29,11 @@
   private record CachedCapacity(int capacity, Instant until) {}
 
   /**
-   * Makes a capacity.
+   * Creates a capacity.
    *
    * @param directory the known upstreams
-   * @param liveEntries how many entries there are, this one included
-   * @param headroom by how much an entry exceeds its even share, at least 1
+   * @param liveEntries number of live entries, this one included
+   * @param headroom factor by which an entry may exceed its even share, at least 1
    */
   public AnnouncedCapacity(UpstreamDirectory directory, IntSupplier liveEntries, double headroom) {
     this.directory = directory;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/EntryView.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/EntryView.java
@@ -10,7 +10,7 @@
 import org.skylarkfork.core.membership.Member;
 import org.skylarkfork.core.membership.Members;
 
-/** Which entries there are, and were a while ago, and which of them owns a team's limits. */
+/** The live and the recently live entries, and the entry that owns each team's limits. */
 final class EntryView {
 
   private static final Duration REFRESH_INTERVAL = Duration.ofMillis(100);
@@ -28,7 +28,7 @@
     this.retention = retention;
   }
 
-  /** Looks at the members again from time to time; returns whether the live entries changed. */
+  /** Updates the live entries at most once per refresh interval; returns whether they changed. */
   boolean refresh(Instant now) {
     if (!live.isEmpty() && now.isBefore(refreshedAt.plus(REFRESH_INTERVAL))) {
       return false;
@@ -62,17 +62,21 @@
     return live.contains(entry);
   }
 
-  /** Returns since when the live entries are the same. */
+  /** Returns when the live entries last changed. */
   Instant changedAt() {
     return changedAt;
   }
 
-  /** Returns how many entries there are or were a while ago, at least 1. */
+  /** Returns the number of entries that are or recently were live, at least 1. */
   int knownCount() {
     return Math.max(1, lastSeen.size());
   }
 
-  /** Returns whether the live entries are most of the known ones; half counts with the first. */
+  /**
+   * Returns whether the live entries are a majority of the known ones.
+   *
+   * <p>Exactly half of them is a majority if it includes the first one by name.
+   */
   boolean hasMajority() {
     int doubledLive = live.size() * 2;
     return doubledLive > lastSeen.size()
@@ -81,7 +85,7 @@
             && live.contains(lastSeen.firstKey()));
   }
 
-  /** Returns the entry that hands out a team's limits; this one if it knows of none. */
+  /** Returns the entry that owns a team's limits, or this entry if no live entry is known. */
   String ownerOf(String team) {
     return live.isEmpty()
         ? self()
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/EvenShares.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/EvenShares.java
@@ -6,20 +6,20 @@
 import org.skylarkfork.core.configuration.Team;
 
 /**
- * Gives each live entry the same share, without a word between entries.
+ * Splits each limit evenly between the live entries, without messages between them.
  *
- * <p>The shares of an entry that died come back to the others as soon as it counts as dead. A limit
- * below the number of entries still lets one request at a time through each, so that no team is
- * locked out; it is then exceeded.
+ * <p>The share of a dead entry goes to the other entries as soon as the entry is considered dead. A
+ * concurrency or token limit below the number of entries still gives each entry a share of 1, so
+ * that no team is locked out; the entries together then exceed the limit.
  */
 public final class EvenShares implements LimitShares {
 
   private final IntSupplier liveEntries;
 
   /**
-   * Makes shares.
+   * Creates even shares.
    *
-   * @param liveEntries how many entries there are, this one included
+   * @param liveEntries number of live entries, this one included
    */
   public EvenShares(IntSupplier liveEntries) {
     this.liveEntries = liveEntries;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/FairAdmission.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/FairAdmission.java
@@ -23,10 +23,10 @@
 import org.skylarkfork.core.request.CallerRequest;
 
 /**
- * Admission with limits for each team, a bounded queue for each lane and early refusal.
+ * Admission with limits per team, a bounded queue per lane and early refusal.
  *
- * <p>It stands behind the request part in the reducer: what a request gives back goes to the next
- * one within the same event.
+ * <p>In the reducer, this part comes after the request part, so that a slot that one request
+ * releases goes to the next request within the same event.
  */
 public final class FairAdmission implements Admission, Part {
 
@@ -48,15 +48,15 @@
   private final List<AdmissionEvent> pendingEvents = new ArrayList<>();
   private long sequence;
 
-  /** Whether a place or a waiter came since the queues were looked at. */
+  /** Whether a slot was released or a request was queued since the queues were last drained. */
   private boolean drainNeeded;
 
   private record RunningRequest(QueuedRequest request, Instant startedAt) {}
 
   /**
-   * Makes an admission.
+   * Creates an admission without requests.
    *
-   * @param capacity how many requests run at the same time
+   * @param capacity how many requests of each lane may run at the same time
    * @param shares this entry's share of the teams' limits
    * @param settings bounds of the queues
    */
@@ -119,7 +119,7 @@
     running.put(queued.requestId(), new RunningRequest(queued, now));
   }
 
-  /** Returns why a newcomer may not even wait, or null if it may. */
+  /** Returns why an incoming request may not be queued, or null if it may. */
   private @Nullable RoutingError refusal(QueuedRequest incoming, LaneQueue lane, Instant now) {
     double teamWait =
         usage(incoming.team(), now)
@@ -129,8 +129,8 @@
     double wait = Math.max(teamWait, laneWait);
     double secondsToDeadline =
         Duration.between(now, incoming.deadline()).toMillis() / MILLIS_PER_SECOND;
-    // What must wait beyond its deadline is refused now: later it would have cost its caller the
-    // time and the queue the place, and the end would be the same.
+    // A request that would wait past its deadline is refused at once. A refusal at the deadline
+    // would waste the caller's time and a place in the queue.
     if (wait + lane.meanServiceSeconds() / 2 > secondsToDeadline) {
       return teamWait > laneWait
           ? overLimit(incoming, teamWait - secondsToDeadline + lane.meanServiceSeconds())
@@ -148,11 +148,12 @@
   }
 
   /**
-   * Makes room for a newcomer in bounded queues, or returns why there is none.
+   * Evicts a queued request if the bounded queues are full; returns why the incoming request is
+   * refused, or null if it may be queued.
    *
-   * <p>If refusal went by arrival, a large team that came first would fill the queue and every
-   * small team would be refused for the whole burst. So the last one of the team that waits most
-   * for its weight has to go.
+   * <p>If refusal followed the order of arrival, a large team that came first would fill the queue
+   * and every small team would be refused for the whole burst. So the last request of the team with
+   * the most queued requests for its weight is evicted.
    */
   private @Nullable RoutingError evictOrRefuse(
       QueuedRequest incoming, LaneQueue lane, double wait) {
@@ -229,7 +230,7 @@
   @Override
   public void apply(Event event, Instant now, Output output) {
     refuseExpired(now);
-    // Tokens stream in by the thousand, and none of them gives a place back.
+    // Thousands of token events arrive between two releases, and none of them frees a slot.
     if (drainNeeded || event instanceof LifecycleEvent.Tick) {
       drainNeeded = false;
       lanes.forEach((key, lane) -> drain(key, lane, now));
@@ -253,7 +254,7 @@
     }
   }
 
-  /** Starts waiters of a lane while it has room and their teams' limits let them. */
+  /** Starts queued requests of a lane while it has free slots and the teams' limits allow them. */
   private void drain(Lane key, LaneQueue lane, Instant now) {
     while (lane.waiting() > 0 && lane.running() < capacity.capacity(key, now)) {
       Optional<QueuedRequest> next = lane.next(queued -> mayStart(queued, now));
@@ -266,7 +267,7 @@
     }
   }
 
-  /** Returns what a team asks of this entry; nothing for one that never asked. */
+  /** Returns a team's load on this entry, or {@link TeamLoad#NONE} if it sent no request so far. */
   public TeamLoad load(String team) {
     TeamUsage usage = usages.get(team);
     if (usage == null) {
@@ -275,12 +276,12 @@
     return usage.load(lanes.values().stream().mapToInt(lane -> lane.waitingOf(team)).sum());
   }
 
-  /** Returns how many requests wait. */
+  /** Returns the number of queued requests. */
   public int waiting() {
     return waiting.size();
   }
 
-  /** Returns how many requests hold a place. */
+  /** Returns the number of running requests. */
   public int running() {
     return running.size();
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/FifoAdmission.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/FifoAdmission.java
@@ -15,8 +15,8 @@
 import org.skylarkfork.core.request.CallerRequest;
 
 /**
- * One bounded queue for all requests in the order of their arrival: the baseline that fair shares,
- * lanes and early refusal are measured against.
+ * One bounded FIFO queue for all requests: the baseline with which fair shares, lanes and early
+ * refusal are compared.
  */
 public final class FifoAdmission implements Admission, Part {
 
@@ -28,10 +28,10 @@
   private final Set<String> running = new HashSet<>();
 
   /**
-   * Makes a queue.
+   * Creates an empty queue.
    *
-   * @param slots requests that run at the same time
-   * @param maxWaiting requests that wait at the same time
+   * @param slots maximum number of running requests
+   * @param maxWaiting maximum number of queued requests
    */
   public FifoAdmission(int slots, int maxWaiting) {
     this.slots = slots;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/Lane.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/Lane.java
@@ -3,7 +3,7 @@
 import org.skylarkfork.core.request.CallerRequest;
 
 /**
- * Requests that compete for the same upstreams; those of one lane never wait behind another's.
+ * A class of requests that compete for the same upstreams and never wait behind another lane.
  *
  * @param service name of the plain service, or empty for drafts
  */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LaneCapacity.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LaneCapacity.java
@@ -2,7 +2,7 @@
 
 import java.time.Instant;
 
-/** How many requests of a lane this entry runs at the same time. */
+/** The number of requests of a lane that this entry may run at the same time. */
 public interface LaneCapacity {
 
   /**
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LaneQueue.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LaneQueue.java
@@ -10,12 +10,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The waiting requests of one lane, shared fairly between teams by weight.
+ * A weighted fair queue of the requests of one lane, by team.
  *
- * <p>Each team has a virtual time at which its next request is due; a start moves it on by the
- * request's cost divided by the team's weight. The team that is due first goes first, so that a
- * team with a thousand waiting requests delays one with ten by no more than its weight allows. A
- * team that was idle starts at the present virtual time and saves up nothing.
+ * <p>Each team has a virtual start time for its next request; each start advances this time by the
+ * request's cost divided by the team's weight. The team with the earliest virtual start time goes
+ * first, so that a team with a thousand queued requests delays one with ten by no more than its
+ * weight allows. A team that was idle starts at the current virtual time and accumulates no credit.
  */
 final class LaneQueue {
 
@@ -57,7 +57,7 @@
     waiting++;
   }
 
-  /** Takes a waiter out without starting it. */
+  /** Removes a request without starting it; a request that is not queued is ignored. */
   void remove(QueuedRequest request) {
     TeamQueue queue = teams.get(request.team().name());
     if (queue != null && queue.requests.remove(request)) {
@@ -68,7 +68,7 @@
     }
   }
 
-  /** Returns the next waiter that may start, by fair shares. */
+  /** Returns the next request that may start by fair shares, or empty if there is none. */
   Optional<QueuedRequest> next(Predicate<QueuedRequest> mayStart) {
     for (TeamQueue queue : activeTeams) {
       QueuedRequest first = queue.requests.first();
@@ -79,7 +79,7 @@
     return Optional.empty();
   }
 
-  /** Takes note that a request starts, one that waited or one that needn't. */
+  /** Records the start of a request, whether it was queued or not. */
   void recordStart(String team, int weight, long cost) {
     running++;
     TeamQueue queue = teams.computeIfAbsent(team, TeamQueue::new);
@@ -92,7 +92,7 @@
     }
   }
 
-  /** Takes note that a request ended after a time; one that was never run tells no time. */
+  /** Records the end of a request; one that was never run does not count in the mean run time. */
   void recordEnd(Duration runTime, boolean wasRun) {
     running--;
     if (!wasRun) {
@@ -122,13 +122,13 @@
     return queue == null ? 0 : queue.requests.size();
   }
 
-  /** Returns how many of its own team wait before a newcomer. */
+  /** Returns how many queued requests of its own team are ahead of an incoming request. */
   int aheadInTeam(QueuedRequest incoming) {
     TeamQueue queue = teams.get(incoming.team().name());
     return queue == null ? 0 : queue.requests.headSet(incoming).size();
   }
 
-  /** Returns how many requests start before a newcomer, at fair shares. */
+  /** Estimates how many queued requests start before an incoming one at fair shares. */
   double aheadInLane(QueuedRequest incoming) {
     int weight = Math.max(1, incoming.team().weight());
     int activeWeight = weight;
@@ -140,7 +140,10 @@
     return Math.min(waiting, (double) aheadInTeam(incoming) * activeWeight / weight);
   }
 
-  /** Returns the last waiter of the team that waits most for its weight, or null if none waits. */
+  /**
+   * Returns the last request of the team with the most queued requests for its weight, or null if
+   * the queue is empty.
+   */
   @Nullable QueuedRequest lastOfLongest() {
     TeamQueue longest = null;
     for (TeamQueue queue : activeTeams) {
@@ -155,7 +158,7 @@
     return (double) queue.requests.size() / queue.weight;
   }
 
-  /** Returns the last waiter of a team, or null if it has none. */
+  /** Returns the last queued request of a team, or null if the team has none. */
   @Nullable QueuedRequest lastOf(String team) {
     TeamQueue queue = teams.get(team);
     return queue == null || queue.requests.isEmpty() ? null : queue.requests.last();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LeaseHolder.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LeaseHolder.java
@@ -7,7 +7,7 @@
 import org.skylarkfork.core.message.LimitMessage.TeamDemand;
 import org.skylarkfork.core.message.LimitMessage.TeamShare;
 
-/** What the owner of a team's limits knows of one entry: its demand and what it may still use. */
+/** The demand and the leases of one entry, as the owner of a team's limits records them. */
 final class LeaseHolder {
 
   private record Lease(TeamShare share, Instant demandSentAt, Instant endsAt) {}
@@ -17,7 +17,7 @@
   private Instant sentAt = Instant.MIN;
   private Instant demandExpiresAt = Instant.MIN;
 
-  /** Takes a demand; returns false for one that is no newer than the last. */
+  /** Records a demand; returns false if it is no newer than the last one. */
   boolean recordDemand(TeamDemand newDemand, Instant newSentAt, Instant expiresAt) {
     if (!newSentAt.isAfter(sentAt)) {
       return false;
@@ -29,7 +29,7 @@
     return true;
   }
 
-  /** Returns the last demand, or null if it is too old. */
+  /** Returns the last demand, or null if it has expired. */
   @Nullable TeamDemand demand(Instant now) {
     return now.isBefore(demandExpiresAt) ? demand : null;
   }
@@ -38,7 +38,7 @@
     leases.add(new Lease(share, sentAt, end));
   }
 
-  /** Returns the most that the entry may use of each amount under any lease not yet ended. */
+  /** Returns the maximum of each amount over the leases that have not ended. */
   TeamShare leased(String team, Instant now) {
     leases.removeIf(lease -> !now.isBefore(lease.endsAt));
     double rate = 0;
@@ -52,7 +52,7 @@
     return new TeamShare(team, rate, slots, tokens);
   }
 
-  /** Returns whether it neither asks for anything nor may use anything. */
+  /** Returns whether the entry has neither a current demand nor a lease. */
   boolean isIdle(Instant now) {
     leases.removeIf(lease -> !now.isBefore(lease.endsAt));
     return leases.isEmpty() && demand(now) == null;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LeasedShares.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LeasedShares.java
@@ -25,16 +25,18 @@
 import org.skylarkfork.core.message.LimitMessage.TeamShare;
 
 /**
- * Gives each entry a share of a team's limits by its demand, leased from the entry that owns them.
+ * Shares of the teams' limits by demand, leased from the entry that owns a team's limits.
  *
- * <p>A small part of each limit is split evenly and needs no lease; the owner leases the rest. An
- * entry whose lease ended, since it or the owner is cut off or dead, falls back to its even part.
- * An entry that knows of no other has the whole. No request waits for a message: a share is what is
- * known here when it is asked for.
+ * <p>A small fraction of each limit is split evenly and needs no lease; the owner leases the rest.
+ * An entry whose lease ended, because the entry or the owner is partitioned or dead, falls back to
+ * its even part. An entry that knows of no other entry has the whole limit. No request waits for a
+ * message: a share is computed from local state.
  */
 public final class LeasedShares implements LimitShares, Part {
 
-  /** Bounds the bytes of a message; more teams go into further ones. */
+  /**
+   * Maximum number of teams in a message, to bound its size; further teams go into more messages.
+   */
   private static final int MAX_TEAMS = 256;
 
   private final EntryView view;
@@ -46,12 +48,12 @@
   private Instant reportedAt = Instant.MIN;
 
   /**
-   * Makes shares.
+   * Creates shares without leases.
    *
-   * @param members the daemons that are there
-   * @param loads what each team asks of this entry
-   * @param limits the whole limits of each team; empty for an unknown one
-   * @param settings times and parts
+   * @param members the live daemons
+   * @param loads the load of each team on this entry
+   * @param limits the limits of each team over all entries; empty for an unknown team
+   * @param settings durations and fractions of the leases
    */
   public LeasedShares(
       Members members,
@@ -111,7 +113,8 @@
   }
 
   private void applyGrant(Grant grant) {
-    // The owner counts the lease from a later moment, and longer, lest its clock be the faster one.
+    // The lease ends here before it ends at the owner, even if the owner's clock is the faster one:
+    // the owner counts it from a later moment and for longer.
     Instant end = grant.demandSentAt().plus(settings.holderLease(grant.lease()));
     for (TeamShare share : grant.teams()) {
       LeasedTeam team = teams.get(share.team());
@@ -138,7 +141,7 @@
         .anyMatch(team -> !team.getValue().hasLease(now) && loads.apply(team.getKey()).active());
   }
 
-  /** Returns the demand of teams that asked lately, by owner; forgets the other teams. */
+  /** Returns the demands of recently active teams by owner; removes idle teams without a lease. */
   private Map<String, List<TeamDemand>> demands(Instant now) {
     Map<String, List<TeamDemand>> demands = new TreeMap<>();
     List<String> idle = new ArrayList<>();
@@ -170,12 +173,12 @@
     }
   }
 
-  /** Returns how many teams this entry has a lease for. */
+  /** Returns the number of teams for which this entry holds a lease. */
   public int leases(Instant now) {
     return (int) teams.values().stream().filter(team -> team.hasLease(now)).count();
   }
 
-  /** Returns how many teams have demand whose limits this entry leases to others and itself. */
+  /** Returns the number of teams with demand whose limits this entry leases to all entries. */
   public int ownedTeams() {
     return owner.teamCount();
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LeasedTeam.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LeasedTeam.java
@@ -5,7 +5,7 @@
 import org.skylarkfork.core.message.LimitMessage.TeamDemand;
 import org.skylarkfork.core.message.LimitMessage.TeamShare;
 
-/** A team's demand at this entry, and the share that this entry has a lease for. */
+/** A team's demand at this entry and the share that this entry holds under a lease. */
 final class LeasedTeam {
 
   private static final double SMOOTHING_FACTOR = 0.5;
@@ -40,7 +40,7 @@
     return hasLease(now) ? grantedShare : emptyShare;
   }
 
-  /** Takes a grant; one for an older demand than the present grant's is ignored. */
+  /** Applies a grant; a grant for an older demand than the current grant's is ignored. */
   void applyGrant(TeamShare share, Instant demandSentAt, Instant end) {
     if (demandSentAt.isBefore(grantDemandSentAt)) {
       return;
@@ -50,7 +50,7 @@
     leaseEnd = end;
   }
 
-  /** Returns whether the team asked for anything lately. */
+  /** Returns whether the team has had any requests within the activity timeout. */
   boolean isActive(TeamLoad load, Duration activityTimeout, Instant now) {
     if (load.active() || load.submittedRequests() != reported.submittedRequests()) {
       activeAt = now;
@@ -58,7 +58,7 @@
     return now.isBefore(activeAt.plus(activityTimeout));
   }
 
-  /** Returns the demand to report, with rates smoothed over reports. */
+  /** Returns the demand to report; its rates are smoothed exponentially over the reports. */
   TeamDemand demand(TeamLoad load, Instant now) {
     double millis = Math.max(1, Duration.between(reportedAt, now).toMillis());
     double requests =
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LimitShares.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LimitShares.java
@@ -4,14 +4,14 @@
 import org.skylarkfork.core.configuration.Limits;
 import org.skylarkfork.core.configuration.Team;
 
-/** This entry's share of what a team may use over all entries. */
+/** This entry's shares of the limits that teams have over all entries. */
 public interface LimitShares {
 
-  /** Stands in a share for a limited amount of which this entry may use nothing at present. */
+  /** Marks a limited amount of which this entry may currently use nothing. */
   int NO_SHARE = -1;
 
   /**
-   * Returns what the team may use through this entry; a limit of 0 stays no limit.
+   * Returns the team's limits at this entry; 0 means no limit, as in the team's own limits.
    *
    * <p>Concurrency and tokens may be {@link #NO_SHARE}; requests then wait for a later share.
    *
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/OpenAdmission.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/OpenAdmission.java
@@ -16,6 +16,6 @@
 
   @Override
   public void release(String requestId, long tokens, Instant now) {
-    // Nothing was held.
+    // Admitted requests hold nothing.
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/OwnedTeam.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/OwnedTeam.java
@@ -13,10 +13,10 @@
 import org.skylarkfork.core.message.LimitMessage.TeamDemand;
 import org.skylarkfork.core.message.LimitMessage.TeamShare;
 
-/** Leases the shares of one team's limits to the entries. */
+/** Leases shares of one team's limits to the entries. */
 final class OwnedTeam {
 
-  /** Part of all demand that each asking entry counts for at the least. */
+  /** Minimum fraction of the total demand that is attributed to each entry with demand. */
   private static final double MIN_DEMAND_FRACTION = 0.02;
 
   private static final double EPSILON = 1e-6;
@@ -37,24 +37,24 @@
     return ownedSince;
   }
 
-  /** Takes a demand; returns false for one that is no newer than the entry's last. */
+  /** Records a demand; returns false if it is no newer than the entry's last one. */
   boolean recordDemand(String entry, TeamDemand demand, Instant sentAt, Instant now) {
     return holders
         .computeIfAbsent(entry, key -> new LeaseHolder())
         .recordDemand(demand, sentAt, now.plus(ownerLease));
   }
 
-  /** Forgets entries that are done; returns whether none is left. */
+  /** Removes idle entries; returns whether none is left. */
   boolean removeIdleHolders(Instant now) {
     holders.values().removeIf(holder -> holder.isIdle(now));
     return holders.isEmpty();
   }
 
   /**
-   * Leases a share to an entry that just told its demand.
+   * Leases a share to an entry whose demand was just recorded.
    *
    * @param entry the entry
-   * @param pool all that is leased to all entries
+   * @param pool total that may be leased to all entries
    * @param unleasedSlots how many requests each entry may run without a lease
    * @param now the present time
    */
@@ -82,7 +82,12 @@
     return share;
   }
 
-  /** A lowered limit is exceeded until the leases of the old one have ended, but never more so. */
+  /**
+   * Checks that the leased total stays within the pool.
+   *
+   * <p>After a limit is lowered, leases of the old limit exceed the new one until they end, but the
+   * excess never grows.
+   */
   private static void checkLeasedTotal(TeamShare after, TeamShare before, TeamShare pool) {
     Invariants.check(
         after.requestsPerSecond()
@@ -94,7 +99,7 @@
         "the leased shares of a team's limits never exceed the limits");
   }
 
-  /** Returns all that entries may use under leases not yet ended. */
+  /** Returns the total of the leases that have not ended. */
   TeamShare leased(Instant now) {
     return leasedToOthers("", now);
   }
@@ -115,11 +120,11 @@
   }
 
   /**
-   * Returns the places of other entries.
+   * Returns the slots of the other entries.
    *
-   * <p>A request outlives the lease under which it started. If only leases counted, the place of
-   * one that still runs would be leased again, and more requests than the limit would run. So what
-   * an entry reports as running counts as its own until it has ended there.
+   * <p>A request may outlive the lease under which it started. If only leases counted, the slot of
+   * a request that still runs would be leased again, and more requests than the limit would run. So
+   * the requests that an entry reports as running occupy its slots until they end.
    */
   private int slotsOfOthers(String entry, int unleasedSlots, Instant now) {
     int slots = 0;
@@ -132,7 +137,7 @@
     return slots;
   }
 
-  /** Returns an entry's part of all demand. */
+  /** Returns an entry's fraction of the total demand. */
   private double demandFraction(String entry, ToDoubleFunction<TeamDemand> amount, Instant now) {
     double total = 0;
     for (LeaseHolder holder : activeHolders(now)) {
@@ -156,10 +161,10 @@
   }
 
   /**
-   * Returns an entry's places: whole ones by demand, the rest to the largest remainders.
+   * Returns an entry's slots, allotted by demand with the largest remainder method.
    *
-   * <p>With fewer places than entries, equal demand would give the rest to the same entries for
-   * ever. So the order among equals changes with each lease.
+   * <p>With fewer slots than entries and equal demand, the same entries would always get the
+   * remaining slots. So the order among equal remainders changes every 2 lease durations.
    */
   private int slots(String entry, int pool, Instant now) {
     int total = 0;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/QueuedRequest.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/QueuedRequest.java
@@ -5,15 +5,15 @@
 import org.skylarkfork.core.configuration.Team;
 
 /**
- * A request that waits.
+ * A request that is queued or was admitted.
  *
  * @param requestId id of the request
- * @param lane its lane
- * @param team its team
+ * @param lane lane of the request
+ * @param team team that sent the request
  * @param priority 0 is the most urgent
- * @param deadline when it is no longer wanted
- * @param cost its estimated work: tokens of a draft, 1 for a call
- * @param sequence rises with each arrival
+ * @param deadline time after which the caller no longer wants the answer
+ * @param cost estimated work: tokens of a draft, 1 for a call
+ * @param sequence number that increases with each arrival
  */
 record QueuedRequest(
     String requestId,
@@ -24,7 +24,7 @@
     long cost,
     long sequence) {
 
-  /** Within a team: the most urgent first, then the earliest deadline, then the first come. */
+  /** Order within a team: the most urgent first, then by deadline, then by arrival. */
   static final Comparator<QueuedRequest> ORDER =
       Comparator.comparingInt(QueuedRequest::priority)
           .thenComparing(QueuedRequest::deadline)
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareOwner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareOwner.java
@@ -13,7 +13,7 @@
 import org.skylarkfork.core.message.LimitMessage.TeamDemand;
 import org.skylarkfork.core.message.LimitMessage.TeamShare;
 
-/** Leases the limits of the teams that this entry owns. */
+/** Leases the limits of the teams whose limits this entry owns. */
 final class ShareOwner {
 
   private final EntryView view;
@@ -31,11 +31,12 @@
   }
 
   /**
-   * Gives up teams that another entry owns now, and all teams around a time in the minority.
+   * Drops teams that another entry owns now, and drops all teams while in a minority and on its
+   * end.
    *
-   * <p>An owner on the smaller side of a partition still owns the team there, while the larger side
-   * has another one. If it took up its office as soon as it sees all again, both would lease the
-   * whole for a while.
+   * <p>An owner on the minority side of a partition still owns the team there, while the majority
+   * side has another owner. If the former resumed its leases as soon as the partition heals, both
+   * would lease the whole limit for a while.
    */
   void viewChanged() {
     boolean hadMajority = hasMajority;
@@ -46,17 +47,17 @@
     teams.keySet().removeIf(team -> !view.ownerOf(team).equals(view.self()));
   }
 
-  /** Forgets teams that no entry asks for or has a lease of. */
+  /** Removes teams for which no entry has a demand or a lease. */
   void removeIdleTeams(Instant now) {
     teams.values().removeIf(team -> team.removeIdleHolders(now));
   }
 
-  /** Returns how many teams have demand here. */
+  /** Returns the number of owned teams with a demand or a lease. */
   int teamCount() {
     return teams.size();
   }
 
-  /** Answers a demand; the grant lacks teams that get no share. */
+  /** Returns the grant for a demand; teams that get no share are left out. */
   Grant handleDemand(String entry, Demand demand, Instant now) {
     List<TeamShare> shares = new ArrayList<>();
     for (TeamDemand team : demand.teams()) {
@@ -75,8 +76,8 @@
         teams.computeIfAbsent(
             demand.team(), name -> new OwnedTeam(name, view.changedAt(), settings.ownerLease()));
     boolean isNew = team.recordDemand(entry, demand, sentAt, now);
-    // The entry that owned the team before may have granted all of it just now. Until its leases
-    // have ended for sure, and where most entries can't be seen, a grant would be on top of them.
+    // The previous owner may have leased the whole limit just before. A grant would add to its
+    // leases until they have certainly ended, or while most entries are out of sight.
     boolean inTakeoverDelay = now.isBefore(team.ownedSince().plus(settings.takeoverDelay()));
     if (!isNew || inTakeoverDelay || !view.hasMajority()) {
       return Optional.empty();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareSettings.java
@@ -3,17 +3,18 @@
 import java.time.Duration;
 
 /**
- * How shares of limits are leased.
+ * Settings for the leases of limit shares.
  *
- * @param unleasedFraction part of each limit that entries have without a lease, all together; 0 to
- *     1
- * @param lease how long a share holds after its demand was sent
- * @param maxClockDrift greatest difference of two clocks' speeds, as a share
+ * @param unleasedFraction fraction of each limit that all entries together have without a lease, 0
+ *     to 1
+ * @param lease how long a share is valid after its demand was sent
+ * @param maxClockDrift maximum relative difference between the rates of two clocks
  * @param reportInterval time between two reports of demand
- * @param urgentReportInterval shortest time between them while a team with demand has no lease
- * @param takeoverDelay how long a new owner waits before its first grant: longer than a lease and
- *     the time in which entries learn of each other's changes
- * @param entryRetention how long an entry that is gone still counts
+ * @param urgentReportInterval minimum time between two reports while a team with demand has no
+ *     lease
+ * @param takeoverDelay how long a new owner waits before its first grant: longer than a lease plus
+ *     the time in which entries detect membership changes
+ * @param entryRetention how long an entry that is no longer live still counts as known
  */
 public record ShareSettings(
     double unleasedFraction,
@@ -24,7 +25,7 @@
     Duration takeoverDelay,
     Duration entryRetention) {
 
-  /** What daemons use. */
+  /** The settings of daemons. */
   public static final ShareSettings DEFAULT =
       new ShareSettings(
           0.1,
@@ -35,12 +36,12 @@
           Duration.ofSeconds(7),
           Duration.ofSeconds(60));
 
-  /** Returns a lease as its holder counts it, whose clock may be the slower one. */
+  /** Returns a lease's duration as counted by its holder, whose clock may be the slower one. */
   Duration holderLease(Duration granted) {
     return Duration.ofMillis((long) (granted.toMillis() * (1 - maxClockDrift)));
   }
 
-  /** Returns the lease as the owner counts it from the moment of the grant. */
+  /** Returns a lease's duration as counted by the owner from the moment of the grant. */
   Duration ownerLease() {
     return Duration.ofMillis((long) Math.ceil(lease.toMillis() * (1 + maxClockDrift)));
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareSplit.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareSplit.java
@@ -3,10 +3,10 @@
 import org.skylarkfork.core.configuration.Limits;
 import org.skylarkfork.core.message.LimitMessage.TeamShare;
 
-/** Splits a limit into what entries have without a lease and what the owner leases. */
+/** Splits a limit into a part that needs no lease and a part that the owner leases. */
 record ShareSplit(double unleasedFraction) {
 
-  /** Returns what one of some entries has without a lease; 0 means nothing. */
+  /** Returns the share of each entry that needs no lease; 0 means nothing. */
   TeamShare unleased(String team, Limits whole, int entries) {
     return new TeamShare(
         team,
@@ -15,7 +15,7 @@
         (long) (whole.tokensPerMinute() * unleasedFraction) / entries);
   }
 
-  /** Returns what the owner leases to all entries together. */
+  /** Returns the total that the owner leases to all entries. */
   TeamShare pool(String team, Limits whole) {
     return new TeamShare(
         team,
@@ -24,7 +24,10 @@
         whole.tokensPerMinute() - (long) (whole.tokensPerMinute() * unleasedFraction));
   }
 
-  /** Returns two shares together as limits; where the whole is limited, 0 becomes nothing. */
+  /**
+   * Returns the sum of two shares as limits; a sum of 0 of a limited amount becomes {@link
+   * LimitShares#NO_SHARE}.
+   */
   static Limits combine(TeamShare one, TeamShare other, Limits whole) {
     int slots = one.concurrentRequests() + other.concurrentRequests();
     long tokens = one.tokensPerMinute() + other.tokensPerMinute();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/TeamLoad.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/TeamLoad.java
@@ -1,16 +1,16 @@
 package org.skylarkfork.core.admission;
 
 /**
- * What a team asks of this entry.
+ * A team's load on this entry.
  *
- * @param running requests that run
- * @param waiting requests that wait
- * @param submittedRequests requests that came since the start, refused ones included
- * @param submittedTokens tokens that they asked for
+ * @param running number of running requests
+ * @param waiting number of queued requests
+ * @param submittedRequests number of requests submitted since the start, refused ones included
+ * @param submittedTokens estimated tokens of the submitted requests
  */
 public record TeamLoad(int running, int waiting, long submittedRequests, long submittedTokens) {
 
-  /** The load of a team that never asked. */
+  /** The load of a team that submitted no request. */
   public static final TeamLoad NONE = new TeamLoad(0, 0, 0, 0);
 
   /** Returns whether requests run or wait. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/TeamUsage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/TeamUsage.java
@@ -4,12 +4,12 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.configuration.Limits;
 
-/** What a team uses through this entry, against its share of its limits. */
+/** A team's usage at this entry, compared with the entry's share of the team's limits. */
 final class TeamUsage {
 
   private static final double SECONDS_PER_MINUTE = 60;
 
-  /** How soon to come back while this entry has no share at all, in seconds. */
+  /** Time until a retry while this entry has no share, in seconds. */
   private static final double NO_SHARE_RETRY_SECONDS = 1;
 
   private Limits limits = Limits.NONE;
@@ -19,7 +19,7 @@
   private long submittedRequests;
   private long submittedTokens;
 
-  /** Follows the present share of the limits. */
+  /** Applies the current share of the limits. */
   void applyShare(Limits share, Instant now) {
     if (share.equals(limits)) {
       return;
@@ -36,8 +36,8 @@
     if (perSecond == 0) {
       return null;
     }
-    // An entry without a share keeps an empty bucket. A new one would be full, and a share that
-    // comes and goes would fill it each time.
+    // An entry without a share keeps an empty bucket. A new bucket would be full, and a share that
+    // is lost and granted again would fill it each time.
     double refillRate = Math.max(0, perSecond);
     if (bucket == null) {
       return new TokenBucket(refillRate, capacity, now);
@@ -47,11 +47,11 @@
   }
 
   /**
-   * Returns whether a request of an estimated length keeps within the limits now.
+   * Returns whether a request of an estimated length is within the limits now.
    *
-   * <p>Where this entry has no share at present, a draft waits for one. A lookup doesn't: one at a
-   * time may start, lest the first ones of a race wait for a message between entries. The limit is
-   * exceeded by one lookup an entry at most, for as long as that lookup takes.
+   * <p>While this entry has no share, drafts wait for one. Lookups may start one at a time, so that
+   * the first lookups of a race don't wait for a message between entries. The limit is then
+   * exceeded by at most one lookup per entry, for as long as that lookup takes.
    */
   boolean mayStart(long estimatedTokens, boolean lookup, Instant now) {
     if (hasNoShare() && !(lookup && running == 0)) {
@@ -67,13 +67,13 @@
     return limits.concurrentRequests() < 0 || limits.tokensPerMinute() < 0;
   }
 
-  /** Takes note that the team asked for a request, whatever becomes of it. */
+  /** Records a submitted request, whether it is admitted or not. */
   void recordSubmission(long estimatedTokens) {
     submittedRequests++;
     submittedTokens += estimatedTokens;
   }
 
-  /** Returns what the team asks of this entry, with as many requests waiting. */
+  /** Returns the team's load on this entry, given the number of its queued requests. */
   TeamLoad load(int waiting) {
     return new TeamLoad(running, waiting, submittedRequests, submittedTokens);
   }
@@ -88,7 +88,7 @@
     }
   }
 
-  /** Takes note of an end; of the estimated tokens, those not used are given back. */
+  /** Records the end of a request and refunds the estimated tokens that it did not use. */
   void recordEnd(long estimatedTokens, long usedTokens, Instant now) {
     running--;
     if (tokens != null) {
@@ -97,11 +97,11 @@
   }
 
   /**
-   * Returns in how many seconds the limits let a request through, at the least.
+   * Returns the minimum time until the limits allow a request, in seconds.
    *
-   * @param ahead requests of the team that wait before it
-   * @param estimatedTokens its estimated length
-   * @param serviceSeconds mean time that a request runs, or 0 if unknown
+   * @param ahead queued requests of the team that are ahead of it
+   * @param estimatedTokens estimated length of the request in tokens
+   * @param serviceSeconds mean time that a request runs in seconds, or 0 if unknown
    * @param now the present time
    */
   double secondsUntil(int ahead, long estimatedTokens, double serviceSeconds, Instant now) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/TokenBucket.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/TokenBucket.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** Lets a rate through on average, and at most a bucketful at once. */
+/** A token bucket that limits the average rate and the size of bursts. */
 public final class TokenBucket {
 
   private static final double NANOS_PER_SECOND = 1e9;
@@ -14,10 +14,10 @@
   private Instant refilledAt;
 
   /**
-   * Makes a full bucket.
+   * Creates a full bucket.
    *
-   * @param perSecond what comes in a second, above 0
-   * @param capacity what it holds at the most, above 0
+   * @param perSecond refill rate in tokens per second, above 0
+   * @param capacity maximum number of tokens in the bucket, above 0
    * @param now the present time
    */
   public TokenBucket(double perSecond, double capacity, Instant now) {
@@ -27,7 +27,7 @@
     this.refilledAt = now;
   }
 
-  /** Follows a changed limit; what is in the bucket stays as far as it fits. */
+  /** Changes the rate and the capacity; the level is kept, up to the new capacity. */
   public void reconfigure(double newPerSecond, double newCapacity, Instant now) {
     refill(now);
     perSecond = newPerSecond;
@@ -43,25 +43,27 @@
     }
   }
 
-  /** Returns whether an amount is there; of more than a bucketful, whether the bucket is full. */
+  /**
+   * Returns whether an amount is available; for one above the capacity, whether the bucket is full.
+   */
   public boolean isAvailable(double amount, Instant now) {
     refill(now);
     return level >= Math.min(amount, capacity) - 1e-9;
   }
 
-  /** Takes an amount; below zero, later requests wait longer. */
+  /** Consumes an amount; a level below zero makes later requests wait longer. */
   public void consume(double amount, Instant now) {
     refill(now);
     level -= amount;
   }
 
-  /** Gives back what was taken too much. */
+  /** Refunds an amount that was consumed but not used. */
   void refund(double amount, Instant now) {
     refill(now);
     level = Math.min(capacity, level + amount);
   }
 
-  /** Returns in how many seconds an amount is there. */
+  /** Returns the time until an amount is available, in seconds; 0 if it is available now. */
   public double secondsUntil(double amount, Instant now) {
     refill(now);
     return Math.max(0, (amount - level) / perSecond);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/package-info.java
@@ -1,4 +1,4 @@
-/** Which requests may start now, wait or are refused: limits, queues and deadlines. */
+/** Admission control: team limits, fair queues and early refusal by deadline. */
 @NullMarked
 package org.skylarkfork.core.admission;
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/AdmissionSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/AdmissionSimulation.java
@@ -20,7 +20,7 @@
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.RequestKind;
 
-/** Hands requests to an admission and ends each a set time after its start. */
+/** Submits requests to an admission and ends each one a fixed time after its start. */
 final class AdmissionSimulation implements Output {
 
   final Admission admission;
@@ -94,7 +94,7 @@
     ((Part) admission).apply(event, now, this);
   }
 
-  /** Lets time pass in steps of a tick, and ends what is due. */
+  /** Advances the time tick by tick and ends the requests that are due. */
   void advance(Duration time) {
     Instant until = now.plus(time);
     while (now.isBefore(until)) {
@@ -109,7 +109,7 @@
 
   @Override
   public void effect(Effect effect) {
-    // Metrics are not looked at.
+    // Metrics are ignored.
   }
 
   @Override
@@ -121,8 +121,8 @@
     }
   }
 
-  /** Returns a percentile of the waits of requests whose ids begin so, in milliseconds. */
-  long wait(String prefix, double percentile) {
+  /** Returns a percentile of the waits of requests whose ids have a prefix, in milliseconds. */
+  long waitPercentileMillis(String prefix, double percentile) {
     List<Long> sorted =
         waits.entrySet().stream()
             .filter(each -> each.getKey().startsWith(prefix))
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/FairAdmissionTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/FairAdmissionTest.java
@@ -14,7 +14,7 @@
 import org.skylarkfork.core.request.RunState;
 import org.testng.annotations.Test;
 
-/** Limits, fair shares and early refusal. */
+/** Tests limits, fair shares and early refusal. */
 public class FairAdmissionTest {
 
   private static final Duration SECOND = Duration.ofSeconds(1);
@@ -33,8 +33,9 @@
 
   @Test
   public void oneLargeTeamDoesNotStarveNineSmallOnes() {
-    // The race gun: one team asks 800 drafts at once, then nine teams ask 20 each. First come first
-    // served lets the small teams wait for the large one; fair shares let each team have its part.
+    // One team submits 800 drafts at once, then nine teams submit 20 each. In a FIFO queue, the
+    // small
+    // teams wait for the large one; with fair shares, each team gets its share.
     long[] p99Waits = new long[2];
     Admission fair =
         new FairAdmission((l, n) -> 20, new EvenShares(() -> 1), AdmissionSettings.DEFAULT);
@@ -50,18 +51,18 @@
       }
       simulation.advance(Duration.ofSeconds(120));
       assertEquals(simulation.started.size(), 980, "work is conserved");
-      p99Waits[policy] = simulation.wait("small", 99);
+      p99Waits[policy] = simulation.waitPercentileMillis("small", 99);
       System.out.println(
           "admission: burst, "
               + (policy == 0 ? "first come" : "fair shares")
               + ": wait of nine small teams p50 "
-              + simulation.wait("small", 50)
+              + simulation.waitPercentileMillis("small", 50)
               + " ms, p99 "
               + p99Waits[policy]
               + " ms; of the large team p50 "
-              + simulation.wait("large", 50)
+              + simulation.waitPercentileMillis("large", 50)
               + " ms, p99 "
-              + simulation.wait("large", 99)
+              + simulation.waitPercentileMillis("large", 99)
               + " ms");
     }
     assertTrue(p99Waits[1] * 2 <= p99Waits[0], p99Waits[1] + " against " + p99Waits[0]);
@@ -80,7 +81,7 @@
     long heavyStarts = simulation.started.stream().filter(id -> id.startsWith("h")).count();
     assertTrue(Math.abs(heavyStarts - 40) <= 2, "heavy got " + heavyStarts + " of 60");
     simulation.advance(Duration.ofSeconds(20));
-    assertEquals(simulation.waits.size(), 120, "an idle team's part is used by the others");
+    assertEquals(simulation.waits.size(), 120, "an idle team's share is used by the others");
   }
 
   @Test
@@ -96,7 +97,7 @@
 
   @Test
   public void lookupsDoNotWaitBehindDrafts() {
-    // Every place for drafts is taken and more wait. A scoreboard's lookup has a lane of its own.
+    // All slots for drafts are taken and more drafts are queued. Lookups have lanes of their own.
     AdmissionSimulation simulation = simulation(2);
     for (int request = 0; request < 50; request++) {
       simulation.submit("d" + request, LARGE, "", 0, LONG);
@@ -108,8 +109,8 @@
 
   @Test
   public void refusesEarlyWithAccurateRetryTime() {
-    // The queue needs 25 s, the caller waits 5 s. It is refused at once, as not-run, and a resend
-    // at the stated time is served within the same patience.
+    // The queue needs 25 s, the caller waits 5 s. The request is refused at once as not run, and a
+    // retry at the stated time is served within the same timeout.
     AdmissionSimulation simulation = simulation(2);
     simulation.submit("first", LARGE, "", 5, LONG);
     simulation.advance(Duration.ofSeconds(2));
@@ -169,8 +170,8 @@
 
   @Test
   public void boundsQueueAndEvictsFromLargestTeam() {
-    // A large team fills the queue. A newcomer of a small team is not turned away for it: the last
-    // of the large team is refused in its place, with the time to come back.
+    // A large team fills the queue. A request of a small team is still queued: the last request of
+    // the large team is refused instead, with the time until a retry.
     AdmissionSimulation simulation = simulation(1, new AdmissionSettings(50, 100));
     for (int request = 0; request < 200; request++) {
       simulation.submit("l" + request, LARGE, "", 5, LONG);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/LeasedSharesTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/LeasedSharesTest.java
@@ -15,7 +15,7 @@
 import org.skylarkfork.core.membership.Hashes;
 import org.testng.annotations.Test;
 
-/** Shares of limits that move to where the demand is. */
+/** Tests that leased shares follow the demand and stay within the limits. */
 public class LeasedSharesTest {
 
   private static final Limits WIDE = new Limits(90, 90, 90_000);
@@ -30,10 +30,10 @@
 
   @Test
   public void totalSharesStayWithinLimitsUnderFaults() {
-    // Entries crash and come back, the network loses, doubles and delays messages and falls into
-    // two sides, and each entry learns of it up to two seconds late, so that two of them hold
-    // themselves for the owner. A limit granted twice would let a team run at double its rate. (An
-    // entry joins before it serves: a started one knows of all.)
+    // Entries crash and restart; the network loses, duplicates and delays messages and partitions;
+    // each entry detects a change up to two seconds late, so that two entries consider themselves
+    // the owner. A limit granted twice would let a team run at double its rate. A restarted entry
+    // sees all others, since an entry joins before it serves.
     Map<String, Limits> limits =
         Map.of("wide", new Limits(90, 40, 9000), "narrow", new Limits(0.5, 2, 3));
     int granted = 0;
@@ -116,7 +116,7 @@
     assertTrue(baseline <= 320, "baseline " + baseline);
   }
 
-  /** Asks one entry for 100 requests a second; returns how many start from second 15 to 45. */
+  /** Submits 100 requests a second to one entry; returns how many start from second 15 to 45. */
   private static long admitted(ShareSimulation simulation, LimitShares shares) {
     AdmissionSettings settings = new AdmissionSettings(1000, 1000);
     FairAdmission admission = new FairAdmission((lane, now) -> 1000, shares, settings);
@@ -138,9 +138,10 @@
 
   @Test
   public void shareOfDeadEntryIsReassigned() {
-    // The entry that has nearly all of a limit dies. Its share may be in use until its lease ends;
-    // then callers that went to another entry get it there. If the dead entry was the owner too,
-    // the next owner waits for leases that it can't know of.
+    // The entry that holds nearly all of a limit dies. Its share may be in use until its lease
+    // ends;
+    // then another entry with demand gets it. If the dead entry was also the owner, the next owner
+    // first waits for the end of leases that it can't know of.
     for (boolean ownerDies : List.of(false, true)) {
       ShareSimulation simulation = nineEntries(WIDE);
       List<String> order = Hashes.rendezvous("team", simulation.entries.keySet());
@@ -170,8 +171,8 @@
 
   @Test
   public void slotsRotateWhenFewerThanEntries() {
-    // Three places and nine entries, all with demand: even shares let nine run. Here at most three
-    // do, and the places move on, so that no entry's callers wait for ever.
+    // Three slots and nine entries, all with demand: even shares would let nine requests run. With
+    // leases at most three run, and the slots rotate, so that no entry starves.
     ShareSimulation simulation = nineEntries(new Limits(0, 3, 0));
     Set<String> served = new HashSet<>();
     for (int second = 0; second < 240; second++) {
@@ -187,8 +188,9 @@
 
   @Test
   public void slotsOfRunningRequestsAreNotLeasedAgain() {
-    // An entry runs 60 long drafts, then demand moves to another. The drafts outlive their lease:
-    // leased again, their places would let 142 of 90 run.
+    // An entry runs 60 long drafts, then the demand moves to another entry. The drafts outlive
+    // their
+    // lease: if their slots were leased again, 142 requests would run under a limit of 90.
     ShareSimulation simulation = nineEntries(WIDE);
     String owner = owner(simulation);
     List<String> others =
@@ -222,8 +224,8 @@
 
   @Test
   public void firstLookupDoesNotWaitForLease() {
-    // Two places and nine entries: this entry has no share yet. Its first lookup starts at once; a
-    // draft waits, as a second lookup beside the first does.
+    // Two slots and nine entries: this entry has no share yet. Its first lookup starts at once; a
+    // draft is queued, and so is a second lookup while the first runs.
     ShareSimulation simulation = nineEntries(new Limits(0, 2, 0));
     LimitShares shares = simulation.entries.get("entry-3").shares;
     FairAdmission admission =
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/ShareSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/ShareSimulation.java
@@ -35,7 +35,7 @@
     }
   }
 
-  /** Starts an entry again that sees all the others. */
+  /** Restarts an entry, which then sees all others as live. */
   void restart(String entry) {
     entries.get(entry).live = List.copyOf(entries.keySet());
     entries.get(entry).nextLive = List.of();
@@ -54,7 +54,7 @@
     return Math.max(0, share(entry, team).concurrentRequests());
   }
 
-  /** Returns what the running entries may use together. */
+  /** Returns the total of the running entries' shares. */
   Limits total(String team) {
     double rate = 0;
     int slots = 0;
@@ -70,13 +70,13 @@
     return new Limits(rate, slots, tokens);
   }
 
-  /** Makes an entry see others only, after a time in which it still sees what it saw. */
+  /** Replaces the entries that an entry sees as live, after a delay. */
   void changeView(String entry, List<String> others, Duration delay) {
     entries.get(entry).nextLive = new ArrayList<>(others);
     entries.get(entry).nextLiveIn = delay;
   }
 
-  /** Lets a second pass, in steps in which entries learn of each other's changes. */
+  /** Runs the network for a second, in steps at which the entries' views change. */
   void runSecond() {
     for (int step = 0; step < 10; step++) {
       network.run(Duration.ofMillis(100));
@@ -95,7 +95,7 @@
     }
   }
 
-  /** One entry, whose members and loads a test sets. */
+  /** An entry whose live members and team loads are set by the test. */
   final class Entry implements Members {
     final String name;
     final Map<String, TeamLoad> loads = new HashMap<>();
@@ -118,7 +118,7 @@
       return shares;
     }
 
-    /** Sets what a team asks from now on, of requests and a hundred times as many tokens. */
+    /** Sets a team's load and adds submitted requests with a hundred tokens each. */
     void setLoad(String team, int running, int waiting, int newRequests) {
       TeamLoad previous = loads.getOrDefault(team, TeamLoad.NONE);
       loads.put(
