--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LeaseHolder.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LeaseHolder.java
@@ -34,8 +34,8 @@
     return now.isBefore(demandExpiresAt) ? demand : null;
   }
 
-  void addLease(TeamShare share, Instant end) {
-    leases.add(new Lease(share, sentAt, end));
+  void addLease(TeamShare share, Instant endsAt) {
+    leases.add(new Lease(share, sentAt, endsAt));
   }
 
   /** Returns the maximum of each amount over the leases that have not ended. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareSplit.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareSplit.java
@@ -7,32 +7,33 @@
 record ShareSplit(double unleasedFraction) {
 
   /** Returns the share of each entry that needs no lease; 0 means nothing. */
-  TeamShare unleased(String team, Limits whole, int entries) {
+  TeamShare unleased(String team, Limits teamLimits, int entries) {
     return new TeamShare(
         team,
-        whole.requestsPerSecond() * unleasedFraction / entries,
-        (int) (whole.concurrentRequests() * unleasedFraction) / entries,
-        (long) (whole.tokensPerMinute() * unleasedFraction) / entries);
+        teamLimits.requestsPerSecond() * unleasedFraction / entries,
+        (int) (teamLimits.concurrentRequests() * unleasedFraction) / entries,
+        (long) (teamLimits.tokensPerMinute() * unleasedFraction) / entries);
   }
 
   /** Returns the total that the owner leases to all entries. */
-  TeamShare pool(String team, Limits whole) {
+  TeamShare pool(String team, Limits teamLimits) {
     return new TeamShare(
         team,
-        whole.requestsPerSecond() * (1 - unleasedFraction),
-        whole.concurrentRequests() - (int) (whole.concurrentRequests() * unleasedFraction),
-        whole.tokensPerMinute() - (long) (whole.tokensPerMinute() * unleasedFraction));
+        teamLimits.requestsPerSecond() * (1 - unleasedFraction),
+        teamLimits.concurrentRequests()
+            - (int) (teamLimits.concurrentRequests() * unleasedFraction),
+        teamLimits.tokensPerMinute() - (long) (teamLimits.tokensPerMinute() * unleasedFraction));
   }
 
   /**
    * Returns the sum of two shares as limits; a sum of 0 of a limited amount becomes {@link
    * LimitShares#NO_SHARE}.
    */
-  static Limits combine(TeamShare one, TeamShare other, Limits whole) {
+  static Limits combine(TeamShare one, TeamShare other, Limits teamLimits) {
     int slots = one.concurrentRequests() + other.concurrentRequests();
     long tokens = one.tokensPerMinute() + other.tokensPerMinute();
-    boolean noSlots = slots == 0 && whole.concurrentRequests() > 0;
-    boolean noTokens = tokens == 0 && whole.tokensPerMinute() > 0;
+    boolean noSlots = slots == 0 && teamLimits.concurrentRequests() > 0;
+    boolean noTokens = tokens == 0 && teamLimits.tokensPerMinute() > 0;
     return new Limits(
         one.requestsPerSecond() + other.requestsPerSecond(),
         noSlots ? LimitShares.NO_SHARE : slots,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/BadVersionDetector.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/BadVersionDetector.java
@@ -213,11 +213,11 @@
         table[i] = SequentialTest.logGains(signal.value(i), expected.minMean());
       }
       epochs.forEach(
-          (at, seen) -> {
+          (at, epochCounts) -> {
             double[] sum =
                 gains.computeIfAbsent(at, unused -> new double[SequentialTest.STAKES.length]);
             for (int i = 0; i < table.length; i++) {
-              addScaled(sum, table[i], signal.count(seen, i, expected.firstSlowClass()));
+              addScaled(sum, table[i], signal.count(epochCounts, i, expected.firstSlowClass()));
             }
           });
     }
@@ -240,7 +240,11 @@
           continue;
         }
         long[] sum = new long[Counters.SIZE];
-        entry.getValue().tailMap(since).values().forEach(seen -> Counters.add(sum, seen));
+        entry
+            .getValue()
+            .tailMap(since)
+            .values()
+            .forEach(epochCounts -> Counters.add(sum, epochCounts));
         Expectation.Sample sample =
             Expectation.Sample.of(signal, sum, expected.get().firstSlowClass());
         size += sample.size();
@@ -259,7 +263,7 @@
                   epochs
                       .tailMap(epoch - settings.openEpochs())
                       .values()
-                      .forEach(seen -> Counters.add(recent, seen)));
+                      .forEach(epochCounts -> Counters.add(recent, epochCounts)));
       Expectation expected =
           Expectation.of(signal, total(null), tolerance, 1).orElse(new Expectation(0, 0));
       double observed = Expectation.Sample.of(signal, recent, expected.firstSlowClass()).mean();
@@ -268,26 +272,26 @@
 
     /** Returns what is expected of a key: from the same key, else from all keys like it. */
     private Optional<Expectation> expectation(EvidenceKey key) {
-      long[] same = null;
+      long[] sameSize = null;
       for (Map.Entry<EvidenceKey, long[]> entry : reference.entrySet()) {
         if (hasSameEscalation(entry.getKey(), key) && entry.getKey().size() == key.size()) {
-          same = entry.getValue();
+          sameSize = entry.getValue();
         }
       }
       Optional<Expectation> baseline =
-          same == null
+          sameSize == null
               ? Optional.empty()
-              : Expectation.of(signal, same, tolerance, MIN_KEY_SAMPLES);
+              : Expectation.of(signal, sameSize, tolerance, MIN_KEY_SAMPLES);
       return baseline.isPresent()
           ? baseline
           : Expectation.of(signal, total(key), tolerance, settings.minReferenceRatings());
     }
 
-    private long[] total(@Nullable EvidenceKey like) {
+    private long[] total(@Nullable EvidenceKey similarKey) {
       long[] total = new long[Counters.SIZE];
       reference.forEach(
           (key, sum) -> {
-            if (like == null || hasSameEscalation(key, like)) {
+            if (similarKey == null || hasSameEscalation(key, similarKey)) {
               Counters.add(total, sum);
             }
           });
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/OwnCounters.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/LocalCounters.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /** What this process counted in the epochs that may still change, and whom it has told. */
-final class OwnCounters {
+final class LocalCounters {
 
   private final String entry;
   private final long incarnation;
@@ -19,7 +19,7 @@
   private final Map<String, Long> sentUpTo = new HashMap<>();
   private long changes;
 
-  OwnCounters(String entry, long incarnation) {
+  LocalCounters(String entry, long incarnation) {
     this.entry = entry;
     this.incarnation = incarnation;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/MergedCounters.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/MergedCounters.java
@@ -27,20 +27,20 @@
     }
     CounterId id =
         new CounterId(received.entry(), received.incarnation(), received.epoch(), received.key());
-    long[] known = vectors.computeIfAbsent(id, unused -> new long[Counters.SIZE]);
-    long[] increase = increase(known, received.counts());
+    long[] merged = vectors.computeIfAbsent(id, unused -> new long[Counters.SIZE]);
+    long[] increase = increase(merged, received.counts());
     if (increase == null) {
       return Optional.empty();
     }
-    Counters.add(known, increase);
+    Counters.add(merged, increase);
     return Optional.of(increase);
   }
 
-  private static long @Nullable [] increase(long[] known, List<Long> received) {
+  private static long @Nullable [] increase(long[] merged, List<Long> received) {
     long[] increase = new long[Counters.SIZE];
     boolean any = false;
     for (int i = 0; i < Counters.SIZE; i++) {
-      increase[i] = Math.max(0, received.get(i) - known[i]);
+      increase[i] = Math.max(0, received.get(i) - merged[i]);
       any |= increase[i] > 0;
     }
     return any ? increase : null;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SharedVersionQuality.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SharedVersionQuality.java
@@ -47,7 +47,7 @@
   private final VersionWithdrawer withdrawer;
   private final UniformRandomProvider random;
   private final MergedCounters merged = new MergedCounters();
-  private final OwnCounters own;
+  private final LocalCounters local;
   private final EvidenceHistory history = new EvidenceHistory();
   private final DecayedCounts decayed;
   private final QualityEstimator estimator;
@@ -83,7 +83,7 @@
     this.peers = peers;
     this.withdrawer = withdrawer;
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-    this.own = new OwnCounters(entry, incarnation);
+    this.local = new LocalCounters(entry, incarnation);
     this.decayed = new DecayedCounts(settings.halfLifeEpochs());
     this.estimator = new QualityEstimator(decayed, configuration, settings.priorStrength());
     this.detector = new BadVersionDetector(history, settings);
@@ -128,7 +128,7 @@
             outcome.version(), SizeClass.of(outcome.promptTokens()), outcome.escalated());
     long[] counts = Counters.of(outcome);
     decayed.advance(epoch);
-    own.add(epoch, key, counts);
+    local.add(epoch, key, counts);
     addCounts(epoch, key, counts);
   }
 
@@ -141,7 +141,7 @@
         && received.message() instanceof QualityMessage.Evidence evidence) {
       receiveEvidence(evidence, received.node(), now, output);
     } else if (event instanceof PeerEvent.ConnectionLost lost) {
-      own.resetPeer(lost.node());
+      local.resetPeer(lost.node());
     }
   }
 
@@ -154,7 +154,7 @@
     long epoch = settings.epochAt(now.toEpochMilli());
     long oldestOpen = epoch - settings.openEpochs();
     decayed.advance(epoch);
-    own.removeBefore(oldestOpen);
+    local.removeBefore(oldestOpen);
     merged.removeBefore(oldestOpen);
     history.removeBefore(epoch - settings.windowEpochs());
     clearReinstated(now, output);
@@ -170,10 +170,10 @@
     int count = Math.min(settings.peersPerRound(), remainingPeers.size());
     List<String> batch = remainingPeers.subList(0, count);
     for (String peer : batch) {
-      List<QualityCounters> unsent = own.unsentCounters(peer, settings.countersPerMessage());
-      List<Verdict> known = verdicts.all();
-      if (!unsent.isEmpty() || !known.isEmpty()) {
-        sendEvidence(peer, unsent, known, output);
+      List<QualityCounters> unsent = local.unsentCounters(peer, settings.countersPerMessage());
+      List<Verdict> currentVerdicts = verdicts.all();
+      if (!unsent.isEmpty() || !currentVerdicts.isEmpty()) {
+        sendEvidence(peer, unsent, currentVerdicts, output);
       }
     }
     batch.clear();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Signal.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Signal.java
@@ -65,19 +65,19 @@
 
   /** Returns the first class of delays that is late against a reference: twice its slow ones. */
   static int firstSlowClass(long[] reference) {
-    long slow = (long) Math.ceil(SLOW_QUANTILE * delays(reference, 0));
+    long quantileCount = (long) Math.ceil(SLOW_QUANTILE * delays(reference, 0));
     long sum = 0;
     for (int i = 0; i < Counters.DELAY_CLASSES; i++) {
       sum += reference[Counters.DELAYS + i];
-      if (sum >= slow) {
+      if (sum >= quantileCount) {
         return i + SLOWDOWN_CLASSES + 1;
       }
     }
     return Counters.DELAY_CLASSES;
   }
 
-  private static long binaryCount(long bad, long all, int index) {
-    return index == 0 ? bad : Math.max(0, all - bad);
+  private static long binaryCount(long bad, long total, int index) {
+    return index == 0 ? bad : Math.max(0, total - bad);
   }
 
   private static long delays(long[] counts, int from) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/LeasedSharesTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/LeasedSharesTest.java
@@ -94,8 +94,8 @@
     for (String team : teams) {
       for (ShareSimulation.Entry entry : simulation.entries.values()) {
         int running = random.nextInt(simulation.slots(entry.name, team) + 1);
-        int asked = random.nextInt(4) == 0 ? 50 : random.nextInt(2);
-        entry.setLoad(team, running, asked / 2, asked);
+        int submitted = random.nextInt(4) == 0 ? 50 : random.nextInt(2);
+        entry.setLoad(team, running, submitted / 2, submitted);
       }
     }
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/QualityNetwork.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/QualityNetwork.java
@@ -30,7 +30,7 @@
   static final ModelVersion OLD = new ModelVersion("ruling", "1");
   static final ModelVersion NEW = new ModelVersion("ruling", "2");
 
-  final List<SharedVersionQuality> books = new ArrayList<>();
+  final List<SharedVersionQuality> qualities = new ArrayList<>();
   final List<String> withdrawals = new ArrayList<>();
   final UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(42L);
   List<ModelVersion> withdrawn = List.of();
@@ -49,7 +49,7 @@
       names.add("entry" + i);
     }
     for (String name : names) {
-      SharedVersionQuality book =
+      SharedVersionQuality quality =
           new SharedVersionQuality(
               name,
               1,
@@ -58,8 +58,8 @@
               () -> names,
               (version, changeId, reason, time, output) -> withdrawals.add(changeId),
               names.indexOf(name));
-      books.add(book);
-      reducers.put(name, new Reducer(List.of(book)));
+      qualities.add(quality);
+      reducers.put(name, new Reducer(List.of(quality)));
     }
   }
 
@@ -114,7 +114,7 @@
             200,
             4_000L,
             false);
-    books.get(entry).record(outcome, now);
+    qualities.get(entry).record(outcome, now);
   }
 
   /** Lets a second pass: each entry ticks, then the messages of the second before arrive. */
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/SharedVersionQualityTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/SharedVersionQualityTest.java
@@ -70,7 +70,7 @@
     }
     assertTrue(estimate(network, 0, 0.9).mean() > 0.95);
     assertTrue(estimate(network, 0, 1.0).mean() > 0.95, "the last class counts for target 1");
-    assertFalse(network.books.get(0).isSuspect(QualityNetwork.OLD));
+    assertFalse(network.qualities.get(0).isSuspect(QualityNetwork.OLD));
   }
 
   /*
@@ -84,9 +84,10 @@
     network.lossRate = 0.3;
     network.withdrawAutomatically = true;
     serve(network, 300, 0.9);
-    assertFalse(network.books.stream().anyMatch(book -> book.isSuspect(QualityNetwork.NEW)));
+    assertFalse(
+        network.qualities.stream().anyMatch(quality -> quality.isSuspect(QualityNetwork.NEW)));
     int seconds = 0;
-    while (!network.books.stream().allMatch(book -> book.isSuspect(QualityNetwork.NEW))) {
+    while (!network.qualities.stream().allMatch(quality -> quality.isSuspect(QualityNetwork.NEW))) {
       for (int entry = 0; entry < 9; entry += 3) {
         recordRandomRating(network, entry, QualityNetwork.OLD, 0.9);
         recordRandomRating(network, entry, QualityNetwork.NEW, 0.4);
@@ -95,7 +96,8 @@
       seconds++;
       assertTrue(seconds <= 40, "not found by all entries in 40 seconds");
     }
-    assertFalse(network.books.stream().anyMatch(book -> book.isSuspect(QualityNetwork.OLD)));
+    assertFalse(
+        network.qualities.stream().anyMatch(quality -> quality.isSuspect(QualityNetwork.OLD)));
     assertEquals(network.withdrawals.stream().distinct().count(), 1, "one change, however often");
   }
 
@@ -104,14 +106,14 @@
     QualityNetwork network = new QualityNetwork(2);
     serve(network, 300, 0.9);
     serve(network, 60, 0.3);
-    assertTrue(network.books.get(1).isSuspect(QualityNetwork.NEW));
+    assertTrue(network.qualities.get(1).isSuspect(QualityNetwork.NEW));
     network.withdrawn = List.of(QualityNetwork.NEW);
     network.runSecond();
-    assertTrue(network.books.get(1).isSuspect(QualityNetwork.NEW));
+    assertTrue(network.qualities.get(1).isSuspect(QualityNetwork.NEW));
     network.withdrawn = List.of();
     serve(network, 5, 0.9);
-    assertFalse(network.books.get(0).isSuspect(QualityNetwork.NEW));
-    assertFalse(network.books.get(1).isSuspect(QualityNetwork.NEW));
+    assertFalse(network.qualities.get(0).isSuspect(QualityNetwork.NEW));
+    assertFalse(network.qualities.get(1).isSuspect(QualityNetwork.NEW));
   }
 
   @Test
@@ -120,16 +122,16 @@
     serve(network, 300, 0.9);
     serve(network, 60, 0.3);
     serve(network, 540, 0.9);
-    assertTrue(network.books.get(0).isSuspect(QualityNetwork.NEW), "held for ten minutes");
+    assertTrue(network.qualities.get(0).isSuspect(QualityNetwork.NEW), "held for ten minutes");
     serve(network, 700, 0.9);
-    assertFalse(network.books.get(0).isSuspect(QualityNetwork.NEW));
-    assertFalse(network.books.get(1).isSuspect(QualityNetwork.NEW));
+    assertFalse(network.qualities.get(0).isSuspect(QualityNetwork.NEW));
+    assertFalse(network.qualities.get(1).isSuspect(QualityNetwork.NEW));
   }
 
   /** Lets entries in turn serve both versions, one rated answer a second each. */
   private static void serve(QualityNetwork network, int seconds, double newVersionChance) {
     for (int second = 0; second < seconds; second++) {
-      int entry = network.random.nextInt(network.books.size());
+      int entry = network.random.nextInt(network.qualities.size());
       recordRandomRating(network, entry, QualityNetwork.OLD, 0.9);
       recordRandomRating(network, entry, QualityNetwork.NEW, newVersionChance);
       network.runSecond();
@@ -143,6 +145,6 @@
 
   private static VersionQuality.Estimate estimate(
       QualityNetwork network, int entry, double target) {
-    return network.books.get(entry).estimate(QualityNetwork.OLD, "club", 100, target);
+    return network.qualities.get(entry).estimate(QualityNetwork.OLD, "club", 100, target);
   }
 }
