--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareOwner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareOwner.java
@@ -31,12 +31,12 @@
   }
 
   /**
-   * Drops teams that another entry owns now, and drops all teams while in a minority and on its
-   * end.
+   * Drops teams that another entry owns now; drops all teams without a majority and when it
+   * returns.
    *
    * <p>An owner on the minority side of a partition still owns the team there, while the majority
-   * side has another owner. If the former resumed its leases as soon as the partition heals, both
-   * would lease the whole limit for a while.
+   * side has another owner. If the owner on the minority side resumed its leases as soon as the
+   * partition heals, both would lease the whole limit for a while.
    */
   void viewChanged() {
     boolean hadMajority = hasMajority;
@@ -77,7 +77,7 @@
             demand.team(), name -> new OwnedTeam(name, view.changedAt(), settings.ownerLease()));
     boolean isNew = team.recordDemand(entry, demand, sentAt, now);
     // The previous owner may have leased the whole limit just before. A grant would add to its
-    // leases until they have certainly ended, or while most entries are out of sight.
+    // leases until they have certainly ended, or without a majority of the entries.
     boolean inTakeoverDelay = now.isBefore(team.ownedSince().plus(settings.takeoverDelay()));
     if (!isNew || inTakeoverDelay || !view.hasMajority()) {
       return Optional.empty();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/AttemptOutcome.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/AttemptOutcome.java
@@ -4,18 +4,20 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 
 /**
- * What came of one attempt at a draft.
+ * The outcome of one attempt at a draft.
  *
- * @param requestId request that it belongs to
+ * @param requestId id of the request that the attempt belongs to
  * @param version model and version that ran
  * @param team name of the team
  * @param promptTokens length of the prompt in tokens
- * @param ending how it ended
+ * @param ending how the attempt ended
  * @param rating rating of the answer, 0 to 1, or null if there is none yet
  * @param firstTokenMillis time to the first token in milliseconds, or null if none came
  * @param completionTokens tokens generated
- * @param totalMillis time to the end of the attempt in milliseconds, or null if it was told before
- * @param escalated whether an earlier step of its plan fell short, so that it met a hard request
+ * @param totalMillis time to the end of the attempt in milliseconds, or null if the end was
+ *     reported before
+ * @param escalated whether an earlier step of the plan missed its quality target, so that the
+ *     request is a hard one
  */
 public record AttemptOutcome(
     String requestId,
@@ -29,7 +31,7 @@
     @Nullable Long totalMillis,
     boolean escalated) {
 
-  /** Makes an outcome of a first step whose time to the end is not known. */
+  /** Creates an outcome of a first step whose time to the end is not known. */
   public AttemptOutcome(
       String requestId,
       ModelVersion version,
@@ -54,15 +56,15 @@
 
   /** How an attempt ended. */
   public enum Ending {
-    /** With its final frame and some text. */
+    /** The answer had a final frame and some text. */
     WHOLE,
-    /** With its final frame and no text. */
+    /** The answer had a final frame and no text. */
     EMPTY,
-    /** Without its final frame. */
+    /** The answer had no final frame. */
     CUT,
-    /** With an error in place of an answer. */
+    /** An error came in place of an answer. */
     ERROR,
-    /** A rating of an attempt whose end was told before. */
+    /** A rating arrived for an attempt whose end was reported before. */
     RATED_LATER
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/BadVersionDetector.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/BadVersionDetector.java
@@ -16,17 +16,18 @@
 import org.skylarkfork.core.configuration.RollOut;
 
 /**
- * Compares each version with the one that it replaces or, without one, with its own first time.
+ * Compares each version with its predecessor or, if it has none, with its own baseline.
  *
- * <p>The predecessor's counts of the same time are the better reference, since harder requests make
- * both look worse. A version's own first time is kept, so that a slow decay is seen against it.
+ * <p>The predecessor's counts of the same period are the better reference, since harder requests
+ * make both versions look worse. The baseline is the version's first counts; it is kept, so that a
+ * slow decay shows against it.
  */
 final class BadVersionDetector {
 
-  /** Fewest values of one key for a reference of its own. */
+  /** Minimum number of values of one key for a reference of its own. */
   private static final int MIN_KEY_SAMPLES = 30;
 
-  /** Logarithm of the gain from which more answers are rated, to know sooner. */
+  /** Logarithm of the gain from which more answers are rated, for an earlier decision. */
   private static final double LOG_ALERT_THRESHOLD = 2;
 
   private final EvidenceHistory history;
@@ -41,9 +42,9 @@
   }
 
   /**
-   * Looks for evidence against a version.
+   * Tests a version for evidence against it.
    *
-   * @param falseAlarmBound bound for the chance that a good version is ever found bad
+   * @param falseAlarmBound bound for the probability that a good version is ever found bad
    * @return the strongest finding, or empty if there is none
    */
   Optional<Finding> test(
@@ -73,7 +74,7 @@
   /**
    * Returns whether the evidence since an epoch shows the version to be as good as expected.
    *
-   * @param since first epoch to look at
+   * @param since first epoch of the evidence
    */
   boolean hasRecovered(ModelVersion version, Configuration configuration, long since, long epoch) {
     for (Signal signal : Signal.values()) {
@@ -85,12 +86,12 @@
     return comparison(version, configuration, Signal.RATING, epoch).isPresent();
   }
 
-  /** Returns whether more ratings would soon tell if the version is bad. */
+  /** Returns whether more ratings would soon decide whether the version is bad. */
   boolean needsMoreRatings(ModelVersion version) {
     return alerts.contains(version);
   }
 
-  /** Begins the test anew; earlier evidence no longer counts. */
+  /** Restarts the test of a version; earlier evidence no longer counts. */
   void restart(ModelVersion version, long epoch) {
     testStarts.put(version, epoch);
   }
@@ -110,7 +111,7 @@
       }
     }
     Baseline baseline = baselines.get(version);
-    // Load, and with it the delay, changes from hour to hour without the version's fault.
+    // The load, and with it the delay, changes from hour to hour whatever the version does.
     if (baseline == null || signal == Signal.FIRST_TOKEN) {
       return Optional.empty();
     }
@@ -140,20 +141,20 @@
     }
   }
 
-  /** What a version showed in its first time, up to an epoch. */
+  /** A version's first counts, up to and including an epoch. */
   private record Baseline(Map<EvidenceKey, long[]> counts, long lastEpoch) {}
 
   /**
    * Evidence against a version.
    *
-   * @param signal what shows it
+   * @param signal signal in which the evidence shows
    * @param logEvidence logarithm of the evidence
-   * @param expected least mean that a good version has
+   * @param expected minimum mean of a good version
    * @param observed mean of the newest epochs
    */
   record Finding(Signal signal, double logEvidence, double expected, double observed) {
 
-    /** Returns a sentence for operators. */
+    /** Returns a message for operators. */
     String message() {
       return String.format(
           Locale.ROOT,
@@ -270,7 +271,10 @@
       return new Finding(signal, evidence, expected.minMean(), observed);
     }
 
-    /** Returns what is expected of a key: from the same key, else from all keys like it. */
+    /**
+     * Returns the expectation for a key, from the reference counts of the same prompt size or, if
+     * they are too few, from all sizes.
+     */
     private Optional<Expectation> expectation(EvidenceKey key) {
       long[] sameSize = null;
       for (Map.Entry<EvidenceKey, long[]> entry : reference.entrySet()) {
@@ -278,12 +282,12 @@
           sameSize = entry.getValue();
         }
       }
-      Optional<Expectation> baseline =
+      Optional<Expectation> keyExpectation =
           sameSize == null
               ? Optional.empty()
               : Expectation.of(signal, sameSize, tolerance, MIN_KEY_SAMPLES);
-      return baseline.isPresent()
-          ? baseline
+      return keyExpectation.isPresent()
+          ? keyExpectation
           : Expectation.of(signal, total(key), tolerance, settings.minReferenceRatings());
     }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Counters.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Counters.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Layout of the counts of one key and epoch, and sums over them. */
+/** The layout of the counts of one key and epoch, and operations on them. */
 final class Counters {
 
   /** Number of equal classes of ratings from 0 to 1. */
@@ -67,7 +67,7 @@
     return Math.max(0, Math.min(DELAY_CLASSES - 1, index));
   }
 
-  /** Returns the middle of a class of ratings. */
+  /** Returns the midpoint of a class of ratings. */
   static double ratingValue(int ratingClass) {
     return (ratingClass + 0.5) / RATING_CLASSES;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/DecayedCounts.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/DecayedCounts.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Counts whose weight halves with a fixed age, so that estimates follow a drift. */
+/** Counts with exponential decay, so that estimates follow a drift. */
 final class DecayedCounts {
 
   private static final double NEGLIGIBLE = 1e-6;
@@ -13,7 +13,7 @@
   private final Map<EvidenceKey, double[]> counts = new HashMap<>();
   private long epoch;
 
-  /** Makes counts that halve after a number of epochs. */
+  /** Creates counts whose weight halves after a number of epochs. */
   DecayedCounts(double halfLifeEpochs) {
     factorPerEpoch = Math.pow(0.5, 1 / halfLifeEpochs);
   }
@@ -26,7 +26,7 @@
     }
   }
 
-  /** Goes on to a later epoch. */
+  /** Advances to a later epoch and decays all counts; an earlier epoch is ignored. */
   void advance(long newEpoch) {
     if (newEpoch <= epoch) {
       return;
@@ -41,7 +41,7 @@
     counts.values().removeIf(sum -> sum[Counters.ATTEMPTS] + ratings(sum) < NEGLIGIBLE);
   }
 
-  /** Returns the counts of a key; nobody may change them. */
+  /** Returns the counts of a key, which callers must not change. */
   double[] of(EvidenceKey key) {
     return counts.getOrDefault(key, ZERO_COUNTS);
   }
@@ -54,12 +54,13 @@
     return sum;
   }
 
-  /** Returns how many ratings reach a target; a class that it cuts counts in part. */
+  /** Returns how many ratings reach a target; the class that contains the target counts in part. */
   static double ratingsReaching(double[] counts, double target) {
     double position = Math.max(0, Math.min(1, target)) * Counters.RATING_CLASSES;
     int last = Counters.RATING_CLASSES - 1;
     int first = Math.min(last, (int) Math.floor(position + 1e-9));
-    // Perfect ratings share the last class with those just below and must reach any target.
+    // Perfect ratings share the last class with those just below and must reach any target, so the
+    // last class always counts in full.
     double sum = first == last ? counts[last] : counts[first] * Math.min(1, first + 1 - position);
     for (int i = first + 1; i < Counters.RATING_CLASSES; i++) {
       sum += counts[i];
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/EvidenceHistory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/EvidenceHistory.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 import org.skylarkfork.core.configuration.ModelVersion;
 
-/** The counts of all processes together, by key and epoch, over a window of epochs. */
+/** The sums of the counts of all processes, by key and epoch, over a window of epochs. */
 final class EvidenceHistory {
 
   private final Map<ModelVersion, Map<EvidenceKey, NavigableMap<Long, long[]>>> versions =
@@ -25,7 +25,7 @@
     changed.add(key.version());
   }
 
-  /** Returns the versions with new evidence since the last call. */
+  /** Returns the versions with new evidence since the last call, and clears them. */
   Set<ModelVersion> drainChanged() {
     Set<ModelVersion> drained = new HashSet<>(changed);
     changed.clear();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Expectation.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Expectation.java
@@ -3,23 +3,25 @@
 import java.util.Optional;
 
 /**
- * What a good version shows at least in one signal.
+ * The minimum that a good version reaches in one signal.
  *
- * @param minMean least mean value, 0 to 1
- * @param firstSlow first class of delays that counts as late
+ * @param minMean minimum mean value, 0 to 1
+ * @param firstSlowClass first class of delays that counts as late
  */
 record Expectation(double minMean, int firstSlowClass) {
 
-  /** Standard errors by which a reference may have been lucky. */
+  /**
+   * Standard errors that are subtracted from a reference's mean, since it may be high by chance.
+   */
   private static final double REFERENCE_STANDARD_ERRORS = 2;
 
   private static final double LOWEST_MIN_MEAN = 0.02;
   private static final double HIGHEST_MIN_MEAN = 0.98;
 
   /**
-   * Makes an expectation from a reference's counts.
+   * Returns the expectation that a reference's counts support.
    *
-   * @param minSamples how many values the reference needs
+   * @param minSamples minimum number of values in the reference
    * @return the expectation, or empty if the reference has too few values
    */
   static Optional<Expectation> of(
@@ -35,11 +37,11 @@
   }
 
   /**
-   * Mean and spread of one signal's values.
+   * The mean and its standard error of one signal's values.
    *
-   * @param size how many values
-   * @param mean their mean, or 0 if there are none
-   * @param standardError of the mean
+   * @param size number of values
+   * @param mean mean of the values, or 0 if there are none
+   * @param standardError standard error of the mean, or 1 if there are no values
    */
   record Sample(long size, double mean, double standardError) {
 
@@ -58,7 +60,7 @@
       }
       double mean = sum / size;
       double variance = Math.max(0, squares / size - mean * mean);
-      // A few equal values show no spread, yet their mean isn't sure.
+      // A few equal values have no variance, yet their mean is uncertain.
       double error = Math.sqrt((variance + 1.0 / size) / size);
       return new Sample(size, mean, error);
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/LocalCounters.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/LocalCounters.java
@@ -7,14 +7,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** What this process counted in the epochs that may still change, and whom it has told. */
+/**
+ * The counters of this process in the epochs that may still change, and what each peer was sent.
+ */
 final class LocalCounters {
 
   private final String entry;
   private final long incarnation;
 
-  /** The counts in the order of their last change. */
-  private final LinkedHashMap<EpochKey, ChangedCounts> slots = new LinkedHashMap<>();
+  /** Counts in the order of their last change. */
+  private final LinkedHashMap<EpochKey, ChangedCounts> countsByKey = new LinkedHashMap<>();
 
   private final Map<String, Long> sentUpTo = new HashMap<>();
   private long changes;
@@ -26,45 +28,46 @@
 
   /** Adds counts to an epoch. */
   void add(long epoch, EvidenceKey key, long[] counts) {
-    EpochKey slot = new EpochKey(epoch, key);
-    ChangedCounts counted = slots.remove(slot);
+    EpochKey epochKey = new EpochKey(epoch, key);
+    ChangedCounts counted = countsByKey.remove(epochKey);
     long[] sum = counted == null ? new long[Counters.SIZE] : counted.counts();
     Counters.add(sum, counts);
     changes++;
-    slots.put(slot, new ChangedCounts(sum, changes));
+    countsByKey.put(epochKey, new ChangedCounts(sum, changes));
   }
 
   /**
-   * Returns what a peer was not yet told, the oldest change first.
+   * Returns the counters that a peer was not yet sent, the oldest change first, and marks them as
+   * sent.
    *
    * @param peer node name of the peer
-   * @param limit bound for the number of counters
+   * @param limit maximum number of counters
    */
   List<QualityCounters> unsentCounters(String peer, int limit) {
     long sent = sentUpTo.getOrDefault(peer, 0L);
     List<QualityCounters> unsent = new ArrayList<>();
-    for (Map.Entry<EpochKey, ChangedCounts> slot : slots.entrySet()) {
-      ChangedCounts counted = slot.getValue();
+    for (Map.Entry<EpochKey, ChangedCounts> counter : countsByKey.entrySet()) {
+      ChangedCounts counted = counter.getValue();
       if (counted.change() > sent && unsent.size() < limit) {
-        unsent.add(toCounters(slot.getKey(), counted));
+        unsent.add(toCounters(counter.getKey(), counted));
         sentUpTo.put(peer, counted.change());
       }
     }
     return unsent;
   }
 
-  /** Forgets what a peer was told, so that it is told all again. */
+  /** Forgets what a peer was sent, so that all counters are sent to it again. */
   void resetPeer(String peer) {
     sentUpTo.remove(peer);
   }
 
   void removeBefore(long epoch) {
-    slots.keySet().removeIf(slot -> slot.epoch() < epoch);
+    countsByKey.keySet().removeIf(epochKey -> epochKey.epoch() < epoch);
   }
 
-  private QualityCounters toCounters(EpochKey slot, ChangedCounts counted) {
+  private QualityCounters toCounters(EpochKey epochKey, ChangedCounts counted) {
     List<Long> counts = Arrays.stream(counted.counts()).boxed().toList();
-    return new QualityCounters(entry, incarnation, slot.epoch(), slot.key(), counts);
+    return new QualityCounters(entry, incarnation, epochKey.epoch(), epochKey.key(), counts);
   }
 
   private record EpochKey(long epoch, EvidenceKey key) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/MergedCounters.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/MergedCounters.java
@@ -7,19 +7,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The counters of all processes in the epochs that may still change, merged without doubles.
+ * The merged counters of all processes in the epochs that may still change.
  *
- * <p>Each process counts for itself, and each of its counts only rises. Taking the greater of each
- * count therefore gives the same result in whatever order, and however often, messages come.
+ * <p>Each process counts for itself, and its counts only increase. Merging by the maximum of each
+ * count therefore gives the same result for reordered and duplicated messages.
  */
 final class MergedCounters {
 
-  private final Map<CounterId, long[]> vectors = new HashMap<>();
+  private final Map<CounterId, long[]> countsById = new HashMap<>();
 
   /**
-   * Takes in what a process told.
+   * Merges the counters that a process sent.
    *
-   * @return by how much the counts rose here, or empty if nothing is new
+   * @return the increase of the merged counts, or empty if nothing is new or the number of counts
+   *     is wrong
    */
   Optional<long[]> merge(QualityCounters received) {
     if (received.counts().size() != Counters.SIZE) {
@@ -27,7 +28,7 @@
     }
     CounterId id =
         new CounterId(received.entry(), received.incarnation(), received.epoch(), received.key());
-    long[] merged = vectors.computeIfAbsent(id, unused -> new long[Counters.SIZE]);
+    long[] merged = countsById.computeIfAbsent(id, unused -> new long[Counters.SIZE]);
     long[] increase = increase(merged, received.counts());
     if (increase == null) {
       return Optional.empty();
@@ -46,9 +47,9 @@
     return any ? increase : null;
   }
 
-  /** Forgets the epochs before one; their sums stay in the history. */
+  /** Removes the epochs before the given one; their sums stay in the history. */
   void removeBefore(long epoch) {
-    vectors.keySet().removeIf(id -> id.epoch() < epoch);
+    countsById.keySet().removeIf(id -> id.epoch() < epoch);
   }
 
   private record CounterId(String entry, long incarnation, long epoch, EvidenceKey key) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/PriorVersionQuality.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/PriorVersionQuality.java
@@ -5,7 +5,7 @@
 import org.skylarkfork.core.configuration.Model;
 import org.skylarkfork.core.configuration.ModelVersion;
 
-/** Knows only what operators expect of each version and learns nothing. */
+/** Returns the operators' prior quality of each version and ignores all outcomes. */
 public final class PriorVersionQuality implements VersionQuality {
 
   private static final Estimate UNKNOWN = new Estimate(0, 0, 0);
@@ -13,9 +13,9 @@
   private final ConfigurationView configuration;
 
   /**
-   * Makes a book.
+   * Creates estimates from priors.
    *
-   * @param configuration where the priors come from
+   * @param configuration the configuration that holds the priors
    */
   public PriorVersionQuality(ConfigurationView configuration) {
     this.configuration = configuration;
@@ -39,6 +39,6 @@
 
   @Override
   public void record(AttemptOutcome outcome, Instant now) {
-    // Nothing is learnt.
+    // Outcomes are ignored.
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualityCounters.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualityCounters.java
@@ -3,12 +3,14 @@
 import java.util.List;
 
 /**
- * What one process counted in one epoch; each count only rises, so the greater of two is newer.
+ * The counts of one process in one epoch; each count only increases, so the greater of two is
+ * newer.
  *
  * @param entry node name of the process
- * @param incarnation number of the process; a restart has a higher one and counts anew
+ * @param incarnation incarnation of the process; a restarted process has a higher one and counts
+ *     from 0
  * @param epoch number of the epoch
- * @param key what the counts are about
+ * @param key key of the counts
  * @param counts the counts in the order of {@link Counters}
  */
 public record QualityCounters(
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualityEstimator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualityEstimator.java
@@ -5,10 +5,12 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 
 /**
- * Estimates a version's chance from decayed ratings and the operators' prior.
+ * Estimates the probability that a version reaches a target, from decayed ratings and the
+ * operators' prior.
  *
- * <p>Each key is drawn to the version's other sizes, those to the operators' prior. A missing
- * rating counts as nothing, since ratings are asked for by hash and not by the answer.
+ * <p>The estimate of a key shrinks towards the mean over the version's prompt sizes, and that mean
+ * towards the operators' prior. A missing rating is not counted, since the answers to rate are
+ * selected by a hash and not by their content.
  */
 final class QualityEstimator {
 
@@ -38,12 +40,12 @@
     return new VersionQuality.Estimate(mean, Math.sqrt(mean * (1 - mean) / (weight + 1)), ratings);
   }
 
-  /** Returns the mean time to a whole answer in milliseconds, or 0 if none was seen. */
+  /** Returns the mean time to a whole answer in milliseconds, or 0 if there is no sample. */
   double meanMillis(ModelVersion version, SizeClass size) {
     return meanPerTimedAnswer(version, size, Counters.MILLIS);
   }
 
-  /** Returns the mean number of generated tokens, or 0 if none was seen. */
+  /** Returns the mean number of generated tokens, or 0 if there is no sample. */
   double meanTokens(ModelVersion version, SizeClass size) {
     return meanPerTimedAnswer(version, size, Counters.TOKENS);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualitySettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualitySettings.java
@@ -3,17 +3,18 @@
 import java.time.Duration;
 
 /**
- * How evidence on versions is kept, shared and judged.
+ * Settings for the storage, the exchange and the test of evidence on versions.
  *
  * @param epoch time over which counts are summed
- * @param windowEpochs how many epochs the test for bad versions looks back
- * @param openEpochs for how many epochs counts of other entries are still taken in
+ * @param windowEpochs number of epochs that the test for bad versions covers
+ * @param openEpochs number of epochs for which counts of other entries are still accepted
  * @param halfLife age at which a rating counts half in estimates
- * @param priorStrength how many ratings the operators' prior is worth
- * @param peersPerRound how many peers are told the news each second
- * @param countersPerMessage bound for the counters in one message
- * @param minReferenceRatings ratings that a comparison needs of the predecessor or the past
- * @param minSuspectTime least time for which a version stays suspect
+ * @param priorStrength weight of the operators' prior, as a number of ratings
+ * @param peersPerRound number of peers that are sent new counters each second
+ * @param countersPerMessage maximum number of counters in one message
+ * @param minReferenceRatings minimum number of ratings of the predecessor or the baseline for a
+ *     comparison
+ * @param minSuspectTime minimum time for which a version stays suspect
  */
 public record QualitySettings(
     Duration epoch,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SequentialTest.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SequentialTest.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * A sequential test of "the mean is at least as expected" by betting, valid at every look.
+ * A sequential test by betting of "the mean is at least as expected", valid after every epoch.
  *
- * <p>A bettor who stakes against a good version gains nothing on average, so that a gain of 1 /
- * alpha comes with a chance of alpha at most, ever (Ville's inequality). Bets start anew in each
- * epoch with a weight that sums to 1 over all epochs; a version that turns bad after a long good
- * time is so found about as fast as one that was bad from its start. The gain depends on sums of
- * counts only, so all entries with the same counts come to the same result.
+ * <p>A bet against a good version has no expected gain, so the probability that its gain ever
+ * reaches 1 / alpha is at most alpha (Ville's inequality). A new bet starts in each epoch, and the
+ * weights of all bets sum to 1. So a version that turns bad after a long good time is detected
+ * about as fast as one that was bad from its start. The gain depends only on sums of counts, so all
+ * entries with the same counts get the same result.
  */
 final class SequentialTest {
 
-  /** Stakes as shares of the greatest that can't lose more than all. */
+  /** Stakes as fractions of the greatest stake that can't lose more than the whole capital. */
   static final double[] STAKES = {0.05, 0.15, 0.4, 0.8};
 
   /** Upper bound of the sum of 1 / (n log(n)^2) over all n from 2. */
@@ -21,7 +21,7 @@
 
   private SequentialTest() {}
 
-  /** Returns the logarithms of what each stake gains on one value. */
+  /** Returns the logarithm of the gain of each stake on one value. */
   static double[] logGains(double value, double minMean) {
     double[] gains = new double[STAKES.length];
     for (int i = 0; i < STAKES.length; i++) {
@@ -53,7 +53,8 @@
   /**
    * Returns the logarithm of the greatest gain of any stake and start, not weighted.
    *
-   * <p>It rises sooner than the evidence but proves nothing: it is for deciding where to look.
+   * <p>It rises sooner than the evidence but has no bound on false alarms: it only selects the
+   * versions of which more answers are rated.
    */
   static double logAlert(List<EpochGains> epochs) {
     double[] running = new double[STAKES.length];
@@ -67,21 +68,24 @@
     return greatest;
   }
 
-  /** Returns the logarithm of a start's weight; of all such series, it falls about the slowest. */
+  /**
+   * Returns the logarithm of the weight of a start; the weights decrease about as slowly as a
+   * convergent series allows.
+   */
   private static double logWeight(long age) {
     double number = age + 2.0;
     return -Math.log(number) - 2 * Math.log(Math.log(number)) - Math.log(WEIGHTS_SUM);
   }
 
   /**
-   * What each stake gained in one epoch.
+   * The gain of each stake in one epoch.
    *
    * @param age number of epochs since the test began
    * @param logGains logarithms of the gains
    */
   record EpochGains(long age, double[] logGains) {}
 
-  /** Sums numbers of which only the logarithms are known. */
+  /** Sums numbers that are given by their logarithms. */
   private static final class LogSum {
     private double greatest = Double.NEGATIVE_INFINITY;
     private double scaled;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SharedVersionQuality.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SharedVersionQuality.java
@@ -25,16 +25,17 @@
 import org.skylarkfork.core.message.QualityMessage;
 
 /**
- * Estimates and verdicts from the evidence of all entries.
+ * Quality estimates and verdicts from the evidence of all entries.
  *
- * <p>Each entry counts for itself and tells a few peers a second what changed. Each runs the test
- * for bad versions on the merged counts; the first that finds one tells all others at once.
+ * <p>Each entry counts for itself and sends changed counters to a few peers each second. Each entry
+ * runs the test for bad versions on the merged counts; the first entry that finds a bad version
+ * disseminates its verdict at once.
  */
 public final class SharedVersionQuality implements VersionQuality, Part {
 
   private static final Duration ROUND_INTERVAL = Duration.ofSeconds(1);
 
-  /** How many peers hear a new verdict at once; they pass it on. */
+  /** Number of peers that are sent a new verdict at once; they forward it. */
   private static final int VERDICT_FANOUT = 16;
 
   private static final double MIN_FALSE_ALARM_BOUND = 1e-9;
@@ -58,15 +59,15 @@
   private Instant nextRound = Instant.MIN;
 
   /**
-   * Makes an empty book.
+   * Creates estimates without evidence.
    *
    * @param entry node name of this process
-   * @param incarnation number of this process; a restart has a higher one
-   * @param settings how it works
-   * @param configuration gives priors, roll-outs and the policy
-   * @param peers gives the node names of the other entries
+   * @param incarnation incarnation of this process; a restarted process has a higher one
+   * @param settings the settings
+   * @param configuration source of the priors, the roll-outs and the version policy
+   * @param peers supplies the node names of the entries
    * @param withdrawer submits withdrawals
-   * @param seed seed of the choice of peers
+   * @param seed seed of the random order of peers
    */
   public SharedVersionQuality(
       String entry,
@@ -162,7 +163,10 @@
     sendCounters(output);
   }
 
-  /** Tells the next few peers, in an order that is shuffled anew once all had their turn. */
+  /**
+   * Sends counters and verdicts to the next few peers, in an order that is shuffled after each
+   * pass.
+   */
   private void sendCounters(Output output) {
     if (remainingPeers.isEmpty()) {
       remainingPeers.addAll(otherEntries());
@@ -200,7 +204,7 @@
     for (QualityCounters received : evidence.counters()) {
       boolean isOpen =
           received.epoch() > epoch - settings.openEpochs() && received.epoch() <= epoch + 1;
-      // Own counts that come back must not be counted as another's.
+      // This entry's own counters must not be merged as another entry's.
       boolean isRemote = !received.entry().equals(entry) || received.incarnation() != incarnation;
       if (isOpen && isRemote) {
         merged
@@ -226,7 +230,10 @@
     }
   }
 
-  /** Returns the bound for a false alarm; each further test of a version has half of the last's. */
+  /**
+   * Returns the bound for a false alarm; each further test of a version has half the bound of the
+   * last one.
+   */
   private double falseAlarmBound(ModelVersion version, Configuration current) {
     long number = verdicts.of(version).map(Verdict::number).orElse(0L);
     double halvings = 1 + number / 2.0;
@@ -259,7 +266,10 @@
     }
   }
 
-  /** Clears a suspect that the operators withdrew and then took back: they know more than we. */
+  /**
+   * Clears a suspect version that the operators withdrew and then reinstated, since their decision
+   * overrides the evidence.
+   */
   private void clearReinstated(Instant now, Output output) {
     Set<ModelVersion> current = new HashSet<>(configuration.current().withdrawn());
     for (ModelVersion version : withdrawn) {
@@ -276,7 +286,7 @@
     return new Verdict(version, number, suspect, reason, now);
   }
 
-  /** Takes a verdict over, here or from a peer, and passes it on if it is news. */
+  /** Applies a verdict of this entry or a peer, and forwards it if it is new. */
   private void applyVerdict(Verdict verdict, @Nullable String from, Instant now, Output output) {
     boolean wasSuspect = verdicts.isSuspect(verdict.version());
     if (!verdicts.merge(verdict)) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Signal.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Signal.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** What a version is compared by; each gives values from 0, bad, to 1, good. */
+/** A signal by which versions are compared; its values range from 0, bad, to 1, good. */
 enum Signal {
   /** Ratings of answers. */
   RATING(Counters.RATING_CLASSES, 360, 0.5),
@@ -10,12 +10,12 @@
   ERRORS(2, 360, 0.2),
   /** Answers that were empty or cut. */
   BROKEN_ANSWERS(2, 360, 0.2),
-  /** First tokens that came late, against a version that works under the same load. */
+  /** Late first tokens, compared with a version under the same load. */
   FIRST_TOKEN(2, 60, 0.1);
 
   private static final double SLOW_QUANTILE = 0.9;
 
-  /** Two classes of delays are one doubling. */
+  /** Number of classes of delays that make one doubling. */
   private static final int SLOWDOWN_CLASSES = 2;
 
   private final int classes;
@@ -28,7 +28,7 @@
     this.falseAlarmShare = share;
   }
 
-  /** Returns its share of the bound for false alarms; the shares sum to 1. */
+  /** Returns the signal's share of the bound for false alarms; the shares sum to 1. */
   double falseAlarmShare() {
     return falseAlarmShare;
   }
@@ -37,7 +37,10 @@
     return classes;
   }
 
-  /** Returns how many epochs it looks back; load changes faster than quality. */
+  /**
+   * Returns the number of epochs that the signal covers; fewer for delays, since load changes
+   * faster than quality.
+   */
   int windowEpochs() {
     return windowEpochs;
   }
@@ -48,7 +51,7 @@
   }
 
   /**
-   * Returns how often a class was seen.
+   * Returns the count of a class.
    *
    * @param firstSlowClass first class of delays that counts as late
    */
@@ -63,7 +66,9 @@
     };
   }
 
-  /** Returns the first class of delays that is late against a reference: twice its slow ones. */
+  /**
+   * Returns the first class of delays that counts as late: twice the 0.9 quantile of a reference.
+   */
   static int firstSlowClass(long[] reference) {
     long quantileCount = (long) Math.ceil(SLOW_QUANTILE * delays(reference, 0));
     long sum = 0;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SizeClass.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SizeClass.java
@@ -1,6 +1,6 @@
 package org.skylarkfork.core.quality;
 
-/** Classes of prompts that are judged apart, since long ones are harder. */
+/** Classes of prompts by length; quality is estimated per class, since long prompts are harder. */
 public enum SizeClass {
   /** Below 500 tokens. */
   SHORT,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Verdict.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Verdict.java
@@ -4,18 +4,18 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 
 /**
- * Whether a version is suspect, as all entries come to agree.
+ * A decision on whether a version is suspect, on which all entries converge.
  *
  * @param version the version
- * @param number rises with each change; the greater number holds
- * @param suspect whether it is suspect
- * @param reason what shows it
- * @param since when it was found
+ * @param number number that increases with each change; the greater number overrides
+ * @param suspect whether the version is suspect
+ * @param reason evidence or decision behind the verdict, as a text for operators
+ * @param since when the verdict was reached
  */
 public record Verdict(
     ModelVersion version, long number, boolean suspect, String reason, Instant since) {
 
-  /** Returns whether this verdict holds against another on the same version. */
+  /** Returns whether this verdict overrides another on the same version. */
   boolean overrides(Verdict other) {
     if (number != other.number) {
       return number > other.number;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Verdicts.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Verdicts.java
@@ -7,12 +7,14 @@
 import java.util.Optional;
 import org.skylarkfork.core.configuration.ModelVersion;
 
-/** The newest verdict on each version; merging is idempotent and in any order. */
+/** The newest verdict on each version; merging is idempotent and independent of the order. */
 final class Verdicts {
 
   private final Map<ModelVersion, Verdict> verdicts = new HashMap<>();
 
-  /** Takes in a verdict and returns whether it holds now and didn't before. */
+  /**
+   * Merges a verdict; returns whether it replaced the current one or is the first on its version.
+   */
   boolean merge(Verdict received) {
     Verdict current = verdicts.get(received.version());
     if (current != null && !received.overrides(current)) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/VersionQuality.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/VersionQuality.java
@@ -3,11 +3,11 @@
 import java.time.Instant;
 import org.skylarkfork.core.configuration.ModelVersion;
 
-/** What is known of how good each version's answers are, over all entries. */
+/** Estimates of the quality of each version's answers over all entries. */
 public interface VersionQuality {
 
   /**
-   * Returns the chance that an answer of the version reaches a target, with its uncertainty.
+   * Returns the probability that an answer of the version reaches a target, with its uncertainty.
    *
    * @param version the version
    * @param team name of the team that asks
@@ -17,8 +17,8 @@
   Estimate estimate(ModelVersion version, String team, int promptTokens, double target);
 
   /**
-   * Returns the chance that an answer reaches a target after an earlier step of the plan fell
-   * short; such requests are harder than others.
+   * Returns the probability that an answer reaches a target after an earlier step of the plan
+   * missed it; such requests are harder than others.
    *
    * @param version the version
    * @param team name of the team that asks
@@ -55,7 +55,7 @@
    *
    * @param version the version
    * @param configuredShare share that operators set, 0 to 1
-   * @return the usual share, or more while it is not clear whether the version is good
+   * @return the configured share, or more while it is not clear whether the version is good
    */
   default double ratingShare(ModelVersion version, double configuredShare) {
     return configuredShare;
@@ -65,19 +65,19 @@
   boolean isSuspect(ModelVersion version);
 
   /**
-   * Takes note of an attempt that ended.
+   * Records the outcome of an attempt.
    *
-   * @param outcome what came of it
+   * @param outcome the outcome
    * @param now the present time
    */
   void record(AttemptOutcome outcome, Instant now);
 
   /**
-   * A chance and how sure it is.
+   * An estimated probability and its uncertainty.
    *
-   * @param mean expected chance, 0 to 1
-   * @param standardDeviation of that chance
-   * @param samples ratings that it rests on, decayed by age
+   * @param mean expected probability, 0 to 1
+   * @param standardDeviation standard deviation of the probability
+   * @param samples number of ratings behind the estimate, decayed by age
    */
   record Estimate(double mean, double standardDeviation, double samples) {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/package-info.java
@@ -1,4 +1,4 @@
-/** What ratings and outcomes tell of each version, and which versions are suspect. */
+/** Quality estimates of each version from ratings and outcomes, and detection of bad versions. */
 @NullMarked
 package org.skylarkfork.core.quality;
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/QualityNetwork.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/QualityNetwork.java
@@ -24,7 +24,10 @@
 import org.skylarkfork.core.event.LifecycleEvent;
 import org.skylarkfork.core.event.PeerEvent;
 
-/** Some entries' books with a network between them that may lose, repeat and reorder. */
+/**
+ * The quality estimates of several entries, with a network between them that may lose, duplicate
+ * and reorder messages.
+ */
 final class QualityNetwork implements ConfigurationView {
 
   static final ModelVersion OLD = new ModelVersion("ruling", "1");
@@ -117,7 +120,7 @@
     qualities.get(entry).record(outcome, now);
   }
 
-  /** Lets a second pass: each entry ticks, then the messages of the second before arrive. */
+  /** Runs a second: the messages of the second before arrive, then each entry ticks. */
   void runSecond() {
     now = now.plusSeconds(1);
     List<Sent> delivered = new ArrayList<>(inFlight);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/SequentialTestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/SequentialTestTest.java
@@ -8,7 +8,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.testng.annotations.Test;
 
-/** Tests that the sequential test is seldom wrong and soon right. */
+/** Tests the false alarm rate and the detection delay of the sequential test. */
 public class SequentialTestTest {
 
   private static final double MIN_MEAN = 0.8;
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/SharedVersionQualityTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/SharedVersionQualityTest.java
@@ -8,14 +8,14 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 import org.testng.annotations.Test;
 
-/** Tests that entries learn together and agree on bad versions. */
+/** Tests that entries merge their evidence and agree on bad versions. */
 public class SharedVersionQualityTest {
 
   /*
-   * Three entries serve the same version and tell each other their counts over a network that
-   * repeats and reorders each message. Counts added up by message would weigh some ratings twice,
-   * and entries would disagree on a version's quality for ever; merged by the greater count, all
-   * come to the estimate of one book that saw every rating.
+   * Three entries exchange counts over a network that duplicates and reorders messages. If counts
+   * were added per message, some ratings would count twice and the entries' estimates would differ
+   * permanently. Merged by the greater count, each entry's estimate equals that of a single entry
+   * with all ratings.
    */
   @Test
   public void repeatedAndReorderedMessagesCountOnce() {
@@ -75,8 +75,8 @@
 
   /*
    * A version turns bad while nine entries share its load and a third of the messages are lost.
-   * Each entry alone sees too few ratings to tell; together they find it, and each of them stops
-   * giving it new sessions within seconds.
+   * Each entry alone has too few ratings to detect it. With merged counts all entries find the
+   * version suspect within seconds and give it no new sessions.
    */
   @Test
   public void nineEntriesDetectBadVersionDespiteMessageLoss() {
@@ -98,7 +98,8 @@
     }
     assertFalse(
         network.qualities.stream().anyMatch(quality -> quality.isSuspect(QualityNetwork.OLD)));
-    assertEquals(network.withdrawals.stream().distinct().count(), 1, "one change, however often");
+    assertEquals(
+        network.withdrawals.stream().distinct().count(), 1, "one change id for all withdrawals");
   }
 
   @Test
@@ -122,13 +123,14 @@
     serve(network, 300, 0.9);
     serve(network, 60, 0.3);
     serve(network, 540, 0.9);
-    assertTrue(network.qualities.get(0).isSuspect(QualityNetwork.NEW), "held for ten minutes");
+    assertTrue(
+        network.qualities.get(0).isSuspect(QualityNetwork.NEW), "suspect for at least ten minutes");
     serve(network, 700, 0.9);
     assertFalse(network.qualities.get(0).isSuspect(QualityNetwork.NEW));
     assertFalse(network.qualities.get(1).isSuspect(QualityNetwork.NEW));
   }
 
-  /** Lets entries in turn serve both versions, one rated answer a second each. */
+  /** Records a rated answer of both versions at a random entry each second. */
   private static void serve(QualityNetwork network, int seconds, double newVersionChance) {
     for (int second = 0; second < seconds; second++) {
       int entry = network.random.nextInt(network.qualities.size());
