--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/TokenBucket.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/TokenBucket.java
@@ -57,7 +57,7 @@
     level -= amount;
   }
 
-  /** Refunds an amount that was consumed but not used. */
+  /** Refunds an amount that was consumed but not used; a negative amount is consumed as well. */
   void refund(double amount, Instant now) {
     refill(now);
     level = Math.min(capacity, level + amount);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SharedVersionQuality.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SharedVersionQuality.java
@@ -65,7 +65,7 @@
    * @param incarnation incarnation of this process; a restarted process has a higher one
    * @param settings the settings
    * @param configuration source of the priors, the roll-outs and the version policy
-   * @param peers supplies the node names of the entries
+   * @param peers supplies the node names of the entries; the own name is ignored
    * @param withdrawer submits withdrawals
    * @param seed seed of the random order of peers
    */
