--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SequentialTest.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SequentialTest.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * A sequential test by betting of "the mean is at least as expected", valid after every epoch.
+ * An anytime-valid sequential test, by betting, of "the mean is at least as expected".
  *
  * <p>A bet against a good version has no expected gain, so the probability that its gain ever
  * reaches 1 / alpha is at most alpha (Ville's inequality). A new bet starts in each epoch, and the
