--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -35,7 +35,7 @@
 import org.skylarkfork.core.event.PeerEvent;
 import org.skylarkfork.core.event.RelayEvent;
 import org.skylarkfork.core.relay.EntryIdentity;
-import org.skylarkfork.core.relay.LoadSharePart;
+import org.skylarkfork.core.relay.LoadExchangePart;
 import org.skylarkfork.core.relay.RelayControlPart;
 import org.skylarkfork.core.relay.RelayEntryPart;
 import org.skylarkfork.core.relay.RelayMachine;
@@ -44,7 +44,7 @@
 import org.skylarkfork.core.relay.RelayTimings;
 import org.skylarkfork.core.relay.RollOutSettings;
 import org.skylarkfork.core.relay.SchedulerPart;
-import org.skylarkfork.core.relay.VersionLedger;
+import org.skylarkfork.core.relay.VersionStatistics;
 import org.skylarkfork.core.routing.StableHash;
 import org.skylarkfork.runtime.codec.BinaryCodec;
 import org.skylarkfork.runtime.loop.EventLoopReducer;
@@ -257,7 +257,7 @@
   }
 
   private void addEntry(List<Part> parts, InetSocketAddress caller) {
-    VersionLedger counts = new VersionLedger();
+    VersionStatistics counts = new VersionStatistics();
     EntryIdentity self =
         new EntryIdentity(
             caller.getAddress().getHostAddress() + ":" + caller.getPort(),
@@ -277,7 +277,7 @@
             counts,
             seed);
     parts.add(requests);
-    parts.add(new LoadSharePart(made, requests));
+    parts.add(new LoadExchangePart(made, requests));
     parts.add(new SchedulerPart(made, settings.peerName(), seed));
     RelayFront opened =
         new RelayFront(eventLoop, dialect, loop, () -> made.table().configuration().limits());
