--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ChangeApplier.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ChangeApplier.java
@@ -103,9 +103,11 @@
       if (old >= 0) {
         rules.remove(old);
       }
-      int place = old >= 0 ? old : rules.size();
-      Integer wanted = put.position();
-      rules.add(wanted == null ? place : place(wanted, rules, put.rule().name()), put.rule());
+      int position = old >= 0 ? old : rules.size();
+      Integer requested = put.position();
+      rules.add(
+          requested == null ? position : checkPosition(requested, rules, put.rule().name()),
+          put.rule());
       draft.rules = List.copyOf(rules);
     } else if (change instanceof ConfigurationChange.RemoveRule remove) {
       List<Rule> rules = new ArrayList<>(draft.rules);
@@ -114,7 +116,7 @@
     } else if (change instanceof ConfigurationChange.MoveRule move) {
       List<Rule> rules = new ArrayList<>(draft.rules);
       Rule rule = rules.remove(presentIndex(rules, move.name()));
-      rules.add(place(move.position(), rules, move.name()), rule);
+      rules.add(checkPosition(move.position(), rules, move.name()), rule);
       draft.rules = List.copyOf(rules);
     } else {
       return false;
@@ -122,15 +124,15 @@
     return true;
   }
 
-  private static int place(int wanted, List<Rule> rules, String name)
+  private static int checkPosition(int requested, List<Rule> rules, String name)
       throws InapplicableChangeException {
-    if (wanted < 0 || wanted > rules.size()) {
+    if (requested < 0 || requested > rules.size()) {
       throw new InapplicableChangeException(
           Kind.OUT_OF_RANGE,
           "rule " + name,
-          "position " + wanted + " does not exist; use 0 to " + rules.size());
+          "position " + requested + " does not exist; use 0 to " + rules.size());
     }
-    return wanted;
+    return requested;
   }
 
   private static int presentIndex(List<Rule> rules, String name)
@@ -197,11 +199,11 @@
   /** Returns the item of a key, or says that it isn't there. */
   static <T> T present(List<T> list, String name, Function<T, String> key, String what)
       throws InapplicableChangeException {
-    int place = ConfigurationDraft.find(list, name, key);
-    if (place < 0) {
+    int position = ConfigurationDraft.find(list, name, key);
+    if (position < 0) {
       throw notFound(what, name);
     }
-    return list.get(place);
+    return list.get(position);
   }
 
   /** Makes the problem of something that isn't there. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationHistory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationHistory.java
@@ -10,8 +10,8 @@
 /** The newest accepted changes, bounded by their number and by the objects that they carry. */
 final class ConfigurationHistory {
 
-  static final int MOST_ENTRIES = 2000;
-  static final int MOST_WEIGHT = 60_000;
+  static final int MAX_ENTRIES = 2000;
+  static final int MAX_WEIGHT = 60_000;
 
   private final Deque<RevisionEntry> entries = new ArrayDeque<>();
   private int weight;
@@ -19,7 +19,7 @@
   void add(RevisionEntry entry) {
     entries.addLast(entry);
     weight += entry.step().weight();
-    while (entries.size() > MOST_ENTRIES || (weight > MOST_WEIGHT && entries.size() > 1)) {
+    while (entries.size() > MAX_ENTRIES || (weight > MAX_WEIGHT && entries.size() > 1)) {
       weight -= entries.removeFirst().step().weight();
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationPart.java
@@ -34,7 +34,7 @@
   private final AppliedConfiguration applied = new AppliedConfiguration();
   private final EntryLease lease;
   private final Subscribers subscribers;
-  private final Adoption adoption;
+  private final Adoption revisionApplier;
   private final OperatorCalls calls;
   private final @Nullable InForce inForce;
   private @Nullable Subscription subscription;
@@ -66,7 +66,7 @@
     this.replica = replica;
     this.lease = new EntryLease(settings);
     this.subscribers = new Subscribers(settings, applied, lease);
-    this.adoption = new Adoption(applied, lease, subscribers);
+    this.revisionApplier = new Adoption(applied, lease, subscribers);
     ReplicaReader reader = null;
     if (replica == null) {
       inForce = null;
@@ -111,9 +111,9 @@
     } else if (event instanceof ConsensusEvent consensus) {
       onConsensus(consensus, now, output);
     } else if (event instanceof OperatorEvent call) {
-      calls.called(call, leader, now, output);
+      calls.callReceived(call, leader, now, output);
     } else if (event instanceof ConfigurationEvent.ChangeProposed proposal) {
-      calls.proposed(proposal, now, output);
+      calls.changeProposed(proposal, now, output);
     }
   }
 
@@ -123,7 +123,7 @@
    */
   private void checkClock(Instant now, Output output) {
     if (now.isBefore(latest)) {
-      lease.drop();
+      lease.invalidate();
       output.effect(new TraceEffect.Count("configuration_clock_steps", "", 1));
     }
     latest = now;
@@ -139,7 +139,7 @@
     if (leads && inForce != null) {
       inForce.tick(now, output);
     }
-    tellServing(now, output);
+    reportServing(now, output);
   }
 
   private boolean extendAsLeader(Instant now) {
@@ -150,7 +150,7 @@
     return true;
   }
 
-  private void tellServing(Instant now, Output output) {
+  private void reportServing(Instant now, Output output) {
     boolean servesNow = mayServe(now);
     if (servesNow == serving) {
       return;
@@ -170,7 +170,8 @@
     Subscription existing = subscription;
     if (existing == null) {
       existing =
-          new Subscription(settings, applied, lease, subscribers, adoption, this::candidates, now);
+          new Subscription(
+              settings, applied, lease, subscribers, revisionApplier, this::candidates, now);
       subscription = existing;
     }
     return existing;
@@ -207,38 +208,38 @@
       subscribers.copyRequested(from, request, now, output);
     } else if (message instanceof ConfigurationMessage.TryOther) {
       subscription(now).lost(from, now, output);
-    } else if (message instanceof ConfigurationMessage.OperatorCall question) {
-      calls.passedOn(question, leader, now, output);
+    } else if (message instanceof ConfigurationMessage.OperatorCall call) {
+      calls.callForwarded(call, leader, now, output);
     } else if (message instanceof ConfigurationMessage.OperatorAnswer answer) {
-      calls.answerArrived(answer, output);
+      calls.answerReceived(answer, output);
     }
   }
 
   private void onConsensus(ConsensusEvent event, Instant now, Output output) {
     if (event instanceof ConsensusEvent.SubmissionAnswered answered) {
-      calls.answered(answered, output);
+      calls.submissionAnswered(answered, output);
     } else if (event instanceof ConsensusEvent.SubmissionFailed failed) {
-      calls.failed(failed, output);
+      calls.submissionFailed(failed, output);
     } else if (event instanceof ConsensusEvent.CommandCommitted committed) {
-      adoptFromReplica(committed.group(), now, output);
+      applyFromReplica(committed.group(), now, output);
     } else if (event instanceof ConsensusEvent.GroupRestored restored) {
-      adoptFromReplica(restored.group(), now, output);
+      applyFromReplica(restored.group(), now, output);
     } else if (event instanceof ConsensusEvent.LeaderChanged changed
         && changed.group().equals(GroupId.CONFIGURATION)) {
       leaderChanged(changed, now);
     }
   }
 
-  private void adoptFromReplica(GroupId group, Instant now, Output output) {
+  private void applyFromReplica(GroupId group, Instant now, Output output) {
     if (replica != null && group.equals(GroupId.CONFIGURATION)) {
-      adoption.adopt(replica.machine().configuration(), now, output);
+      revisionApplier.apply(replica.machine().configuration(), now, output);
     }
   }
 
   private void leaderChanged(ConsensusEvent.LeaderChanged changed, Instant now) {
     leader = changed.node();
     if (inForce != null && node.equals(leader)) {
-      inForce.tookOffice(now);
+      inForce.leadershipGained(now);
     }
     subscription(now).refresh();
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationValidator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationValidator.java
@@ -12,20 +12,20 @@
 /** Checks a configuration as a whole before it may replace another. */
 public final class ConfigurationValidator {
 
-  static final int MOST_TEAMS = 10_000;
-  static final int MOST_TEAM_KEYS = 100;
-  static final int MOST_MODELS = 1000;
-  static final int MOST_VERSIONS = 200;
-  static final int MOST_SERVICES = 1000;
-  static final int MOST_RULES = 20_000;
-  static final int MOST_DRAINED = 20_000;
-  static final int MOST_OPERATOR_KEYS = 1000;
-  static final int MOST_QUARANTINED = 256;
-  static final int MOST_STEPS = 100;
-  static final int MOST_WEIGHT = 1000;
-  static final int LONGEST_METHOD = 20;
-  static final long LONGEST_TIMEOUT_MILLIS = 3_600_000;
-  static final long HIGHEST_PRICE = 1_000_000_000_000L;
+  static final int MAX_TEAMS = 10_000;
+  static final int MAX_TEAM_KEYS = 100;
+  static final int MAX_MODELS = 1000;
+  static final int MAX_VERSIONS = 200;
+  static final int MAX_SERVICES = 1000;
+  static final int MAX_RULES = 20_000;
+  static final int MAX_DRAINED = 20_000;
+  static final int MAX_OPERATOR_KEYS = 1000;
+  static final int MAX_QUARANTINED = 256;
+  static final int MAX_STEPS = 100;
+  static final int MAX_TEAM_WEIGHT = 1000;
+  static final int MAX_METHODS = 20;
+  static final long MAX_TIMEOUT_MILLIS = 3_600_000;
+  static final long MAX_PRICE_MICROS = 1_000_000_000_000L;
 
   private final Configuration configuration;
   private final Problems problems = new Problems();
@@ -80,17 +80,16 @@
   }
 
   private boolean isBounded() {
-    return problems.size(configuration.teams(), MOST_TEAMS, "teams")
-        & problems.size(configuration.models(), MOST_MODELS, "models")
-        & problems.size(configuration.services(), MOST_SERVICES, "services")
-        & problems.size(configuration.rules(), MOST_RULES, "rules")
-        & problems.size(configuration.rollOuts(), MOST_MODELS, "roll-outs")
-        & problems.size(
-            configuration.withdrawn(), MOST_MODELS * MOST_VERSIONS, "withdrawn versions")
-        & problems.size(configuration.drainedUpstreams(), MOST_DRAINED, "drained upstreams")
-        & problems.size(configuration.drainedVms(), MOST_DRAINED, "drained VMs")
-        & problems.size(configuration.operatorKeys(), MOST_OPERATOR_KEYS, "operator keys")
-        & problems.size(configuration.quarantined(), MOST_QUARANTINED, "quarantined requests");
+    return problems.size(configuration.teams(), MAX_TEAMS, "teams")
+        & problems.size(configuration.models(), MAX_MODELS, "models")
+        & problems.size(configuration.services(), MAX_SERVICES, "services")
+        & problems.size(configuration.rules(), MAX_RULES, "rules")
+        & problems.size(configuration.rollOuts(), MAX_MODELS, "roll-outs")
+        & problems.size(configuration.withdrawn(), MAX_MODELS * MAX_VERSIONS, "withdrawn versions")
+        & problems.size(configuration.drainedUpstreams(), MAX_DRAINED, "drained upstreams")
+        & problems.size(configuration.drainedVms(), MAX_DRAINED, "drained VMs")
+        & problems.size(configuration.operatorKeys(), MAX_OPERATOR_KEYS, "operator keys")
+        & problems.size(configuration.quarantined(), MAX_QUARANTINED, "quarantined requests");
   }
 
   private void check(boolean all, List<ConfigurationDifference> differences) {
@@ -152,7 +151,7 @@
         Kind.OUT_OF_RANGE,
         subject,
         "it has no version; give it at least one");
-    if (!problems.size(model.versions(), MOST_VERSIONS, subject + " versions")) {
+    if (!problems.size(model.versions(), MAX_VERSIONS, subject + " versions")) {
       return;
     }
     Set<String> names = problems.unique(model.versions(), Model.Version::name, "version");
@@ -164,11 +163,11 @@
       problems.share(version.priorQuality(), versionSubject + " priorQuality");
       Price price = version.price();
       problems.range(
-          price.promptMicrosPerThousand(), 0, HIGHEST_PRICE, versionSubject + " prompt price");
+          price.promptMicrosPerThousand(), 0, MAX_PRICE_MICROS, versionSubject + " prompt price");
       problems.range(
           price.completionMicrosPerThousand(),
           0,
-          HIGHEST_PRICE,
+          MAX_PRICE_MICROS,
           versionSubject + " completion price");
     }
   }
@@ -176,9 +175,9 @@
   private void checkService(ServiceDefinition service) {
     String subject = "service " + service.name();
     problems.name(service.name(), subject);
-    problems.range(service.timeoutMillis(), 1, LONGEST_TIMEOUT_MILLIS, subject + " timeoutMillis");
-    problems.range(service.callMicros(), 0, HIGHEST_PRICE, subject + " callMicros");
-    if (problems.size(service.nonIdempotentMethods(), LONGEST_METHOD, subject + " methods")) {
+    problems.range(service.timeoutMillis(), 1, MAX_TIMEOUT_MILLIS, subject + " timeoutMillis");
+    problems.range(service.callMicros(), 0, MAX_PRICE_MICROS, subject + " callMicros");
+    if (problems.size(service.nonIdempotentMethods(), MAX_METHODS, subject + " methods")) {
       for (String method : service.nonIdempotentMethods()) {
         problems.require(
             method.matches("[A-Z]{1,20}"),
@@ -231,17 +230,17 @@
   private void checkTeam(Team team) {
     String subject = "team " + team.name();
     problems.name(team.name(), subject);
-    problems.range(team.weight(), 1, MOST_WEIGHT, subject + " weight");
+    problems.range(team.weight(), 1, MAX_TEAM_WEIGHT, subject + " weight");
     checkLimits(team.limits(), subject);
-    if (problems.size(team.keys(), MOST_TEAM_KEYS, subject + " keys")) {
+    if (problems.size(team.keys(), MAX_TEAM_KEYS, subject + " keys")) {
       problems.unique(team.keys(), Team.Key::id, "key of " + subject);
       team.keys().forEach(key -> checkKey(key.id(), key.sha256(), subject));
     }
-    if (problems.size(team.allowedServices(), MOST_SERVICES, subject + " allowedServices")) {
+    if (problems.size(team.allowedServices(), MAX_SERVICES, subject + " allowedServices")) {
       team.allowedServices()
           .forEach(service -> problems.known(services, service, "service", subject));
     }
-    if (!problems.size(team.allowedModels(), MOST_MODELS, subject + " allowedModels")) {
+    if (!problems.size(team.allowedModels(), MAX_MODELS, subject + " allowedModels")) {
       return;
     }
     for (Team.AllowedModel allowed : team.allowedModels()) {
@@ -300,7 +299,7 @@
     problems.range(rollOut.step(), 0, rollOut.steps().size(), subject + " step");
     // A closed roll-out is only a record, which must not keep a team from being removed.
     boolean open = RollOutChanges.isOpen(rollOut);
-    if (problems.size(rollOut.steps(), MOST_STEPS, subject + " steps")) {
+    if (problems.size(rollOut.steps(), MAX_STEPS, subject + " steps")) {
       rollOut.steps().forEach(step -> checkStep(step, open, subject));
     }
     if (open) {
@@ -310,10 +309,10 @@
 
   private void checkStep(RollOut.Step step, boolean open, String subject) {
     problems.range(step.percent(), 0, 100, subject + " percent");
-    if (problems.size(step.teams(), MOST_TEAMS, subject + " teams") && open) {
+    if (problems.size(step.teams(), MAX_TEAMS, subject + " teams") && open) {
       step.teams().forEach(team -> problems.known(teams, team, "team", subject));
     }
-    if (problems.size(step.zones(), MOST_MODELS, subject + " zones")) {
+    if (problems.size(step.zones(), MAX_MODELS, subject + " zones")) {
       step.zones().forEach(zone -> problems.name(zone, subject + " zone"));
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscription.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscription.java
@@ -196,7 +196,7 @@
 
   private boolean applyStep(ConfigurationStep step, Instant now, Output output) {
     try {
-      adoption.adopt(step, now, output);
+      adoption.apply(step, now, output);
       return true;
     } catch (IllegalArgumentException e) {
       output.effect(new TraceEffect.LogLine(true, "configuration", e.getMessage()));
@@ -249,7 +249,7 @@
     try {
       Configuration whole = Differences.apply(Configuration.EMPTY, gathered, revision);
       misfit = false;
-      adoption.adopt(whole, now, output);
+      adoption.apply(whole, now, output);
       renew(true, now, output);
     } catch (IllegalArgumentException e) {
       output.effect(new TraceEffect.LogLine(true, "configuration", e.getMessage()));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationCostTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationCostTest.java
@@ -22,7 +22,7 @@
   public void changesAtSize() {
     ConfigurationMachine machine = Samples.machine(Samples.configuration(TEAMS, RULES));
     AppliedConfiguration entry = new AppliedConfiguration();
-    entry.adopt(machine.configuration());
+    entry.apply(machine.configuration());
     measure(machine, entry, "PutRule", n -> new ConfigurationChange.PutRule(rule(n), null));
     measure(
         machine, entry, "MoveRule", n -> new ConfigurationChange.MoveRule("rule" + n, RULES - 1));
@@ -57,7 +57,7 @@
       List<RevisionEntry> history = machine.history();
       ConfigurationStep step = history.get(history.size() - 1).step();
       start = System.nanoTime();
-      entry.adopt(step);
+      entry.apply(step);
       applying[round] = System.nanoTime() - start;
     }
     System.out.printf(
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationMachineTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationMachineTest.java
@@ -248,7 +248,7 @@
   @Test
   public void historyGivesOldRevisionsUpToItsBound() {
     Configuration first = machine.configuration();
-    for (int number = 0; number < ConfigurationHistory.MOST_ENTRIES; number++) {
+    for (int number = 0; number < ConfigurationHistory.MAX_ENTRIES; number++) {
       change(new ConfigurationChange.MoveRule("rule" + number % 3, number % 2));
     }
     assertEquals(machine.at(1), Optional.of(first));
@@ -267,11 +267,11 @@
     ChangeTable table = new ChangeTable();
     table.add(
         new RememberedChange("ok", "anna", "h", Samples.START, new Accepted(1, Samples.START)));
-    Instant later = Samples.START.plus(ChangeTable.KEPT).minus(Duration.ofSeconds(1));
-    for (int number = 0; number < 3 * ChangeTable.MOST_REFUSED; number++) {
+    Instant later = Samples.START.plus(ChangeTable.RETENTION).minus(Duration.ofSeconds(1));
+    for (int number = 0; number < 3 * ChangeTable.MAX_REFUSED; number++) {
       table.add(new RememberedChange("r" + number, "ben", "h", later, new UnknownOperator()));
     }
-    assertEquals(table.refused().size(), ChangeTable.MOST_REFUSED);
+    assertEquals(table.refused().size(), ChangeTable.MAX_REFUSED);
     assertTrue(table.find("ok") != null);
     table.add(new RememberedChange("x", "ben", "h", later.plusSeconds(1), new UnknownOperator()));
     assertTrue(table.find("ok") == null);
