--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ChangeApplier.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ChangeApplier.java
@@ -32,7 +32,7 @@
     } else if (!changeTeam(draft, change)
         && !changeModel(draft, change)
         && !changeRule(draft, change)
-        && !RollOutChanges.change(draft, change)) {
+        && !RollOutChanges.apply(draft, change)) {
       changeOther(draft, change);
     }
     return draft.build(present.revision() + 1);
@@ -78,10 +78,10 @@
       throws InapplicableChangeException {
     if (change instanceof ConfigurationChange.PutModel put) {
       draft.models = ConfigurationDraft.with(draft.models, put.model(), Model::name);
-      RollOutChanges.forgetMissingVersions(draft);
+      RollOutChanges.removeMissingVersions(draft);
     } else if (change instanceof ConfigurationChange.RemoveModel remove) {
       draft.models = remove(draft.models, remove.name(), Model::name, "model");
-      RollOutChanges.forgetMissingVersions(draft);
+      RollOutChanges.removeMissingVersions(draft);
     } else if (change instanceof ConfigurationChange.PutService put) {
       draft.services =
           ConfigurationDraft.with(draft.services, put.service(), ServiceDefinition::name);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationPart.java
@@ -39,7 +39,7 @@
   private final @Nullable InForce inForce;
   private @Nullable Subscription subscription;
   private @Nullable String leader;
-  private Instant latest = Instant.EPOCH;
+  private Instant latestTime = Instant.EPOCH;
   private boolean serving;
 
   /**
@@ -107,7 +107,7 @@
         onMessage(received.node(), message, now, output);
       }
     } else if (event instanceof PeerEvent.ConnectionLost lost) {
-      subscription(now).lost(lost.node(), now, output);
+      subscription(now).sourceLost(lost.node(), now, output);
     } else if (event instanceof ConsensusEvent consensus) {
       onConsensus(consensus, now, output);
     } else if (event instanceof OperatorEvent call) {
@@ -122,15 +122,15 @@
    * daemon would still serve under an old revision when a newer one is called in force.
    */
   private void checkClock(Instant now, Output output) {
-    if (now.isBefore(latest)) {
+    if (now.isBefore(latestTime)) {
       lease.invalidate();
       output.effect(new TraceEffect.Count("configuration_clock_steps", "", 1));
     }
-    latest = now;
+    latestTime = now;
   }
 
   private void tick(Instant now, Output output) {
-    boolean leads = extendAsLeader(now);
+    boolean leads = extendLeaseAsLeader(now);
     if (!leads) {
       subscription(now).tick(now, output);
     }
@@ -142,7 +142,7 @@
     reportServing(now, output);
   }
 
-  private boolean extendAsLeader(Instant now) {
+  private boolean extendLeaseAsLeader(Instant now) {
     if (replica == null || !replica.leaderLease().holds(now)) {
       return false;
     }
@@ -197,17 +197,17 @@
 
   private void onMessage(String from, ConfigurationMessage message, Instant now, Output output) {
     if (message instanceof ConfigurationMessage.Renew renew) {
-      subscribers.renewed(from, renew, now, output);
+      subscribers.renewalReceived(from, renew, now, output);
     } else if (message instanceof ConfigurationMessage.LeaseGrant grant) {
-      subscription(now).granted(grant, now, output);
+      subscription(now).leaseGranted(grant, now, output);
     } else if (message instanceof ConfigurationMessage.Push push) {
-      subscription(now).pushed(push, now, output);
+      subscription(now).stepsPushed(push, now, output);
     } else if (message instanceof ConfigurationMessage.CopyChunk chunk) {
-      subscription(now).copied(from, chunk, now, output);
+      subscription(now).chunkReceived(from, chunk, now, output);
     } else if (message instanceof ConfigurationMessage.CopyRequest request) {
       subscribers.copyRequested(from, request, now, output);
     } else if (message instanceof ConfigurationMessage.TryOther) {
-      subscription(now).lost(from, now, output);
+      subscription(now).sourceLost(from, now, output);
     } else if (message instanceof ConfigurationMessage.OperatorCall call) {
       calls.callForwarded(call, leader, now, output);
     } else if (message instanceof ConfigurationMessage.OperatorAnswer answer) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationValidator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationValidator.java
@@ -62,14 +62,15 @@
           "operator keys",
           "nobody could make a change any more; add another operator key first");
     }
-    if (validator.isBounded()) {
-      boolean all = before.revision() == 0 || differences.stream().anyMatch(d -> mayBreakOthers(d));
+    if (validator.checkSizes()) {
+      boolean all =
+          before.revision() == 0 || differences.stream().anyMatch(d -> mayInvalidateOthers(d));
       validator.check(all, differences);
     }
-    return List.copyOf(validator.problems.found());
+    return List.copyOf(validator.problems.list());
   }
 
-  private static boolean mayBreakOthers(ConfigurationDifference difference) {
+  private static boolean mayInvalidateOthers(ConfigurationDifference difference) {
     if (difference instanceof ConfigurationDifference.TeamDiffers team) {
       return team.after() == null;
     }
@@ -79,7 +80,7 @@
     return difference instanceof ConfigurationDifference.ModelDiffers;
   }
 
-  private boolean isBounded() {
+  private boolean checkSizes() {
     return problems.size(configuration.teams(), MAX_TEAMS, "teams")
         & problems.size(configuration.models(), MAX_MODELS, "models")
         & problems.size(configuration.services(), MAX_SERVICES, "services")
@@ -104,22 +105,22 @@
     configuration.rollOuts().forEach(this::checkRollOut);
     checkPolicy();
     configuration.quarantined().forEach(this::checkQuarantined);
-    if (all || differences.stream().anyMatch(d -> concernsKeys(d))) {
+    if (all || differences.stream().anyMatch(d -> affectsKeys(d))) {
       checkKeys();
     }
     checkTeams(all, differences);
-    if (all || differences.stream().anyMatch(d -> concernsDrains(d))) {
+    if (all || differences.stream().anyMatch(d -> affectsDrains(d))) {
       checkDrained();
     }
     checkRules(all, differences);
   }
 
-  private static boolean concernsKeys(ConfigurationDifference difference) {
+  private static boolean affectsKeys(ConfigurationDifference difference) {
     return difference instanceof ConfigurationDifference.TeamDiffers
         || difference instanceof ConfigurationDifference.OperatorKeyDiffers;
   }
 
-  private static boolean concernsDrains(ConfigurationDifference difference) {
+  private static boolean affectsDrains(ConfigurationDifference difference) {
     return difference instanceof ConfigurationDifference.UpstreamDrainDiffers
         || difference instanceof ConfigurationDifference.VmDrainDiffers;
   }
@@ -156,11 +157,11 @@
     }
     Set<String> names = problems.unique(model.versions(), Model.Version::name, "version");
     versions.put(model.name(), names);
-    problems.known(names, model.current(), "version", subject);
+    problems.reference(names, model.current(), "version", subject);
     for (Model.Version version : model.versions()) {
       String versionSubject = subject + " version " + version.name();
       problems.name(version.name(), versionSubject);
-      problems.share(version.priorQuality(), versionSubject + " priorQuality");
+      problems.fraction(version.priorQuality(), versionSubject + " priorQuality");
       Price price = version.price();
       problems.range(
           price.promptMicrosPerThousand(), 0, MAX_PRICE_MICROS, versionSubject + " prompt price");
@@ -238,16 +239,18 @@
     }
     if (problems.size(team.allowedServices(), MAX_SERVICES, subject + " allowedServices")) {
       team.allowedServices()
-          .forEach(service -> problems.known(services, service, "service", subject));
+          .forEach(service -> problems.reference(services, service, "service", subject));
     }
     if (!problems.size(team.allowedModels(), MAX_MODELS, subject + " allowedModels")) {
       return;
     }
     for (Team.AllowedModel allowed : team.allowedModels()) {
-      problems.known(versions.keySet(), allowed.model(), "model", subject);
+      problems.reference(versions.keySet(), allowed.model(), "model", subject);
       Set<String> known = versions.getOrDefault(allowed.model(), Set.of());
       if (!known.isEmpty()) {
-        allowed.versions().forEach(version -> problems.known(known, version, "version", subject));
+        allowed
+            .versions()
+            .forEach(version -> problems.reference(known, version, "version", subject));
       }
     }
   }
@@ -274,8 +277,8 @@
     for (ModelVersion version : configuration.withdrawn()) {
       String subject = "withdrawn version " + version;
       problems.require(seen.add(version), Kind.DUPLICATE, subject, "it comes twice; remove one");
-      problems.known(versions.keySet(), version.model(), "model", subject);
-      problems.known(
+      problems.reference(versions.keySet(), version.model(), "model", subject);
+      problems.reference(
           versions.getOrDefault(version.model(), Set.of()), version.version(), "version", subject);
     }
   }
@@ -283,9 +286,9 @@
   private void checkRollOut(RollOut rollOut) {
     String subject = "roll-out of model " + rollOut.model();
     Set<String> known = versions.getOrDefault(rollOut.model(), Set.of());
-    problems.known(versions.keySet(), rollOut.model(), "model", subject);
-    problems.known(known, rollOut.from(), "version", subject);
-    problems.known(known, rollOut.to(), "version", subject);
+    problems.reference(versions.keySet(), rollOut.model(), "model", subject);
+    problems.reference(known, rollOut.from(), "version", subject);
+    problems.reference(known, rollOut.to(), "version", subject);
     problems.require(
         !rollOut.from().equals(rollOut.to()),
         Kind.OUT_OF_RANGE,
@@ -310,7 +313,7 @@
   private void checkStep(RollOut.Step step, boolean open, String subject) {
     problems.range(step.percent(), 0, 100, subject + " percent");
     if (problems.size(step.teams(), MAX_TEAMS, subject + " teams") && open) {
-      step.teams().forEach(team -> problems.known(teams, team, "team", subject));
+      step.teams().forEach(team -> problems.reference(teams, team, "team", subject));
     }
     if (problems.size(step.zones(), MAX_MODELS, subject + " zones")) {
       step.zones().forEach(zone -> problems.name(zone, subject + " zone"));
@@ -341,8 +344,8 @@
   private void checkDrained() {
     problems.unique(configuration.drainedUpstreams(), Function.identity(), "drained upstream");
     problems.unique(configuration.drainedVms(), Function.identity(), "drained VM");
-    configuration.drainedUpstreams().forEach(id -> problems.address(id, "drained upstream"));
-    configuration.drainedVms().forEach(id -> problems.address(id, "drained VM"));
+    configuration.drainedUpstreams().forEach(id -> problems.nodeId(id, "drained upstream"));
+    configuration.drainedVms().forEach(id -> problems.nodeId(id, "drained VM"));
   }
 
   private void checkQuarantined(RequestKey request) {
@@ -351,8 +354,8 @@
 
   private void checkPolicy() {
     VersionPolicy policy = configuration.versionPolicy();
-    problems.share(policy.tolerance(), "versionPolicy tolerance");
-    problems.share(policy.falseAlarmRate(), "versionPolicy falseAlarmRate");
+    problems.fraction(policy.tolerance(), "versionPolicy tolerance");
+    problems.fraction(policy.falseAlarmRate(), "versionPolicy falseAlarmRate");
     problems.require(
         policy.falseAlarmRate() != 0,
         Kind.OUT_OF_RANGE,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/OperatorCalls.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/OperatorCalls.java
@@ -36,7 +36,7 @@
   private final Submitter submitter;
   private final List<String> voters;
   private final @Nullable ReplicaReader reader;
-  private final Map<Long, OpenChange> pendingChanges = new HashMap<>();
+  private final Map<Long, PendingChange> pendingChanges = new HashMap<>();
   private final Map<String, Instant> pendingQueries = new HashMap<>();
   private int nextVoter;
 
@@ -56,7 +56,7 @@
   }
 
   /** A submitted change; its call id is null if a part of this daemon asked for it. */
-  private record OpenChange(@Nullable String callId, String changeId) {}
+  private record PendingChange(@Nullable String callId, String changeId) {}
 
   void callReceived(OperatorEvent call, @Nullable String leader, Instant now, Output output) {
     if (call instanceof OperatorEvent.DryRun || call instanceof OperatorEvent.ControlVmRequested) {
@@ -157,13 +157,13 @@
 
   private void submit(SubmitChange command, @Nullable String callId, Instant now, Output output) {
     long submission = submitter.newSubmissionId();
-    pendingChanges.put(submission, new OpenChange(callId, command.changeId()));
+    pendingChanges.put(submission, new PendingChange(callId, command.changeId()));
     submitter.submit(
         GroupId.CONFIGURATION, command, submission, now.plus(settings.callTimeout()), now, output);
   }
 
   void submissionAnswered(ConsensusEvent.SubmissionAnswered event, Output output) {
-    OpenChange pending = pendingChanges.remove(event.submissionId());
+    PendingChange pending = pendingChanges.remove(event.submissionId());
     if (pending == null) {
       return;
     }
@@ -176,7 +176,7 @@
   }
 
   void submissionFailed(ConsensusEvent.SubmissionFailed event, Output output) {
-    OpenChange pending = pendingChanges.remove(event.submissionId());
+    PendingChange pending = pendingChanges.remove(event.submissionId());
     if (pending == null) {
       return;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RevisionRestorer.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RevisionRestorer.java
@@ -45,15 +45,15 @@
     withdrawn.addAll(present.withdrawn());
     draft.withdrawn = List.copyOf(withdrawn);
     pauseRollOuts(draft);
-    RollOutChanges.forgetMissingVersions(draft);
+    RollOutChanges.removeMissingVersions(draft);
     return draft;
   }
 
   private static void keepTeamKeys(ConfigurationDraft draft, Configuration present) {
     List<Team> teams = new ArrayList<>();
     for (Team team : draft.teams) {
-      int place = ConfigurationDraft.find(present.teams(), team.name(), Team::name);
-      teams.add(place < 0 ? team : ChangeApplier.withKeys(team, present.teams().get(place).keys()));
+      int index = ConfigurationDraft.find(present.teams(), team.name(), Team::name);
+      teams.add(index < 0 ? team : ChangeApplier.withKeys(team, present.teams().get(index).keys()));
     }
     draft.teams = List.copyOf(teams);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ZoneTree.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ZoneTree.java
@@ -46,18 +46,18 @@
       others.add(node);
     }
     others.sort(null);
-    int place = others.indexOf(node);
+    int position = others.indexOf(node);
     List<String> candidates = new ArrayList<>();
-    if (place >= HEADS) {
-      int parent = (place - HEADS) / FAN_OUT;
+    if (position >= HEADS) {
+      int parent = (position - HEADS) / FAN_OUT;
       candidates.add(others.get(parent));
       candidates.add(others.get(parent == 0 ? 1 : parent - 1));
     }
-    addRotated(voterNames, candidates);
+    addVotersRotated(voterNames, candidates);
     return candidates;
   }
 
-  private void addRotated(List<String> voterNames, List<String> candidates) {
+  private void addVotersRotated(List<String> voterNames, List<String> candidates) {
     int start = Math.floorMod(node.hashCode(), Math.max(1, voterNames.size()));
     for (int index = 0; index < voterNames.size(); index++) {
       String voter = voterNames.get((start + index) % voterNames.size());
