--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationPart.java
@@ -34,9 +34,9 @@
   private final AppliedConfiguration applied = new AppliedConfiguration();
   private final EntryLease lease;
   private final Subscribers subscribers;
-  private final Adoption revisionApplier;
+  private final RevisionApplier revisionApplier;
   private final OperatorCalls calls;
-  private final @Nullable InForce inForce;
+  private final @Nullable InForceTracker inForce;
   private @Nullable Subscription subscription;
   private @Nullable String leader;
   private Instant latestTime = Instant.EPOCH;
@@ -66,12 +66,12 @@
     this.replica = replica;
     this.lease = new EntryLease(settings);
     this.subscribers = new Subscribers(settings, applied, lease);
-    this.revisionApplier = new Adoption(applied, lease, subscribers);
+    this.revisionApplier = new RevisionApplier(applied, lease, subscribers);
     ReplicaReader reader = null;
     if (replica == null) {
       inForce = null;
     } else {
-      inForce = new InForce(settings, replica.machine(), subscribers);
+      inForce = new InForceTracker(settings, replica.machine(), subscribers);
       reader = new ReplicaReader(replica, inForce);
     }
     this.calls = new OperatorCalls(node, settings, applied, submitter, voters, reader);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationValidator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationValidator.java
@@ -67,7 +67,7 @@
           before.revision() == 0 || differences.stream().anyMatch(d -> mayInvalidateOthers(d));
       validator.check(all, differences);
     }
-    return List.copyOf(validator.problems.list());
+    return List.copyOf(validator.problems.collected());
   }
 
   private static boolean mayInvalidateOthers(ConfigurationDifference difference) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Differences.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Differences.java
@@ -62,7 +62,7 @@
   }
 
   /** Makes a difference out of an item's key and its two forms. */
-  private interface Maker<T, K> {
+  private interface DifferenceFactory<T, K> {
     ConfigurationDifference create(K key, @Nullable T before, @Nullable T after);
   }
 
@@ -70,7 +70,7 @@
       List<T> old,
       List<T> next,
       Function<T, K> key,
-      Maker<T, K> factory,
+      DifferenceFactory<T, K> factory,
       List<ConfigurationDifference> found) {
     if (old == next) {
       return;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/EntryLease.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/EntryLease.java
@@ -52,7 +52,7 @@
       return false;
     }
     Instant before = end;
-    extendTo(grant.requestSentAt().plus(settings.shortened(grant.remaining())));
+    extendTo(grant.requestSentAt().plus(settings.shortenedByDrift(grant.remaining())));
     return end.isAfter(before);
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/InForce.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/InForceTracker.java
@@ -18,7 +18,7 @@
  * earlier leader granted aren't known here; all of them were granted before this leader took
  * office, so they have ended one longest lease after it.
  */
-final class InForce {
+final class InForceTracker {
 
   private static final int MAX_AWAITED = 50;
   private static final double MILLIS_PER_SECOND = 1000.0;
@@ -29,7 +29,8 @@
   private Instant earlierLeasesEndAt = Instant.MAX;
   private long reportedRevision;
 
-  InForce(ConfigurationSettings settings, ConfigurationMachine machine, Subscribers subscribers) {
+  InForceTracker(
+      ConfigurationSettings settings, ConfigurationMachine machine, Subscribers subscribers) {
     this.settings = settings;
     this.machine = machine;
     this.subscribers = subscribers;
@@ -38,7 +39,7 @@
   /** Takes note that this daemon leads from now on; older revisions aren't told of again. */
   void leadershipGained(Instant now) {
     reportedRevision = machine.configuration().revision();
-    earlierLeasesEndAt = now.plus(settings.longestLease());
+    earlierLeasesEndAt = now.plus(settings.maxLeaseDuration());
   }
 
   SendInForce status(String callId, long revision, Instant now) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Problems.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Problems.java
@@ -22,15 +22,15 @@
       Pattern.compile("[A-Za-z0-9\\[][A-Za-z0-9._/@+:\\[\\]-]{0,255}");
   private static final Pattern HASH = Pattern.compile("[0-9a-f]{64}");
 
-  private final List<ConfigurationProblem> list = new ArrayList<>();
+  private final List<ConfigurationProblem> collected = new ArrayList<>();
 
-  List<ConfigurationProblem> list() {
-    return list;
+  List<ConfigurationProblem> collected() {
+    return collected;
   }
 
   void add(Kind kind, String subject, String message) {
-    if (list.size() < MAX_PROBLEMS) {
-      list.add(new ConfigurationProblem(kind, subject, message));
+    if (collected.size() < MAX_PROBLEMS) {
+      collected.add(new ConfigurationProblem(kind, subject, message));
     }
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ReplicaReader.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ReplicaReader.java
@@ -16,9 +16,9 @@
   private static final int MAX_SUMMARIES = 200;
 
   private final LocalReplica replica;
-  private final InForce inForce;
+  private final InForceTracker inForce;
 
-  ReplicaReader(LocalReplica replica, InForce inForce) {
+  ReplicaReader(LocalReplica replica, InForceTracker inForce) {
     this.replica = replica;
     this.inForce = inForce;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Adoption.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RevisionApplier.java
@@ -6,13 +6,13 @@
 import org.skylarkfork.core.event.ConfigurationEvent;
 
 /** Applies newer revisions and tells everybody whom it concerns. */
-final class Adoption {
+final class RevisionApplier {
 
   private final AppliedConfiguration applied;
   private final EntryLease lease;
   private final Subscribers subscribers;
 
-  Adoption(AppliedConfiguration applied, EntryLease lease, Subscribers subscribers) {
+  RevisionApplier(AppliedConfiguration applied, EntryLease lease, Subscribers subscribers) {
     this.applied = applied;
     this.lease = lease;
     this.subscribers = subscribers;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscribers.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscribers.java
@@ -37,7 +37,7 @@
   void renewalReceived(String node, Renew renew, Instant now, Output output) {
     Subscriber subscriber = byNode.get(node);
     if (subscriber == null) {
-      if (byNode.size() >= settings.mostSubscribers()) {
+      if (byNode.size() >= settings.maxSubscribers()) {
         send(node, new ConfigurationMessage.TryOther(), output);
         return;
       }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscription.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscription.java
@@ -30,7 +30,7 @@
   private final AppliedConfiguration applied;
   private final EntryLease lease;
   private final Subscribers subscribers;
-  private final Adoption revisionApplier;
+  private final RevisionApplier revisionApplier;
   private final ConfigurationSources sources;
   private final Instant startedAt;
 
@@ -54,7 +54,7 @@
       AppliedConfiguration applied,
       EntryLease lease,
       Subscribers subscribers,
-      Adoption adoption,
+      RevisionApplier adoption,
       ConfigurationSources sources,
       Instant startedAt) {
     this.settings = settings;
@@ -79,7 +79,7 @@
       return;
     }
     Instant lastExtension = extendedAt.isAfter(sourceSince) ? extendedAt : sourceSince;
-    if (!now.isBefore(lastExtension.plus(settings.patience()))) {
+    if (!now.isBefore(lastExtension.plus(settings.sourceTimeout()))) {
       switchSource(now, output);
     } else if (sourceIndex > 0 && !now.isBefore(sourceSince.plus(PREFERRED_RETRY_INTERVAL))) {
       select(0, now);
@@ -141,7 +141,7 @@
     }
     sentAt = now;
     repairPending = false;
-    nextSendAt = now.plus(settings.renewal());
+    nextSendAt = now.plus(settings.renewalInterval());
     long revision = applied.revision();
     long floor = floor(now);
     reportedFloor = floor;
@@ -167,7 +167,7 @@
    * an older one; so it reports nothing until the longest of them must have ended.
    */
   private long floor(Instant now) {
-    if (now.isBefore(startedAt.plus(settings.longestLease()))) {
+    if (now.isBefore(startedAt.plus(settings.maxLeaseDuration()))) {
       return 0;
     }
     return subscribers.floor(now);
@@ -210,7 +210,7 @@
   /** Asks for what is missing, at once or as soon as the last message is long enough ago. */
   private void repair(Instant now, Output output) {
     boolean copyInProgress =
-        lastChunk != null && now.isBefore(lastChunkAt.plus(settings.renewal()));
+        lastChunk != null && now.isBefore(lastChunkAt.plus(settings.renewalInterval()));
     if (copyInProgress) {
       return;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ZoneTree.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ZoneTree.java
@@ -15,7 +15,7 @@
 public final class ZoneTree implements ConfigurationSources {
 
   /** Daemons of a zone that subscribe to the control voters. */
-  public static final int HEADS = 3;
+  public static final int ROOTS = 3;
 
   /** Daemons that subscribe to one of their zone. */
   public static final int FAN_OUT = 8;
@@ -48,8 +48,8 @@
     others.sort(null);
     int position = others.indexOf(node);
     List<String> candidates = new ArrayList<>();
-    if (position >= HEADS) {
-      int parent = (position - HEADS) / FAN_OUT;
+    if (position >= ROOTS) {
+      int parent = (position - ROOTS) / FAN_OUT;
       candidates.add(others.get(parent));
       candidates.add(others.get(parent == 0 ? 1 : parent - 1));
     }
