--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationCostTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationCostTest.java
@@ -19,7 +19,7 @@
 
   /** Changes of each kind at 1,000 teams and 10,000 rules. */
   @Test
-  public void changesAtSize() {
+  public void costOfChangesAtScale() {
     ConfigurationMachine machine = Samples.machine(Samples.configuration(TEAMS, RULES));
     AppliedConfiguration entry = new AppliedConfiguration();
     entry.apply(machine.configuration());
@@ -46,23 +46,23 @@
       AppliedConfiguration entry,
       String kind,
       IntFunction<ConfigurationChange> changes) {
-    long[] accepting = new long[ROUNDS];
-    long[] applying = new long[ROUNDS];
+    long[] acceptNanos = new long[ROUNDS];
+    long[] applyNanos = new long[ROUNDS];
     for (int round = 0; round < ROUNDS; round++) {
       ConfigurationChange change = changes.apply(round);
       long start = System.nanoTime();
       Object result = Samples.apply(machine, Samples.submit(kind + round, "anna", null, change));
-      accepting[round] = System.nanoTime() - start;
+      acceptNanos[round] = System.nanoTime() - start;
       assertTrue(result instanceof Accepted, result.toString());
       List<RevisionEntry> history = machine.history();
       ConfigurationStep step = history.get(history.size() - 1).step();
       start = System.nanoTime();
       entry.apply(step);
-      applying[round] = System.nanoTime() - start;
+      applyNanos[round] = System.nanoTime() - start;
     }
     System.out.printf(
         "configuration: %s at %d teams, %d rules: accepted in %.0f us, applied in %.0f us%n",
-        kind, TEAMS, RULES, median(accepting), median(applying));
+        kind, TEAMS, RULES, median(acceptNanos), median(applyNanos));
   }
 
   private static double median(long[] nanos) {
