--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationSpreadTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationDisseminationTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 
 /** Long random runs of several daemons, with invariants asserted at each tick. */
-public class ConfigurationSpreadTest {
+public class ConfigurationDisseminationTest {
 
   private static final int ENTRIES = 14;
   private static final int ROUNDS = 120;
@@ -32,7 +32,7 @@
    */
   @Test(dataProvider = "seeds")
   public void neverRevertsAndNeverServesBelowRevisionInForce(long seed) {
-    Daemons daemons = new Daemons(seed, ENTRIES);
+    SimulatedDaemons daemons = new SimulatedDaemons(seed, ENTRIES);
     daemons
         .byName
         .values()
@@ -63,16 +63,17 @@
     changeLeader(daemons);
     daemons.run(Duration.ofSeconds(12));
     assertEquals(daemons.inForce, changes + 1);
-    for (Daemons.Daemon daemon : daemons.byName.values()) {
+    for (SimulatedDaemons.Daemon daemon : daemons.byName.values()) {
       assertTrue(daemon.serves(), daemon.name);
       assertEquals(daemon.revision(), changes + 1, daemon.name);
     }
   }
 
-  private static void changeLeader(Daemons daemons) {
+  private static void changeLeader(SimulatedDaemons daemons) {
     daemons.lead(null);
     daemons.run(Duration.ofMillis(300));
-    String next = Daemons.VOTERS.get(daemons.random.nextInt(Daemons.VOTERS.size()));
+    String next =
+        SimulatedDaemons.VOTERS.get(daemons.random.nextInt(SimulatedDaemons.VOTERS.size()));
     if (!daemons.isolated.contains(next)) {
       daemons.lead(next);
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationOverLogTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationOverLogTest.java
@@ -80,7 +80,7 @@
     ConfigurationPart part =
         new ConfigurationPart(
             name,
-            Daemons.SETTINGS,
+            SimulatedDaemons.SETTINGS,
             new ZoneTree(name, () -> VOTERS, () -> ALL),
             VOTERS,
             consensus.submitter(),
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationPartTest.java
@@ -27,18 +27,18 @@
   private static final ConfigurationChange LOAD =
       new ConfigurationChange.ReplaceAll(Samples.configuration(4, 4));
 
-  private Daemons daemons;
+  private SimulatedDaemons daemons;
 
   /** Starts three voters and six entries, and loads a configuration. */
   @BeforeMethod
   public void start() {
-    daemons = new Daemons(7, 6);
+    daemons = new SimulatedDaemons(7, 6);
     daemons.run(Duration.ofSeconds(6));
     daemons.change("load", LOAD);
     daemons.awaitInForce(1);
   }
 
-  private Daemons.Daemon daemon(String name) {
+  private SimulatedDaemons.Daemon daemon(String name) {
     return daemons.byName.get(name);
   }
 
@@ -167,7 +167,7 @@
    */
   @Test
   public void backwardClockStepEndsLease() {
-    Daemons.Daemon entry = daemon("e10");
+    SimulatedDaemons.Daemon entry = daemon("e10");
     entry.clockRate = 0.9;
     entry.apply(new LifecycleEvent.Tick());
     assertFalse(entry.serves());
@@ -181,7 +181,7 @@
   public void replicaReplayingItsLogNeverReverts() {
     daemons.change("w", WITHDRAW);
     daemons.awaitInForce(2);
-    Daemons.Daemon voter = daemon("v2");
+    SimulatedDaemons.Daemon voter = daemon("v2");
     voter.logDelayed = true;
     voter.restart();
     daemons.lead("v1");
@@ -255,7 +255,7 @@
   public void queriesAreForwarded() {
     daemons.change("w", WITHDRAW);
     daemons.awaitInForce(2);
-    Daemons.Daemon entry = daemon("e14");
+    SimulatedDaemons.Daemon entry = daemon("e14");
     String key = Samples.hash("anna");
     assertNull(entry.query(new OperatorEvent.HistoryRequested("h", key, 0, 10)));
     entry.apply(new OperatorEvent.DifferenceRequested("d", key, 2, 1));
@@ -296,7 +296,7 @@
   @Test
   public void leaderMissingFromSettingsGrantsLeases() {
     daemons.configuredVoters = List.of("v2", "v3");
-    daemons.byName.values().forEach(Daemons.Daemon::restart);
+    daemons.byName.values().forEach(SimulatedDaemons.Daemon::restart);
     daemons.lead("v1");
     daemons.run(Duration.ofSeconds(12));
     daemons.byName.values().forEach(daemon -> assertTrue(daemon.serves(), daemon.name));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/Daemons.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/SimulatedDaemons.java
@@ -33,7 +33,7 @@
 import org.skylarkfork.core.message.PeerMessage;
 
 /** Several configuration parts with seeded delivery, and a log that stands in for the group. */
-final class Daemons {
+final class SimulatedDaemons {
 
   static final ConfigurationSettings SETTINGS =
       ConfigurationSettings.defaults(Samples.hash("first"));
@@ -58,7 +58,7 @@
 
   private record InFlight(Instant at, String from, String to, PeerMessage message) {}
 
-  Daemons(long seed, int entries) {
+  SimulatedDaemons(long seed, int entries) {
     random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     VOTERS.forEach(name -> byName.put(name, new Daemon(name, true)));
     for (int number = 0; number < entries; number++) {
