--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/AppliedConfiguration.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/AppliedConfiguration.java
@@ -10,7 +10,10 @@
 import org.skylarkfork.core.Invariants;
 import org.skylarkfork.core.configuration.ConfigurationDifference.TeamDiffers;
 
-/** The newest configuration applied on this daemon, its index, and the newest steps to it. */
+/**
+ * The newest configuration applied on this daemon, its index of team keys, and the most recent
+ * steps that led to it.
+ */
 final class AppliedConfiguration {
 
   private static final int MAX_STEPS = 512;
@@ -39,9 +42,9 @@
   }
 
   /**
-   * Applies a step that starts at the present revision.
+   * Applies a step that starts at the current revision.
    *
-   * @throws IllegalArgumentException if it doesn't fit
+   * @throws IllegalArgumentException if the step doesn't apply to the current configuration
    */
   void apply(ConfigurationStep step) {
     apply(step, step.applyTo(current));
@@ -62,7 +65,7 @@
   private void index(TeamDiffers difference) {
     Team before = difference.before();
     if (before != null) {
-      // Another team's difference may already have taken the key over.
+      // An earlier difference may already have moved the key to another team.
       before
           .keys()
           .forEach(
@@ -86,9 +89,10 @@
   }
 
   /**
-   * Returns steps from a revision on, as many as the weight allows.
+   * Returns the steps that follow a revision, up to a total weight.
    *
-   * @return no step if the way from that revision isn't known or the first step is too heavy
+   * @return an empty list if no stored step starts at that revision or the first step exceeds the
+   *     weight
    */
   List<ConfigurationStep> stepsFrom(long revision, int maxWeight) {
     List<ConfigurationStep> found = new ArrayList<>();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ChangeApplier.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ChangeApplier.java
@@ -6,7 +6,7 @@
 import org.skylarkfork.core.configuration.ConfigurationProblem.Kind;
 import org.skylarkfork.core.crash.RequestKey;
 
-/** Applies a change to a configuration; the result still has to be validated as a whole. */
+/** Applies a change to a configuration; the caller validates the result as a whole. */
 final class ChangeApplier {
 
   private final ConfigurationHistory history;
@@ -16,10 +16,10 @@
   }
 
   /**
-   * Returns the changed configuration under the next revision.
+   * Returns the changed configuration with the next revision.
    *
-   * @throws InapplicableChangeException if the change names something that isn't there or doesn't
-   *     fit the present state
+   * @throws InapplicableChangeException if the change names an object that doesn't exist or is not
+   *     possible in the current state
    */
   Configuration apply(Configuration present, ConfigurationChange change)
       throws InapplicableChangeException {
@@ -63,7 +63,7 @@
     return true;
   }
 
-  /** Returns the team with other keys. */
+  /** Returns a copy of the team with the given keys. */
   static Team withKeys(Team team, List<Team.Key> keys) {
     return new Team(
         team.name(),
@@ -196,7 +196,11 @@
     return ConfigurationDraft.without(list, name, key);
   }
 
-  /** Returns the item of a key, or says that it isn't there. */
+  /**
+   * Returns the item with the given key.
+   *
+   * @throws InapplicableChangeException if the list has no such item
+   */
   static <T> T present(List<T> list, String name, Function<T, String> key, String what)
       throws InapplicableChangeException {
     int position = ConfigurationDraft.find(list, name, key);
@@ -206,7 +210,7 @@
     return list.get(position);
   }
 
-  /** Makes the problem of something that isn't there. */
+  /** Creates the exception for an object that doesn't exist. */
   static InapplicableChangeException notFound(String what, String name) {
     return new InapplicableChangeException(
         Kind.NOT_FOUND,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ChangeTable.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ChangeTable.java
@@ -11,11 +11,11 @@
 import org.skylarkfork.core.command.ConfigurationResult;
 
 /**
- * First answers by change id.
+ * The first answer to each change id, kept for a limited time.
  *
- * <p>Refusals are kept too. A command may be appended twice; if the first one was refused and its
- * answer given, a second one that is accepted later would make the refusal untrue. They have a
- * bound of their own, so that many refusals can't push out an acceptance.
+ * <p>Refusals are kept too: a command may be appended to the log twice, and if the first copy is
+ * refused and answered, accepting the second copy later would contradict that answer. Refusals have
+ * a limit of their own, so that many refusals can't evict an acceptance.
  */
 final class ChangeTable {
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Configuration.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Configuration.java
@@ -6,20 +6,22 @@
 import org.skylarkfork.core.crash.RequestKey;
 
 /**
- * Everything that operators decide, at one revision. All lists but the rules are sorted by name.
+ * All operator-defined settings at one revision. All lists except the rules are sorted by name.
  *
- * @param revision rises by one with each accepted change; 0 is the empty configuration
+ * @param revision number that increases by one with each accepted change; 0 is the empty
+ *     configuration
  * @param teams the teams
  * @param models the models with their versions
- * @param services the plain services
- * @param rules the rules in order
- * @param rollOuts at most one roll-out a model
- * @param withdrawn versions that get no new work
- * @param drainedUpstreams ids of upstreams that get no new work
- * @param drainedVms node names of entry VMs that take no new work
- * @param operatorKeys keys for the admin API
- * @param versionPolicy what happens with bad versions
- * @param quarantined requests that no upstream is sent, since they end those that run them
+ * @param services services without models, called by path
+ * @param rules the routing rules in order of evaluation
+ * @param rollOuts at most one roll-out per model
+ * @param withdrawn versions that receive no new work
+ * @param drainedUpstreams ids of upstreams that receive no new work
+ * @param drainedVms node names of entry VMs that accept no new work
+ * @param operatorKeys keys that authenticate operators at the admin API
+ * @param versionPolicy how versions with bad ratings are handled
+ * @param quarantined requests that all entries refuse because they crash the upstreams that run
+ *     them
  */
 public record Configuration(
     long revision,
@@ -85,12 +87,12 @@
     return rollOuts.stream().filter(rollOut -> rollOut.model().equals(model)).findFirst();
   }
 
-  /** Returns whether a request is refused, since it ends the upstreams that run it. */
+  /** Returns whether a request is refused because it crashes the upstreams that run it. */
   public boolean isQuarantined(RequestKey key) {
     return !quarantined.isEmpty() && Collections.binarySearch(quarantined, key) >= 0;
   }
 
-  /** Returns whether a version gets no new work. */
+  /** Returns whether a version receives no new work. */
   public boolean isWithdrawn(ModelVersion version) {
     return withdrawn.contains(version);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationChange.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationChange.java
@@ -4,25 +4,25 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.crash.RequestKey;
 
-/** One change that an operator or the system itself asks for. */
+/** A change to the configuration, requested by an operator or by the system itself. */
 public sealed interface ConfigurationChange {
 
   /**
-   * Adds a team or replaces the one of that name.
+   * Adds a team or replaces the one with the same name.
    *
    * @param team the whole team with its keys
    */
   record PutTeam(Team team) implements ConfigurationChange {}
 
   /**
-   * Removes a team that no rule and no step of an open roll-out names.
+   * Removes a team that no rule and no step of an open roll-out refers to.
    *
    * @param name name of the team
    */
   record RemoveTeam(String name) implements ConfigurationChange {}
 
   /**
-   * Adds a key to a team or replaces the key of that id.
+   * Adds a key to a team or replaces the key with the same id.
    *
    * @param team name of the team
    * @param key the key, hashed
@@ -38,28 +38,28 @@
   record RemoveTeamKey(String team, String keyId) implements ConfigurationChange {}
 
   /**
-   * Adds a model or replaces the one of that name.
+   * Adds a model or replaces the one with the same name.
    *
    * @param model the whole model with its versions
    */
   record PutModel(Model model) implements ConfigurationChange {}
 
   /**
-   * Removes a model that no team, rule or roll-out names; its withdrawals go with it.
+   * Removes a model that no team, rule or roll-out refers to, together with its withdrawals.
    *
    * @param name name of the model
    */
   record RemoveModel(String name) implements ConfigurationChange {}
 
   /**
-   * Adds a plain service or replaces the one of that name.
+   * Adds a plain service or replaces the one with the same name.
    *
    * @param service the whole service
    */
   record PutService(ServiceDefinition service) implements ConfigurationChange {}
 
   /**
-   * Removes a plain service that no team and no rule names.
+   * Removes a plain service that no team and no rule refers to.
    *
    * @param name name of the service
    */
@@ -79,11 +79,11 @@
   }
 
   /**
-   * Adds a rule or replaces the one of that name.
+   * Adds a rule or replaces the one with the same name.
    *
    * @param rule the rule
-   * @param position index it gets among all rules, from 0; null keeps the place of the rule that it
-   *     replaces, or appends it
+   * @param position index of the rule among all rules, from 0; null keeps the index of the rule
+   *     that it replaces, or appends a new rule
    */
   record PutRule(Rule rule, @Nullable Integer position) implements ConfigurationChange {}
 
@@ -95,15 +95,15 @@
   record RemoveRule(String name) implements ConfigurationChange {}
 
   /**
-   * Gives a rule another place.
+   * Moves a rule to another position.
    *
    * @param name name of the rule
-   * @param position index it gets among all rules, from 0
+   * @param position new index of the rule among all rules, from 0
    */
   record MoveRule(String name, int position) implements ConfigurationChange {}
 
   /**
-   * Starts a roll-out at its first step, in place of a finished or aborted one of the model.
+   * Starts a roll-out at its first step; replaces a finished or aborted roll-out of the same model.
    *
    * @param model name of the model
    * @param from version that is replaced; must be the model's current one
@@ -120,83 +120,85 @@
   }
 
   /**
-   * Sets the step of a running roll-out; the number of steps finishes it and makes the new version
-   * the model's current one.
+   * Sets the step of a running roll-out. A step equal to the number of steps finishes the roll-out
+   * and makes the new version the model's current one.
    *
    * @param model name of the model
-   * @param step index of the step
+   * @param step index of the step, from 0 to the number of steps
    */
   record AdvanceRollOut(String model, int step) implements ConfigurationChange {}
 
   /**
-   * Keeps a running roll-out at its step.
+   * Pauses a running roll-out at its current step.
    *
    * @param model name of the model
    */
   record PauseRollOut(String model) implements ConfigurationChange {}
 
   /**
-   * Lets a paused roll-out go on.
+   * Resumes a paused roll-out.
    *
    * @param model name of the model
    */
   record ResumeRollOut(String model) implements ConfigurationChange {}
 
   /**
-   * Gives all new work of a running or paused roll-out to the old version again.
+   * Aborts a running or paused roll-out; all new work goes to the old version again.
    *
    * @param model name of the model
    */
   record AbortRollOut(String model) implements ConfigurationChange {}
 
   /**
-   * Withdraws a version: it gets no new work. An open roll-out to it is aborted; a replacement
-   * finishes an open roll-out that leads to it and aborts another one.
+   * Withdraws a version, which then receives no new work. An open roll-out to the version is
+   * aborted. If a replacement is given, an open roll-out to the replacement is finished and any
+   * other open roll-out of the model is aborted.
    *
    * @param version the version
-   * @param replacement version that becomes the model's current one, or null to keep it; null also
-   *     goes back to the version before if this one was the last to be rolled out
+   * @param replacement version that becomes the model's current one, or null to keep the current
+   *     one; with null, the model returns to the previous version if the withdrawn version is the
+   *     current one and came from the latest finished roll-out
    */
   record WithdrawVersion(ModelVersion version, @Nullable String replacement)
       implements ConfigurationChange {}
 
   /**
-   * Lets a withdrawn version take work again.
+   * Reinstates a withdrawn version, which may then receive new work again.
    *
    * @param version the version
    */
   record ReinstateVersion(ModelVersion version) implements ConfigurationChange {}
 
   /**
-   * Gives an upstream no new work.
+   * Drains an upstream, which then receives no new work.
    *
    * @param upstream id of the upstream, announced or not
    */
   record DrainUpstream(String upstream) implements ConfigurationChange {}
 
   /**
-   * Gives a drained upstream work again.
+   * Ends the draining of an upstream, which may then receive new work again.
    *
    * @param upstream id of the upstream
    */
   record UndrainUpstream(String upstream) implements ConfigurationChange {}
 
   /**
-   * Takes an entry VM off the entry list.
+   * Drains an entry VM: removes it from the entry list.
    *
    * @param vm node name of the VM
    */
   record DrainVm(String vm) implements ConfigurationChange {}
 
   /**
-   * Puts a drained entry VM on the entry list again.
+   * Ends the draining of an entry VM: adds it to the entry list again.
    *
    * @param vm node name of the VM
    */
   record UndrainVm(String vm) implements ConfigurationChange {}
 
   /**
-   * Adds an operator's key or replaces the one of that id.
+   * Adds an operator's key or replaces the one with the same id.
    *
    * @param key the key, hashed
    */
@@ -210,35 +212,35 @@
   record RemoveOperatorKey(String id) implements ConfigurationChange {}
 
   /**
-   * Sets what happens with bad versions.
+   * Sets how versions with bad ratings are handled.
    *
    * @param policy the policy
    */
   record PutVersionPolicy(VersionPolicy policy) implements ConfigurationChange {}
 
   /**
-   * Has a request refused by all entries, since it ends the upstreams that run it.
+   * Quarantines a request that crashes the upstreams that run it; all entries refuse it.
    *
    * @param request the request
    */
   record QuarantineRequest(RequestKey request) implements ConfigurationChange {}
 
   /**
-   * Lets a quarantined request through again.
+   * Lifts the quarantine of a request.
    *
    * @param request the request
    */
   record LiftQuarantine(RequestKey request) implements ConfigurationChange {}
 
   /**
-   * Makes a new revision with the content of an old one.
+   * Creates a new revision with the content of an old one.
    *
    * @param revision a revision that the history still holds
    */
   record RestoreRevision(long revision) implements ConfigurationChange {}
 
   /**
-   * Replaces everything but the quarantined requests.
+   * Replaces the whole configuration except the quarantined requests.
    *
    * @param configuration the new content; its revision and quarantined requests are ignored
    */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationDifference.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationDifference.java
@@ -5,8 +5,8 @@
 import org.skylarkfork.core.crash.RequestKey;
 
 /**
- * One difference between two configurations, with what was there before, so that it can be applied
- * in both directions and a wrong base is noticed.
+ * One difference between two configurations. It holds the old and the new value, so that it can be
+ * inverted and a mismatch with the base configuration is detected.
  */
 public sealed interface ConfigurationDifference {
 
@@ -42,11 +42,11 @@
       implements ConfigurationDifference {}
 
   /**
-   * Neighbouring rules are replaced by others.
+   * A contiguous range of rules is replaced.
    *
    * @param position index of the first replaced rule
-   * @param before the old rules from there on, perhaps none
-   * @param after the rules in their place, perhaps none
+   * @param before the old rules of the range; may be empty
+   * @param after the rules that replace them; may be empty
    */
   record RulesDiffer(int position, List<Rule> before, List<Rule> after)
       implements ConfigurationDifference {
@@ -78,7 +78,7 @@
       implements ConfigurationDifference {}
 
   /**
-   * An upstream was drained or isn't any more.
+   * An upstream was drained or its draining ended.
    *
    * @param upstream id of the upstream
    * @param drained whether it is drained afterwards
@@ -87,7 +87,7 @@
       implements ConfigurationDifference {}
 
   /**
-   * An entry VM was drained or isn't any more.
+   * An entry VM was drained or its draining ended.
    *
    * @param vm node name of the VM
    * @param drained whether it is drained afterwards
@@ -95,7 +95,7 @@
   record VmDrainDiffers(String vm, boolean drained) implements ConfigurationDifference {}
 
   /**
-   * A request was quarantined or isn't any more.
+   * A request was quarantined or its quarantine was lifted.
    *
    * @param request the request
    * @param quarantined whether it is refused afterwards
@@ -114,7 +114,7 @@
       implements ConfigurationDifference {}
 
   /**
-   * The policy for bad versions differs.
+   * The policy for versions with bad ratings differs.
    *
    * @param before the old policy
    * @param after the new policy
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationDraft.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationDraft.java
@@ -5,7 +5,7 @@
 import java.util.function.Function;
 import org.skylarkfork.core.crash.RequestKey;
 
-/** A configuration in the making; lists that are not changed stay shared with the original. */
+/** A mutable copy of a configuration; unchanged lists are shared with the original. */
 final class ConfigurationDraft {
 
   List<Team> teams;
@@ -50,7 +50,7 @@
         quarantined);
   }
 
-  /** Sorts every list but the rules, for a configuration that came from outside. */
+  /** Sorts every list except the rules, for a configuration submitted by an operator. */
   ConfigurationDraft sort() {
     teams = sorted(teams, Team::name);
     models = sorted(models, Model::name);
@@ -70,7 +70,7 @@
     return List.copyOf(copy);
   }
 
-  /** Returns the list with the item in its sorted place, in place of one with the same key. */
+  /** Returns the sorted list with the item added, or with the item of the same key replaced. */
   static <T, K extends Comparable<K>> List<T> with(List<T> list, T item, Function<T, K> key) {
     int index = find(list, key.apply(item), key);
     List<T> copy = new ArrayList<>(list);
@@ -82,7 +82,7 @@
     return List.copyOf(copy);
   }
 
-  /** Returns the list without the item of a key, or the same list if there is none. */
+  /** Returns the list without the item of the given key, or the same list if there is none. */
   static <T, K extends Comparable<K>> List<T> without(List<T> list, K wanted, Function<T, K> key) {
     int index = find(list, wanted, key);
     if (index < 0) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationHistory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationHistory.java
@@ -7,7 +7,9 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The newest accepted changes, bounded by their number and by the objects that they carry. */
+/**
+ * The most recent accepted changes, limited by their number and by the number of objects in them.
+ */
 final class ConfigurationHistory {
 
   static final int MAX_ENTRIES = 2000;
@@ -34,12 +36,15 @@
     return List.copyOf(entries);
   }
 
-  /** Returns the oldest revision that can be told from the present one. */
+  /** Returns the oldest revision that can be reconstructed from the current configuration. */
   long oldest(Configuration present) {
     return entries.isEmpty() ? present.revision() : entries.getFirst().step().from();
   }
 
-  /** Returns the configuration at a revision, worked out backwards from the present one. */
+  /**
+   * Returns the configuration at a revision, reconstructed backwards from the current one; empty if
+   * the history doesn't cover the revision.
+   */
   Optional<Configuration> at(Configuration present, long revision) {
     if (revision > present.revision() || revision < oldest(present)) {
       return Optional.empty();
@@ -52,7 +57,7 @@
     return Optional.of(found);
   }
 
-  /** Returns the entry that led to a revision. */
+  /** Returns the entry that created a revision. */
   Optional<RevisionEntry> entry(long revision) {
     return entries.stream().filter(entry -> entry.revision() == revision).findFirst();
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationMachine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationMachine.java
@@ -11,7 +11,9 @@
 import org.skylarkfork.core.command.GroupState;
 import org.skylarkfork.core.command.StateMachine;
 
-/** The replicated configuration with its change ids and its history. */
+/**
+ * The state machine of the replicated configuration, with the answered change ids and the history.
+ */
 public final class ConfigurationMachine implements StateMachine {
 
   private final ChangeTable changes = new ChangeTable();
@@ -22,7 +24,7 @@
   @Override
   public CommandResult apply(long index, Instant stampedAt, Command command) {
     if (!(command instanceof SubmitChange submitted)) {
-      return new CommandResult.Rejected("send this command to the group that it belongs to");
+      return new CommandResult.Rejected("submit this command to the group of its family");
     }
     RememberedChange remembered = changes.find(submitted.changeId());
     if (remembered != null) {
@@ -69,7 +71,7 @@
     }
   }
 
-  /** Checks the key here too: it may have been removed by a change just before in the log. */
+  /** Checks the operator's key again, since an earlier command in the log may have removed it. */
   private boolean isAuthorized(SubmitChange submitted) {
     String hash = submitted.operatorKeyHash();
     return hash == null
@@ -108,27 +110,29 @@
     }
   }
 
-  /** Returns the newest configuration that is committed and applied here. */
+  /** Returns the newest configuration that is committed and applied on this replica. */
   public Configuration configuration() {
     return configuration;
   }
 
-  /** Returns the configuration at a revision, if the history still reaches back to it. */
+  /**
+   * Returns the configuration at a revision, or empty if the history doesn't cover the revision.
+   */
   public Optional<Configuration> at(long revision) {
     return history.at(configuration, revision);
   }
 
-  /** Returns the oldest revision that {@link #at} still gives. */
+  /** Returns the oldest revision that {@link #at} returns. */
   public long oldestRevision() {
     return history.oldest(configuration);
   }
 
-  /** Returns the newest accepted changes, oldest first. */
+  /** Returns the most recent accepted changes, oldest first. */
   public List<RevisionEntry> history() {
     return history.entries();
   }
 
-  /** Returns the change that led to a revision, if the history still holds it. */
+  /** Returns the change that created a revision, or empty if the history no longer holds it. */
   public Optional<RevisionEntry> entry(long revision) {
     return history.entry(revision);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationPart.java
@@ -19,10 +19,10 @@
 import org.skylarkfork.core.message.ConfigurationMessage;
 
 /**
- * The configuration in force on a daemon: takes newer revisions and leases, passes them on to other
- * daemons, and answers operators.
+ * Maintains the configuration of a daemon: receives newer revisions and leases, forwards them to
+ * other daemons, and answers operators' calls.
  *
- * <p>The present time must come from a clock that doesn't jump. A step backwards ends the lease.
+ * <p>The current time must come from a clock without jumps. A step backwards ends the lease.
  */
 public final class ConfigurationPart implements Part, ConfigurationView {
 
@@ -43,13 +43,14 @@
   private boolean serving;
 
   /**
-   * Makes the part.
+   * Creates the part.
    *
    * @param node name of this daemon
-   * @param settings times and bounds
-   * @param sources where a daemon without a replica subscribes; a replica follows the leader
+   * @param settings durations and limits
+   * @param sources sources to which a daemon without a replica subscribes; a replica subscribes to
+   *     the leader
    * @param voters names of the daemons that host a replica of the configuration group
-   * @param submitter the way for changes to the configuration group
+   * @param submitter submits changes to the configuration group
    * @param replica the replica on this daemon, or null if it hosts none
    */
   public ConfigurationPart(
@@ -92,7 +93,7 @@
     return Optional.ofNullable(applied.teamByKeyHash(sha256));
   }
 
-  /** Returns when the configuration lease ends, or the epoch if there was none. */
+  /** Returns when the configuration lease ends, or the epoch if this daemon never held a lease. */
   public Instant leaseEnd() {
     return lease.end();
   }
@@ -118,8 +119,9 @@
   }
 
   /**
-   * Ends the lease when time goes backwards: it would last longer than the leader counts, and this
-   * daemon would still serve under an old revision when a newer one is called in force.
+   * Ends the lease when time goes backwards. The lease would otherwise last longer than the leader
+   * assumes, and this daemon would still serve under an old revision after a newer one is reported
+   * as in force.
    */
   private void checkClock(Instant now, Output output) {
     if (now.isBefore(latestTime)) {
@@ -163,7 +165,7 @@
             "configuration",
             serving
                 ? "holds a lease at revision " + applied.revision()
-                : "has no lease any more and refuses new work"));
+                : "lease expired; refusing new work"));
   }
 
   private Subscription subscription(Instant now) {
@@ -177,7 +179,10 @@
     return existing;
   }
 
-  /** A replica asks the leader, since only the leader's lease says that no newer leader exists. */
+  /**
+   * Returns the daemons to subscribe to, the preferred one first. A replica subscribes to the
+   * leader, since only the leader's lease guarantees that no newer leader exists.
+   */
   private List<String> candidates() {
     if (replica == null) {
       return sources.candidates();
@@ -186,9 +191,10 @@
     names.remove(node);
     String leaderName = leader;
     if (leaderName != null && !leaderName.equals(node)) {
-      // A control VM that was taken in later may lead though these settings don't name it yet. If
-      // nobody asked it, no lease would be given and every entry would refuse work until the next
-      // election. Entries still ask the replicas that they know, which pass its leases on.
+      // A control VM that was added later may lead although the settings of this daemon don't name
+      // it yet. Without a subscription to it, no lease would be granted and every entry would
+      // refuse work until the next election. Entries still subscribe to the replicas that they
+      // know, which forward the leases.
       names.remove(leaderName);
       names.add(0, leaderName);
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationProblem.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationProblem.java
@@ -1,33 +1,36 @@
 package org.skylarkfork.core.configuration;
 
 /**
- * Why a change can't be accepted.
+ * A reason why a change can't be accepted.
  *
- * @param kind what is wrong
- * @param subject the object concerned, such as {@code team elst}
- * @param message what is wrong and what to do about it
+ * @param kind category of the problem
+ * @param subject the affected object, such as {@code team elst}
+ * @param message description of the problem and its remedy
  */
 public record ConfigurationProblem(Kind kind, String subject, String message) {
 
-  /** What can be wrong with a configuration. */
+  /** Categories of configuration problems. */
   public enum Kind {
-    /** The change names something that isn't there. */
+    /** The change names an object that doesn't exist. */
     NOT_FOUND,
-    /** A part of the configuration refers to something that isn't there. */
+    /** The configuration refers to an object that doesn't exist. */
     UNKNOWN_REFERENCE,
-    /** Two things share what must be unique. */
+    /** Two objects share a value that must be unique. */
     DUPLICATE,
-    /** A value is outside its bounds. */
+    /** A value is outside its allowed range. */
     OUT_OF_RANGE,
-    /** There are too many of something, or a text is too long. */
+    /** A list has too many elements or a text is too long. */
     TOO_LARGE,
-    /** A text has characters that it may not have. */
+    /** A value is missing or a text contains characters that are not allowed. */
     MALFORMED,
-    /** A withdrawn version would get new work. */
+    /** A withdrawn version would receive new work. */
     WITHDRAWN,
-    /** The change doesn't fit the present state. */
+    /** The change is not possible in the current state. */
     WRONG_STATE,
-    /** No operator could make a change any more. */
+    /**
+     * The change would remove the last operator key, so that no operator could make further
+     * changes.
+     */
     LAST_OPERATOR_KEY
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationSettings.java
@@ -4,15 +4,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Times and bounds of the configuration, the same on each daemon.
+ * Durations and limits of the distribution of the configuration, the same on each daemon.
  *
- * @param lease how long a daemon may take new work without news of the control group's leader
- * @param renewalInterval time between two renewals
- * @param sourceTimeout time without an extension after which another source is tried
- * @param driftPerMille how much faster or slower one daemon's clock may run than another's, in
- *     thousandths
- * @param maxSubscribers most daemons that one daemon serves
- * @param callTimeout how long an operator's call may wait for the control group
+ * @param lease how long a daemon may accept new work after the last contact with the leader of the
+ *     control group
+ * @param renewalInterval time between two lease renewals
+ * @param sourceTimeout time without a lease extension after which the daemon switches to another
+ *     source
+ * @param driftPerMille maximum difference between the rates of two daemons' clocks, in thousandths
+ * @param maxSubscribers maximum number of daemons that subscribe to one daemon
+ * @param callTimeout how long an operator's call waits for the control group
  * @param bootstrapKeyHash SHA-256 in lower-case hex of the operator key that is valid while the
  *     configuration has no operator key, or null for none
  */
@@ -28,16 +29,18 @@
   private static final int THOUSAND = 1000;
 
   /**
-   * Checks the times against each other.
+   * Checks that the durations are consistent.
    *
-   * @throws IllegalArgumentException if a lease would run out between two renewals
+   * @throws IllegalArgumentException if a lease could expire between two renewals or the drift is
+   *     out of range
    */
   public ConfigurationSettings {
     if (sourceTimeout.compareTo(renewalInterval) <= 0) {
-      throw new IllegalArgumentException("configuration: set patience above renewal");
+      throw new IllegalArgumentException("configuration: set sourceTimeout above renewalInterval");
     }
     if (sourceTimeout.multipliedBy(2).compareTo(lease) > 0) {
-      throw new IllegalArgumentException("configuration: set patience to at most half of lease");
+      throw new IllegalArgumentException(
+          "configuration: set sourceTimeout to at most half of lease");
     }
     if (driftPerMille < 0 || driftPerMille >= THOUSAND / 2) {
       throw new IllegalArgumentException("configuration: set driftPerMille from 0 to 499");
@@ -45,7 +48,7 @@
   }
 
   /**
-   * Returns the usual settings.
+   * Returns the default settings.
    *
    * @param bootstrapKeyHash hash of the first operator key, or null for none
    */
@@ -60,12 +63,18 @@
         bootstrapKeyHash);
   }
 
-  /** Returns a time as a holder counts it, whose clock may be the slower one. */
+  /**
+   * Returns a duration shortened by the maximum clock drift, since the clock of the lease's holder
+   * may run slower than the granter's.
+   */
   Duration shortenedByDrift(Duration time) {
     return time.multipliedBy(THOUSAND - driftPerMille).dividedBy(THOUSAND);
   }
 
-  /** Returns the time after which each lease granted by others has run out on this clock. */
+  /**
+   * Returns the time on this daemon's clock after which every lease granted by another daemon has
+   * expired.
+   */
   Duration maxLeaseDuration() {
     return lease.multipliedBy(THOUSAND + driftPerMille).dividedBy(THOUSAND);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationSources.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationSources.java
@@ -2,9 +2,11 @@
 
 import java.util.List;
 
-/** Says from which daemons this daemon may take the configuration and its lease. */
+/** Selects the daemons from which this daemon may receive the configuration and its lease. */
 public interface ConfigurationSources {
 
-  /** Returns names of daemons, the preferred one first; never this daemon itself. */
+  /**
+   * Returns the names of the daemons, the preferred one first; never contains this daemon itself.
+   */
   List<String> candidates();
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationStep.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationStep.java
@@ -5,11 +5,11 @@
 import java.util.List;
 
 /**
- * The way from one revision to a later one.
+ * The differences that lead from one revision to a later one.
  *
  * @param from revision that it applies to
  * @param to revision that it leads to
- * @param differences what differs, applied in order
+ * @param differences the differences, applied in order
  */
 public record ConfigurationStep(long from, long to, List<ConfigurationDifference> differences) {
 
@@ -27,7 +27,7 @@
   /**
    * Applies the step.
    *
-   * @throws IllegalArgumentException if the configuration isn't the one that the step starts at
+   * @throws IllegalArgumentException if the configuration isn't the one at which the step starts
    */
   public Configuration applyTo(Configuration configuration) {
     if (configuration.revision() != from) {
@@ -37,7 +37,7 @@
     return Differences.apply(configuration, differences, to);
   }
 
-  /** Returns the way back. */
+  /** Returns the step that reverts this one. */
   ConfigurationStep inverse() {
     List<ConfigurationDifference> back = new ArrayList<>();
     for (ConfigurationDifference difference : differences) {
@@ -47,7 +47,7 @@
     return new ConfigurationStep(to, from, back);
   }
 
-  /** Returns how many objects the step carries, as a measure of its size. */
+  /** Returns the approximate number of objects in the step, a measure of its size. */
   int weight() {
     int weight = 0;
     for (ConfigurationDifference difference : differences) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationValidator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationValidator.java
@@ -9,7 +9,7 @@
 import org.skylarkfork.core.configuration.ConfigurationProblem.Kind;
 import org.skylarkfork.core.crash.RequestKey;
 
-/** Checks a configuration as a whole before it may replace another. */
+/** Validates a whole configuration before it replaces another one. */
 public final class ConfigurationValidator {
 
   static final int MAX_TEAMS = 10_000;
@@ -38,20 +38,20 @@
   }
 
   /**
-   * Returns what keeps a configuration from following another; at most 20 problems.
+   * Returns the problems that prevent a configuration from replacing another; at most 20.
    *
-   * @param before the configuration in force, which is right itself
-   * @param after the configuration that a change would make
+   * @param before the current configuration, which is valid
+   * @param after the configuration that a change would create
    */
   public static List<ConfigurationProblem> problems(Configuration before, Configuration after) {
     return problems(before, after, Differences.between(before, after));
   }
 
   /**
-   * Returns the problems, looking only at what the differences can have made wrong.
+   * Returns the problems; checks only what the differences may have made invalid.
    *
-   * <p>A rule or team that is unchanged can only become wrong when something that it refers to goes
-   * away; then everything is checked.
+   * <p>An unchanged rule or team can only become invalid when an object to which it refers is
+   * removed; then everything is checked.
    */
   static List<ConfigurationProblem> problems(
       Configuration before, Configuration after, List<ConfigurationDifference> differences) {
@@ -60,7 +60,7 @@
       validator.problems.add(
           Kind.LAST_OPERATOR_KEY,
           "operator keys",
-          "nobody could make a change any more; add another operator key first");
+          "no operator could make further changes; add another operator key first");
     }
     if (validator.checkSizes()) {
       boolean all =
@@ -184,7 +184,7 @@
             method.matches("[A-Z]{1,20}"),
             Kind.MALFORMED,
             subject,
-            Problems.quote(method) + " is no HTTP method; write it like POST");
+            Problems.quote(method) + " is not an HTTP method; write it like POST");
       }
     }
   }
@@ -276,7 +276,8 @@
     Set<ModelVersion> seen = new HashSet<>();
     for (ModelVersion version : configuration.withdrawn()) {
       String subject = "withdrawn version " + version;
-      problems.require(seen.add(version), Kind.DUPLICATE, subject, "it comes twice; remove one");
+      problems.require(
+          seen.add(version), Kind.DUPLICATE, subject, "it is listed twice; remove one");
       problems.reference(versions.keySet(), version.model(), "model", subject);
       problems.reference(
           versions.getOrDefault(version.model(), Set.of()), version.version(), "version", subject);
@@ -300,7 +301,7 @@
         subject,
         "it has no step; give it at least one");
     problems.range(rollOut.step(), 0, rollOut.steps().size(), subject + " step");
-    // A closed roll-out is only a record, which must not keep a team from being removed.
+    // A closed roll-out is only a record and must not prevent the removal of a team.
     boolean open = RollOutChanges.isOpen(rollOut);
     if (problems.size(rollOut.steps(), MAX_STEPS, subject + " steps")) {
       rollOut.steps().forEach(step -> checkStep(step, open, subject));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Differences.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Differences.java
@@ -17,7 +17,10 @@
 import org.skylarkfork.core.configuration.ConfigurationDifference.VmDrainDiffers;
 import org.skylarkfork.core.configuration.ConfigurationDifference.WithdrawalDiffers;
 
-/** Finds, applies and inverts differences. Unchanged objects are told apart by identity first. */
+/**
+ * Finds, applies and inverts differences. Objects are compared by identity before equality, since
+ * unchanged objects are shared.
+ */
 final class Differences {
 
   private Differences() {}
@@ -61,7 +64,7 @@
     return found;
   }
 
-  /** Makes a difference out of an item's key and its two forms. */
+  /** Creates a difference from an item's key and its old and new value. */
   private interface DifferenceFactory<T, K> {
     ConfigurationDifference create(K key, @Nullable T before, @Nullable T after);
   }
@@ -133,7 +136,10 @@
     return first == second || first.equals(second);
   }
 
-  /** Adds one replacement, or a removal and an insertion if one rule moved past the others. */
+  /**
+   * Adds one replacement, or a removal and an insertion if one rule moved from one end of the range
+   * to the other.
+   */
   private static void addReplacement(
       int start, List<Rule> old, List<Rule> next, List<ConfigurationDifference> found) {
     int size = old.size();
@@ -196,7 +202,7 @@
     } else if (difference instanceof QuarantineDiffers quarantine) {
       draft.quarantined = toggle(draft.quarantined, quarantine.request(), quarantine.quarantined());
     } else if (difference instanceof VersionPolicyDiffers policy) {
-      check(draft.versionPolicy.equals(policy.before()), "the policy for bad versions");
+      check(draft.versionPolicy.equals(policy.before()), "the version policy");
       draft.versionPolicy = policy.after();
     }
   }
@@ -230,11 +236,16 @@
     return List.copyOf(copy);
   }
 
-  /** Notices a base that is not the one the difference was made for, rather than diverge. */
+  /**
+   * Rejects a base configuration to which the difference doesn't apply; applying it would make
+   * replicas diverge.
+   */
   private static void check(boolean fits, String subject) {
     if (!fits) {
       throw new IllegalArgumentException(
-          "the difference doesn't fit this configuration at " + subject + "; ask for a full copy");
+          "the difference doesn't apply to this configuration at "
+              + subject
+              + "; request a full copy");
     }
   }
 
@@ -273,7 +284,7 @@
     return new VersionPolicyDiffers(policy.after(), policy.before());
   }
 
-  /** Returns about how many names and values a difference carries. */
+  /** Returns the approximate number of names and values in a difference. */
   static int weight(ConfigurationDifference difference) {
     if (difference instanceof RulesDiffer rules) {
       return 1 + weight(rules.before()) + weight(rules.after());
@@ -295,7 +306,7 @@
     return weight;
   }
 
-  /** Returns about how many names and values a rule carries. */
+  /** Returns the approximate number of names and values in a rule. */
   static int weight(Rule rule) {
     Rule.Condition when = rule.when();
     return 1
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/EntryLease.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/EntryLease.java
@@ -7,13 +7,14 @@
 import org.skylarkfork.core.message.ConfigurationMessage.LeaseGrant;
 
 /**
- * The right of this daemon to take new work, for a while.
+ * The lease that allows this daemon to accept new work until it expires.
  *
- * <p>A grant counts from the time at which this daemon sent its request, on its own clock, since
- * the granter can only have measured from a later moment; and it is cut by the drift that clocks
- * may have. So the lease ends here before the granter takes it for ended, however long the grant
- * was on its way. It names the granter's revision and holds only once that is applied here: a
- * daemon that is cut off from newer revisions can't go on by grants alone.
+ * <p>The duration of a grant counts from the time at which this daemon sent its request, on its own
+ * clock, since the granter can only have measured from a later moment. The duration is also
+ * shortened by the maximum clock drift. The lease therefore ends on this daemon before the granter
+ * considers it expired, however long the grant was in transit. A grant names the granter's revision
+ * and takes effect only once that revision is applied on this daemon, so that a daemon that
+ * receives no newer revisions can't keep serving on grants alone.
  */
 final class EntryLease {
 
@@ -35,14 +36,17 @@
     return end;
   }
 
-  /** Extends the lease of the leader itself. */
+  /** Extends the lease to a later end; the leader extends its own lease this way. */
   void extendTo(Instant newEnd) {
     if (newEnd.isAfter(end)) {
       end = newEnd;
     }
   }
 
-  /** Takes a grant, now or once its revision is applied; returns whether the lease got longer. */
+  /**
+   * Applies a grant, at once or when its revision is applied; returns whether the lease was
+   * extended.
+   */
   boolean grant(LeaseGrant grant, long revision) {
     if (grant.revision() > revision) {
       if (pending.size() >= MAX_PENDING) {
@@ -56,7 +60,7 @@
     return end.isAfter(before);
   }
 
-  /** Takes the grants that waited for a revision; returns whether the lease got longer. */
+  /** Applies the grants that waited for a revision; returns whether the lease was extended. */
   boolean revisionApplied(long revision) {
     boolean extended = false;
     Iterator<LeaseGrant> waiting = pending.iterator();
@@ -70,7 +74,7 @@
     return extended;
   }
 
-  /** Ends the lease, since the clock can't be trusted to have measured it. */
+  /** Ends the lease, since the clock can't be trusted to have measured its duration. */
   void invalidate() {
     end = Instant.EPOCH;
     pending.clear();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/FullCopy.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/FullCopy.java
@@ -5,7 +5,7 @@
 import org.skylarkfork.core.configuration.ConfigurationDifference.RulesDiffer;
 import org.skylarkfork.core.message.ConfigurationMessage.CopyChunk;
 
-/** A configuration cut into parts that fit into a frame each. */
+/** A configuration split into chunks that each fit into one frame. */
 final class FullCopy {
 
   static final int MAX_CHUNK_WEIGHT = 500;
@@ -58,7 +58,7 @@
     return revision;
   }
 
-  /** Returns a part; an index outside the copy gives the first part again. */
+  /** Returns a chunk; an index out of range returns the first chunk. */
   CopyChunk chunk(int index) {
     int bounded = index < 0 || index >= chunks.size() ? 0 : index;
     return new CopyChunk(revision, bounded, chunks.size(), chunks.get(bounded));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/InForceTracker.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/InForceTracker.java
@@ -12,11 +12,11 @@
 import org.skylarkfork.core.message.ConfigurationMessage.LaggingEntry;
 
 /**
- * Tells on the leader which revisions are in force everywhere.
+ * Tracks on the leader which revisions are in force on all daemons.
  *
- * <p>A revision is in force once no daemon can take new work under an older one. Leases that an
- * earlier leader granted aren't known here; all of them were granted before this leader took
- * office, so they have ended one longest lease after it.
+ * <p>A revision is in force once no daemon can accept new work under an older one. Leases granted
+ * by an earlier leader are unknown to this leader; all of them were granted before this leader was
+ * elected, so they have expired one maximum lease duration after the election.
  */
 final class InForceTracker {
 
@@ -36,7 +36,7 @@
     this.subscribers = subscribers;
   }
 
-  /** Takes note that this daemon leads from now on; older revisions aren't told of again. */
+  /** Records that this daemon has become the leader; older revisions aren't reported again. */
   void leadershipGained(Instant now) {
     reportedRevision = machine.configuration().revision();
     earlierLeasesEndAt = now.plus(settings.maxLeaseDuration());
@@ -58,7 +58,7 @@
         unknownUntil);
   }
 
-  /** Puts revisions that came into force since the last time on the time line. */
+  /** Reports the newest revision that came into force since the last call on the timeline. */
   void tick(Instant now, Output output) {
     if (now.isBefore(earlierLeasesEndAt)) {
       return;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/InapplicableChangeException.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/InapplicableChangeException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Says why a change can't be applied to a configuration. */
+/** Thrown when a change can't be applied to a configuration; holds the reason. */
 final class InapplicableChangeException extends Exception {
 
   private static final long serialVersionUID = 1L;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Limits.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Limits.java
@@ -1,11 +1,11 @@
 package org.skylarkfork.core.configuration;
 
 /**
- * What a team may use over all entries; 0 means no limit.
+ * A team's limits over all entries together; 0 means no limit.
  *
- * @param requestsPerSecond requests a second
- * @param concurrentRequests requests at the same time
- * @param tokensPerMinute tokens, prompt and generated, a minute
+ * @param requestsPerSecond maximum number of requests per second
+ * @param concurrentRequests maximum number of concurrent requests
+ * @param tokensPerMinute maximum number of prompt and generated tokens per minute
  */
 public record Limits(double requestsPerSecond, int concurrentRequests, long tokensPerMinute) {
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/MissingValues.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/MissingValues.java
@@ -6,11 +6,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Finds record components that are null though they may not be.
+ * Finds record components that are null but not annotated as nullable.
  *
- * <p>A change is read from an operator's JSON, where any field may be left out. A null that got
- * into the log would fail each replica at the same index, again after every restart; so it is found
- * before anything looks into the change.
+ * <p>A change is read from an operator's JSON, in which any field may be missing. A null in the log
+ * would make each replica fail at the same index, again after every restart; therefore the change
+ * is checked before anything else reads it.
  */
 final class MissingValues {
 
@@ -28,7 +28,7 @@
 
   private MissingValues() {}
 
-  /** Returns what is missing in a change, as problems. */
+  /** Returns a problem for each missing value of a change. */
   static List<ConfigurationProblem> problems(ConfigurationChange change) {
     List<ConfigurationProblem> problems = new ArrayList<>();
     for (String path : find((Record) change, "change")) {
@@ -39,7 +39,7 @@
     return problems;
   }
 
-  /** Returns paths such as {@code change.team.limits}, at most 20. */
+  /** Returns the paths of missing values, such as {@code change.team.limits}, at most 20. */
   private static List<String> find(Record value, String name) {
     MissingValues search = new MissingValues();
     search.collect(value, name);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Model.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Model.java
@@ -8,7 +8,7 @@
  *
  * @param name name of the model
  * @param versions its versions
- * @param current version that new work gets where no roll-out says otherwise
+ * @param current version that receives new work unless a roll-out selects another
  */
 public record Model(String name, List<Version> versions, String current) {
 
@@ -21,12 +21,12 @@
    * A version of a model.
    *
    * @param name name of the version
-   * @param price what its tokens cost
-   * @param priorQuality chance of a good answer that operators expect before any rating, 0 to 1
+   * @param price price of its tokens
+   * @param priorQuality probability of a good answer assumed before any rating exists, 0 to 1
    */
   public record Version(String name, Price price, double priorQuality) {}
 
-  /** Returns a version by name. */
+  /** Returns a version by name; empty if the model has no such version. */
   public Optional<Version> version(String versionName) {
     return versions.stream().filter(version -> version.name().equals(versionName)).findFirst();
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ModelVersion.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ModelVersion.java
@@ -1,7 +1,7 @@
 package org.skylarkfork.core.configuration;
 
 /**
- * Names one version of one model.
+ * Identifies one version of a model.
  *
  * @param model name of the model
  * @param version name of the version
@@ -14,7 +14,7 @@
     return byModel != 0 ? byModel : version.compareTo(other.version);
   }
 
-  /** Returns the form that engines take as model name, such as {@code ruling-small:2}. */
+  /** Returns the model name used in requests to engines, such as {@code ruling-small:2}. */
   @Override
   public String toString() {
     return model + ":" + version;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/OperatorAnswers.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/OperatorAnswers.java
@@ -9,7 +9,7 @@
 import org.skylarkfork.core.error.RoutingError;
 import org.skylarkfork.core.request.RunState;
 
-/** Puts results of the configuration group into words for operators. */
+/** Converts results of the configuration group to answers for operators. */
 final class OperatorAnswers {
 
   private static final long RETRY_AFTER_MILLIS = 1000;
@@ -72,7 +72,7 @@
         callId, RoutingError.notRunRetry(ErrorKind.NOT_SERVING, message, RETRY_AFTER_MILLIS));
   }
 
-  /** Tells that a change got no result in time. */
+  /** Returns the answer to a change that received no result in time. */
   static OperatorEffect changeUnanswered(String callId, boolean mayHaveApplied, String remedy) {
     if (!mayHaveApplied) {
       return retryLater(callId, "the change was not accepted: " + remedy);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/OperatorCalls.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/OperatorCalls.java
@@ -22,7 +22,7 @@
 import org.skylarkfork.core.message.ConfigurationMessage.OperatorAnswer;
 import org.skylarkfork.core.message.ConfigurationMessage.OperatorCall;
 
-/** Takes operators' calls, submits changes and passes questions on to control voters. */
+/** Handles operators' calls: submits changes and forwards queries to control voters. */
 final class OperatorCalls {
 
   private static final Pattern CHANGE_ID = Pattern.compile("[\\x21-\\x7e]{1,128}");
@@ -55,13 +55,14 @@
     this.reader = reader;
   }
 
-  /** A submitted change; its call id is null if a part of this daemon asked for it. */
+  /** A submitted change; the call id is null if a part of this daemon proposed the change. */
   private record PendingChange(@Nullable String callId, String changeId) {}
 
   void callReceived(OperatorEvent call, @Nullable String leader, Instant now, Output output) {
     if (call instanceof OperatorEvent.DryRun || call instanceof OperatorEvent.ControlVmRequested) {
-      // Other parts answer these, and the listener has checked the key. Answered here as well, the
-      // operator would read that the key is unknown while the other part carries the call out.
+      // Other parts answer these calls, and the listener has checked the key. An answer from this
+      // part
+      // as well would report an unknown key to the operator while the other part executes the call.
       return;
     }
     String operator = operator(keyHash(call));
@@ -185,7 +186,9 @@
       output.effect(
           OperatorAnswers.changeUnanswered(callId, event.mayHaveApplied(), event.remedy()));
     } else {
-      log("proposed change " + pending.changeId() + " got no answer: " + event.remedy(), output);
+      log(
+          "proposed change " + pending.changeId() + " received no answer: " + event.remedy(),
+          output);
     }
   }
 
@@ -217,7 +220,7 @@
     return voters.get(nextVoter);
   }
 
-  /** Answers a question that another daemon passed on, or passes it on to the leader. */
+  /** Answers a query forwarded by another daemon, or forwards it to the leader. */
   void callForwarded(OperatorCall query, @Nullable String leader, Instant now, Output output) {
     OperatorEvent call = query.call();
     OperatorEffect answer = null;
@@ -244,7 +247,7 @@
     }
   }
 
-  /** Gives up questions that nobody answered. */
+  /** Answers queries that timed out with a refusal. */
   void tick(Instant now, Output output) {
     if (pendingQueries.isEmpty()) {
       return;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Price.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Price.java
@@ -3,7 +3,7 @@
 import org.skylarkfork.core.request.Usage;
 
 /**
- * What tokens cost, in millionths of the currency unit.
+ * The price of tokens, in millionths of the currency unit.
  *
  * @param promptMicrosPerThousand price of 1000 prompt tokens
  * @param completionMicrosPerThousand price of 1000 generated tokens
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Problems.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Problems.java
@@ -8,10 +8,12 @@
 import java.util.regex.Pattern;
 import org.skylarkfork.core.configuration.ConfigurationProblem.Kind;
 
-/** Collects problems and holds the checks that every kind of object needs. */
+/** Collects configuration problems and provides the checks shared by all kinds of objects. */
 final class Problems {
 
-  /** Most problems told at once; the rest come to light after these are mended. */
+  /**
+   * Maximum number of problems reported at once; further ones are reported after these are fixed.
+   */
   static final int MAX_PROBLEMS = 20;
 
   private static final int MAX_QUOTED_CHARACTERS = 80;
@@ -46,16 +48,18 @@
         NAME.matcher(name).matches(),
         Kind.MALFORMED,
         subject,
-        quote(name) + " is no name; use 1 to 128 letters, digits and . _ / @ + -");
+        quote(name) + " is not a valid name; use 1 to 128 letters, digits and . _ / @ + -");
   }
 
-  /** Checks the name of a rule, which may have spaces and letters of any language. */
+  /** Checks the name of a rule, which may contain spaces and letters of any language. */
   void ruleName(String name, String subject) {
     require(
         RULE_NAME.matcher(name).matches(),
         Kind.MALFORMED,
         subject,
-        quote(name) + " is no rule name; use 1 to 128 letters, digits, spaces and . _ / @ + : , -");
+        quote(name)
+            + " is not a valid rule name; use 1 to 128 letters, digits, spaces and . _ / @ + : ,"
+            + " -");
   }
 
   /** Checks the id of an upstream or VM. */
@@ -64,7 +68,7 @@
         NODE_ID.matcher(id).matches(),
         Kind.MALFORMED,
         subject,
-        quote(id) + " is no id; use up to 256 letters, digits and . _ / @ + : [ ] -");
+        quote(id) + " is not a valid id; use up to 256 letters, digits and . _ / @ + : [ ] -");
   }
 
   void hash(String sha256, String subject) {
@@ -83,7 +87,7 @@
         "the text has " + text.length() + " characters; shorten it to " + max);
   }
 
-  /** Checks the number of something; returns whether it is within the bound. */
+  /** Checks the size of a list; returns whether it is within the limit. */
   boolean size(List<?> list, int max, String subject) {
     boolean fits = list.size() <= max;
     require(fits, Kind.TOO_LARGE, subject, "there are " + list.size() + "; keep at most " + max);
@@ -106,7 +110,7 @@
         value + " is out of range; use a value from " + min + " to " + max);
   }
 
-  /** Collects the keys of a list and tells of those that come twice. */
+  /** Returns the keys of a list and reports duplicates. */
   <T> Set<String> unique(List<T> list, Function<T, String> key, String what) {
     Set<String> seen = new HashSet<>(list.size() * 2);
     for (T item : list) {
@@ -115,7 +119,7 @@
         add(
             Kind.DUPLICATE,
             what + " " + name,
-            "the " + what + " comes twice; rename or remove one");
+            "the " + what + " is defined twice; rename or remove one");
       }
     }
     return seen;
@@ -130,7 +134,7 @@
               + what
               + " "
               + quote(name)
-              + "; add it first, or take it out of "
+              + "; add it first, or remove it from "
               + subject);
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RememberedChange.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RememberedChange.java
@@ -4,12 +4,12 @@
 import org.skylarkfork.core.command.ConfigurationResult;
 
 /**
- * The first answer to a change id.
+ * The stored first answer to a change id.
  *
  * @param changeId the operator's id for the change
- * @param operator who sent it
- * @param bodyHash hash of what was sent
- * @param at when it was answered, by the leader's time
+ * @param operator id of the operator's key, or the name of the part that proposed the change
+ * @param bodyHash hash of the change and the expected revision
+ * @param at when the change was answered, by the leader's clock
  * @param answer the answer
  */
 public record RememberedChange(
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ReplicaReader.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ReplicaReader.java
@@ -10,7 +10,7 @@
 import org.skylarkfork.core.error.ErrorKind;
 import org.skylarkfork.core.event.OperatorEvent;
 
-/** Answers operators' questions from the replica on this daemon. */
+/** Answers operators' queries from the replica on this daemon. */
 final class ReplicaReader {
 
   private static final int MAX_SUMMARIES = 200;
@@ -24,9 +24,9 @@
   }
 
   /**
-   * Returns the answer, or null if the leader must give it.
+   * Returns the answer, or null if only the leader can answer.
    *
-   * @param allowStale whether an answer without the newest changes will do, as when nobody leads
+   * @param allowStale whether an answer may lack the newest changes, as when there is no leader
    */
   @Nullable OperatorEffect answer(OperatorEvent call, boolean allowStale, Instant now) {
     if (call instanceof OperatorEvent.InForceRequested requested) {
@@ -45,7 +45,8 @@
     if (call instanceof OperatorEvent.DifferenceRequested requested) {
       return difference(requested);
     }
-    return OperatorAnswers.refuse(call.callId(), ErrorKind.BAD_REQUEST, "send this to any entry");
+    return OperatorAnswers.refuse(
+        call.callId(), ErrorKind.BAD_REQUEST, "send this call to any entry");
   }
 
   private OperatorEffect revision(OperatorEvent.RevisionRequested requested) {
@@ -62,7 +63,7 @@
         ErrorKind.NOT_FOUND,
         "revision "
             + revision
-            + " is not there; the history holds "
+            + " does not exist; the history holds "
             + machine.oldestRevision()
             + " to "
             + machine.configuration().revision());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RevisionApplier.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RevisionApplier.java
@@ -5,7 +5,7 @@
 import org.skylarkfork.core.effect.TraceEffect;
 import org.skylarkfork.core.event.ConfigurationEvent;
 
-/** Applies newer revisions and tells everybody whom it concerns. */
+/** Applies newer revisions, records them and pushes them to subscribers. */
 final class RevisionApplier {
 
   private final AppliedConfiguration applied;
@@ -18,7 +18,7 @@
     this.subscribers = subscribers;
   }
 
-  /** Applies a whole configuration if it is newer; returns whether it was. */
+  /** Applies a whole configuration if it is newer; returns whether it was newer. */
   boolean apply(Configuration next, Instant now, Output output) {
     long before = applied.revision();
     if (next.revision() <= before) {
@@ -30,9 +30,9 @@
   }
 
   /**
-   * Applies a step that starts at the present revision.
+   * Applies a step that starts at the current revision.
    *
-   * @throws IllegalArgumentException if it doesn't fit
+   * @throws IllegalArgumentException if the step doesn't apply to the current configuration
    */
   void apply(ConfigurationStep step, Instant now, Output output) {
     long before = applied.revision();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RevisionRestorer.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RevisionRestorer.java
@@ -7,12 +7,12 @@
 import org.skylarkfork.core.configuration.ConfigurationProblem.Kind;
 
 /**
- * Makes a draft with the content of an old revision.
+ * Creates a draft with the content of an old revision.
  *
- * <p>What protects against harm stays as it is now: withdrawals, drained upstreams and VMs,
- * operator keys, quarantined requests and the keys of teams that still exist. Otherwise a return to
- * older rules would give a bad version new work and a revoked key its rights back. Roll-outs that
- * were running come back paused.
+ * <p>Safeguards keep their current state: withdrawals, drained upstreams and VMs, operator keys,
+ * quarantined requests and the keys of teams that still exist. Otherwise restoring older rules
+ * would also send new work to a withdrawn version and make a revoked key valid again. Open
+ * roll-outs of the old revision are restored as paused.
  */
 final class RevisionRestorer {
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RollOut.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RollOut.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * A staged move of new work from one version of a model to another.
+ * A staged migration of new work from one version of a model to another.
  *
  * @param model name of the model
  * @param from version that is replaced
  * @param to version that is rolled out
  * @param steps the stages in order
- * @param step index of the present stage, or the number of steps once finished
- * @param state whether it goes on
+ * @param step index of the current stage, or the number of steps once finished
+ * @param state state of the roll-out
  */
 public record RollOut(
     String model, String from, String to, List<Step> steps, int step, State state) {
@@ -20,24 +20,25 @@
     steps = List.copyOf(steps);
   }
 
-  /** Whether a roll-out goes on. */
+  /** State of a roll-out. */
   public enum State {
-    /** New work is shared as the present step says. */
+    /** New work is split between the versions as the current step defines. */
     RUNNING,
-    /** The shares stay, and no step follows until it is resumed. */
+    /** The split stays as it is, and no further step begins until the roll-out is resumed. */
     PAUSED,
-    /** All new work gets the new version. */
+    /** All new work goes to the new version. */
     FINISHED,
-    /** All new work gets the old version again. */
+    /** All new work goes to the old version again. */
     ABORTED
   }
 
   /**
-   * One stage.
+   * A stage of a roll-out.
    *
-   * @param percent share of new sessions and session-less requests that get the new version
-   * @param teams teams that it applies to; empty for all
-   * @param zones availability zones of entries that it applies to; empty for all
+   * @param percent share of new sessions and of requests without a session that go to the new
+   *     version, 0 to 100
+   * @param teams teams to which the stage applies; empty for all
+   * @param zones availability zones of entries to which the stage applies; empty for all
    */
   public record Step(int percent, List<String> teams, List<String> zones) {
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RollOutChanges.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RollOutChanges.java
@@ -7,12 +7,12 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.configuration.ConfigurationProblem.Kind;
 
-/** Applies changes of roll-outs and withdrawals. */
+/** Applies changes to roll-outs and withdrawals. */
 final class RollOutChanges {
 
   private RollOutChanges() {}
 
-  /** Returns whether the change was one of these, and then has applied it. */
+  /** Applies the change if it concerns roll-outs or withdrawals; returns whether it does. */
   static boolean apply(ConfigurationDraft draft, ConfigurationChange change)
       throws InapplicableChangeException {
     if (change instanceof ConfigurationChange.StartRollOut start) {
@@ -103,10 +103,10 @@
   }
 
   /**
-   * Closes a roll-out that the withdrawal crosses.
+   * Finishes or aborts an open roll-out that conflicts with a withdrawal.
    *
-   * <p>A refusal because a roll-out is running would keep a bad version in use until the operator
-   * has found the roll-out, so the roll-out gives way.
+   * <p>The withdrawal takes precedence: refusing it because of the roll-out would keep a bad
+   * version in use until the operator has found the roll-out.
    */
   private static void close(
       ConfigurationDraft draft,
@@ -142,7 +142,7 @@
     draft.withdrawn = ConfigurationDraft.without(draft.withdrawn, version, Function.identity());
   }
 
-  /** Drops withdrawals and closed roll-outs whose versions no model has any more. */
+  /** Removes withdrawals and closed roll-outs whose versions no longer exist. */
   static void removeMissingVersions(ConfigurationDraft draft) {
     List<ModelVersion> withdrawn = new ArrayList<>(draft.withdrawn);
     if (withdrawn.removeIf(version -> !exists(draft, version.model(), version.version()))) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Rule.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Rule.java
@@ -5,28 +5,28 @@
 import org.skylarkfork.core.request.Header;
 
 /**
- * One when-then rule; the first whose condition holds decides.
+ * A routing rule; the first rule whose condition holds decides.
  *
  * @param name name, unique among the rules
  * @param when the condition
- * @param then what is decided
+ * @param then the decision
  */
 public record Rule(String name, Condition when, Decision then) {
 
   /**
-   * A condition; each list that is empty and each bound that is null holds for every request.
+   * The condition of a rule; an empty list or a null limit matches every request.
    *
    * @param teams names of teams
-   * @param models model names as the caller asked for them
+   * @param models model names as given in the caller's request
    * @param services names of plain services
-   * @param headers headers that must all be there with these values
-   * @param minPromptTokens least length of the prompt
-   * @param maxPromptTokens greatest length of the prompt
-   * @param maxPriority least urgent priority that it holds for
+   * @param headers headers that must all be present with these values
+   * @param minPromptTokens minimum length of the prompt in tokens
+   * @param maxPromptTokens maximum length of the prompt in tokens
+   * @param maxPriority highest priority value that matches; 0 is the most urgent
    * @param inSession whether the request must or must not belong to a session
    * @param fromMinute first minute of the day in UTC, from 0
-   * @param toMinute minute of the day in UTC at which it no longer holds; may be below {@code
-   *     fromMinute} to span midnight
+   * @param toMinute minute of the day in UTC from which the condition no longer holds; may be below
+   *     {@code fromMinute} to span midnight
    */
   public record Condition(
       List<String> teams,
@@ -40,7 +40,7 @@
       @Nullable Integer fromMinute,
       @Nullable Integer toMinute) {
 
-    /** Holds for every request. */
+    /** A condition that matches every request. */
     public static final Condition ALWAYS =
         new Condition(
             List.of(), List.of(), List.of(), List.of(), null, null, null, null, null, null);
@@ -54,15 +54,16 @@
     }
   }
 
-  /** What a rule decides. */
+  /** The decision of a rule. */
   public sealed interface Decision {
 
     /**
      * The request may run on these models.
      *
-     * @param models names of models from which the plan is made; the team's allowed list narrows it
-     * @param plan how the model is chosen
-     * @param qualityTarget least wanted chance of a good answer, 0 to 1; a caller may ask for more
+     * @param models names of the candidate models, limited to those that the team may use
+     * @param plan how a model is chosen among the candidates
+     * @param qualityTarget minimum probability of a good answer, 0 to 1; a caller may request a
+     *     higher one
      * @param priority priority to use in place of the caller's, or null to keep it
      */
     record Route(
@@ -81,18 +82,21 @@
     /**
      * The request is refused.
      *
-     * @param reason what the caller is told
+     * @param reason explanation sent to the caller
      */
     record Refuse(String reason) implements Decision {}
   }
 
   /** How a route's model is chosen. */
   public enum PlanKind {
-    /** The least expected cost that meets the target, cascades included. */
+    /** The plan with the least expected cost that meets the quality target, cascades included. */
     CHEAPEST,
-    /** The first model of the list that can take the request. */
+    /** The first model of the list that can serve the request. */
     DIRECT,
-    /** The models in the order of the list, each tried if the rating of the one before is short. */
+    /**
+     * The models in the order of the list, each used if the rating of the previous model's answer
+     * is too low.
+     */
     CASCADE
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RuleValidator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RuleValidator.java
@@ -53,7 +53,7 @@
     if (problems.size(when.services(), MAX_VALUES, subject + " services")) {
       when.services().forEach(service -> problems.reference(services, service, "service", subject));
     }
-    // A caller may ask for a name that is no model, so any text may be matched here.
+    // A caller may request a name that isn't a model, so any text is allowed here.
     if (problems.size(when.models(), MAX_VALUES, subject + " models")) {
       when.models().forEach(model -> problems.text(model, MAX_TEXT_LENGTH, subject + " models"));
     }
@@ -76,7 +76,7 @@
         min == null || max == null || min <= max,
         Kind.OUT_OF_RANGE,
         subject,
-        "minPromptTokens is above maxPromptTokens, so it never holds; swap them");
+        "minPromptTokens is above maxPromptTokens, so the condition never holds; swap them");
   }
 
   private void checkBound(@Nullable Integer value, int max, String subject) {
@@ -99,7 +99,7 @@
             seen.add(model),
             Kind.DUPLICATE,
             subject,
-            "model " + model + " comes twice; remove one");
+            "model " + model + " is listed twice; remove one");
       }
     }
     problems.fraction(route.qualityTarget(), subject + " qualityTarget");
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ServiceDefinition.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ServiceDefinition.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * A plain service that the system routes to.
+ * A plain service to which calls are routed by path.
  *
- * @param name name in the path
+ * @param name name of the service in the path
  * @param nonIdempotentMethods HTTP methods whose calls run at most once
- * @param timeoutMillis how long an attempt may take, in milliseconds
+ * @param timeoutMillis timeout of an attempt, in milliseconds
  * @param callMicros price of a call in millionths of the currency unit
  */
 public record ServiceDefinition(
@@ -18,7 +18,7 @@
     nonIdempotentMethods = List.copyOf(nonIdempotentMethods);
   }
 
-  /** Returns whether a call with this method may be sent again. */
+  /** Returns whether a call with this method may be retried. */
   public boolean isIdempotent(String method) {
     return !nonIdempotentMethods.contains(method);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Sha256.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Sha256.java
@@ -5,7 +5,7 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** Hashes of keys and changes. */
+/** Computes the hashes of keys and changes. */
 public final class Sha256 {
 
   private Sha256() {}
@@ -16,7 +16,7 @@
       byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
       return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("each Java platform has SHA-256", e);
+      throw new IllegalStateException("every Java platform provides SHA-256", e);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscriber.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscriber.java
@@ -8,7 +8,7 @@
 import org.skylarkfork.core.message.ConfigurationMessage.LaggingEntry;
 import org.skylarkfork.core.message.ConfigurationMessage.Renew;
 
-/** What a daemon knows of one that takes configuration and leases from it. */
+/** The state that a daemon keeps about a daemon that receives configuration and leases from it. */
 final class Subscriber {
 
   final String node;
@@ -26,7 +26,7 @@
     this.node = node;
   }
 
-  /** Leases granted until an end while the granter was at a revision. */
+  /** Leases granted while the granter was at a revision, with the end of the last of them. */
   private record Grant(long revision, Instant end) {}
 
   void updateFrom(Renew renew, Instant now) {
@@ -38,7 +38,7 @@
     laggingCount = renew.laggingCount();
   }
 
-  /** Notes a grant; ends never decrease, so one entry a revision is enough. */
+  /** Records a grant. The ends never decrease, so one entry per revision is enough. */
   void recordGrant(long revision, Instant end) {
     Grant last = grants.peekLast();
     if (last != null && last.revision() == revision) {
@@ -60,15 +60,18 @@
   }
 
   /**
-   * Returns the oldest revision under which this daemon, or one with a lease from it, may serve by
-   * grants given here; the greatest number if none may.
+   * Returns the oldest revision under which the subscriber, or a daemon with a lease from it, may
+   * serve under the recorded grants; {@link Long#MAX_VALUE} if no grant is valid.
    */
   long oldestServedRevision(Instant now) {
     removeEndedGrants(now);
     return grants.isEmpty() ? Long.MAX_VALUE : Math.max(floor, grants.getFirst().revision());
   }
 
-  /** Returns until when it may serve below a revision by grants given here, or null if it can't. */
+  /**
+   * Returns until when the subscriber may serve below a revision under the recorded grants, or null
+   * if it may not.
+   */
   @Nullable Instant leaseEndBelow(long revision, Instant now) {
     if (oldestServedRevision(now) >= revision) {
       return null;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscribers.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscribers.java
@@ -15,7 +15,7 @@
 import org.skylarkfork.core.message.ConfigurationMessage.LeaseGrant;
 import org.skylarkfork.core.message.ConfigurationMessage.Renew;
 
-/** The daemons that take configuration and leases from this one. */
+/** The daemons that receive configuration and leases from this daemon. */
 final class Subscribers {
 
   static final int MAX_PUSH_WEIGHT = 2000;
@@ -114,7 +114,7 @@
     send(node, present.chunk(request.index()), output);
   }
 
-  /** Pushes newly applied steps to each subscriber that was up to date. */
+  /** Pushes newly applied steps to each active subscriber that received the previous ones. */
   void pushAll(Instant now, Output output) {
     for (Subscriber subscriber : byNode.values()) {
       List<ConfigurationStep> steps = applied.stepsFrom(subscriber.pushedRevision, MAX_PUSH_WEIGHT);
@@ -124,7 +124,7 @@
     }
   }
 
-  /** Passes an extension of this daemon's own lease on. */
+  /** Grants leases to the active subscribers after this daemon's own lease was extended. */
   void grantAll(Instant now, Output output) {
     for (Subscriber subscriber : byNode.values()) {
       if (isActive(subscriber, now)) {
@@ -147,7 +147,7 @@
     send(subscriber.node, new LeaseGrant(subscriber.sentAt, remaining, applied.revision()), output);
   }
 
-  /** Forgets daemons whose leases have ended and who went silent. */
+  /** Removes daemons whose leases have ended and that no longer renew. */
   void tick(Instant now) {
     byNode
         .values()
@@ -155,7 +155,7 @@
             subscriber -> !now.isBefore(subscriber.lastGrantEnd()) && !isActive(subscriber, now));
   }
 
-  /** Returns the revision that all daemons with leases from here have reached. */
+  /** Returns the revision that all daemons with leases from this daemon have reached. */
   long floor(Instant now) {
     long floor = applied.revision();
     for (Subscriber subscriber : byNode.values()) {
@@ -164,7 +164,7 @@
     return floor;
   }
 
-  /** Returns the daemons that may serve below a revision by leases from here. */
+  /** Returns the daemons that may serve below a revision under leases from this daemon. */
   List<LaggingEntry> lagging(long revision, Instant now) {
     List<LaggingEntry> found = new ArrayList<>();
     for (Subscriber subscriber : byNode.values()) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscription.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscription.java
@@ -15,7 +15,10 @@
 import org.skylarkfork.core.message.ConfigurationMessage.Push;
 import org.skylarkfork.core.message.ConfigurationMessage.Renew;
 
-/** Takes configuration and leases from another daemon, and finds another one when it fails. */
+/**
+ * Receives configuration and leases from a source daemon and switches to another source when it
+ * fails.
+ */
 final class Subscription {
 
   private static final Duration MIN_SEND_INTERVAL = Duration.ofMillis(100);
@@ -66,7 +69,7 @@
     this.startedAt = startedAt;
   }
 
-  /** Looks for other sources at the next tick, as after a change of leader. */
+  /** Refreshes the candidate sources at the next tick, as after a change of leader. */
   void refresh() {
     refreshAt = Instant.EPOCH;
   }
@@ -127,7 +130,10 @@
     }
   }
 
-  /** Leaves the present source if it is the one that is gone or doesn't serve. */
+  /**
+   * Switches to another source if the given daemon, which is gone or doesn't serve, is the current
+   * one.
+   */
   void sourceLost(String node, Instant now, Output output) {
     if (node.equals(source) && !candidates.isEmpty()) {
       switchSource(now, output);
@@ -160,11 +166,12 @@
   }
 
   /**
-   * Returns the revision that this daemon and all that have leases from it have reached.
+   * Returns the revision that this daemon and all daemons with leases from it have reached.
    *
-   * <p>An earlier process of this daemon may have granted leases that this one knows nothing of. If
-   * it reported its own revision at once, a change would be called in force while they serve under
-   * an older one; so it reports nothing until the longest of them must have ended.
+   * <p>An earlier process of this daemon may have granted leases that are unknown to this process.
+   * Reporting this daemon's revision at once could let a change be reported as in force while the
+   * holders of those leases serve under an older revision. The method therefore returns 0 until the
+   * longest of those leases must have expired.
    */
   private long floor(Instant now) {
     if (now.isBefore(startedAt.plus(settings.maxLeaseDuration()))) {
@@ -207,7 +214,10 @@
     }
   }
 
-  /** Asks for what is missing, at once or as soon as the last message is long enough ago. */
+  /**
+   * Requests the missing revisions, at once or when the minimum interval since the last message has
+   * passed.
+   */
   private void repair(Instant now, Output output) {
     boolean copyInProgress =
         lastChunk != null && now.isBefore(lastChunkAt.plus(settings.renewalInterval()));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Team.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Team.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * A team that sends requests.
+ * A team of callers, the unit of access and limits.
  *
  * @param name name of the team
  * @param keys its keys, hashed
- * @param allowedModels what its drafts may run on
- * @param allowedServices names of the plain services that it may call
- * @param limits what it may use
- * @param weight its share of contended capacity against other teams, above 0
+ * @param allowedModels models that the team's drafts may run on
+ * @param allowedServices names of the plain services that the team may call
+ * @param limits the team's limits over all entries
+ * @param weight the team's relative share of contended capacity, above 0
  */
 public record Team(
     String name,
@@ -28,9 +28,9 @@
   }
 
   /**
-   * A key, kept only as its hash.
+   * A key of a team, stored only as its hash.
    *
-   * @param id name by which operators refer to it
+   * @param id name by which operators refer to the key
    * @param sha256 SHA-256 of the key in lower-case hex
    */
   public record Key(String id, String sha256) {}
@@ -39,7 +39,7 @@
    * A model that the team's drafts may run on.
    *
    * @param model name of the model
-   * @param versions the versions allowed; empty allows each
+   * @param versions the allowed versions; empty allows all
    */
   public record AllowedModel(String model, List<String> versions) {
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ZoneTree.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ZoneTree.java
@@ -5,19 +5,20 @@
 import java.util.function.Supplier;
 
 /**
- * Spreads subscriptions over a tree in each availability zone, so that no daemon serves many.
+ * Arranges subscriptions as a tree in each availability zone, so that no daemon serves many
+ * subscribers.
  *
- * <p>The first daemons of a zone, by name, subscribe to the control voters; each further one to a
- * daemon before it in the order. Daemons may see different members for a while and so even form a
- * ring, but a ring gets no fresh lease, so its daemons soon try their next candidate, and control
- * voters end each list.
+ * <p>The first daemons of a zone, by name, subscribe to the control voters; each further daemon
+ * subscribes to a daemon that precedes it in the order. While daemons see different members, their
+ * subscriptions may even form a cycle. A cycle receives no new lease, so its daemons soon try their
+ * next candidate, and each list ends with the control voters.
  */
 public final class ZoneTree implements ConfigurationSources {
 
-  /** Daemons of a zone that subscribe to the control voters. */
+  /** Number of daemons in a zone that subscribe to the control voters. */
   public static final int ROOTS = 3;
 
-  /** Daemons that subscribe to one of their zone. */
+  /** Maximum number of daemons in a zone that have the same parent. */
   public static final int FAN_OUT = 8;
 
   private final String node;
@@ -25,11 +26,11 @@
   private final Supplier<List<String>> zone;
 
   /**
-   * Makes the tree of one daemon.
+   * Creates the tree as seen by one daemon.
    *
    * @param node name of this daemon
-   * @param voters gives the names of the control voters
-   * @param zone gives the names of the live daemons of this daemon's availability zone
+   * @param voters supplies the names of the control voters
+   * @param zone supplies the names of the live daemons in this daemon's availability zone
    */
   public ZoneTree(String node, Supplier<List<String>> voters, Supplier<List<String>> zone) {
     this.node = node;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What operators decide: teams, models, rules, roll-outs and withdrawals, agreed on and in force.
+ * The operators' configuration (teams, models, rules, roll-outs and withdrawals), its replication
+ * and its distribution to daemons.
  */
 @NullMarked
 package org.skylarkfork.core.configuration;
