--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/InForceTracker.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/InForceTracker.java
@@ -58,7 +58,7 @@
         unknownUntil);
   }
 
-  /** Reports the newest revision that came into force since the last call on the timeline. */
+  /** Writes the newest revision that came into force since the last call to the timeline. */
   void tick(Instant now, Output output) {
     if (now.isBefore(earlierLeasesEndAt)) {
       return;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Problems.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Problems.java
@@ -58,8 +58,7 @@
         Kind.MALFORMED,
         subject,
         quote(name)
-            + " is not a valid rule name; use 1 to 128 letters, digits, spaces and . _ / @ + : ,"
-            + " -");
+            + " is not a rule name; use 1 to 128 letters, digits, spaces and . _ / @ + : , -");
   }
 
   /** Checks the id of an upstream or VM. */
