--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationDraft.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationDraft.java
@@ -83,8 +83,8 @@
   }
 
   /** Returns the list without the item of the given key, or the same list if there is none. */
-  static <T, K extends Comparable<K>> List<T> without(List<T> list, K wanted, Function<T, K> key) {
-    int index = find(list, wanted, key);
+  static <T, K extends Comparable<K>> List<T> without(List<T> list, K target, Function<T, K> key) {
+    int index = find(list, target, key);
     if (index < 0) {
       return list;
     }
@@ -94,12 +94,12 @@
   }
 
   /** Returns the index of a key in a sorted list, or {@code -insertionPoint - 1}. */
-  static <T, K extends Comparable<K>> int find(List<T> list, K wanted, Function<T, K> key) {
+  static <T, K extends Comparable<K>> int find(List<T> list, K target, Function<T, K> key) {
     int low = 0;
     int high = list.size() - 1;
     while (low <= high) {
       int middle = (low + high) >>> 1;
-      int order = key.apply(list.get(middle)).compareTo(wanted);
+      int order = key.apply(list.get(middle)).compareTo(target);
       if (order == 0) {
         return middle;
       }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationHistory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationHistory.java
@@ -37,19 +37,19 @@
   }
 
   /** Returns the oldest revision that can be reconstructed from the current configuration. */
-  long oldest(Configuration present) {
-    return entries.isEmpty() ? present.revision() : entries.getFirst().step().from();
+  long oldest(Configuration current) {
+    return entries.isEmpty() ? current.revision() : entries.getFirst().step().from();
   }
 
   /**
    * Returns the configuration at a revision, reconstructed backwards from the current one; empty if
    * the history doesn't cover the revision.
    */
-  Optional<Configuration> at(Configuration present, long revision) {
-    if (revision > present.revision() || revision < oldest(present)) {
+  Optional<Configuration> at(Configuration current, long revision) {
+    if (revision > current.revision() || revision < oldest(current)) {
       return Optional.empty();
     }
-    Configuration found = present;
+    Configuration found = current;
     Iterator<RevisionEntry> newestFirst = entries.descendingIterator();
     while (found.revision() > revision) {
       found = newestFirst.next().step().inverse().applyTo(found);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationMachine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationMachine.java
@@ -28,7 +28,7 @@
     }
     RememberedChange remembered = changes.find(submitted.changeId());
     if (remembered != null) {
-      return isSame(remembered, submitted)
+      return isResend(remembered, submitted)
           ? remembered.answer()
           : new ConfigurationResult.ChangeIdReused(submitted.changeId());
     }
@@ -39,7 +39,7 @@
     return answer;
   }
 
-  private static boolean isSame(RememberedChange remembered, SubmitChange submitted) {
+  private static boolean isResend(RememberedChange remembered, SubmitChange submitted) {
     return remembered.operator().equals(submitted.operator())
         && remembered.bodyHash().equals(submitted.bodyHash());
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Problems.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Problems.java
@@ -110,27 +110,27 @@
   }
 
   /** Returns the keys of a list and reports duplicates. */
-  <T> Set<String> unique(List<T> list, Function<T, String> key, String what) {
+  <T> Set<String> unique(List<T> list, Function<T, String> key, String typeName) {
     Set<String> seen = new HashSet<>(list.size() * 2);
     for (T item : list) {
       String name = key.apply(item);
       if (!seen.add(name)) {
         add(
             Kind.DUPLICATE,
-            what + " " + name,
-            "the " + what + " is defined twice; rename or remove one");
+            typeName + " " + name,
+            "the " + typeName + " is defined twice; rename or remove one");
       }
     }
     return seen;
   }
 
-  void reference(Set<String> names, String name, String what, String subject) {
+  void reference(Set<String> names, String name, String typeName, String subject) {
     if (!names.contains(name)) {
       add(
           Kind.UNKNOWN_REFERENCE,
           subject,
           "there is no "
-              + what
+              + typeName
               + " "
               + quote(name)
               + "; add it first, or remove it from "
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RollOutChanges.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RollOutChanges.java
@@ -77,7 +77,7 @@
       ConfigurationDraft draft, ConfigurationChange.WithdrawVersion withdraw)
       throws InapplicableChangeException {
     ModelVersion version = withdraw.version();
-    Model model = ChangeApplier.present(draft.models, version.model(), Model::name, "model");
+    Model model = ChangeApplier.findOrThrow(draft.models, version.model(), Model::name, "model");
     if (model.version(version.version()).isEmpty()) {
       throw ChangeApplier.notFound("version of model " + model.name(), version.version());
     }
@@ -167,7 +167,7 @@
   private static RollOut requireState(
       ConfigurationDraft draft, String model, String verb, RollOut.State... allowed)
       throws InapplicableChangeException {
-    RollOut rollOut = ChangeApplier.present(draft.rollOuts, model, RollOut::model, "roll-out");
+    RollOut rollOut = ChangeApplier.findOrThrow(draft.rollOuts, model, RollOut::model, "roll-out");
     for (RollOut.State state : allowed) {
       if (rollOut.state() == state) {
         return rollOut;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscribers.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscribers.java
@@ -102,16 +102,16 @@
   void copyRequested(
       String node, ConfigurationMessage.CopyRequest request, Instant now, Output output) {
     Subscriber subscriber = byNode.get(node);
-    FullCopy present = copy;
+    FullCopy currentCopy = copy;
     if (subscriber == null) {
       return;
     }
-    if (present == null || present.revision() != request.revision()) {
+    if (currentCopy == null || currentCopy.revision() != request.revision()) {
       startCopy(subscriber, now, output);
       return;
     }
     subscriber.pushedAt = now;
-    send(node, present.chunk(request.index()), output);
+    send(node, currentCopy.chunk(request.index()), output);
   }
 
   /** Pushes newly applied steps to each active subscriber that received the previous ones. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscription.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscription.java
@@ -57,14 +57,14 @@
       AppliedConfiguration applied,
       EntryLease lease,
       Subscribers subscribers,
-      RevisionApplier adoption,
+      RevisionApplier revisionApplier,
       ConfigurationSources sources,
       Instant startedAt) {
     this.settings = settings;
     this.applied = applied;
     this.lease = lease;
     this.subscribers = subscribers;
-    this.revisionApplier = adoption;
+    this.revisionApplier = revisionApplier;
     this.sources = sources;
     this.startedAt = startedAt;
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationMachineTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationMachineTest.java
@@ -216,9 +216,9 @@
     ModelVersion old = new ModelVersion("draft", "1");
     assertEquals(refusal(new ConfigurationChange.WithdrawVersion(old, "1")), Kind.WITHDRAWN);
     change(new ConfigurationChange.WithdrawVersion(old, "2"));
-    Configuration present = machine.configuration();
-    assertEquals(present.rollOut("draft").orElseThrow().state(), RollOut.State.FINISHED);
-    assertEquals(present.model("draft").orElseThrow().current(), "2");
+    Configuration current = machine.configuration();
+    assertEquals(current.rollOut("draft").orElseThrow().state(), RollOut.State.FINISHED);
+    assertEquals(current.model("draft").orElseThrow().current(), "2");
   }
 
   private ConfigurationMachine restored() {
@@ -237,11 +237,11 @@
     change(new ConfigurationChange.WithdrawVersion(Samples.DRAFT_2, null));
     change(new ConfigurationChange.RemoveTeamKey("team0", "main"));
     change(new ConfigurationChange.RestoreRevision(1));
-    Configuration present = machine.configuration();
-    assertEquals(present.revision(), 5);
-    assertEquals(present.rules(), Samples.configuration(3, 3).rules());
-    assertTrue(present.isWithdrawn(Samples.DRAFT_2));
-    assertTrue(present.team("team0").orElseThrow().keys().isEmpty());
+    Configuration current = machine.configuration();
+    assertEquals(current.revision(), 5);
+    assertEquals(current.rules(), Samples.configuration(3, 3).rules());
+    assertTrue(current.isWithdrawn(Samples.DRAFT_2));
+    assertTrue(current.team("team0").orElseThrow().keys().isEmpty());
   }
 
   /** The history gives each revision that it still holds, and nothing for older ones. */
