--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/CommandResult.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/CommandResult.java
@@ -1,6 +1,6 @@
 package org.skylarkfork.core.command;
 
-/** What applying a command gave, sent back to the daemon that submitted it. */
+/** The result of an applied command, returned to the daemon that submitted it. */
 public sealed interface CommandResult
     permits CommandResult.Done,
         CommandResult.Rejected,
@@ -9,11 +9,11 @@
         OrderResult,
         RelayResult {
 
-  /** The command took effect and has nothing more to say. */
+  /** The command was applied and has no further result. */
   record Done() implements CommandResult {}
 
   /**
-   * The command was refused and changed nothing.
+   * The command was rejected and changed nothing.
    *
    * @param remedy what the submitter can do about it
    */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/CompositeMachine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/CompositeMachine.java
@@ -4,24 +4,27 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Lets several state machines share one group, each with its own family of commands. */
+/**
+ * A state machine that combines several machines in one group, each with its own family of
+ * commands.
+ */
 public final class CompositeMachine implements StateMachine {
 
   private final List<Route> routes;
 
   /**
-   * Makes the machine.
+   * Creates the machine.
    *
-   * @param routes the machines; new ones go to the end, since snapshots know them by their place
+   * @param routes the machines; append new ones at the end, since snapshots identify them by index
    */
   public CompositeMachine(List<Route> routes) {
     this.routes = List.copyOf(routes);
   }
 
   /**
-   * One of the machines.
+   * A machine and the commands routed to it.
    *
-   * @param family the commands that it takes
+   * @param family type of the commands that the machine handles
    * @param machine the machine
    */
   public record Route(Class<? extends Command> family, StateMachine machine) {}
@@ -34,7 +37,7 @@
       }
     }
     return new CommandResult.Rejected(
-        "this group doesn't know "
+        "this group has no state machine for "
             + command.getClass().getSimpleName()
             + "; submit it to the group of its family");
   }
@@ -46,7 +49,9 @@
     return new CompositeState(states);
   }
 
-  /** Restores each machine; a state that is not composite is taken as that of the first. */
+  /**
+   * Restores each machine; a state that isn't composite is restored as that of the first machine.
+   */
   @Override
   public void restore(GroupState state) {
     List<GroupState> states =
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/CompositeState.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/CompositeState.java
@@ -5,7 +5,7 @@
 /**
  * The states of several state machines that share one group.
  *
- * @param states their states, in the order of the machines
+ * @param states the states in the order of the machines
  */
 public record CompositeState(List<GroupState> states) implements GroupState {
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/ConfigurationCommand.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/ConfigurationCommand.java
@@ -7,16 +7,17 @@
 public sealed interface ConfigurationCommand extends Command {
 
   /**
-   * Asks for one change.
+   * Submits one change.
    *
-   * @param changeId id that makes a resend harmless
-   * @param operator id of the operator's key, or the name of the part that asks for it
+   * @param changeId id that makes a resend idempotent
+   * @param operator id of the operator's key, or the name of the part that proposes the change
    * @param operatorKeyHash hash of the operator's key, checked again when the command is applied;
-   *     null if the system itself asks
-   * @param expectedRevision revision that the operator saw, or null to apply to whichever it is
+   *     null if the system itself proposes the change
+   * @param expectedRevision revision that the operator saw, or null to apply the change to any
+   *     revision
    * @param change the change
-   * @param bodyHash hash of the change and the expected revision, to tell a resend from another
-   *     change under the same id
+   * @param bodyHash hash of the change and the expected revision, which distinguishes a resend from
+   *     another change with the same id
    */
   record SubmitChange(
       String changeId,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/ConfigurationResult.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/ConfigurationResult.java
@@ -8,32 +8,32 @@
 public sealed interface ConfigurationResult extends CommandResult {
 
   /**
-   * The change is accepted and can't be lost.
+   * The change was accepted and is durable.
    *
-   * @param revision the revision that it made
-   * @param acceptedAt when the leader took it into the log
+   * @param revision the revision that the change created
+   * @param acceptedAt when the leader appended the change to the log, by the leader's clock
    */
   record Accepted(long revision, Instant acceptedAt) implements ConfigurationResult {}
 
   /**
-   * The configuration has another revision than the operator saw; nothing changed.
+   * The configuration has a different revision than the operator expects; nothing changed.
    *
-   * @param expected the revision that the operator gave
-   * @param present the revision there was
+   * @param expected the revision that the operator expects
+   * @param present the revision of the configuration
    */
   record RevisionConflict(long expected, long present) implements ConfigurationResult {}
 
   /**
-   * The change id was used before with another content or by another operator; nothing changed.
+   * The change id was used before for another change or by another operator; nothing changed.
    *
    * @param changeId the id
    */
   record ChangeIdReused(String changeId) implements ConfigurationResult {}
 
   /**
-   * The change, or the configuration that it would make, is wrong; nothing changed.
+   * The change, or the configuration that it would create, is invalid; nothing changed.
    *
-   * @param problems what is wrong, each with its remedy
+   * @param problems the problems, each with its remedy
    */
   record Invalid(List<ConfigurationProblem> problems) implements ConfigurationResult {
 
@@ -43,6 +43,6 @@
     }
   }
 
-  /** The operator's key was removed in the meantime; nothing changed. */
+  /** The operator's key was removed before the command was applied; nothing changed. */
   record UnknownOperator() implements ConfigurationResult {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/ConfigurationState.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/ConfigurationState.java
@@ -12,7 +12,7 @@
  * @param accepted answers to accepted change ids, oldest first; without them a resend after a
  *     restart would be applied a second time
  * @param refused answers to refused change ids, oldest first
- * @param history the newest revisions, oldest first
+ * @param history the most recent revisions, oldest first
  */
 public record ConfigurationState(
     Configuration configuration,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/GroupState.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/GroupState.java
@@ -1,6 +1,6 @@
 package org.skylarkfork.core.command;
 
-/** The whole state of a replicated group, as kept in a snapshot. */
+/** The whole state of a replicated group, as stored in a snapshot. */
 public sealed interface GroupState
     permits GroupState.Empty,
         LedgerState,
@@ -9,6 +9,6 @@
         CompositeState,
         RelayState {
 
-  /** The state of a group that has applied nothing yet. */
+  /** The state of a group that has applied no command yet. */
   record Empty() implements GroupState {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/LedgerCommand.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/LedgerCommand.java
@@ -4,7 +4,7 @@
 import org.skylarkfork.core.ledger.ClaimOutcome;
 import org.skylarkfork.core.ledger.NumberedBill;
 
-/** Changes to the claims and bills that a ledger group keeps. */
+/** Commands on the claims and bills of a ledger group. */
 public sealed interface LedgerCommand extends Command {
 
   /**
@@ -12,33 +12,34 @@
    *
    * @param team name of the team
    * @param key the claim's key, unique within the team
-   * @param requestId id of the request; a repeat of the same claim has the same
-   * @param bodyHash hash over what the request asks for, to find a key used twice
+   * @param requestId id of the request; a retry of the same claim has the same id
+   * @param bodyHash hash of the request's content, which detects a key reused for another request
    * @param entry node name of the entry that would run it
-   * @param holdMillis how long the entry may take until an outcome, in milliseconds; after it a
-   *     claim without outcome is answered as unknown
+   * @param holdMillis time that the entry has to record an outcome, in milliseconds; afterwards a
+   *     claim without an outcome is answered as unknown
    */
   record Claim(
       String team, String key, String requestId, String bodyHash, String entry, long holdMillis)
       implements LedgerCommand {}
 
   /**
-   * Records how a claimed request ended, or gives up a claim as not run.
+   * Records the outcome of a claimed request, or releases a claim whose request didn't run.
    *
    * @param team name of the team
    * @param key the claim's key
    * @param requestId id of the request that holds the claim
-   * @param outcome how it ended
+   * @param outcome outcome of the request
    */
   record RecordOutcome(String team, String key, String requestId, ClaimOutcome outcome)
       implements LedgerCommand {}
 
   /**
-   * Counts bills that one run of one entry numbered; each number counts once, whoever submits it.
+   * Counts bills numbered by one process of an entry; each number counts once, even if several
+   * daemons submit it.
    *
    * @param entry node name of the entry that made the bills
    * @param incarnation number of that entry's process
-   * @param settledUpTo all numbers up to this one are known to be counted
+   * @param settledUpTo number up to which all bills are known to be counted
    * @param bills the bills
    */
   record RecordBills(String entry, long incarnation, long settledUpTo, List<NumberedBill> bills)
@@ -51,7 +52,7 @@
   }
 
   /**
-   * Reads a team's statement through the log, so that it holds each bill committed before.
+   * Reads a team's statement through the log, so that it includes each bill committed before.
    *
    * @param team name of the team
    */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/LedgerResult.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/LedgerResult.java
@@ -5,29 +5,30 @@
 import org.skylarkfork.core.ledger.ClaimOutcome;
 import org.skylarkfork.core.ledger.Statement;
 
-/** What a ledger command gave. */
+/** Results of ledger commands. */
 public sealed interface LedgerResult extends CommandResult {
 
   /**
-   * A claim was decided.
+   * The decision on a claim.
    *
-   * @param state what was decided
-   * @param outcome the recorded outcome, only if the state is {@code RECORDED}
+   * @param state the decision
+   * @param outcome the recorded outcome if the state is {@code RECORDED}, otherwise null
    */
   record ClaimDecided(ClaimState state, @Nullable ClaimOutcome outcome) implements LedgerResult {}
 
   /**
-   * A claim was refused since the table is full; nothing was recorded and nothing may run.
+   * A claim was refused because the table of claims is full; nothing was recorded and the request
+   * must not run.
    *
    * @param remedy what the submitter can do about it
    */
   record ClaimsFull(String remedy) implements LedgerResult {}
 
   /**
-   * Bills were taken in.
+   * Bills were recorded.
    *
-   * @param counted how many count now
-   * @param duplicates how many had been counted before
+   * @param counted number of newly counted bills
+   * @param duplicates number of bills that had been counted before
    */
   record BillsRecorded(int counted, int duplicates) implements LedgerResult {}
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/LedgerState.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/LedgerState.java
@@ -10,12 +10,12 @@
 /**
  * The whole state of a ledger group.
  *
- * @param stampedAt newest leader's time that was applied
+ * @param stampedAt leader's time of the last applied command
  * @param time time by which claims and keys expire
  * @param claims claims in the order of their last change
  * @param keys billed keys of drafts and unsafe calls, oldest first
  * @param lookupKeys billed keys of lookups, oldest first
- * @param counted numbers of counted bills, by run of an entry
+ * @param counted numbers of counted bills, by process of an entry
  * @param lines the statements of all teams
  */
 public record LedgerState(
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/Member.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/Member.java
@@ -3,15 +3,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One replica of a group: a node together with the disk that it keeps its promises on.
+ * A replica of a group: a node together with the disk that stores its votes and log.
  *
  * @param node name of the daemon
  * @param instance number drawn when the daemon first started on an empty disk; a wiped disk gets
- *     another one, so its promises aren't taken for those of the old disk
+ *     another number, so that the votes and log of the old disk aren't attributed to it
  */
 public record Member(String node, long instance) {
 
-  /** Compares node and disk; written out for the reason given at {@link GroupId#equals}. */
+  /** Compares node and disk; written out for the reason stated at {@link GroupId#equals}. */
   @Override
   public boolean equals(@Nullable Object other) {
     return other instanceof Member member
@@ -24,7 +24,7 @@
     return 31 * node.hashCode() + Long.hashCode(instance);
   }
 
-  /** Returns the member as logs name it: the node, a slash, the number of its disk. */
+  /** Returns the member's name in logs: the node, a slash and the number of its disk. */
   @Override
   public String toString() {
     return node + "/" + instance;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/Members.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/Members.java
@@ -12,7 +12,7 @@
  */
 public record Members(List<Member> voters, List<Member> learners) {
 
-  /** The members of a group that isn't founded yet. */
+  /** The members of a group that isn't bootstrapped yet. */
   public static final Members NONE = new Members(List.of(), List.of());
 
   /** Copies both lists. */
@@ -21,19 +21,19 @@
     learners = List.copyOf(learners);
   }
 
-  /** Returns how many voters make a majority; 1 if there are none. */
+  /** Returns the number of voters that form a majority; 1 if there are no voters. */
   public int quorum() {
     return voters.size() / 2 + 1;
   }
 
-  /** Returns voters and learners together, voters first. */
+  /** Returns all members, voters first. */
   public List<Member> all() {
     List<Member> all = new ArrayList<>(voters);
     all.addAll(learners);
     return all;
   }
 
-  /** Returns the member of that node, or null if it has none. */
+  /** Returns the member on a node, or null if the node has none. */
   public @Nullable Member find(String node) {
     for (Member member : all()) {
       if (member.node().equals(node)) {
@@ -53,7 +53,7 @@
     return "voters=" + voters + " learners=" + learners;
   }
 
-  /** Returns these members without the node's. */
+  /** Returns these members without the one on the node. */
   public Members without(String node) {
     List<Member> otherVoters = new ArrayList<>(voters);
     otherVoters.removeIf(member -> member.node().equals(node));
@@ -62,7 +62,9 @@
     return new Members(otherVoters, otherLearners);
   }
 
-  /** Returns these members with the replica as a learner in place of the node's present one. */
+  /**
+   * Returns these members with the replica added as a learner; replaces the node's current member.
+   */
   public Members withLearner(Member learner) {
     Members rest = without(learner.node());
     List<Member> more = new ArrayList<>(rest.learners);
@@ -70,7 +72,9 @@
     return new Members(rest.voters, more);
   }
 
-  /** Returns these members with the replica as a voter in place of the node's present one. */
+  /**
+   * Returns these members with the replica added as a voter; replaces the node's current member.
+   */
   public Members withVoter(Member voter) {
     Members rest = without(voter.node());
     List<Member> more = new ArrayList<>(rest.voters);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/OrderCommand.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/OrderCommand.java
@@ -4,13 +4,13 @@
 import org.skylarkfork.core.order.RollOutProgress;
 import org.skylarkfork.core.order.WeightBudget;
 
-/** Changes to the lease for orders, to the orders themselves and to the progress of roll-outs. */
+/** Commands on the lease for orders, the orders themselves and the progress of roll-outs. */
 public sealed interface OrderCommand extends Command {
 
   /**
-   * Asks for the lease; a holder that has it gets the same number again.
+   * Requests the lease; the current holder receives the same number again.
    *
-   * @param holder node name and run of the process that asks
+   * @param holder node name and incarnation of the requesting process
    * @param durationMillis how long the lease is valid, in milliseconds
    * @param orderMillis how long an order sent under it may take, in milliseconds
    */
@@ -18,17 +18,17 @@
       implements OrderCommand {}
 
   /**
-   * Prolongs the lease.
+   * Renews the lease.
    *
    * @param fencingNumber number of the lease
    */
   record RenewLease(long fencingNumber) implements OrderCommand {}
 
   /**
-   * Gives the lease back.
+   * Releases the lease.
    *
    * @param fencingNumber number of the lease
-   * @param isSafe whether no order of this or an earlier holder can still be on its way
+   * @param isSafe whether no order of this or an earlier holder can still be in transit
    */
   record ReleaseLease(long fencingNumber, boolean isSafe) implements OrderCommand {}
 
@@ -37,31 +37,31 @@
    *
    * @param fencingNumber number of the lease
    * @param order the order
-   * @param budget how fast weights may be fetched
+   * @param budget rate limit for fetching weights
    */
   record Intend(long fencingNumber, Order order, WeightBudget budget) implements OrderCommand {}
 
   /**
-   * Records an order that an operator asks for; the holder of the lease sends it.
+   * Records an order requested by an operator; the holder of the lease sends it.
    *
    * @param order the order; a resend has the same id
-   * @param budget how fast weights may be fetched
+   * @param budget rate limit for fetching weights
    */
   record RequestOrder(Order order, WeightBudget budget) implements OrderCommand {}
 
   /**
-   * Records what came of an order.
+   * Records the outcome of an order.
    *
    * @param fencingNumber number of the lease
    * @param orderId id of the order
-   * @param isDone whether it is carried out; if not, it never will be
-   * @param detail what showed it
+   * @param isDone whether the order was executed; if not, it never will be
+   * @param detail evidence of the outcome
    */
   record Conclude(long fencingNumber, String orderId, boolean isDone, String detail)
       implements OrderCommand {}
 
   /**
-   * Records how far a roll-out is prepared.
+   * Records how far the preparation of a roll-out has progressed.
    *
    * @param fencingNumber number of the lease
    * @param progress the progress
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/OrderResult.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/OrderResult.java
@@ -1,26 +1,26 @@
 package org.skylarkfork.core.command;
 
-/** What an order command gave. */
+/** Results of order commands. */
 public sealed interface OrderResult extends CommandResult {
 
   /**
-   * The lease is held by the one who asked.
+   * The requester holds the lease.
    *
-   * @param fencingNumber its number, higher than that of any other holder before
-   * @param unsafeMillis time for which orders of earlier holders may still be on their way, counted
-   *     from now on the asker's own clock, in milliseconds
+   * @param fencingNumber number of the lease, higher than that of every earlier holder
+   * @param unsafeMillis time for which orders of earlier holders may still be in transit, counted
+   *     from now on the requester's own clock, in milliseconds
    */
   record LeaseGranted(long fencingNumber, long unsafeMillis) implements OrderResult {}
 
   /**
    * Another holder has the lease.
    *
-   * @param holder who has it
+   * @param holder the current holder
    */
   record LeaseHeld(String holder) implements OrderResult {}
 
   /**
-   * The command was given under a lease that is over; nothing was changed.
+   * The command was submitted under a lease that has ended; nothing was changed.
    *
    * @param newestNumber newest fencing number
    */
@@ -29,7 +29,7 @@
   /**
    * An order would fetch weights faster than the weight store allows; nothing was changed.
    *
-   * @param waitMillis when to ask again, in milliseconds
+   * @param waitMillis time to wait before the next request, in milliseconds
    */
   record OverBudget(long waitMillis) implements OrderResult {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/OrderState.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/OrderState.java
@@ -11,8 +11,8 @@
  * The state of leases, orders and roll-outs.
  *
  * @param lease newest lease, or null if there was none
- * @param budgetUsedUntil until when the weight store's budget is used up
- * @param intents the orders in the order of their recording
+ * @param budgetUsedUntil time until which the weight store's budget is used up
+ * @param intents the orders in the sequence in which they were recorded
  * @param progress the roll-outs' progress, by model
  */
 public record OrderState(
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/RelayResult.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/RelayResult.java
@@ -6,21 +6,21 @@
 import org.skylarkfork.core.relay.QuarantinedRequest;
 import org.skylarkfork.core.relay.ServiceRollOut;
 
-/** What a command of the relay gave. */
+/** Results of relay commands. */
 public sealed interface RelayResult extends CommandResult {
 
   /**
-   * A configuration was taken, or a newer or equal one is in force.
+   * A configuration was accepted, or a newer or equal one is already in force.
    *
-   * @param version version in force now
+   * @param version version that is now in force
    */
   record ConfigurationAccepted(long version) implements RelayResult {}
 
   /**
    * The newest configuration.
    *
-   * @param version its version; 0 if there is none yet
-   * @param document the operator's text of it; empty if there is none yet
+   * @param version version of the configuration; 0 if there is none yet
+   * @param document the operator's text of the configuration; empty if there is none yet
    */
   record ConfigurationRead(long version, byte[] document) implements RelayResult {}
 
@@ -34,7 +34,7 @@
   /**
    * The availability zones that are evacuated.
    *
-   * @param evacuations each of them, the oldest first
+   * @param evacuations all evacuations, oldest first
    */
   record EvacuationsRead(List<Evacuation> evacuations) implements RelayResult {
 
@@ -45,9 +45,9 @@
   }
 
   /**
-   * The requests that are refused.
+   * The quarantined requests.
    *
-   * @param requests each of them, the oldest first
+   * @param requests all quarantined requests, oldest first
    */
   record QuarantineRead(List<QuarantinedRequest> requests) implements RelayResult {
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/RelayState.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/RelayState.java
@@ -8,14 +8,14 @@
 import org.skylarkfork.core.upstream.UpstreamRun;
 
 /**
- * The state that the relay's control VMs agree on.
+ * The state replicated by the relay's control VMs.
  *
  * @param configuration newest configuration
- * @param document the operator's text of it
+ * @param document the operator's text of the configuration
  * @param rollOuts newest roll-out of each service
  * @param leaving upstreams that leave, oldest first
- * @param evacuations availability zones whose upstreams get nothing, oldest first
- * @param quarantined requests that are refused, oldest first
+ * @param evacuations availability zones whose upstreams receive no requests, oldest first
+ * @param quarantined requests that all entries refuse, oldest first
  */
 public record RelayState(
     RelayConfiguration configuration,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/StateMachine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/StateMachine.java
@@ -2,7 +2,7 @@
 
 import java.time.Instant;
 
-/** The state that a group replicates; touched by the reducer's thread only. */
+/** The state machine that a group replicates; accessed only by the reducer's thread. */
 public interface StateMachine {
 
   /**
@@ -18,6 +18,6 @@
   /** Returns the whole state for a snapshot. */
   GroupState snapshot();
 
-  /** Replaces the whole state by that of a snapshot. */
+  /** Replaces the whole state with that of a snapshot. */
   void restore(GroupState state);
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/package-info.java
@@ -1,4 +1,4 @@
-/** Commands that the replicated groups agree on, their results and the state they build. */
+/** Commands of the replicated groups, their results and the state that they change. */
 @NullMarked
 package org.skylarkfork.core.command;
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Problems.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Problems.java
@@ -118,7 +118,7 @@
         add(
             Kind.DUPLICATE,
             typeName + " " + name,
-            "the " + typeName + " is defined twice; rename or remove one");
+            "the " + typeName + " is listed twice; rename or remove one");
       }
     }
     return seen;
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationCostTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationCostTest.java
@@ -9,7 +9,10 @@
 import org.skylarkfork.core.command.ConfigurationResult.Accepted;
 import org.testng.annotations.Test;
 
-/** Prints what changes cost at size; asserts only that they are right. */
+/**
+ * Prints the cost of changes to a large configuration; asserts only that they are applied
+ * correctly.
+ */
 public class ConfigurationCostTest {
 
   private static final int TEAMS = 1000;
@@ -17,7 +20,7 @@
   private static final int ROUNDS = 200;
   private static final double NANOS_PER_MICRO = 1000.0;
 
-  /** Changes of each kind at 1,000 teams and 10,000 rules. */
+  /** Measures several types of changes at 1,000 teams and 10,000 rules. */
   @Test
   public void costOfChangesAtScale() {
     ConfigurationMachine machine = Samples.machine(Samples.configuration(TEAMS, RULES));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationDisseminationTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationDisseminationTest.java
@@ -9,13 +9,16 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Long random runs of several daemons, with invariants asserted at each tick. */
+/**
+ * Tests the dissemination of the configuration in long random runs of several daemons, with
+ * invariants checked at each tick.
+ */
 public class ConfigurationDisseminationTest {
 
   private static final int ENTRIES = 14;
   private static final int ROUNDS = 120;
 
-  /** Gives seeds. */
+  /** Provides the seeds of the runs. */
   @DataProvider
   public Object[][] seeds() {
     Object[][] seeds = new Object[12][1];
@@ -26,9 +29,10 @@
   }
 
   /**
-   * Messages are lost, doubled, late and in wrong order; daemons are cut off and restart; leaders
-   * change; clocks run at unlike rates. No daemon may go back, and none may serve under a revision
-   * older than one called in force. Once all is well again, all serve under the newest.
+   * Messages are lost, duplicated, delayed and reordered; daemons are isolated and restart; leaders
+   * change; clocks run at different rates. No daemon may return to an older revision, and none may
+   * serve under a revision older than one reported as in force. After all faults end, all daemons
+   * serve under the newest revision.
    */
   @Test(dataProvider = "seeds")
   public void neverRevertsAndNeverServesBelowRevisionInForce(long seed) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationMachineTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationMachineTest.java
@@ -49,9 +49,9 @@
   }
 
   /**
-   * Two operators read revision 1 and each sends a change that expects it. Whichever comes second
-   * in the log would overwrite what its sender never saw, so it gets a conflict with the present
-   * revision, and a resend of either gets the same answer again and changes nothing.
+   * Two operators read revision 1 and each sends a change that expects it. The second change in the
+   * log would overwrite a revision that its sender never saw, so it receives a conflict with the
+   * current revision. A resend of either change receives the same answer again and changes nothing.
    */
   @Test
   public void operatorsWithEqualRevisionsGetOneAcceptanceAndOneConflict() {
@@ -70,8 +70,8 @@
 
   /**
    * An operator's answer is lost, the control VMs restart from a snapshot, and the operator sends
-   * the same change again, without an expected revision. Had the snapshot left out the change ids,
-   * it would be applied twice: here the rule would move back over a newer order.
+   * the same change again without an expected revision. Without the change ids in the snapshot, the
+   * change would be applied twice and would undo a newer order of the rules.
    */
   @Test
   public void resendAfterRestartFromSnapshotGetsFirstAnswer() {
@@ -92,7 +92,9 @@
     assertEquals(restarted.history(), machine.history());
   }
 
-  /** A change id used again for something else, or by somebody else, must not look accepted. */
+  /**
+   * A change id reused for another change or by another operator must not be answered as accepted.
+   */
   @Test
   public void changeIdWithOtherContentOrOperatorIsConflict() {
     Samples.apply(machine, Samples.submit("a", "anna", null, DRAIN));
@@ -105,9 +107,9 @@
   }
 
   /**
-   * The leader appends a command twice since the first answer was late. The first was refused, and
-   * between the two another change removes the reason. If the second were accepted, the operator
-   * would hold a refusal for a change that is in force.
+   * The leader appends a command twice because the first answer was late. The first copy is
+   * refused, and a change between the two removes the reason for the refusal. If the second copy
+   * were accepted, the operator would have received a refusal for a change that is in force.
    */
   @Test
   public void refusalIsRepeatedWhenCommandIsAppendedTwice() {
@@ -121,7 +123,7 @@
     assertTrue(change(remove) instanceof Accepted);
   }
 
-  /** An operator's key is removed while a change of that operator is on its way. */
+  /** An operator's key is removed while a change from that operator is in transit. */
   @Test
   public void changeByRemovedOperatorKeyIsRejected() {
     change(new ConfigurationChange.RemoveOperatorKey("ben"));
@@ -131,7 +133,7 @@
         refusal(new ConfigurationChange.RemoveOperatorKey("anna")), Kind.LAST_OPERATOR_KEY);
   }
 
-  /** Gives changes that must be refused, each with the kind of its first problem. */
+  /** Provides changes that must be rejected, each with the kind of its first problem. */
   @DataProvider
   public Object[][] refused() {
     RollOut.Step tooMuch = new RollOut.Step(101, List.of(), List.of());
@@ -172,7 +174,7 @@
     };
   }
 
-  /** Each refusal is typed and says what to do. */
+  /** Each rejection has a kind and a message with a remedy. */
   @Test(dataProvider = "refused")
   public void invalidChangeIsRejectedWithRemedy(ConfigurationChange change, Kind kind) {
     assertEquals(refusal(change), kind);
@@ -181,8 +183,8 @@
   }
 
   /**
-   * A version turns bad in the middle of its roll-out. The withdrawal must not be refused because
-   * of the roll-out; it aborts it, and the roll-out can't be started again until it is reinstated.
+   * A version is withdrawn during its roll-out. The withdrawal must not be refused because of the
+   * roll-out but abort it, and the roll-out can't be started again until the version is reinstated.
    */
   @Test
   public void withdrawalAbortsRollOut() {
@@ -207,7 +209,7 @@
   }
 
   /**
-   * The old version turns bad in the middle of a roll-out; new work goes to the new one at once.
+   * The old version is withdrawn during a roll-out; new work must go to the new version at once.
    */
   @Test
   public void withdrawalOfOldVersionFinishesRollOutToItsReplacement() {
@@ -228,8 +230,8 @@
   }
 
   /**
-   * A bad version is withdrawn and a key revoked; later the rules of the morning are restored. The
-   * restored revision is a new one, and neither the version nor the key comes back with it.
+   * A version is withdrawn and a key revoked; later an older revision is restored. The restored
+   * revision has a new number and must not bring back the version or the key.
    */
   @Test
   public void restoringRevisionKeepsWithdrawalsAndRevokedKeys() {
@@ -244,7 +246,7 @@
     assertTrue(current.team("team0").orElseThrow().keys().isEmpty());
   }
 
-  /** The history gives each revision that it still holds, and nothing for older ones. */
+  /** The history returns each revision that it covers and nothing for older ones. */
   @Test
   public void historyReturnsOldRevisionsUpToItsLimit() {
     Configuration first = machine.configuration();
@@ -261,7 +263,7 @@
     assertEquals(restored().at(2), machine.at(2));
   }
 
-  /** Change ids are forgotten after a day, and refusals never push out acceptances. */
+  /** Change ids expire after a day, and refusals never evict acceptances. */
   @Test
   public void changeTableIsBounded() {
     ChangeTable table = new ChangeTable();
@@ -278,7 +280,7 @@
     assertFalse(table.accepted().iterator().hasNext());
   }
 
-  /** The check of what differs finds a problem whenever the check of everything does. */
+  /** Validation of the differences alone finds a problem exactly when full validation does. */
   @Test
   public void partialValidationAgreesWithFullValidation() {
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(11);
@@ -321,7 +323,7 @@
     }
   }
 
-  /** Returns a team with the key of another one. */
+  /** Returns a team with the key of another team. */
   private static Team teamWithDuplicateKey(String name) {
     return ChangeApplier.withKeys(Samples.team(name), Samples.team("team1").keys());
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationOverLogTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationOverLogTest.java
@@ -30,7 +30,7 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests the configuration over the real replicated log: three control VMs and two entries. */
+/** Tests the configuration over the real replicated log with three control VMs and two entries. */
 public class ConfigurationOverLogTest {
 
   private static final GroupId GROUP = GroupId.CONFIGURATION;
@@ -147,16 +147,16 @@
         .allMatch(part -> part.mayServe(network.now()) && part.current().revision() == revision);
   }
 
-  /** Gives numbers of log entries after which a snapshot is taken. */
+  /** Provides the numbers of log entries after which a snapshot is taken. */
   @DataProvider
   public Object[][] snapshotEntries() {
     return new Object[][] {{100}, {100_000}};
   }
 
   /**
-   * Every process ends after 500 changes and starts again from its disk. The configuration, the
-   * answers to change ids and the history must all be there, whether they come out of a snapshot or
-   * the log; or a resend would be applied again, and a return to an old revision be impossible.
+   * Every process ends after 500 changes and restarts from its disk. The configuration, the answers
+   * to change ids and the history must all be recovered, from a snapshot or from the log. Otherwise
+   * a resend would be applied again and an old revision couldn't be restored.
    */
   @Test(dataProvider = "snapshotEntries")
   public void stateSurvivesRestartOfAllProcesses(int snapshotEntries) {
@@ -181,7 +181,10 @@
     assertEquals(parts.get(leader()).current().rules().get(0).name(), "rule0");
   }
 
-  /** Two operators race through two entries with the same revision: one wins, one is told why. */
+  /**
+   * Two operators send changes with the same expected revision through two entries: one is
+   * accepted, the other receives a conflict.
+   */
   @Test
   public void concurrentChangesGetOneAcceptanceAndOneConflict() {
     start(1000);
@@ -199,9 +202,10 @@
   }
 
   /**
-   * The leader is cut off in silence together with entry e1, and operators write to both sides. The
-   * cut-off side must accept nothing and e1 must stop before the other side's withdrawal is called
-   * in force. After the cut, the operator who got no answer sends the change again and gets one.
+   * The leader and entry e1 are isolated together without connection errors, and operators send
+   * changes to both sides. The isolated side must accept nothing, and e1 must stop serving before
+   * the other side's withdrawal is reported as in force. After the partition heals, the operator
+   * without an answer sends the change again and receives one.
    */
   @Test
   public void isolatedLeaderAcceptsNothingWhileOperatorsWriteToBothSides() {
@@ -239,7 +243,7 @@
     return answers.get(query) instanceof OperatorEffect.SendInForce status && status.inForce();
   }
 
-  /** Keeps snapshots in memory under a number. */
+  /** Stores snapshots in memory and encodes each as its index. */
   private final class MemoryCodec implements GroupCodec {
 
     @Override
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationPartTest.java
@@ -19,7 +19,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests {@link ConfigurationPart} with several daemons. */
+/** Tests {@link ConfigurationPart} with several simulated daemons. */
 public class ConfigurationPartTest {
 
   private static final ConfigurationChange WITHDRAW =
@@ -42,7 +42,7 @@
     return daemons.byName.get(name);
   }
 
-  /** A change reaches every daemon and is in force well before the leases run out. */
+  /** A change reaches every daemon and is in force well before the leases expire. */
   @Test
   public void changeIsInForceOnceAllAcknowledged() {
     daemons.byName.values().forEach(daemon -> assertTrue(daemon.serves(), daemon.name));
@@ -53,7 +53,7 @@
     assertTrue(daemon("e15").part.teamByKeyHash(Samples.hash("team3")).isPresent());
   }
 
-  /** A daemon takes no new work before it has a configuration and a lease. */
+  /** A restarted daemon accepts no new work before it has a configuration and a lease. */
   @Test
   public void restartedEntryServesOnlyWithCurrentRevision() {
     daemon("e12").restart();
@@ -65,9 +65,10 @@
   }
 
   /**
-   * An entry is cut off in silence while it serves, its clock being the slowest that is allowed; a
-   * version is withdrawn. The operator must not be told "in force" before the entry has stopped,
-   * and must be told which entry is awaited and until when. Daemons checks the order at each tick.
+   * An entry with the slowest allowed clock is isolated without connection errors while it serves,
+   * and a version is withdrawn. The withdrawal must not be reported as in force before the entry
+   * has stopped serving, and the status must name the awaited entry and until when. {@link
+   * SimulatedDaemons} checks this order at each tick.
    */
   @Test
   public void isolatedEntryStopsServingBeforeChangeIsInForce() {
@@ -89,8 +90,8 @@
   }
 
   /**
-   * The entry hears the leader but newer revisions don't reach it. Grants alone must not keep it
-   * serving: they name the leader's revision, so its lease runs out like that of a silent entry.
+   * An entry receives lease grants but no newer revisions. Grants alone must not keep it serving:
+   * they name the leader's revision, so its lease expires like that of an isolated entry.
    */
   @Test
   public void leaseGrantsAloneDoNotKeepStaleEntryServing() {
@@ -109,9 +110,10 @@
   }
 
   /**
-   * The old leader's leases are unknown to a new one. An entry that only the old leader could reach
-   * still serves under revision 1 when revision 2 is accepted; the new leader sees nobody behind
-   * and would call it in force at once, had it not to wait for one longest lease.
+   * The leases granted by the previous leader are unknown to a new leader. An entry that only the
+   * previous leader could reach still serves under revision 1 when revision 2 is accepted. The new
+   * leader knows of no lagging entry, so it must wait for one maximum lease duration before it
+   * reports the revision as in force.
    */
   @Test
   public void newLeaderWaitsForLeasesOfPreviousLeader() {
@@ -131,13 +133,14 @@
   }
 
   /**
-   * Entry e10 passes leases on to e13, e14 and e15. It restarts and forgets them while they are cut
-   * off, and has no subscriber when a version is withdrawn. If it acknowledged for itself at once,
-   * the leader would call the withdrawal in force while the three still serve under revision 1.
+   * Entry e10 grants leases to e13, e14 and e15. It restarts while they are isolated, so that it no
+   * longer knows their leases and has no subscriber when a version is withdrawn. If e10
+   * acknowledged the withdrawal at once, the leader would report it as in force while e13, e14 and
+   * e15 still serve under revision 1.
    */
   @Test
   public void restartedRelayAcknowledgesOnlyAfterItsEarlierLeasesExpire() {
-    daemons.run(Duration.ofSeconds(40)); // until each is back at its preferred source
+    daemons.run(Duration.ofSeconds(40)); // until each daemon uses its preferred source again
     daemons.isolated.addAll(Set.of("e13", "e14", "e15"));
     daemon("e10").restart();
     daemons.run(Duration.ofMillis(500));
@@ -150,7 +153,10 @@
     assertFalse(daemon("e13").serves());
   }
 
-  /** With the quorum lost, entries stop after one lease, and serve again once it is back. */
+  /**
+   * Without a quorum, entries stop serving after one lease duration; they resume when there is a
+   * leader again.
+   */
   @Test
   public void entriesStopServingWithoutLeaderAndResumeWithOne() {
     daemons.lead(null);
@@ -162,8 +168,8 @@
   }
 
   /**
-   * Time goes backwards on an entry, as when its clock is set. The lease would last longer there
-   * than the leader counts, so it ends at once and is asked for anew.
+   * Time goes backwards on an entry, as when its clock is set. The lease would last longer on the
+   * entry than the leader assumes, so it must end at once.
    */
   @Test
   public void backwardClockStepEndsLease() {
@@ -174,8 +180,8 @@
   }
 
   /**
-   * A control VM restarts, gets the newest revision from the leader, and only then applies its own
-   * log from the start. The old revisions on its way must not replace the newer one.
+   * A control VM restarts, receives the newest revision from the leader, and only then applies its
+   * own log from the start. The older revisions in the log must not replace the newer one.
    */
   @Test
   public void replicaReplayingItsLogNeverReverts() {
@@ -191,7 +197,10 @@
     assertEquals(voter.revision(), 2);
   }
 
-  /** A lost step is noticed by the next one and asked for at once, not at the next renewal. */
+  /**
+   * A lost step is detected when the next one arrives and is requested at once, not at the next
+   * renewal.
+   */
   @Test
   public void missingStepIsRequestedImmediately() {
     daemons.dropped = message -> message instanceof ConfigurationMessage.Push;
@@ -204,7 +213,8 @@
   }
 
   /**
-   * A daemon that was away too long for the steps gets a full copy in parts, though one is lost.
+   * A daemon that missed more steps than are stored receives a full copy in chunks, even if one
+   * chunk is lost.
    */
   @Test
   public void daemonFarBehindGetsFullCopy() {
@@ -220,12 +230,13 @@
     daemons.run(Duration.ofSeconds(6));
     assertEquals(daemon("e10").part.current(), daemon("v1").machine.configuration());
     assertTrue(daemon("e10").serves());
-    assertTrue(chunks[0] > 10, "parts: " + chunks[0]);
+    assertTrue(chunks[0] > 10, "chunks: " + chunks[0]);
   }
 
   /**
-   * An operator's answer is lost, so the change is sent again through another entry. It gets the
-   * first answer, and an operator with the old revision gets a conflict with the present one.
+   * An operator's answer is lost, so the change is sent again through another entry. The resend
+   * receives the first answer, and an operator with the old revision receives a conflict with the
+   * current one.
    */
   @Test
   public void anyEntryAnswersOperator() {
@@ -250,7 +261,10 @@
         "call", Samples.hash(operator), changeId, expected, change);
   }
 
-  /** Questions about history reach a control voter, and those about force the leader. */
+  /**
+   * Queries about the history reach a control voter, and queries about revisions in force reach the
+   * leader.
+   */
   @Test
   public void queriesAreForwarded() {
     daemons.change("w", WITHDRAW);
@@ -281,18 +295,19 @@
     }
   }
 
-  // An operator takes a control VM in and reads "the operator key is unknown", yet the VM is taken
-  // in. Two parts had answered the call: this one, which found no key in it, and the one that
-  // carries it out. Calls that belong to other parts must stay without an answer from this one.
+  // An operator who added a control VM received "the operator key is unknown", yet the VM was
+  // added.
+  // Two parts had answered the call: this one, which found no key in it, and the one that executes
+  // it. This part must not answer calls that belong to other parts.
   @Test
   public void callsOfOtherPartsGetNoAnswer() {
     assertNull(daemon("e10").query(new OperatorEvent.ControlVmRequested("c", "v9", true)));
   }
 
-  // A control VM is replaced by one with another name, which then leads; the settings of all others
-  // don't name it yet. Replicas asked only voters of their settings, so nobody got a lease and
-  // every entry refused work with 503 until another replica led. They must ask the leader, and
-  // entries get their leases through the replicas that they know.
+  // A control VM is replaced by one with another name, which then leads; the settings of the other
+  // daemons don't name it yet. Replicas subscribed only to voters in their settings, so no daemon
+  // received a lease and every entry refused work with 503 until another replica led. Replicas must
+  // subscribe to the leader, and entries receive leases through the replicas that they know.
   @Test
   public void leaderMissingFromSettingsGrantsLeases() {
     daemons.configuredVoters = List.of("v2", "v3");
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/Samples.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/Samples.java
@@ -7,7 +7,7 @@
 import org.skylarkfork.core.command.CommandResult;
 import org.skylarkfork.core.command.ConfigurationCommand.SubmitChange;
 
-/** Configurations and changes that the tests share. */
+/** Sample configurations and changes shared by the tests. */
 final class Samples {
 
   static final Instant START = Instant.parse("2026-06-06T08:00:00Z");
@@ -43,7 +43,7 @@
         name, when, new Rule.Decision.Route(List.of("draft"), Rule.PlanKind.CHEAPEST, 0.8, null));
   }
 
-  /** Returns a valid configuration of any size, at revision 1. */
+  /** Returns a valid configuration with the given numbers of teams and rules, at revision 1. */
   static Configuration configuration(int teams, int rules) {
     List<Team> someTeams = new ArrayList<>();
     for (int number = 0; number < teams; number++) {
@@ -77,7 +77,9 @@
         changeId, operator, hash(operator), expected, change, change + "|" + expected);
   }
 
-  /** Returns a machine that holds a configuration of one change, at revision 1. */
+  /**
+   * Returns a state machine that has accepted the configuration as its only change, at revision 1.
+   */
   static ConfigurationMachine machine(Configuration configuration) {
     ConfigurationMachine machine = new ConfigurationMachine();
     apply(machine, submit("load", "anna", 0L, new ConfigurationChange.ReplaceAll(configuration)));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/SimulatedDaemons.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/SimulatedDaemons.java
@@ -32,7 +32,10 @@
 import org.skylarkfork.core.event.PeerEvent;
 import org.skylarkfork.core.message.PeerMessage;
 
-/** Several configuration parts with seeded delivery, and a log that stands in for the group. */
+/**
+ * Several configuration parts with seeded message delivery and a shared log in place of the
+ * replicated group.
+ */
 final class SimulatedDaemons {
 
   static final ConfigurationSettings SETTINGS =
@@ -68,7 +71,7 @@
     lead("v1");
   }
 
-  /** One daemon with a clock of its own. */
+  /** A daemon with its own clock. */
   final class Daemon implements Submitter {
     final String name;
     final boolean voter;
@@ -87,7 +90,7 @@
       restart();
     }
 
-    /** Starts an empty process; a voter has its log, which it applies again. */
+    /** Restarts the process without state; a voter keeps its log and applies it again. */
     void restart() {
       machine = new ConfigurationMachine();
       logApplied = 0;
@@ -120,11 +123,11 @@
           answers.add(answer);
         }
       }
-      assertTrue(revision() >= highestRevision, name + " went back");
+      assertTrue(revision() >= highestRevision, name + " returned to an older revision");
       highestRevision = revision();
     }
 
-    /** Applies the log as far as it is committed, as the replica would. */
+    /** Applies the rest of the log, as the replica would. */
     void catchUp() {
       while (logApplied < log.size()) {
         LogRecord entry = log.get(logApplied++);
@@ -163,7 +166,7 @@
     }
   }
 
-  /** Gives the leadership to a voter, or to none. */
+  /** Makes a voter the leader, or leaves the group without a leader if the name is null. */
   void lead(@Nullable String name) {
     leader = name;
     term++;
@@ -229,7 +232,10 @@
     }
   }
 
-  /** Asks the leader what is in force, and holds every daemon that serves to its answer. */
+  /**
+   * Queries the revision in force from the leader and checks that no daemon serves under an older
+   * one.
+   */
   private void checkInvariants() {
     if (leader != null) {
       SendInForce status = status(byName.get(leader).machine.configuration().revision());
@@ -252,7 +258,7 @@
     return answer instanceof SendInForce status ? status : null;
   }
 
-  /** Runs until a revision is in force; returns how long it took, or fails after a minute. */
+  /** Runs until a revision is in force and returns the elapsed time; fails after a minute. */
   Duration awaitInForce(long revision) {
     Instant start = time;
     while (inForce < revision) {
