--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/OperatorCalls.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/OperatorCalls.java
@@ -61,8 +61,8 @@
   void callReceived(OperatorEvent call, @Nullable String leader, Instant now, Output output) {
     if (call instanceof OperatorEvent.DryRun || call instanceof OperatorEvent.ControlVmRequested) {
       // Other parts answer these calls, and the listener has checked the key. An answer from this
-      // part
-      // as well would report an unknown key to the operator while the other part executes the call.
+      // part as well would report an unknown key to the operator while the other part executes the
+      // call.
       return;
     }
     String operator = operator(keyHash(call));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationPartTest.java
@@ -296,9 +296,8 @@
   }
 
   // An operator who added a control VM received "the operator key is unknown", yet the VM was
-  // added.
-  // Two parts had answered the call: this one, which found no key in it, and the one that executes
-  // it. This part must not answer calls that belong to other parts.
+  // added. Two parts had answered the call: this one, which found no key in it, and the one that
+  // executes it. This part must not answer calls that belong to other parts.
   @Test
   public void callsOfOtherPartsGetNoAnswer() {
     assertNull(daemon("e10").query(new OperatorEvent.ControlVmRequested("c", "v9", true)));
