--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/AppliedConfiguration.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/AppliedConfiguration.java
@@ -59,7 +59,7 @@
         index(team);
       }
     }
-    record(step);
+    addStep(step);
   }
 
   private void index(TeamDiffers difference) {
@@ -80,7 +80,7 @@
     }
   }
 
-  private void record(ConfigurationStep step) {
+  private void addStep(ConfigurationStep step) {
     steps.addLast(step);
     weight += step.weight();
     while (steps.size() > MAX_STEPS || (weight > MAX_WEIGHT && !steps.isEmpty())) {
