--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/LeaderLease.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/LeaderLease.java
@@ -2,7 +2,7 @@
 
 import java.time.Instant;
 
-/** Tells whether this daemon holds the leader's lease of the configuration group. */
+/** Reports whether this daemon holds the leader's lease of the configuration group. */
 public interface LeaderLease {
 
   /**
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/OperatorCalls.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/OperatorCalls.java
@@ -126,7 +126,8 @@
     }
     if (pendingChanges.size() >= MAX_PENDING) {
       output.effect(
-          OperatorAnswers.retryLater(call.callId(), "too many changes are waiting; send it later"));
+          OperatorAnswers.retryLater(
+              call.callId(), "too many changes are waiting; send the change again later"));
       return;
     }
     SubmitChange command =
@@ -205,7 +206,8 @@
     String target = reader == null ? anyVoter() : leader;
     if (target == null || target.equals(node) || pendingQueries.size() >= MAX_PENDING) {
       output.effect(
-          OperatorAnswers.retryLater(call.callId(), "the control group has no leader; ask again"));
+          OperatorAnswers.retryLater(
+              call.callId(), "the control group has no leader; retry later"));
       return;
     }
     pendingQueries.put(call.callId(), now.plus(settings.callTimeout()));
@@ -236,7 +238,7 @@
       output.effect(new PeerEffect.SendToPeer(leader, forwarded));
     } else {
       OperatorEffect refusal =
-          OperatorAnswers.retryLater(call.callId(), "the control group has no leader; ask again");
+          OperatorAnswers.retryLater(call.callId(), "the control group has no leader; retry later");
       output.effect(new PeerEffect.SendToPeer(query.origin(), new OperatorAnswer(refusal)));
     }
   }
@@ -264,7 +266,7 @@
     expired.sort(null);
     for (String callId : expired) {
       output.effect(
-          OperatorAnswers.retryLater(callId, "no control VM answered in time; ask again"));
+          OperatorAnswers.retryLater(callId, "no control VM answered in time; retry later"));
     }
   }
 }
