--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationPart.java
@@ -165,7 +165,7 @@
             "configuration",
             serving
                 ? "holds a lease at revision " + applied.revision()
-                : "lease expired; refusing new work"));
+                : "no longer holds a lease and refuses new work"));
   }
 
   private Subscription subscription(Instant now) {
