--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashGuard.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashGuard.java
@@ -3,9 +3,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
-import org.skylarkfork.core.crash.CrashWatch;
+import org.skylarkfork.core.crash.CrashDetector;
 import org.skylarkfork.core.crash.RequestKey;
-import org.skylarkfork.core.crash.WatchedUpstream;
+import org.skylarkfork.core.crash.SuspectedUpstream;
 import org.skylarkfork.core.effect.UpstreamEffect;
 import org.skylarkfork.core.error.ErrorKind;
 import org.skylarkfork.core.error.RoutingError;
@@ -31,11 +31,11 @@
           + " Change it before you send it again, or ask your operator to lift the quarantine of ";
 
   private final RequestCollaborators collaborators;
-  private final CrashWatch detector;
+  private final CrashDetector detector;
 
   CrashGuard(RequestCollaborators collaborators) {
     this.collaborators = collaborators;
-    this.detector = new CrashWatch(collaborators.crashReviewers(), "upstreams_ended");
+    this.detector = new CrashDetector(collaborators.crashReviewers(), "upstreams_ended");
   }
 
   /** Returns the key of a request's content, which is the same for a resend at any entry. */
@@ -89,8 +89,8 @@
     UpstreamRun run = new UpstreamRun(target.id(), target.incarnation());
     String service = target.service() == null ? target.kind().name() : target.service();
     String version = attempt.version == null ? "" : attempt.version.toString();
-    detector.lost(
-        new WatchedUpstream(
+    detector.recordLoss(
+        new SuspectedUpstream(
             run,
             service,
             version,
@@ -115,14 +115,14 @@
 
   /** Reports that the last upstream of a request answered it completely. */
   void requestServed(ActiveRequest active, EventContext context) {
-    if (detector.suspects()) {
-      detector.served(active.contentKey(), context.output());
+    if (detector.hasLosses()) {
+      detector.recordServed(active.contentKey(), context.output());
     }
   }
 
   /** Applies the result of an upstream probe. */
   void probed(UpstreamEvent.UpstreamProbed probed, EventContext context) {
-    detector.probed(probed.upstream(), probed.reachable(), context.now(), context.output());
+    detector.onProbeResult(probed.upstream(), probed.reachable(), context.now(), context.output());
   }
 
   /** Sends reports again that may not have arrived. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCollaborators.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCollaborators.java
@@ -4,7 +4,7 @@
 import org.skylarkfork.core.admission.Admission;
 import org.skylarkfork.core.configuration.Configuration;
 import org.skylarkfork.core.configuration.ConfigurationView;
-import org.skylarkfork.core.crash.CrashJudges;
+import org.skylarkfork.core.crash.CrashReviewers;
 import org.skylarkfork.core.ledger.Ledger;
 import org.skylarkfork.core.membership.EntryListing;
 import org.skylarkfork.core.quality.QualityBook;
@@ -40,4 +40,4 @@
     Ledger ledger,
     Admission admission,
     EntryListing listing,
-    CrashJudges crashReviewers) {}
+    CrashReviewers crashReviewers) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
@@ -27,7 +27,7 @@
   private final String zone;
   private final UpstreamPicker picker;
   private final SchedulerClient schedulers;
-  private final VersionRule versions;
+  private final VersionSelector versions;
   private final SentPrompts prompts;
   private final RequestTrace trace;
 
@@ -36,7 +36,7 @@
       String zone,
       UpstreamPicker picker,
       SchedulerClient schedulers,
-      VersionRule versions,
+      VersionSelector versions,
       SentPrompts prompts,
       RequestTrace trace) {
     this.view = view;
@@ -116,8 +116,8 @@
 
   private PlacementQuery query(ActiveRelay relay, @Nullable String model, Set<String> excluded) {
     String version = relay.version;
-    VersionRule.Allowed allowed =
-        version == null ? versions.allowed(relay.service.name(), relay.request) : version::equals;
+    VersionSelector.VersionFilter allowed =
+        version == null ? versions.filterFor(relay.service.name(), relay.request) : version::equals;
     return new PlacementQuery(
         relay.service,
         model,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -5,7 +5,7 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.Output;
 import org.skylarkfork.core.Part;
-import org.skylarkfork.core.crash.CrashWatch;
+import org.skylarkfork.core.crash.CrashDetector;
 import org.skylarkfork.core.effect.RelayEffect;
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.LifecycleEvent;
@@ -35,13 +35,13 @@
   private static final Duration MAX_OVERRUN = Duration.ofMillis(60);
 
   private final ModelPolicy models;
-  private final VersionLedger counts;
+  private final VersionStatistics counts;
   private final ShutdownPolicy shutdownPolicy;
   private final RequestTrace trace;
   private final FirstByteTimeout firstByteTimeout = new FirstByteTimeout();
   private final SentPrompts prompts = new SentPrompts();
   private final ActiveRelays active = new ActiveRelays();
-  private final CrashWatch crashes;
+  private final CrashDetector crashes;
   private final RateLimitWatch rateLimits = new RateLimitWatch();
   private final RequestIntake intake;
   private final SchedulerClient schedulers;
@@ -59,14 +59,14 @@
    * @param seed seed of random choices
    */
   public RelayRequestPart(
-      RelayEntryPart entry, RelayRequestSettings settings, VersionLedger counts, long seed) {
+      RelayEntryPart entry, RelayRequestSettings settings, VersionStatistics counts, long seed) {
     this(entry, settings, counts, new AnswerTimes(), seed);
   }
 
   private RelayRequestPart(
       RelayEntryPart entry,
       RelayRequestSettings settings,
-      VersionLedger counts,
+      VersionStatistics counts,
       AnswerTimes answerTimes,
       long seed) {
     this(
@@ -79,7 +79,7 @@
             seed),
         new ConfidenceCascade(answerTimes),
         answerTimes,
-        new VersionRule(entry, settings.canaryShare()),
+        new VersionSelector(entry, settings.canaryShare()),
         new RetryBudget(settings.retryRatio()),
         counts,
         new ShutdownPolicy(settings.grace()),
@@ -92,16 +92,16 @@
       UpstreamPicker picker,
       ModelPolicy models,
       AnswerTimes answerTimes,
-      VersionRule versions,
+      VersionSelector versions,
       RetryBudget budget,
-      VersionLedger counts,
+      VersionStatistics counts,
       ShutdownPolicy shutdownPolicy,
       long seed) {
     this.models = models;
     this.counts = counts;
     this.shutdownPolicy = shutdownPolicy;
     this.trace = new RequestTrace(view);
-    this.crashes = new CrashWatch(new LeaderAsJudge(view), "relay_upstreams_ended");
+    this.crashes = new CrashDetector(new LeaderCrashReviewers(view), "relay_upstreams_ended");
     this.schedulers = new SchedulerClient(view);
     this.sender = new AttemptSender(view, zone, picker, schedulers, versions, prompts, trace);
     this.completer = new RequestCompleter(active, sender, answerTimes, trace);
@@ -150,7 +150,7 @@
         failures.onAttemptFailed(relay, failed, now, output);
       }
     } else if (event instanceof RelayEvent.UpstreamProbed probed) {
-      crashes.probed(probed.upstream(), probed.reachable(), now, output);
+      crashes.onProbeResult(probed.upstream(), probed.reachable(), now, output);
     } else if (event instanceof RelayEvent.AnswerSilent silent) {
       ActiveRelay relay = active.find(silent.request(), silent.attempt());
       if (relay != null) {
@@ -159,7 +159,7 @@
     } else if (event instanceof RelayEvent.AnswerEnded ended) {
       ActiveRelay relay = active.find(ended.request(), ended.attempt());
       if (relay != null) {
-        crashes.served(relay.requestKey, output);
+        crashes.recordServed(relay.requestKey, output);
         completer.complete(relay, now, output);
       }
     }
@@ -199,7 +199,7 @@
     if (!serverError) {
       trace.answered(relay, began.status(), now, output);
       track.succeeded();
-      counts.answered(track.instance(), millis);
+      counts.recordAnswer(track.instance(), millis);
     }
     if (relay.forwarding || serverError || relay.modelIndex < 0 || !escalate(relay, now, output)) {
       forwardAnswer(relay, track, output);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
@@ -26,7 +26,7 @@
   private final Map<String, UpstreamTrack> byId = new LinkedHashMap<>();
   private final Map<String, List<UpstreamTrack>> byService = new HashMap<>();
   private final Map<String, String> usualVersions = new HashMap<>();
-  private final Map<String, UpstreamRun> leaving = new HashMap<>();
+  private final Map<String, UpstreamRun> updateLeaving = new HashMap<>();
   private Set<String> evacuated = Set.of();
   private long epoch;
   private long sequence;
@@ -60,12 +60,12 @@
   }
 
   /** Returns the version of a service that is used apart from roll-outs, or null if none is. */
-  @Nullable String usualVersion(String service) {
+  @Nullable String stableVersion(String service) {
     return usualVersions.get(service);
   }
 
   /** Takes note that a version of a service has come into use with a roll-out. */
-  void usualVersion(String service, String version) {
+  void stableVersion(String service, String version) {
     usualVersions.put(service, version);
   }
 
@@ -90,10 +90,10 @@
    * @param index log index that this rests on
    * @param output takes a line for each that is new
    */
-  void leaving(List<UpstreamRun> runs, long index, Output output) {
-    leaving.clear();
-    runs.forEach(run -> leaving.put(run.id(), run));
-    for (UpstreamRun run : leaving.values()) {
+  void updateLeaving(List<UpstreamRun> runs, long index, Output output) {
+    updateLeaving.clear();
+    runs.forEach(run -> updateLeaving.put(run.id(), run));
+    for (UpstreamRun run : updateLeaving.values()) {
       UpstreamTrack track = byId.get(run.id());
       boolean meant = track != null && run.covers(track.instance().run());
       if (meant && track.condition() != UpstreamCondition.LEAVING) {
@@ -104,7 +104,7 @@
   }
 
   /** Takes what the leader tells, unless it is older than what is known or doesn't follow it. */
-  void take(DirectoryChanges changes, Instant now, Output output) {
+  void apply(DirectoryChanges changes, Instant now, Output output) {
     if (changes.epoch() < epoch) {
       return;
     }
@@ -113,7 +113,7 @@
       return;
     }
     for (UpstreamStatus status : changes.upstreams()) {
-      take(status, now, output);
+      apply(status, now, output);
     }
     settled |= changes.settled();
     epoch = changes.epoch();
@@ -126,14 +126,14 @@
     }
   }
 
-  private void take(UpstreamStatus status, Instant now, Output output) {
+  private void apply(UpstreamStatus status, Instant now, Output output) {
     UpstreamInstance instance = status.instance();
     UpstreamTrack known = byId.get(instance.id());
     if (known == null || instance.bornMillis() > known.instance().bornMillis()) {
       takeRun(status, known, output);
     } else if (instance.bornMillis() != known.instance().bornMillis()) {
       return;
-    } else if (known.condition() != status.condition() || instance.follows(known.instance())) {
+    } else if (known.condition() != status.condition() || instance.isNewerThan(known.instance())) {
       known.told(status);
     }
     UpstreamTrack track = byId.get(instance.id());
@@ -168,7 +168,7 @@
       byService.getOrDefault(before.instance().service(), List.of()).remove(before);
     }
     UpstreamTrack track = new UpstreamTrack(status);
-    UpstreamRun left = leaving.get(instance.id());
+    UpstreamRun left = updateLeaving.get(instance.id());
     if (left != null && left.covers(instance.run())) {
       track.leaves();
     }
@@ -198,7 +198,7 @@
   }
 
   /** Returns what upstreams named to this entry and the leader doesn't know. */
-  List<HeardLimit> limitsNewToLeader(Instant now) {
+  List<HeardLimit> limitsUnknownToLeader(Instant now) {
     List<HeardLimit> limits = new ArrayList<>();
     for (UpstreamTrack track : byId.values()) {
       TrackedRateLimit rate = track.rate();
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
@@ -44,7 +44,8 @@
   /** What each entry believes, of its newest start. */
   final Map<String, RelayEntryPart> entryParts = new HashMap<>();
 
-  private final RelaySimulation.SnapshotNumbers codec = new RelaySimulation.SnapshotNumbers();
+  private final RelaySimulation.InMemorySnapshotCodec codec =
+      new RelaySimulation.InMemorySnapshotCodec();
   private final Map<String, ConsensusPart> groups = new HashMap<>();
   private final Map<String, Integer> starts = new HashMap<>();
   private final Map<String, Instant> disturbedAt = new HashMap<>();
@@ -99,7 +100,7 @@
     boolean first = starts.merge(name, 1, Integer::sum) == 1;
     RelayMachine machine = new RelayMachine();
     MembershipChangePolicy growth =
-        new MembershipChangePolicy(first, CONTROLS, RelaySimulation.VOTER_SILENCE);
+        new MembershipChangePolicy(first, CONTROLS, RelaySimulation.VOTER_TIMEOUT);
     ConsensusPart consensus =
         new ConsensusPart(
             name,
@@ -116,7 +117,7 @@
   }
 
   private Reducer bootEntry(String name, long seed) {
-    VersionLedger counts = new VersionLedger();
+    VersionStatistics counts = new VersionStatistics();
     EntryIdentity self = new EntryIdentity(name + ":80", "a", starts.merge(name, 1, Integer::sum));
     RelayEntryPart entry = new RelayEntryPart(self, controls, RelaySimulation.times(), counts);
     entryParts.put(name, entry);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
@@ -143,7 +143,7 @@
 
   private void addEntry(int number, int entryCount, int peers, int schedulers, long seed) {
     String name = "entry-" + number;
-    VersionLedger counts = new VersionLedger();
+    VersionStatistics counts = new VersionStatistics();
     RelayEntryPart entry =
         new RelayEntryPart(
             new EntryIdentity(name + ":80", "a", 1),
@@ -232,7 +232,7 @@
 
   private UpstreamStatus status(EmulatedEngine engine) {
     long coldMillis = coldReturn.coldMillis(engine.instance.id(), now);
-    return new UpstreamStatus(engine.instance.coldFor(coldMillis), UpstreamCondition.READY);
+    return new UpstreamStatus(engine.instance.withColdMillis(coldMillis), UpstreamCondition.READY);
   }
 
   private void prove(String name, Neighbourhood neighbourhood) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadSharePartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadSharePartTest.java
@@ -40,7 +40,7 @@
         new EntryIdentity("10.0.0.9:80", "a", 1),
         List.of(CONTROL),
         RelayTimings.of(Duration.ofSeconds(5), Duration.ofSeconds(1)),
-        new VersionLedger());
+        new VersionStatistics());
   }
 
   /** An entry that knows two peers and one upstream. */
@@ -48,7 +48,7 @@
   public void setUp() {
     now = RelayFixture.START;
     entry = part();
-    VersionLedger counts = new VersionLedger();
+    VersionStatistics counts = new VersionStatistics();
     RelayRequestPart requests =
         new RelayRequestPart(
             entry, new RelayRequestSettings("a", 0.7, 0.05, Duration.ofSeconds(8)), counts, 1);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
@@ -30,7 +30,7 @@
         new EntryIdentity("10.0.0.9:80", "a", 1),
         List.of(CONTROL),
         RelayTimings.of(Duration.ofSeconds(5), Duration.ofSeconds(1)),
-        new VersionLedger());
+        new VersionStatistics());
   }
 
   /** Creates a new entry for each test. */
@@ -116,7 +116,7 @@
     receiveUpdate(List.of(), newInstance(1, 2000));
     assertEquals(onlyUpstream().condition(), UpstreamCondition.EVACUATED);
     evacuatedZones = List.of();
-    receiveUpdate(List.of(), newInstance(2, 2000).coldFor(3000));
+    receiveUpdate(List.of(), newInstance(2, 2000).withColdMillis(3000));
     assertEquals(onlyUpstream().condition(), UpstreamCondition.READY);
     assertTrue(onlyUpstream().isCold(RelayFixture.START.plusMillis(2999)));
     receiveUpdate(List.of(), newInstance(3, 2000));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
@@ -22,7 +22,7 @@
   private static final double RETRY_RATIO = 0.9;
 
   final FakeView view = new FakeView();
-  final VersionLedger counts = new VersionLedger();
+  final VersionStatistics counts = new VersionStatistics();
   private final Reducer reducer;
   private Instant now = START;
 
@@ -41,7 +41,7 @@
                         1),
                     new ConfidenceCascade(answerTimes),
                     answerTimes,
-                    new VersionRule(view, 0.05),
+                    new VersionSelector(view, 0.05),
                     new RetryBudget(RETRY_RATIO),
                     counts,
                     new ShutdownPolicy(Duration.ofSeconds(8)),
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRandomRunTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRandomRunTest.java
@@ -78,7 +78,8 @@
   private static void order(RelaySimulation run, UniformRandomProvider random) {
     List<String> running = run.runningControls();
     if (!running.isEmpty()) {
-      run.order(running.get(random.nextInt(running.size())), random.nextBoolean() ? "a" : "b");
+      run.orderOnZone(
+          running.get(random.nextInt(running.size())), random.nextBoolean() ? "a" : "b");
     }
   }
 
@@ -90,8 +91,8 @@
     int voters = VOTERS.get((int) Math.floorMod(seed, (long) VOTERS.size()));
     RelaySimulation run = new RelaySimulation(seed, voters, (int) (seed % 2), ENTRIES);
     run.network.weather(0.01, 0.01, 3);
-    assertTrue(run.repaired(), "the group is founded and grows" + run.states());
-    run.put(run.controls.get(0));
+    assertTrue(run.runUntilRepaired(), "the group is founded and grows" + run.describeGroups());
+    run.putNext(run.controls.get(0));
     UniformRandomProvider random = run.random();
     for (int step = 0; step < STEPS; step++) {
       final List<String> struck = strike(run, random);
@@ -100,7 +101,7 @@
       orders.accept(run);
       recover(run, struck);
     }
-    run.assertServes();
+    run.assertAcceptsChanges();
     return run;
   }
 
@@ -173,8 +174,8 @@
         String control = running.get(random.nextInt(running.size()));
         switch (random.nextInt(4)) {
           case 0 -> run.read(control);
-          case 1 -> run.putOther(control);
-          default -> run.put(control);
+          case 1 -> run.putConflicting(control);
+          default -> run.putNext(control);
         }
       }
       run.network.run(Duration.ofMillis(random.nextInt(1600)));
@@ -187,6 +188,6 @@
     all.addAll(run.entries);
     all.stream().filter(run.network::isFrozen).forEach(run.network::thaw);
     struck.stream().filter(name -> !run.network.isUp(name)).forEach(run::start);
-    assertTrue(run.repaired(), "all voters are there again" + run.states());
+    assertTrue(run.runUntilRepaired(), "all voters are there again" + run.describeGroups());
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
@@ -163,7 +163,9 @@
     RelayEffect.SendAttempt next = RelayFixture.only(effects, RelayEffect.SendAttempt.class);
     assertNotEquals(next.target().upstream().id(), silent);
     assertEquals(
-        entry.counts.all().get(0).failures(), 0, "a slow answer isn't a failure of the version");
+        entry.counts.allCounts().get(0).failures(),
+        0,
+        "a slow answer isn't a failure of the version");
     assertTrue(entry.advance(1000).isEmpty(), "fails over only once");
   }
 
@@ -336,7 +338,7 @@
     String first = entry.send(1, "/lookup/x").target().upstream().id();
     RelayFixture.only(
         entry.fails(1, 1, AttemptFailure.STALE_CONNECTION, null), RelayEffect.SendAttempt.class);
-    assertTrue(entry.counts.all().isEmpty(), entry.counts.all().toString());
+    assertTrue(entry.counts.allCounts().isEmpty(), entry.counts.allCounts().toString());
     for (UpstreamTrack track : entry.view.tracks) {
       assertEquals(track.failureShare(), 0.0, first);
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/SchedulerTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/SchedulerTest.java
@@ -57,9 +57,9 @@
                         1),
                     new ConfidenceCascade(answerTimes),
                     answerTimes,
-                    new VersionRule(view, 0.05),
+                    new VersionSelector(view, 0.05),
                     new RetryBudget(0.9),
-                    new VersionLedger(),
+                    new VersionStatistics(),
                     new ShutdownPolicy(Duration.ofSeconds(8)),
                     1)));
     scheduler = new Reducer(List.of(new SchedulerPart(view(), SCHEDULER, 1)));
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -44,7 +44,7 @@
 import org.skylarkfork.core.relay.RelayTimings;
 import org.skylarkfork.core.relay.RollOutSettings;
 import org.skylarkfork.core.relay.SchedulerPart;
-import org.skylarkfork.core.relay.VersionLedger;
+import org.skylarkfork.core.relay.VersionStatistics;
 import org.skylarkfork.core.routing.StableHash;
 import org.skylarkfork.runtime.codec.BinaryCodec;
 import org.skylarkfork.runtime.loop.EventLoopReducer;
@@ -257,7 +257,7 @@
   }
 
   private void addEntry(List<Part> parts, InetSocketAddress caller) {
-    VersionLedger counts = new VersionLedger();
+    VersionStatistics counts = new VersionStatistics();
     EntryIdentity self =
         new EntryIdentity(
             caller.getAddress().getHostAddress() + ":" + caller.getPort(),
