--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/message/RelayMessage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/message/RelayMessage.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.crash.RequestKey;
-import org.skylarkfork.core.relay.EntryPlace;
-import org.skylarkfork.core.relay.NamedLimit;
+import org.skylarkfork.core.relay.EntryOrdinal;
 import org.skylarkfork.core.relay.RelayConfiguration;
+import org.skylarkfork.core.relay.ReportedLimit;
 import org.skylarkfork.core.relay.ServiceRollOut;
 import org.skylarkfork.core.relay.UpstreamInstance;
 import org.skylarkfork.core.relay.UpstreamStatus;
@@ -66,7 +66,7 @@
    * @param upstream the start of it that answered
    * @param named what it said
    */
-  record HeardLimit(UpstreamRun upstream, NamedLimit named) {}
+  record HeardLimit(UpstreamRun upstream, ReportedLimit named) {}
 
   /**
    * What a leader tells an entry.
@@ -113,11 +113,11 @@
       List<String> callerAddresses,
       List<String> peers,
       List<String> schedulers,
-      EntryPlace place) {
+      EntryOrdinal place) {
 
     /** Before anything was told. */
     public static final Neighbourhood NONE =
-        new Neighbourhood(0, List.of(), List.of(), List.of(), EntryPlace.UNKNOWN);
+        new Neighbourhood(0, List.of(), List.of(), List.of(), EntryOrdinal.UNKNOWN);
 
     /** Copies the lists. */
     public Neighbourhood {
@@ -203,7 +203,7 @@
    * @param named what the entry knows of the engine's rate limit, or null if it never named one
    */
   record PlacementNews(
-      long number, AttemptProgress progress, int millis, @Nullable NamedLimit named)
+      long number, AttemptProgress progress, int millis, @Nullable ReportedLimit named)
       implements RelayMessage {
 
     /** Makes news of an attempt at an engine that never named a rate limit. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
@@ -17,7 +17,7 @@
   }
 
   /** A daemon's sends to one upstream for as long as that names a limit. */
-  static final class Account {
+  static final class Quota {
 
     /** What is left of the daemon's part, or null while it has none. */
     private @Nullable TokenBucket bucket;
@@ -29,9 +29,9 @@
   }
 
   /** Returns whether an upstream may get one more request of this daemon now. */
-  boolean takes(RelayService service, UpstreamTrack track, Instant now) {
+  boolean allows(RelayService service, TrackedUpstream track, Instant now) {
     if (!track.rateLimit().isBounded()) {
-      track.rate().account(null);
+      track.rate().quota(null);
       return true;
     }
     TokenBucket bucket = bucket(service, track, now);
@@ -39,7 +39,7 @@
   }
 
   /** Takes note of a request that this daemon sends to an upstream by its own choice. */
-  void sent(RelayService service, UpstreamTrack track, Instant now) {
+  void recordSent(RelayService service, TrackedUpstream track, Instant now) {
     if (track.rateLimit().isBounded()) {
       TokenBucket bucket = bucket(service, track, now);
       if (bucket != null) {
@@ -49,8 +49,8 @@
   }
 
   /** Returns the time until an upstream takes one more request, of this daemon or another one. */
-  Duration untilTaken(RelayService service, UpstreamTrack track, Instant now) {
-    if (takes(service, track, now)) {
+  Duration timeUntilAllowed(RelayService service, TrackedUpstream track, Instant now) {
+    if (allows(service, track, now)) {
       return Duration.ZERO;
     }
     TokenBucket bucket = bucket(service, track, now);
@@ -61,13 +61,13 @@
     return Duration.ofMillis((long) Math.ceil(seconds * MILLIS_A_SECOND));
   }
 
-  private @Nullable TokenBucket bucket(RelayService service, UpstreamTrack track, Instant now) {
-    Account known = track.rate().account();
-    Account account = known == null ? new Account() : known;
-    track.rate().account(account);
+  private @Nullable TokenBucket bucket(RelayService service, TrackedUpstream track, Instant now) {
+    Quota known = track.rate().quota();
+    Quota account = known == null ? new Quota() : known;
+    track.rate().quota(account);
     RateShare share = division.share(service, track, now);
     TokenBucket bucket = account.bucket;
-    if (share.isNothing()) {
+    if (share.isNone()) {
       bucket = null;
     } else if (bucket != null && account.since.equals(share.since())) {
       bucket.change(share.perSecond(), share.burst(), now);
@@ -75,7 +75,7 @@
       bucket = new TokenBucket(share.perSecond(), share.burst(), now);
       // A part that comes later, with other entries' restarts, begins empty: another entry may
       // have just used it up.
-      bucket.take(share.burst() - (account.settled ? 0 : share.initial()), now);
+      bucket.take(share.burst() - (account.settled ? 0 : share.initialTokens()), now);
       account.since = share.since();
     }
     account.bucket = bucket;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
@@ -23,8 +23,8 @@
   /** Rate limits in one poll, some 30 bytes each; the others come with the next. */
   private static final int MOST_LIMITS = 64;
 
-  private final Map<String, UpstreamTrack> byId = new LinkedHashMap<>();
-  private final Map<String, List<UpstreamTrack>> byService = new HashMap<>();
+  private final Map<String, TrackedUpstream> byId = new LinkedHashMap<>();
+  private final Map<String, List<TrackedUpstream>> byService = new HashMap<>();
   private final Map<String, String> usualVersions = new HashMap<>();
   private final Map<String, UpstreamRun> updateLeaving = new HashMap<>();
   private Set<String> evacuated = Set.of();
@@ -47,15 +47,15 @@
     return settled;
   }
 
-  List<UpstreamTrack> upstreams(String service) {
+  List<TrackedUpstream> upstreams(String service) {
     return byService.getOrDefault(service, List.of());
   }
 
-  Collection<UpstreamTrack> tracks() {
+  Collection<TrackedUpstream> tracks() {
     return byId.values();
   }
 
-  @Nullable UpstreamTrack track(String id) {
+  @Nullable TrackedUpstream track(String id) {
     return byId.get(id);
   }
 
@@ -79,7 +79,7 @@
     byId.values().forEach(this::markEvacuated);
   }
 
-  private void markEvacuated(UpstreamTrack track) {
+  private void markEvacuated(TrackedUpstream track) {
     track.evacuated(evacuated.contains(track.instance().zone()));
   }
 
@@ -94,10 +94,10 @@
     updateLeaving.clear();
     runs.forEach(run -> updateLeaving.put(run.id(), run));
     for (UpstreamRun run : updateLeaving.values()) {
-      UpstreamTrack track = byId.get(run.id());
+      TrackedUpstream track = byId.get(run.id());
       boolean meant = track != null && run.covers(track.instance().run());
       if (meant && track.condition() != UpstreamCondition.LEAVING) {
-        track.leaves();
+        track.markLeaving();
         log("event=upstream_leaves id=" + run.id() + " index=" + index, output);
       }
     }
@@ -128,15 +128,15 @@
 
   private void apply(UpstreamStatus status, Instant now, Output output) {
     UpstreamInstance instance = status.instance();
-    UpstreamTrack known = byId.get(instance.id());
+    TrackedUpstream known = byId.get(instance.id());
     if (known == null || instance.bornMillis() > known.instance().bornMillis()) {
       takeRun(status, known, output);
     } else if (instance.bornMillis() != known.instance().bornMillis()) {
       return;
     } else if (known.condition() != status.condition() || instance.isNewerThan(known.instance())) {
-      known.told(status);
+      known.updateStatus(status);
     }
-    UpstreamTrack track = byId.get(instance.id());
+    TrackedUpstream track = byId.get(instance.id());
     takeCold(track, instance, now, output);
     takeLimit(track, status.named(), now, output);
   }
@@ -145,7 +145,7 @@
    * Takes over how long an upstream is cold; the way of the message makes it longer, never less.
    */
   private static void takeCold(
-      UpstreamTrack track, UpstreamInstance told, Instant now, Output output) {
+      TrackedUpstream track, UpstreamInstance told, Instant now, Output output) {
     if (told.sequence() < track.instance().sequence()) {
       return;
     }
@@ -162,15 +162,15 @@
    * <p>Kept, its failures would turn work away from a sound process, and prompts would be sent to
    * where they were kept before.
    */
-  private void takeRun(UpstreamStatus status, @Nullable UpstreamTrack before, Output output) {
+  private void takeRun(UpstreamStatus status, @Nullable TrackedUpstream before, Output output) {
     UpstreamInstance instance = status.instance();
     if (before != null) {
       byService.getOrDefault(before.instance().service(), List.of()).remove(before);
     }
-    UpstreamTrack track = new UpstreamTrack(status);
+    TrackedUpstream track = new TrackedUpstream(status);
     UpstreamRun left = updateLeaving.get(instance.id());
     if (left != null && left.covers(instance.run())) {
-      track.leaves();
+      track.markLeaving();
     }
     markEvacuated(track);
     byId.put(instance.id(), track);
@@ -180,10 +180,10 @@
   }
 
   private static void takeLimit(
-      UpstreamTrack track, @Nullable NamedLimit named, Instant now, Output output) {
+      TrackedUpstream track, @Nullable ReportedLimit named, Instant now, Output output) {
     RateLimit before = track.rateLimit();
-    track.rate().leaderKnows(named);
-    if (track.rate().told(named, now) && !track.rateLimit().isNear(before)) {
+    track.rate().setKnownToLeader(named);
+    if (track.rate().updateIfNewer(named, now) && !track.rateLimit().isNear(before)) {
       String facts =
           "event=rate_limit_told id="
               + track.instance().id()
@@ -192,7 +192,7 @@
               + " before="
               + before
               + " age_ms="
-              + Duration.between(track.rate().namedAt(), now).toMillis();
+              + Duration.between(track.rate().reportedAt(), now).toMillis();
       log(facts, output);
     }
   }
@@ -200,9 +200,9 @@
   /** Returns what upstreams named to this entry and the leader doesn't know. */
   List<HeardLimit> limitsUnknownToLeader(Instant now) {
     List<HeardLimit> limits = new ArrayList<>();
-    for (UpstreamTrack track : byId.values()) {
+    for (TrackedUpstream track : byId.values()) {
       TrackedRateLimit rate = track.rate();
-      NamedLimit named = rate.isNewsToLeader() ? rate.toTell(now) : null;
+      ReportedLimit named = rate.differsFromLeader() ? rate.toReport(now) : null;
       if (named != null && limits.size() < MOST_LIMITS) {
         limits.add(new HeardLimit(track.instance().run(), named));
       }
@@ -214,7 +214,7 @@
     Set<String> ids = new HashSet<>();
     all.forEach(status -> ids.add(status.instance().id()));
     byId.keySet().retainAll(ids);
-    for (List<UpstreamTrack> tracks : byService.values()) {
+    for (List<TrackedUpstream> tracks : byService.values()) {
       tracks.removeIf(track -> !ids.contains(track.instance().id()));
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
@@ -83,15 +83,15 @@
    * @param now the present time
    * @return whether entries are to be told
    */
-  boolean recordRateLimit(UpstreamRun run, NamedLimit named, String by, Instant now) {
+  boolean recordRateLimit(UpstreamRun run, ReportedLimit named, String by, Instant now) {
     Entry entry = byId.get(run.id());
     boolean meant = entry != null && entry.instance().run().equals(run);
-    if (!meant || !entry.rate.told(named, now) || named.limit().isNear(entry.toldLimit)) {
+    if (!meant || !entry.rate.updateIfNewer(named, now) || named.limit().isNear(entry.toldLimit)) {
       return false;
     }
     entry.toldLimit = named.limit();
     entry.limitBy = by;
-    entry.limitSince = entry.rate.namedAt();
+    entry.limitSince = entry.rate.reportedAt();
     entry.changedAt = ++sequence;
     return true;
   }
@@ -229,7 +229,7 @@
     return changed.stream()
         .map(
             entry ->
-                new UpstreamStatus(toldAt(entry, now), entry.condition, entry.rate.toTell(now)))
+                new UpstreamStatus(toldAt(entry, now), entry.condition, entry.rate.toReport(now)))
         .toList();
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestSimulation.java
@@ -108,8 +108,8 @@
 
   /** Sends good requests, each of another content, for as long as the run lasts. */
   void sendOrdinaryRequests(int requestsPerSecond) {
-    after(
-        Math.max(1, upTo(2 * 1000 / requestsPerSecond) - 1),
+    schedule(
+        Math.max(1, randomMillis(2 * 1000 / requestsPerSecond) - 1),
         () -> {
           long content = ++lastContent;
           ordinarySent++;
@@ -120,8 +120,8 @@
 
   /** Sends one and the same good lookup for as long as the run lasts, as many callers do. */
   void sendPopularLookups(long content, int requestsPerSecond) {
-    after(
-        upTo(2 * 1000 / requestsPerSecond),
+    schedule(
+        randomMillis(2 * 1000 / requestsPerSecond),
         () -> {
           ordinarySent++;
           send(content, "/lookup/x", 1);
@@ -133,7 +133,7 @@
   void sendCrashingRequest(long content, int pauseMillis) {
     recordsByContent.computeIfAbsent(content, unknown -> new CrashRecord());
     send(content, path(content), 0);
-    after(upTo(pauseMillis), () -> sendCrashingRequest(content, pauseMillis));
+    schedule(randomMillis(pauseMillis), () -> sendCrashingRequest(content, pauseMillis));
   }
 
   private static String path(long content) {
@@ -170,7 +170,7 @@
   @Override
   void onEffect(String node, Effect effect) {
     if (effect instanceof RelayEffect.SendAttempt sent) {
-      after(1, () -> arrives(node, sent));
+      schedule(1, () -> arrives(node, sent));
     } else if (effect instanceof RelayEffect.DropAttempt drop) {
       dropped(node, drop);
     } else if (effect instanceof RelayEffect.Refuse refuse) {
@@ -179,7 +179,7 @@
       lost(callers.remove(broken.request()));
     } else if (effect instanceof RelayEffect.ProbeUpstream probe) {
       Upstream upstream = upstreams.get(probe.upstream().id());
-      after(
+      schedule(
           1,
           () ->
               inject(
@@ -205,14 +205,14 @@
     if (record != null) {
       count(record, entry);
     }
-    after(upTo(WAIT_MILLIS), () -> begins(upstream, run, caller));
+    schedule(randomMillis(WAIT_MILLIS), () -> begins(upstream, run, caller));
   }
 
   private void count(CrashRecord record, String entry) {
     record.sends++;
     Instant known = record.knownAt;
-    boolean late = known != null && network.now().isAfter(known.plus(CONTACT));
-    if (late && isInTouch(entry)) {
+    boolean late = known != null && network.now().isAfter(known.plus(SETTLE_TIME));
+    if (late && isSettled(entry)) {
       record.lateSends++;
     }
   }
@@ -227,13 +227,13 @@
       if (streams && random.nextBoolean()) {
         answer(run);
       }
-      after(upTo(CRASH_MILLIS) - 1, () -> crashUnder(upstream, run));
+      schedule(randomMillis(CRASH_MILLIS) - 1, () -> crashUnder(upstream, run));
       return;
     }
     if (streams) {
       answer(run);
     }
-    after(upTo(ANSWER_MILLIS), () -> ends(upstream, run, streams));
+    schedule(randomMillis(ANSWER_MILLIS), () -> ends(upstream, run, streams));
   }
 
   private void answer(Run run) {
@@ -288,12 +288,12 @@
     String[] words = upstream.instance.id().substring("up-".length()).split("\\.");
     int number = Integer.parseInt(words[0]);
     int start = Integer.parseInt(words[1]);
-    after(DOWN.toMillis(), () -> startUpstream(number, start + 1));
+    schedule(DOWN.toMillis(), () -> startUpstream(number, start + 1));
   }
 
   private void fail(String entry, long request, int attempt, AttemptFailure failure) {
-    after(
-        upTo(3),
+    schedule(
+        randomMillis(3),
         () -> inject(entry, new RelayEvent.AttemptFailed(request, attempt, failure, null)));
   }
 
@@ -329,7 +329,8 @@
   /** Lets a caller whose request failed send it once more. */
   private void lost(@Nullable Caller caller) {
     if (caller != null && caller.repeatsLeft() > 0) {
-      after(REPEAT_MILLIS, () -> send(caller.content(), caller.path(), caller.repeatsLeft() - 1));
+      schedule(
+          REPEAT_MILLIS, () -> send(caller.content(), caller.path(), caller.repeatsLeft() - 1));
     }
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestTest.java
@@ -145,17 +145,17 @@
       case 4 -> {
         String frozen = random.nextBoolean() || leader == null ? run.entries.get(0) : leader;
         run.network.freeze(frozen);
-        run.disturbed(frozen);
+        run.markDisturbed(frozen);
         return List.of();
       }
       default -> {
         run.network.isolate(control);
-        run.disturbed(control);
+        run.markDisturbed(control);
         return List.of();
       }
     }
     struck.forEach(run.network::crash);
-    struck.forEach(run::disturbed);
+    struck.forEach(run::markDisturbed);
     return struck;
   }
 
@@ -169,6 +169,6 @@
       }
     }
     struck.forEach(run.network::start);
-    all.forEach(run::disturbed);
+    all.forEach(run::markDisturbed);
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UpstreamRegistryTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UpstreamRegistryTest.java
@@ -178,11 +178,11 @@
   }
 
   private boolean named(double perSecond, long ageMillis, Instant now) {
-    NamedLimit named = new NamedLimit(new RateLimit(perSecond), ageMillis);
+    ReportedLimit named = new ReportedLimit(new RateLimit(perSecond), ageMillis);
     return registry.recordRateLimit(new UpstreamRun("up", 0), named, "entry-1", now);
   }
 
-  private @Nullable NamedLimit told() {
+  private @Nullable ReportedLimit told() {
     return registry.all(RelayFixture.START.plusSeconds(9)).get(0).named();
   }
 
@@ -203,7 +203,7 @@
     registry.recordHeartbeat(beat("up", "one", 1), false, RelayFixture.START);
     assertTrue(named(2, 0, RelayFixture.START.plusSeconds(5)));
     assertFalse(named(30, 700, RelayFixture.START.plusMillis(5200)));
-    assertEquals(told(), new NamedLimit(new RateLimit(2), 4000));
+    assertEquals(told(), new ReportedLimit(new RateLimit(2), 4000));
     assertTrue(named(Double.POSITIVE_INFINITY, 100, RelayFixture.START.plusSeconds(6)));
     assertEquals(registry.limitedUpstreams(), List.of());
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -35,7 +35,7 @@
 import org.skylarkfork.core.event.PeerEvent;
 import org.skylarkfork.core.event.RelayEvent;
 import org.skylarkfork.core.relay.EntryIdentity;
-import org.skylarkfork.core.relay.LoadSharePart;
+import org.skylarkfork.core.relay.LoadExchangePart;
 import org.skylarkfork.core.relay.RelayControlPart;
 import org.skylarkfork.core.relay.RelayEntryPart;
 import org.skylarkfork.core.relay.RelayMachine;
@@ -277,7 +277,7 @@
             counts,
             seed);
     parts.add(requests);
-    parts.add(new LoadSharePart(made, requests));
+    parts.add(new LoadExchangePart(made, requests));
     parts.add(new SchedulerPart(made, settings.peerName(), seed));
     RelayFront opened =
         new RelayFront(eventLoop, dialect, loop, () -> made.table().configuration().limits());
