--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationOverLogTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationOverLogTest.java
@@ -26,7 +26,7 @@
 import org.skylarkfork.core.effect.OperatorEffect.RefuseOperator;
 import org.skylarkfork.core.event.OperatorEvent;
 import org.skylarkfork.core.request.RunState;
-import org.skylarkfork.core.testing.MiniNetwork;
+import org.skylarkfork.core.testing.SimulatedNetwork;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -41,15 +41,15 @@
   private final Map<String, ConsensusPart> groups = new HashMap<>();
   private final Map<String, OperatorEffect> answers = new HashMap<>();
   private final List<Snapshot> snapshots = new ArrayList<>();
-  private MiniNetwork network;
+  private SimulatedNetwork network;
   private int calls;
 
   private void start(int snapshotEntries) {
     parts.clear();
     answers.clear();
     snapshots.clear();
-    network = new MiniNetwork(5);
-    network.listen(
+    network = new SimulatedNetwork(5);
+    network.setEffectListener(
         (node, effect) -> {
           if (effect instanceof OperatorEffect answer) {
             answers.put(answer.callId(), answer);
@@ -214,8 +214,8 @@
     String old = leader();
     for (String name : ALL) {
       if (!name.equals(old) && !name.equals("e1")) {
-        network.cut(name, old);
-        network.cut(name, "e1");
+        network.disconnect(name, old);
+        network.disconnect(name, "e1");
       }
     }
     ConfigurationChange drain = new ConfigurationChange.DrainUpstream("gpu-1");
@@ -234,7 +234,7 @@
     assertTrue(parts.get("e2").mayServe(network.now()));
     RefuseOperator lost = (RefuseOperator) await(isolatedCall);
     assertEquals(lost.error().runState(), RunState.UNKNOWN);
-    network.heal();
+    network.reconnectAll();
     assertEquals(accept("e1", "cut-off", drain).revision(), 3);
     assertTrue(network.runUntil(Duration.ofSeconds(10), () -> allServeAt(3)));
   }
