--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCollaborators.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCollaborators.java
@@ -9,7 +9,7 @@
 import org.skylarkfork.core.membership.EntryListing;
 import org.skylarkfork.core.quality.QualityBook;
 import org.skylarkfork.core.routing.Planner;
-import org.skylarkfork.core.routing.RuleBook;
+import org.skylarkfork.core.routing.RuleMatcher;
 import org.skylarkfork.core.routing.UpstreamChooser;
 import org.skylarkfork.core.session.SessionPins;
 import org.skylarkfork.core.upstream.UpstreamDirectory;
@@ -31,7 +31,7 @@
  */
 public record RequestCollaborators(
     ConfigurationView configuration,
-    Function<Configuration, RuleBook> ruleBooks,
+    Function<Configuration, RuleMatcher> ruleBooks,
     Planner planner,
     UpstreamDirectory directory,
     UpstreamChooser chooser,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Routes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Routes.java
@@ -8,7 +8,7 @@
 import org.skylarkfork.core.configuration.ConfigurationView;
 import org.skylarkfork.core.configuration.Rule;
 import org.skylarkfork.core.request.CallerRequest;
-import org.skylarkfork.core.routing.RuleBook;
+import org.skylarkfork.core.routing.RuleMatcher;
 
 /** The rules of the configuration in force, made ready once a revision. */
 final class Routes {
@@ -16,11 +16,11 @@
   private static final long NONE = -1;
 
   private final ConfigurationView configuration;
-  private final Function<Configuration, RuleBook> ruleBooks;
+  private final Function<Configuration, RuleMatcher> ruleBooks;
   private long revision = NONE;
-  private @Nullable RuleBook book;
+  private @Nullable RuleMatcher book;
 
-  Routes(ConfigurationView configuration, Function<Configuration, RuleBook> ruleBooks) {
+  Routes(ConfigurationView configuration, Function<Configuration, RuleMatcher> ruleBooks) {
     this.configuration = configuration;
     this.ruleBooks = ruleBooks;
   }
@@ -29,9 +29,9 @@
     return present().match(request, team, now);
   }
 
-  private RuleBook present() {
+  private RuleMatcher present() {
     Configuration current = configuration.current();
-    RuleBook known = book;
+    RuleMatcher known = book;
     if (known == null || revision != current.revision()) {
       known = ruleBooks.apply(current);
       book = known;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/Candidates.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/Candidates.java
@@ -15,7 +15,7 @@
 public final class Candidates {
 
   private final ConfigurationView configuration;
-  private final Versions versions;
+  private final VersionChooser versions;
 
   /**
    * Makes a lister.
@@ -23,7 +23,7 @@
    * @param configuration the configuration in force
    * @param versions chooses the version of each model
    */
-  public Candidates(ConfigurationView configuration, Versions versions) {
+  public Candidates(ConfigurationView configuration, VersionChooser versions) {
     this.configuration = configuration;
     this.versions = versions;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CompiledRules.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CompiledRules.java
@@ -17,7 +17,7 @@
  * <p>A rule that names several is listed under each combination. The lists that a request selects
  * are merged in the order of the rules, and the first rule whose whole condition holds decides.
  */
-public final class CompiledRules implements RuleBook {
+public final class CompiledRules implements RuleMatcher {
 
   private static final String ANY = "*";
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CurrentRules.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CurrentRules.java
@@ -8,11 +8,11 @@
 import org.skylarkfork.core.request.CallerRequest;
 
 /** The rules of the configuration in force, indexed again whenever they change. */
-public final class CurrentRules implements RuleBook {
+public final class CurrentRules implements RuleMatcher {
 
   private final ConfigurationView configuration;
   private List<Rule> compiledFrom = List.of();
-  private RuleBook compiled = new CompiledRules(List.of());
+  private RuleMatcher compiled = new CompiledRules(List.of());
 
   /**
    * Makes a rule book.
@@ -33,7 +33,7 @@
     return refreshed().explain(request, team, now);
   }
 
-  private RuleBook refreshed() {
+  private RuleMatcher refreshed() {
     List<Rule> rules = configuration.current().rules();
     if (rules != compiledFrom) {
       compiled = new CompiledRules(rules);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/DryRunPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/DryRunPart.java
@@ -17,7 +17,7 @@
 public final class DryRunPart implements Part {
 
   private final ConfigurationView configuration;
-  private final RuleBook rules;
+  private final RuleMatcher rules;
   private final Planner planner;
 
   /**
@@ -27,7 +27,7 @@
    * @param rules the rules
    * @param planner plans drafts
    */
-  public DryRunPart(ConfigurationView configuration, RuleBook rules, Planner planner) {
+  public DryRunPart(ConfigurationView configuration, RuleMatcher rules, Planner planner) {
     this.configuration = configuration;
     this.rules = rules;
     this.planner = planner;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/LeastCostPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/LeastCostPlanner.java
@@ -92,7 +92,7 @@
     return new Option(
         candidate,
         candidate.version().price().costMicros(new Usage(promptTokens, completion, 0)),
-        millis > 0 ? millis : settings.usualMillis(),
+        millis > 0 ? millis : settings.defaultLatencyMillis(),
         quality.estimate(version, team, promptTokens, target),
         quality.estimateEscalated(version, team, promptTokens, target));
   }
@@ -123,12 +123,12 @@
     Comparator<Combination> cheapest =
         Comparator.comparingDouble(combination -> combination.cost(settings));
     Comparator<Combination> likeliest =
-        Comparator.comparingDouble(combination -> combination.chance(settings.caution()));
+        Comparator.comparingDouble(combination -> combination.chance(settings.uncertaintyMargin()));
     List<Combination> inTime =
         all.stream().filter(combination -> fits(combination, millisLeft)).toList();
     List<Combination> left = inTime.isEmpty() ? singlesOf(all) : inTime;
     return left.stream()
-        .filter(combination -> combination.chance(settings.caution()) >= target)
+        .filter(combination -> combination.chance(settings.uncertaintyMargin()) >= target)
         .min(cheapest)
         .orElseGet(() -> left.stream().max(likeliest).orElseThrow());
   }
@@ -144,13 +144,14 @@
   /** Puts a cheaper and little known version before a plan, for a share of the requests. */
   private Optional<Combination> exploring(
       List<Option> options, Combination best, double millisLeft) {
-    if (best.options().size() >= MOST_STEPS || random.nextDouble() >= settings.exploreShare()) {
+    if (best.options().size() >= MOST_STEPS || random.nextDouble() >= settings.explorationShare()) {
       return Optional.empty();
     }
     Option first = best.options().get(0);
     return options.stream()
         .filter(option -> option.costMicros() < first.costMicros())
-        .filter(option -> option.estimate().standardDeviation() >= settings.exploreDeviation())
+        .filter(
+            option -> option.estimate().standardDeviation() >= settings.minExplorationDeviation())
         .max(Comparator.comparingDouble(option -> option.estimate().standardDeviation()))
         .map(option -> best.after(option))
         .filter(combination -> fits(combination, millisLeft));
@@ -164,7 +165,7 @@
   }
 
   private String reason(Combination best, double target) {
-    double chance = best.chance(settings.caution());
+    double chance = best.chance(settings.uncertaintyMargin());
     String what = chance >= target ? "least cost that is enough" : "most likely to be enough";
     return String.format(Locale.ROOT, "%s: chance %.2f for target %.2f", what, chance, target);
   }
@@ -212,7 +213,7 @@
       double cost = 0;
       for (int i = 0; i < options.size(); i++) {
         boolean last = i == options.size() - 1;
-        cost += reached * (options.get(i).costMicros() + (last ? 0 : settings.ratingMicros()));
+        cost += reached * (options.get(i).costMicros() + (last ? 0 : settings.ratingCostMicros()));
         reached *= 1 - options.get(i).chance(i == 0, 0);
       }
       return cost;
@@ -221,7 +222,7 @@
     /** Returns the time if each step falls short but the last. */
     double longestMillis(PlannerSettings settings) {
       double steps = options.stream().mapToDouble(Option::millis).sum();
-      return steps + (options.size() - 1) * settings.ratingMillis();
+      return steps + (options.size() - 1) * settings.ratingLatencyMillis();
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PowerOfTwoChooser.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PowerOfTwoChooser.java
@@ -30,7 +30,7 @@
   private final String zone;
   private final ChooserSettings settings;
   private final UniformRandomProvider random;
-  private final Map<String, UpstreamTrack> tracks = new LinkedHashMap<>(16, 0.75f, true);
+  private final Map<String, TrackedUpstream> tracks = new LinkedHashMap<>(16, 0.75f, true);
   private final Map<String, Group> groups = new HashMap<>();
   private final PrefixHints hints = new PrefixHints();
 
@@ -56,7 +56,7 @@
     Pick pick = new Pick(group(request), excluded, now);
     considerHolder(candidates, request, pick);
     int considered = 0;
-    for (int draw = 0; draw < MOST_DRAWS && considered < settings.sampled(); draw++) {
+    for (int draw = 0; draw < MOST_DRAWS && considered < settings.sampleSize(); draw++) {
       Announcement drawn = candidates.get(random.nextInt(candidates.size()));
       if (drawn != pick.best && accepts(drawn, pick.group) && pick.consider(drawn, 0)) {
         considered++;
@@ -90,7 +90,7 @@
     }
     Optional<String> holder = hints.holder(request, candidates.get(0));
     Announcement found = holder.map(id -> find(candidates, id)).orElse(null);
-    if (found != null && pick.load(found) < settings.prefixBelowLoad()) {
+    if (found != null && pick.load(found) < settings.maxPrefixLoad()) {
       pick.consider(found, settings.prefixBonus());
     }
   }
@@ -131,10 +131,10 @@
     return null;
   }
 
-  private UpstreamTrack track(String upstream) {
-    UpstreamTrack track = tracks.get(upstream);
+  private TrackedUpstream track(String upstream) {
+    TrackedUpstream track = tracks.get(upstream);
     if (track == null) {
-      track = new UpstreamTrack(settings);
+      track = new TrackedUpstream(settings);
       tracks.put(upstream, track);
       forgetOldest();
     }
@@ -143,7 +143,7 @@
 
   private void forgetOldest() {
     if (tracks.size() > MOST_TRACKED) {
-      Map.Entry<String, UpstreamTrack> oldest = tracks.entrySet().iterator().next();
+      Map.Entry<String, TrackedUpstream> oldest = tracks.entrySet().iterator().next();
       if (oldest.getValue().isIdle()) {
         tracks.remove(oldest.getKey());
       }
@@ -190,12 +190,12 @@
         return false;
       }
       double load = load(candidate);
-      if (load >= settings.fullFactor()) {
+      if (load >= settings.saturationLoad()) {
         return false;
       }
       double delay = load + 1.0 / capacity(candidate);
       delay *= track(candidate.id()).slowness(group.usualMillis, now);
-      delay *= candidate.zone().equals(zone) ? 1 : settings.otherZoneFactor();
+      delay *= candidate.zone().equals(zone) ? 1 : settings.crossZoneFactor();
       delay -= bonus;
       if (best == null || delay < bestDelay) {
         best = candidate;
@@ -209,7 +209,7 @@
      * is often elsewhere, and to refuse everything would make a short fault a long one.
      */
     void considerOut(Announcement candidate) {
-      if (excluded.contains(candidate.id()) || load(candidate) >= settings.fullFactor()) {
+      if (excluded.contains(candidate.id()) || load(candidate) >= settings.saturationLoad()) {
         return;
       }
       double from = track(candidate.id()).usableFrom().getEpochSecond();
@@ -221,7 +221,7 @@
 
     /** Returns the estimated load of an upstream as a share of its capacity. */
     double load(Announcement candidate) {
-      UpstreamTrack track = track(candidate.id());
+      TrackedUpstream track = track(candidate.id());
       int capacity = capacity(candidate);
       if (track.reported(candidate.load(), now)) {
         group.reported(track.othersReported() / capacity);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/RuleBook.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/RuleMatcher.java
@@ -6,7 +6,7 @@
 import org.skylarkfork.core.request.CallerRequest;
 
 /** The rules of one configuration, made ready for matching. */
-public interface RuleBook {
+public interface RuleMatcher {
 
   /**
    * Finds the first rule whose condition holds.
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/UpstreamTrack.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/TrackedUpstream.java
@@ -10,7 +10,7 @@
 import org.skylarkfork.core.upstream.LoadReport;
 
 /** What this entry knows of one upstream from its own requests and the last load report. */
-final class UpstreamTrack {
+final class TrackedUpstream {
 
   private static final int MOST_SAMPLES = 64;
   private static final double NEWEST_WEIGHT = 0.2;
@@ -31,9 +31,9 @@
   private Duration nextOut;
   private boolean probing;
 
-  UpstreamTrack(ChooserSettings settings) {
+  TrackedUpstream(ChooserSettings settings) {
     this.settings = settings;
-    this.nextOut = settings.firstOut();
+    this.nextOut = settings.baseEjectionTime();
   }
 
   boolean isIdle() {
@@ -106,7 +106,7 @@
       failures = 0;
       outUntil = null;
       probing = false;
-      nextOut = settings.firstOut();
+      nextOut = settings.baseEjectionTime();
     } else {
       failed(now);
     }
@@ -125,13 +125,14 @@
     failures++;
     boolean alreadyOut = outUntil != null && !probing;
     // Requests sent before it was taken out fail later one by one; each must not double the time.
-    if (alreadyOut || failures < settings.failuresUntilOut()) {
+    if (alreadyOut || failures < settings.ejectionThreshold()) {
       return;
     }
     outUntil = now.plus(nextOut);
     probing = false;
     Duration doubled = nextOut.multipliedBy(2);
-    nextOut = doubled.compareTo(settings.longestOut()) < 0 ? doubled : settings.longestOut();
+    nextOut =
+        doubled.compareTo(settings.maxEjectionTime()) < 0 ? doubled : settings.maxEjectionTime();
   }
 
   private double oldestMillis(Instant now) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/Versions.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/VersionChooser.java
@@ -22,7 +22,7 @@
  *
  * <p>The team's allowed list and withdrawals narrow every choice, pins included.
  */
-public final class Versions {
+public final class VersionChooser {
 
   private static final int ALL = 100;
 
@@ -41,7 +41,7 @@
    * @param pins the sessions' pins
    * @param zone availability zone of this entry
    */
-  public Versions(
+  public VersionChooser(
       ConfigurationView configuration,
       UpstreamDirectory upstreams,
       QualityBook quality,
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RequestFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RequestFixture.java
@@ -44,7 +44,7 @@
 import org.skylarkfork.core.request.RequestKind;
 import org.skylarkfork.core.request.Usage;
 import org.skylarkfork.core.routing.Plan;
-import org.skylarkfork.core.routing.RuleBook;
+import org.skylarkfork.core.routing.RuleMatcher;
 import org.skylarkfork.core.routing.UpstreamChooser;
 import org.skylarkfork.core.session.SessionPins;
 import org.skylarkfork.core.upstream.Announcement;
@@ -55,7 +55,7 @@
 /** The request part between hand-made fakes, with a clock that the test moves. */
 final class RequestFixture
     implements ConfigurationView,
-        RuleBook,
+        RuleMatcher,
         UpstreamDirectory,
         UpstreamChooser,
         QualityBook,
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/CompiledRulesTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/CompiledRulesTest.java
@@ -27,7 +27,7 @@
     int matched = 0;
     for (int round = 0; round < 300; round++) {
       List<Rule> rules = rules(1 + random.nextInt(40));
-      RuleBook compiled = new CompiledRules(rules);
+      RuleMatcher compiled = new CompiledRules(rules);
       for (int i = 0; i < 40; i++) {
         CallerRequest request = request();
         String team = pick("team", 6);
@@ -46,7 +46,7 @@
   @Test
   public void timeOfDaySpansMidnightAndExcludesItsEnd() {
     Rule night = rule("night", condition(List.of(), 22 * 60, 6 * 60));
-    RuleBook rules = new CompiledRules(List.of(night));
+    RuleMatcher rules = new CompiledRules(List.of(night));
     CallerRequest request = RoutingFakes.request("r", "m", null);
     assertTrue(rules.match(request, "t", Instant.parse("2026-05-04T22:00:00Z")).isPresent());
     assertTrue(rules.match(request, "t", Instant.parse("2026-05-04T05:59:59Z")).isPresent());
@@ -60,7 +60,7 @@
       teams.add("team" + i);
     }
     Rule wide = rule("wide", condition(teams, null, null));
-    RuleBook rules = new CompiledRules(List.of(wide));
+    RuleMatcher rules = new CompiledRules(List.of(wide));
     CallerRequest request = RoutingFakes.request("r", "m", null);
     assertTrue(rules.match(request, "team499", RoutingFakes.NOW).isPresent());
     assertTrue(rules.match(request, "team500", RoutingFakes.NOW).isEmpty());
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/DryRunPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/DryRunPartTest.java
@@ -51,8 +51,8 @@
         List.of(
             new Rule("other", when("commentary"), route),
             new Rule("rulings", when("ruling"), route));
-    Versions versions =
-        new Versions(
+    VersionChooser versions =
+        new VersionChooser(
             configuration,
             new RoutingFakes.FakeDirectory(),
             quality,
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/PlannersTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/PlannersTest.java
@@ -51,7 +51,8 @@
     directory = new RoutingFakes.FakeDirectory();
     quality = new RoutingFakes.FakeQuality();
     pins = new RoutingFakes.FakePins();
-    Versions versions = new Versions(configuration, directory, quality, pins, "utrecht-a");
+    VersionChooser versions =
+        new VersionChooser(configuration, directory, quality, pins, "utrecht-a");
     candidates = new Candidates(configuration, versions);
     expect(SMALL, 0.7, 0.02);
     expect(MEDIUM, 0.85, 0.02);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/VersionsTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/VersionsTest.java
@@ -27,7 +27,7 @@
   private RoutingFakes.FakeDirectory directory;
   private RoutingFakes.FakeQuality quality;
   private RoutingFakes.FakePins pins;
-  private Versions versions;
+  private VersionChooser versions;
 
   /** Makes a model with two versions, the first of which is current. */
   @BeforeMethod
@@ -37,7 +37,7 @@
     directory = new RoutingFakes.FakeDirectory();
     quality = new RoutingFakes.FakeQuality();
     pins = new RoutingFakes.FakePins();
-    versions = new Versions(configuration, directory, quality, pins, "utrecht-a");
+    versions = new VersionChooser(configuration, directory, quality, pins, "utrecht-a");
   }
 
   @Test
