--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/BestModelPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/BestModelPlanner.java
@@ -6,17 +6,17 @@
 import java.util.Optional;
 import org.skylarkfork.core.quality.QualityBook;
 
-/** Always runs the model whose answers are expected to be best, whatever its price. */
+/** Plans the single model with the best expected answers, regardless of its price. */
 public final class BestModelPlanner implements Planner {
 
   private final Candidates candidates;
   private final QualityBook quality;
 
   /**
-   * Makes a planner.
+   * Creates a planner.
    *
-   * @param candidates lists the versions
-   * @param quality says how good each version is
+   * @param candidates lists the candidate versions
+   * @param quality estimates the answer quality of each version
    */
   public BestModelPlanner(Candidates candidates, QualityBook quality) {
     this.candidates = candidates;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/Candidates.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/Candidates.java
@@ -11,14 +11,14 @@
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.Usage;
 
-/** Lists the versions from which a plan may be made, one for each model of the route. */
+/** Lists the versions that a plan may use, one for each model of the route. */
 public final class Candidates {
 
   private final ConfigurationView configuration;
   private final VersionChooser versions;
 
   /**
-   * Makes a lister.
+   * Creates a lister of candidates.
    *
    * @param configuration the configuration in force
    * @param versions chooses the version of each model
@@ -31,11 +31,11 @@
   /**
    * Lists the candidates in the order of the route's models.
    *
-   * <p>The list is empty where the version that the query's session keeps has no engine for the
-   * moment: to go on with another model would move the session as well.
+   * <p>The list is empty if the version that the query's session is pinned to has no engine at the
+   * moment, because another model would also move the session.
    *
-   * <p>Suspect versions are listed only if nothing else is left: a false alarm on the last version
-   * of each model would otherwise refuse all work.
+   * <p>Suspect versions are listed only if there is no other candidate. Otherwise a false alarm on
+   * the last version of each model would cause all requests to be refused.
    */
   public List<Candidate> of(PlanQuery query, Instant now) {
     for (String model : models(query)) {
@@ -48,7 +48,7 @@
     return candidates.isEmpty() ? list(query, true, now) : candidates;
   }
 
-  /** Returns the quality target of a query, the greater of the rule's and the caller's. */
+  /** Returns the quality target of a query: the greater of the rule's and the caller's target. */
   public static double qualityTarget(PlanQuery query) {
     Double callerTarget = query.request().qualityTarget();
     double ruleTarget = query.route().qualityTarget();
@@ -79,7 +79,10 @@
                 .map(version -> new Candidate(chosen, version, cost(version, query.request()))));
   }
 
-  /** Returns the route's models; a route without any leaves the choice to the caller. */
+  /**
+   * Returns the route's models. If the route names none, returns the model that the caller
+   * requested, or all models allowed to the team if the caller requested automatic selection.
+   */
   private static List<String> models(PlanQuery query) {
     if (!query.route().models().isEmpty()) {
       return query.route().models();
@@ -95,15 +98,16 @@
   }
 
   /**
-   * One version that may take the request.
+   * A version that may run the request.
    *
    * @param choice the version and how it was chosen
-   * @param version what operators say of it
-   * @param costMicros cost of a run that generates as many tokens as the caller wants at most
+   * @param version the configured price and prior quality of the version
+   * @param costMicros cost, in millionths of the currency unit, of a run that generates the maximum
+   *     number of tokens that the request allows
    */
   public record Candidate(VersionChoice choice, Model.Version version, long costMicros) {
 
-    /** Returns what the caller should know about this version, or null. */
+    /** Returns a notice for the caller about this version, or null if there is none. */
     public @Nullable String notice() {
       return choice.notice();
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CheapestModelPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CheapestModelPlanner.java
@@ -5,15 +5,15 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Always runs the model with the least price, whatever its quality. */
+/** Plans the single model with the lowest price, regardless of its quality. */
 public final class CheapestModelPlanner implements Planner {
 
   private final Candidates candidates;
 
   /**
-   * Makes a planner.
+   * Creates a planner.
    *
-   * @param candidates lists the versions
+   * @param candidates lists the candidate versions
    */
   public CheapestModelPlanner(Candidates candidates) {
     this.candidates = candidates;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/ChooserSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/ChooserSettings.java
@@ -3,18 +3,20 @@
 import java.time.Duration;
 
 /**
- * How the main chooser weighs upstreams.
+ * Settings of the {@link PowerOfTwoChooser}.
  *
- * @param sampleSize how many upstreams are compared for one pick
- * @param crossZoneFactor factor by which an upstream in another zone looks busier, at least 1
- * @param prefixBonus load per capacity by which an upstream that may hold the prefix looks less
- *     busy
- * @param maxPrefixLoad load per capacity from which a held prefix no longer counts
- * @param saturationLoad load per capacity from which an upstream is full
- * @param reportHalfLife age at which a load report is half forgotten
- * @param ejectionThreshold failures in a row after which an upstream is taken out
- * @param baseEjectionTime time for which it is out at first; doubled with each failed probe
- * @param maxEjectionTime bound for that time
+ * <p>Loads are numbers of requests divided by the capacity of the upstream.
+ *
+ * @param sampleSize number of upstreams that are compared for one choice
+ * @param crossZoneFactor factor on the expected delay of an upstream in another zone, at least 1
+ * @param prefixBonus load subtracted from the expected delay of an upstream that may have the
+ *     request's prompt prefix in its cache
+ * @param maxPrefixLoad load at or above which a cached prefix is ignored
+ * @param saturationLoad load at or above which an upstream receives no more requests
+ * @param reportHalfLife age at which the weight of a load report has fallen to one half
+ * @param ejectionThreshold number of consecutive failures after which an upstream is ejected
+ * @param baseEjectionTime duration of the first ejection; doubled with each failed probe
+ * @param maxEjectionTime upper bound of the duration of an ejection
  */
 public record ChooserSettings(
     int sampleSize,
@@ -27,7 +29,10 @@
     Duration baseEjectionTime,
     Duration maxEjectionTime) {
 
-  /** Settings for reports about each second and zones less than a millisecond apart. */
+  /**
+   * Settings for load reports at intervals of about one second and a latency between zones of less
+   * than a millisecond.
+   */
   public static final ChooserSettings DEFAULT =
       new ChooserSettings(
           2,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CompiledRules.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CompiledRules.java
@@ -11,17 +11,21 @@
 import org.skylarkfork.core.request.CallerRequest;
 
 /**
- * Rules indexed by team, model and service, so that a match looks only at rules that name the
- * request's own or name none.
+ * Rules indexed by team, model and service, so that a match checks only the rules whose condition
+ * lists the request's team, model and service or doesn't restrict them.
  *
- * <p>A rule that names several is listed under each combination. The lists that a request selects
- * are merged in the order of the rules, and the first rule whose whole condition holds decides.
+ * <p>A rule that lists several teams, models or services is indexed under each combination. The
+ * index lists that apply to a request are merged in the order of the rules, and the first rule
+ * whose whole condition holds is the match.
  */
 public final class CompiledRules implements RuleMatcher {
 
   private static final String ANY = "*";
 
-  /** A rule with more combinations is listed without the dimensions that would pass this bound. */
+  /**
+   * Maximum number of index entries for one rule. A rule with more combinations is indexed without
+   * the dimensions that would exceed it.
+   */
   private static final int MAX_COMBINATIONS = 64;
 
   private final List<Rule> rules;
@@ -112,7 +116,11 @@
 
   private record Key(String team, String model, String service) {}
 
-  /** Merges sorted lists of positions; a position may come twice, which does no harm. */
+  /**
+   * Merges sorted lists of rule positions.
+   *
+   * <p>A position may be returned twice; its rule is then only checked twice.
+   */
   private static final class PositionMerger {
     private static final int MAX_LISTS = 8;
 
@@ -127,7 +135,7 @@
       }
     }
 
-    /** Returns the next position in order, or -1 at the end. */
+    /** Returns the next position in ascending order, or -1 at the end. */
     int next() {
       int best = -1;
       for (int i = 0; i < size; i++) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/Conditions.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/Conditions.java
@@ -7,7 +7,7 @@
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.Header;
 
-/** Checks the conditions of rules against requests. */
+/** Evaluates the conditions of rules for requests. */
 final class Conditions {
 
   private static final int MINUTES_PER_HOUR = 60;
@@ -19,7 +19,7 @@
     return mismatch(condition, request, team, now) == null;
   }
 
-  /** Returns why a condition doesn't hold, or null if it holds. */
+  /** Returns the reason why a condition doesn't hold, or null if it holds. */
   static @Nullable String mismatch(
       Rule.Condition condition, CallerRequest request, String team, Instant now) {
     if (!condition.teams().isEmpty() && !condition.teams().contains(team)) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CurrentRules.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CurrentRules.java
@@ -7,7 +7,7 @@
 import org.skylarkfork.core.configuration.Rule;
 import org.skylarkfork.core.request.CallerRequest;
 
-/** The rules of the configuration in force, indexed again whenever they change. */
+/** Matches against the rules of the configuration in force; rebuilds the index when they change. */
 public final class CurrentRules implements RuleMatcher {
 
   private final ConfigurationView configuration;
@@ -15,9 +15,9 @@
   private RuleMatcher compiled = new CompiledRules(List.of());
 
   /**
-   * Makes a rule book.
+   * Creates a matcher.
    *
-   * @param configuration where the rules come from
+   * @param configuration source of the rules
    */
   public CurrentRules(ConfigurationView configuration) {
     this.configuration = configuration;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/DirectPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/DirectPlanner.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Runs the first model of the list that can take the request, and no other. */
+/** Plans only the first model of the route that can run the request. */
 public final class DirectPlanner implements Planner {
 
   private final Candidates candidates;
 
   /**
-   * Makes a planner.
+   * Creates a planner.
    *
-   * @param candidates lists the versions
+   * @param candidates lists the candidate versions
    */
   public DirectPlanner(Candidates candidates) {
     this.candidates = candidates;
@@ -21,7 +21,8 @@
   @Override
   public Optional<Plan> plan(PlanQuery query, Instant now) {
     List<Candidates.Candidate> listed = candidates.of(query, now);
-    // A session that began on a later model, while the first had no engine, stays there.
+    // A session may be pinned to a later model of the list because the first had no engine when
+    // the session began. It stays on that model.
     return listed.stream()
         .filter(candidate -> candidate.choice().pinned())
         .findFirst()
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/DryRunPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/DryRunPart.java
@@ -13,7 +13,7 @@
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.OperatorEvent;
 
-/** Tells operators which rule, model and version a request would get, without running it. */
+/** Reports the rule, model and version that a request would get, without running the request. */
 public final class DryRunPart implements Part {
 
   private final ConfigurationView configuration;
@@ -21,10 +21,10 @@
   private final Planner planner;
 
   /**
-   * Makes the part.
+   * Creates the part.
    *
    * @param configuration the configuration in force
-   * @param rules the rules
+   * @param rules matches requests against the rules
    * @param planner plans drafts
    */
   public DryRunPart(ConfigurationView configuration, RuleMatcher rules, Planner planner) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/FixedOrderPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/FixedOrderPlanner.java
@@ -6,15 +6,15 @@
 import java.util.Objects;
 import java.util.Optional;
 
-/** Tries the models in the order of the list, the next if the rating of one falls short. */
+/** Plans a cascade of all candidates in the order of the route's models. */
 public final class FixedOrderPlanner implements Planner {
 
   private final Candidates candidates;
 
   /**
-   * Makes a planner.
+   * Creates a planner.
    *
-   * @param candidates lists the versions
+   * @param candidates lists the candidate versions
    */
   public FixedOrderPlanner(Candidates candidates) {
     this.candidates = candidates;
@@ -29,7 +29,15 @@
             cascade(listed, Candidates.qualityTarget(query), "cascade in the rule's order"));
   }
 
-  /** Makes a plan that runs the candidates in order and costs the first one's cost at least. */
+  /**
+   * Returns a plan that runs the candidates in order.
+   *
+   * <p>Its expected cost is the cost of the first candidate, a lower bound.
+   *
+   * @param listed at least one candidate
+   * @param target minimum rating, 0 to 1, at which the answer of a rated step is accepted
+   * @param reason why this plan was chosen
+   */
   static Plan cascade(List<Candidates.Candidate> listed, double target, String reason) {
     List<Plan.Step> steps = new ArrayList<>();
     for (int i = 0; i < listed.size(); i++) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/LeastCostPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/LeastCostPlanner.java
@@ -14,12 +14,13 @@
 import org.skylarkfork.core.request.Usage;
 
 /**
- * Chooses the plan of least expected cost whose chance of reaching the target is enough.
+ * Chooses the plan with the lowest expected cost whose success probability reaches the target.
  *
- * <p>Plans are single models and cascades of up to three in the order of cost. The chance must
- * reach the target with some caution, since an estimate that looks good by luck would be chosen
- * just for that. A small share of requests begins with a cheaper version that is little known; as
- * its answer is rated and falls back to the plan, this costs money and time but no quality.
+ * <p>Plans are single models and cascades of up to three models in ascending order of cost. Success
+ * probabilities are reduced by an uncertainty margin, because the selection favors estimates that
+ * are too high by chance. A small share of requests explores: a cheaper version with an uncertain
+ * estimate runs before the plan. Its answer is rated, and the plan follows if the rating is too
+ * low, so exploration costs money and time but no quality.
  */
 public final class LeastCostPlanner implements Planner {
 
@@ -32,12 +33,12 @@
   private final UniformRandomProvider random;
 
   /**
-   * Makes a planner.
+   * Creates a planner.
    *
-   * @param candidates lists the versions
-   * @param quality says how good and how fast each version is
-   * @param settings how plans are weighed
-   * @param seed seed of what explores
+   * @param candidates lists the candidate versions
+   * @param quality estimates the answer quality and latency of each version
+   * @param settings settings for the comparison of plans
+   * @param seed seed of the random selection of requests that explore
    */
   public LeastCostPlanner(
       Candidates candidates, QualityBook quality, PlannerSettings settings, long seed) {
@@ -57,7 +58,7 @@
     double remainingMillis = Duration.between(now, query.request().deadline()).toMillis();
     List<Option> pinned = options.stream().filter(Option::isPinned).toList();
     if (!pinned.isEmpty()) {
-      // A session shows its user one version's answers, so it doesn't take part in cascades.
+      // All answers of a session come from one version, so sessions don't use cascades.
       Combination pinnedBest = best(singles(pinned), target, remainingMillis);
       return Optional.of(toPlan(pinnedBest, target, "version that the session keeps"));
     }
@@ -121,7 +122,12 @@
     }
   }
 
-  /** Returns the cheapest that is enough and in time, else the one that is most likely enough. */
+  /**
+   * Returns the cheapest combination that reaches the target before the deadline.
+   *
+   * <p>If none reaches the target, returns the one with the highest success probability. If none
+   * meets the deadline, only combinations of a single version are compared.
+   */
   private Combination best(List<Combination> all, double target, double remainingMillis) {
     Comparator<Combination> cheapest =
         Comparator.comparingDouble(combination -> combination.cost(settings));
@@ -130,12 +136,12 @@
             combination -> combination.successProbability(settings.uncertaintyMargin()));
     List<Combination> inTime =
         all.stream().filter(combination -> meetsDeadline(combination, remainingMillis)).toList();
-    List<Combination> left = inTime.isEmpty() ? singleStepOnly(all) : inTime;
-    return left.stream()
+    List<Combination> eligible = inTime.isEmpty() ? singleStepOnly(all) : inTime;
+    return eligible.stream()
         .filter(
             combination -> combination.successProbability(settings.uncertaintyMargin()) >= target)
         .min(cheapest)
-        .orElseGet(() -> left.stream().max(mostLikely).orElseThrow());
+        .orElseGet(() -> eligible.stream().max(mostLikely).orElseThrow());
   }
 
   private static List<Combination> singleStepOnly(List<Combination> all) {
@@ -146,7 +152,10 @@
     return combination.worstCaseMillis(settings) * settings.deadlineFactor() <= remainingMillis;
   }
 
-  /** Puts a cheaper and little known version before a plan, for a share of the requests. */
+  /**
+   * Returns, for a share of the requests, the best combination preceded by a cheaper version with
+   * an uncertain estimate.
+   */
   private Optional<Combination> exploration(
       List<Option> options, Combination best, double remainingMillis) {
     if (best.options().size() >= MAX_STEPS || random.nextDouble() >= settings.explorationShare()) {
@@ -175,7 +184,7 @@
     return String.format(Locale.ROOT, "%s: chance %.2f for target %.2f", what, probability, target);
   }
 
-  /** One version with what is expected of it. */
+  /** A version with its expected cost, latency and quality. */
   private record Option(
       Candidates.Candidate candidate,
       double costMicros,
@@ -187,7 +196,12 @@
       return candidate.choice().pinned();
     }
 
-    /** Returns the chance that its answer is good enough, taken with caution. */
+    /**
+     * Returns the probability that the answer reaches the target, less the uncertainty margin.
+     *
+     * @param first whether the version is the first of a plan, which isn't an escalation
+     * @param margin number of standard deviations that are subtracted from the mean
+     */
     double successProbability(boolean first, double caution) {
       QualityBook.Estimate from = first ? estimate : escalated;
       return Math.max(0, from.mean() - caution * from.standardDeviation());
@@ -212,7 +226,7 @@
       return 1 - failureProbability;
     }
 
-    /** Returns the expected cost, with that of the steps that fall short and of the ratings. */
+    /** Returns the expected cost, including the ratings and the steps whose answer is rejected. */
     double cost(PlannerSettings settings) {
       double reachProbability = 1;
       double cost = 0;
@@ -226,7 +240,7 @@
       return cost;
     }
 
-    /** Returns the time if each step falls short but the last. */
+    /** Returns the expected time if the answers of all steps but the last are rejected. */
     double worstCaseMillis(PlannerSettings settings) {
       double steps = options.stream().mapToDouble(Option::expectedMillis).sum();
       return steps + (options.size() - 1) * settings.ratingLatencyMillis();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/LeastReportedLoadChooser.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/LeastReportedLoadChooser.java
@@ -8,7 +8,7 @@
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.upstream.Announcement;
 
-/** Picks the upstream whose last report gives the least load for its capacity. */
+/** Chooses the upstream with the lowest reported load relative to its capacity. */
 public final class LeastReportedLoadChooser implements UpstreamChooser {
 
   @Override
@@ -21,12 +21,12 @@
 
   @Override
   public void dispatched(String upstream, CallerRequest request, Instant now) {
-    // Only reports count.
+    // The choice depends only on load reports.
   }
 
   @Override
   public void ended(String upstream, CallerRequest request, boolean healthy, Instant now) {
-    // Only reports count.
+    // The choice depends only on load reports.
   }
 
   private static double load(Announcement candidate) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/Plan.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/Plan.java
@@ -5,13 +5,14 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 
 /**
- * The models that a draft is tried on, in order.
+ * The sequence of model versions that may run a draft.
  *
- * @param steps at least one step; a later one runs only if the rating of the one before is short
- * @param qualityTarget least rating, 0 to 1, at which a rated step's answer is accepted
+ * @param steps at least one step; a step runs only if the rating of the previous one is below the
+ *     target
+ * @param qualityTarget minimum rating, 0 to 1, at which the answer of a rated step is accepted
  * @param expectedCostMicros expected cost of the whole plan in millionths of the currency unit
- * @param reason one sentence that says why this plan was chosen
- * @param notice what the caller should know, such as that its session had to move, or null
+ * @param reason short explanation of why this plan was chosen
+ * @param notice notice for the caller, for example that its session was moved, or null
  */
 public record Plan(
     List<Step> steps,
@@ -25,16 +26,16 @@
     steps = List.copyOf(steps);
   }
 
-  /** Makes a plan without a notice. */
+  /** Creates a plan without a notice. */
   public Plan(List<Step> steps, double qualityTarget, double expectedCostMicros, String reason) {
     this(steps, qualityTarget, expectedCostMicros, reason, null);
   }
 
   /**
-   * One step.
+   * A step of a plan.
    *
    * @param version model and version to run
-   * @param rated whether the answer is held until its rating is known; false on the last step
+   * @param rated whether the answer is held back until its rating is known; false for the last step
    */
   public record Step(ModelVersion version, boolean rated) {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PlanQuery.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PlanQuery.java
@@ -7,12 +7,12 @@
 import org.skylarkfork.core.request.CallerRequest;
 
 /**
- * What a plan is made from.
+ * The inputs of a plan.
  *
  * @param request the draft
- * @param team the team that sent it
- * @param route the matching rule's decision
- * @param pinned version that the session keeps, or null if there is no session or no pin yet
+ * @param team the team that sent the draft
+ * @param route decision of the matching rule
+ * @param pinned version that the session is pinned to, or null if there is no session or no pin
  */
 public record PlanQuery(
     CallerRequest request, Team team, Rule.Decision.Route route, @Nullable ModelVersion pinned) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/Planner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/Planner.java
@@ -3,15 +3,15 @@
 import java.time.Instant;
 import java.util.Optional;
 
-/** Chooses the models that a draft is tried on. */
+/** Chooses the model versions that may run a draft. */
 public interface Planner {
 
   /**
-   * Makes a plan of allowed, not withdrawn versions that have an upstream.
+   * Returns a plan whose versions are allowed, not withdrawn and served by at least one upstream.
    *
-   * @param query what the plan is made from
-   * @param now the present time
-   * @return the plan, or empty if no allowed version can take new work
+   * @param query the inputs of the plan
+   * @param now the current time
+   * @return the plan, or empty if no allowed version accepts new requests
    */
   Optional<Plan> plan(PlanQuery query, Instant now);
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PlannerSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PlannerSettings.java
@@ -1,15 +1,19 @@
 package org.skylarkfork.core.routing;
 
 /**
- * How the least-cost planner weighs plans.
+ * Settings of the {@link LeastCostPlanner}.
  *
  * @param ratingCostMicros cost of one rating in millionths of the currency unit
- * @param ratingLatencyMillis usual time to a rating in milliseconds
- * @param uncertaintyMargin how many standard deviations an estimate is taken below its mean
- * @param deadlineFactor factor on expected times that must still fit before the deadline
- * @param defaultLatencyMillis time to a whole answer in milliseconds where none was seen yet
- * @param explorationShare share of requests that may spend more to learn of a cheaper version
- * @param minExplorationDeviation standard deviation from which a version is worth learning of
+ * @param ratingLatencyMillis expected time for a rating in milliseconds
+ * @param uncertaintyMargin number of standard deviations subtracted from the mean of an estimate
+ * @param deadlineFactor safety factor on expected times; the product must not exceed the time left
+ *     before the deadline
+ * @param defaultLatencyMillis expected time for a whole answer, in milliseconds, of a version that
+ *     has no measured latency yet
+ * @param explorationShare share of requests, 0 to 1, that may run an uncertain cheaper version
+ *     first
+ * @param minExplorationDeviation minimum standard deviation of the estimate of a version that is
+ *     explored
  */
 public record PlannerSettings(
     double ratingCostMicros,
@@ -20,7 +24,7 @@
     double explorationShare,
     double minExplorationDeviation) {
 
-  /** One half deviation of caution; one request in fifty explores. */
+  /** Half a standard deviation of uncertainty margin; one request in fifty explores. */
   public static final PlannerSettings DEFAULT =
       new PlannerSettings(0, 300, 0.5, 1.5, 3_000, 0.02, 0.05);
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PowerOfTwoChooser.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PowerOfTwoChooser.java
@@ -14,11 +14,12 @@
 import org.skylarkfork.core.upstream.Announcement;
 
 /**
- * Picks the better of a few upstreams drawn at random, by expected delay.
+ * Chooses the upstream with the least expected delay among a few that are sampled at random.
  *
- * <p>Load reports are late, so the least reported load would draw all entries to one upstream until
- * its next report. This entry's own requests since the report are added, and drawing at random
- * keeps the entries apart. The cost of a pick doesn't grow with the number of upstreams.
+ * <p>Load reports are delayed. If all entries chose the least reported load, they would all send to
+ * one upstream until its next report. Therefore this entry adds its own requests since the report,
+ * and random sampling leads different entries to different upstreams. The cost of a choice doesn't
+ * grow with the number of upstreams.
  */
 public final class PowerOfTwoChooser implements UpstreamChooser {
 
@@ -36,11 +37,11 @@
   private final PrefixHints hints = new PrefixHints();
 
   /**
-   * Makes a chooser.
+   * Creates a chooser.
    *
    * @param zone availability zone of this entry
-   * @param settings how upstreams are weighed
-   * @param seed seed of the draws
+   * @param settings settings for the comparison of upstreams
+   * @param seed seed of the random sampling
    */
   public PowerOfTwoChooser(String zone, ChooserSettings settings, long seed) {
     this.zone = zone;
@@ -99,13 +100,17 @@
     }
   }
 
-  /** Draws upstreams in proportion to their capacity, without a look at all of them. */
+  /**
+   * Accepts a drawn upstream with a probability proportional to its capacity.
+   *
+   * <p>This rejection sampling avoids a pass over all upstreams.
+   */
   private boolean acceptsByCapacity(Announcement drawn, ServiceStatistics statistics) {
     statistics.largestCapacity = Math.max(statistics.largestCapacity, drawn.capacity());
     return random.nextInt(statistics.largestCapacity) < Math.max(1, drawn.capacity());
   }
 
-  /** Looks at upstreams in turn where most are excluded, out or full. */
+  /** Considers upstreams in list order, for the case that most are excluded, ejected or full. */
   private void scan(List<Announcement> candidates, Selection selection) {
     int start = random.nextInt(candidates.size());
     int count = Math.min(MAX_SCANNED, candidates.size());
@@ -119,7 +124,7 @@
     }
   }
 
-  /** Finds a candidate in a list that is in the order of ids. */
+  /** Returns the candidate with an id from a list in ascending order of ids, or null. */
   private static @Nullable Announcement find(List<Announcement> candidates, String id) {
     int low = 0;
     int high = candidates.size() - 1;
@@ -159,7 +164,7 @@
         request.service(), unused -> new ServiceStatistics());
   }
 
-  /** What is usual among the upstreams of one service, or of drafts. */
+  /** Moving averages over the upstreams of one service, or over those of all drafts. */
   private static final class ServiceStatistics {
     private double meanMillis;
     private double meanExternalLoad;
@@ -174,7 +179,7 @@
     }
   }
 
-  /** The best upstream so far for one request. */
+  /** The state of the choice for one request, with the best upstream found so far. */
   private final class Selection {
     private final ServiceStatistics statistics;
     private final Set<String> excluded;
@@ -188,7 +193,12 @@
       this.now = now;
     }
 
-    /** Compares an upstream and returns whether it could take the request. */
+    /**
+     * Compares an upstream with the best one so far.
+     *
+     * @param bonus load subtracted from the expected delay
+     * @return whether the upstream may receive the request
+     */
     boolean consider(Announcement candidate, double bonus) {
       if (excluded.contains(candidate.id()) || !tracked(candidate.id()).isUsable(now)) {
         return false;
@@ -209,8 +219,10 @@
     }
 
     /**
-     * Takes an upstream that is out, the one whose time is up first; where all are out, the cause
-     * is often elsewhere, and to refuse everything would make a short fault a long one.
+     * Selects, of the ejected upstreams, the one whose ejection ends first.
+     *
+     * <p>If all upstreams are ejected, the cause is often not in the upstreams, and refusing all
+     * requests would prolong a short fault.
      */
     void considerEjected(Announcement candidate) {
       if (excluded.contains(candidate.id()) || load(candidate) >= settings.saturationLoad()) {
@@ -223,7 +235,7 @@
       }
     }
 
-    /** Returns the estimated load of an upstream as a share of its capacity. */
+    /** Returns the estimated load of an upstream relative to its capacity. */
     double load(Announcement candidate) {
       TrackedUpstream tracked = tracked(candidate.id());
       int capacity = capacity(candidate);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PrefixHints.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PrefixHints.java
@@ -9,7 +9,11 @@
 import org.skylarkfork.core.upstream.CacheEvent;
 import org.skylarkfork.core.upstream.LoadedModel;
 
-/** Remembers which engine may hold a prompt's prefix; a hint that may be wrong at any time. */
+/**
+ * Records which engine may have a prompt prefix in its cache.
+ *
+ * <p>The records are hints and may be wrong at any time.
+ */
 final class PrefixHints {
 
   private static final int MAX_PREFIXES = 8_192;
@@ -26,7 +30,7 @@
         }
       };
 
-  /** Takes in an engine's cache events. */
+  /** Records the cache events in an engine's announcement. */
   void recordCacheEvents(Announcement announcement) {
     for (CacheEvent event : announcement.cacheEvents()) {
       if (event.stored()) {
@@ -37,7 +41,7 @@
     }
   }
 
-  /** Takes note that a request was sent to an upstream, which caches its prefixes by that. */
+  /** Records that a request was sent to an upstream, which thereby caches the prompt's prefixes. */
   void recordDispatch(CallerRequest request, String upstream) {
     for (String prefix : PromptPrefixes.of(DISPATCHED_KEY, request.prompt(), MAX_BLOCKS)) {
       holders.put(prefix, upstream);
@@ -45,9 +49,10 @@
   }
 
   /**
-   * Returns who may hold the longest known prefix of a request.
+   * Returns the id of the upstream that may have the longest known prefix of a request in its
+   * cache, or empty if there is no hint.
    *
-   * @param candidate any candidate, for the names of the models that may be meant
+   * @param candidate any candidate; its loaded models are those for which hints are looked up
    */
   Optional<String> holder(CallerRequest request, Announcement candidate) {
     Optional<String> dispatched = longestPrefixHolder(DISPATCHED_KEY, request);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PromptPrefixes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PromptPrefixes.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * Names the prefixes of prompts as engines do in their cache events.
+ * Computes the names that engines give to prompt prefixes in their cache events.
  *
  * <p>A prefix ends after each 16 words. Its name is the 64-bit FNV-1a hash, as 16 hexadecimal
  * digits, of the model and version as {@code model:version}, a line feed, and each word followed by
@@ -21,11 +21,11 @@
   private PromptPrefixes() {}
 
   /**
-   * Names the first prefixes of a prompt.
+   * Returns the names of the first prefixes of a prompt.
    *
-   * @param modelKey model and version with a colon between, or any other text to tell uses apart
+   * @param modelKey model and version separated by a colon, or any other text as a namespace
    * @param prompt the prompt
-   * @param limit bound for the number of prefixes
+   * @param limit maximum number of prefixes
    * @return the names, the shortest prefix first
    */
   public static List<String> of(String modelKey, String prompt, int limit) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/RandomChooser.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/RandomChooser.java
@@ -9,15 +9,15 @@
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.upstream.Announcement;
 
-/** Picks any upstream with equal chance. */
+/** Chooses an upstream at random with equal probability. */
 public final class RandomChooser implements UpstreamChooser {
 
   private final UniformRandomProvider random;
 
   /**
-   * Makes a chooser.
+   * Creates a chooser.
    *
-   * @param seed seed of its random numbers
+   * @param seed seed of the random number generator
    */
   public RandomChooser(long seed) {
     random = RandomSource.XO_SHI_RO_256_PP.create(seed);
@@ -35,11 +35,11 @@
 
   @Override
   public void dispatched(String upstream, CallerRequest request, Instant now) {
-    // Nothing is remembered.
+    // The choice doesn't depend on earlier attempts.
   }
 
   @Override
   public void ended(String upstream, CallerRequest request, boolean healthy, Instant now) {
-    // Nothing is remembered.
+    // The choice doesn't depend on earlier attempts.
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/RoundRobinChooser.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/RoundRobinChooser.java
@@ -7,7 +7,7 @@
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.upstream.Announcement;
 
-/** Picks the upstreams in turn. */
+/** Chooses the upstreams in round-robin order. */
 public final class RoundRobinChooser implements UpstreamChooser {
 
   private int nextIndex;
@@ -27,11 +27,11 @@
 
   @Override
   public void dispatched(String upstream, CallerRequest request, Instant now) {
-    // Only the turn counts.
+    // The choice depends only on the order.
   }
 
   @Override
   public void ended(String upstream, CallerRequest request, boolean healthy, Instant now) {
-    // Only the turn counts.
+    // The choice depends only on the order.
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/RoutePlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/RoutePlanner.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 import java.util.Optional;
 
-/** Plans as the rule's decision says. */
+/** Delegates to the planner for the plan kind of the route. */
 public final class RoutePlanner implements Planner {
 
   private final Planner cheapest;
@@ -11,7 +11,7 @@
   private final Planner cascade;
 
   /**
-   * Makes a planner.
+   * Creates a planner.
    *
    * @param cheapest plans routes of kind {@code CHEAPEST}
    * @param direct plans routes of kind {@code DIRECT}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/RuleMatcher.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/RuleMatcher.java
@@ -5,19 +5,23 @@
 import org.skylarkfork.core.configuration.Rule;
 import org.skylarkfork.core.request.CallerRequest;
 
-/** The rules of one configuration, made ready for matching. */
+/** Matches requests against the rules of a configuration. */
 public interface RuleMatcher {
 
   /**
-   * Finds the first rule whose condition holds.
+   * Returns the first rule whose condition holds.
    *
    * @param request the request
-   * @param team name of the team that sent it
-   * @param now the present time, for conditions on the time of day
+   * @param team name of the team that sent the request
+   * @param now the current time, for conditions on the time of day
    * @return the rule, or empty if none matches
    */
   Optional<Rule> match(CallerRequest request, String team, Instant now);
 
-  /** Says for each rule up to the match why it did or didn't match, for a dry run. */
+  /**
+   * Explains a match for a dry run.
+   *
+   * @return one line for each rule up to the match, with the reason why the rule doesn't match
+   */
   String explain(CallerRequest request, String team, Instant now);
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/StableHash.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/StableHash.java
@@ -1,6 +1,6 @@
 package org.skylarkfork.core.routing;
 
-/** A hash that is the same on each daemon, for shares that all entries must agree on. */
+/** Hash function with the same result on all daemons, for shares that all entries must agree on. */
 public final class StableHash {
 
   private static final long OFFSET_BASIS = 0xcbf29ce484222325L;
@@ -10,7 +10,7 @@
 
   private StableHash() {}
 
-  /** Returns a well mixed 64-bit hash of texts in order. */
+  /** Returns a 64-bit hash of a sequence of texts, with the bits evenly mixed. */
   public static long of(String... texts) {
     long hash = OFFSET_BASIS;
     for (String text : texts) {
@@ -22,7 +22,7 @@
     return mix(hash);
   }
 
-  /** Returns a number from 0 to 99 for texts in order. */
+  /** Returns a number from 0 to 99 that depends only on a sequence of texts. */
   public static int percentile(String... texts) {
     return (int) Long.remainderUnsigned(of(texts), HUNDRED);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/TrackedUpstream.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/TrackedUpstream.java
@@ -9,7 +9,7 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.upstream.LoadReport;
 
-/** What this entry knows of one upstream from its own requests and the last load report. */
+/** Load, latency and ejection state of an upstream, from own requests and the last load report. */
 final class TrackedUpstream {
 
   private static final int MAX_SAMPLES = 64;
@@ -40,17 +40,17 @@
     return inFlight.isEmpty() && ejectedUntil == null;
   }
 
-  /** Returns whether it may get a request: it is in, or it is time for a single probe. */
+  /** Returns whether the upstream isn't ejected, or is due for a probe and none is in flight. */
   boolean isUsable(Instant now) {
     return ejectedUntil == null || !now.isBefore(ejectedUntil) && !probeInFlight;
   }
 
-  /** Returns when it may be probed, or the earliest time if it is in. */
+  /** Returns when the ejection ends, or {@link Instant#MIN} if the upstream isn't ejected. */
   Instant usableFrom() {
     return ejectedUntil == null ? Instant.MIN : ejectedUntil;
   }
 
-  /** Takes in a load report and returns whether it is new. */
+  /** Records a load report and returns whether it is new. */
   boolean recordReport(LoadReport load, Instant now) {
     if (load == report) {
       return false;
@@ -61,16 +61,18 @@
     return true;
   }
 
-  /** Returns the requests of others that the last report showed. */
+  /** Returns the number of requests of other entries in the last load report, or 0 without one. */
   double reportedExternalRequests() {
     LoadReport last = report;
     return last == null ? 0 : Math.max(0, last.running() + last.queued() - ownRequestsAtReport);
   }
 
   /**
-   * Estimates how many requests it has: this entry's, and the others' as far as the report is new.
+   * Estimates how many requests the upstream has: those of this entry and those of other entries.
    *
-   * @param meanExternalRequests what to take for the others where the report is old
+   * <p>The number for other entries moves from the last report to the mean as the report ages.
+   *
+   * @param meanExternalRequests mean number of requests of other entries
    */
   double load(double meanExternalRequests, Instant now) {
     double age = Math.max(0, Duration.between(reportedAt, now).toMillis());
@@ -80,7 +82,14 @@
         + (1 - reportWeight) * meanExternalRequests;
   }
 
-  /** Returns how much longer its requests take than usual, drawn to 1 while none ends. */
+  /**
+   * Returns the ratio of the upstream's latency to the mean latency of its service.
+   *
+   * <p>The ratio of the completed requests decays to 1 while no request ends. The age of the oldest
+   * request in flight sets a lower bound.
+   *
+   * @param serviceMeanMillis mean latency of the service in milliseconds, or 0 if unknown
+   */
   double latencyRatio(double serviceMeanMillis, Instant now) {
     if (serviceMeanMillis <= 0) {
       return 1;
@@ -88,7 +97,7 @@
     double idle = Math.max(0, Duration.between(lastEndedAt, now).toMillis());
     double ratio = meanMillis <= 0 ? 1 : clamp(meanMillis / serviceMeanMillis);
     double decayedRatio = Math.pow(ratio, Math.pow(0.5, idle / LATENCY_HALF_LIFE_MILLIS));
-    // A silent upstream ends nothing, so that only the age of what waits there tells of it.
+    // On a silent upstream no request ends; only the age of the requests in flight shows the fault.
     double waitingRatio = clamp(oldestRequestMillis(now) / serviceMeanMillis / 2);
     return Math.max(decayedRatio, waitingRatio);
   }
@@ -99,7 +108,7 @@
     recordSample(now);
   }
 
-  /** Takes note of an end and returns how long it took in milliseconds, or -1 if unknown. */
+  /** Records the end of a request and returns its duration in milliseconds, or -1 if unknown. */
   long recordEnd(String requestId, boolean healthy, Instant now) {
     final Instant dispatchedAt = inFlight.remove(requestId);
     recordSample(now);
@@ -116,7 +125,8 @@
       return -1;
     }
     long millis = Duration.between(dispatchedAt, now).toMillis();
-    // An upstream that refuses at once would look the fastest of all and draw all requests.
+    // Fast refusals don't count: an upstream that refuses at once would otherwise have the lowest
+    // latency of all and receive all requests.
     if (healthy || millis > meanMillis) {
       meanMillis = meanMillis <= 0 ? millis : meanMillis + SMOOTHING_FACTOR * (millis - meanMillis);
     }
@@ -126,7 +136,8 @@
   private void recordFailure(Instant now) {
     consecutiveFailures++;
     boolean alreadyEjected = ejectedUntil != null && !probeInFlight;
-    // Requests sent before it was taken out fail later one by one; each must not double the time.
+    // Requests sent before the ejection may fail one by one after it began. They must not each
+    // double the ejection time.
     if (alreadyEjected || consecutiveFailures < settings.ejectionThreshold()) {
       return;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/VersionChooser.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/VersionChooser.java
@@ -18,9 +18,10 @@
 import org.skylarkfork.core.upstream.UpstreamDirectory;
 
 /**
- * Chooses the version of a model that a request gets: the pinned one, else the roll-out's share.
+ * Chooses the version of a model for a request: the version that the session is pinned to, else the
+ * one that a roll-out or the model's current version determines.
  *
- * <p>The team's allowed list and withdrawals narrow every choice, pins included.
+ * <p>The team's allowed versions and withdrawals restrict every choice, including pinned versions.
  */
 public final class VersionChooser {
 
@@ -33,12 +34,12 @@
   private final String zone;
 
   /**
-   * Makes a chooser of versions.
+   * Creates a chooser of versions.
    *
    * @param configuration the configuration in force
-   * @param upstreams where engines are found
-   * @param quality says which versions are suspect
-   * @param pins the sessions' pins
+   * @param upstreams directory of the engines
+   * @param quality reports which versions are suspect
+   * @param pins pins of the sessions
    * @param zone availability zone of this entry
    */
   public VersionChooser(
@@ -58,12 +59,12 @@
    * Chooses a version.
    *
    * @param request the request
-   * @param team its team
+   * @param team team that sent the request
    * @param modelName name of the model
-   * @param includeSuspect whether a suspect version is better than none
-   * @param now the present time
-   * @return the version, or empty if no allowed one has an engine that may take new work, or if the
-   *     session's own version has none for the moment
+   * @param includeSuspect whether suspect versions may be chosen
+   * @param now the current time
+   * @return the version, or empty if no allowed version has an engine that accepts new requests, or
+   *     if the version that the session is pinned to has none at the moment
    */
   public Optional<VersionChoice> choose(
       CallerRequest request, Team team, String modelName, boolean includeSuspect, Instant now) {
@@ -71,8 +72,10 @@
   }
 
   /**
-   * Chooses a version as {@link #choose(CallerRequest, Team, String, boolean, Instant)}, with a pin
-   * that the caller knows of.
+   * Chooses a version like {@link #choose(CallerRequest, Team, String, boolean, Instant)}, with a
+   * known pin.
+   *
+   * @param knownPin version that the session is pinned to, or null if the pins must be looked up
    */
   Optional<VersionChoice> choose(
       CallerRequest request,
@@ -99,10 +102,11 @@
   }
 
   /**
-   * Returns whether a session keeps a version that may run but has no engine for the moment.
+   * Returns whether a session is pinned to an allowed version that has no engine at the moment.
    *
-   * <p>Such a request is refused as not run. To move the session would show its user another
-   * version's answers half-way through a case, and engines that restart are back soon.
+   * <p>Such a request is refused as not run. If the session were moved, its user would see the
+   * answers of another version in the middle of a case, and engines that restart are soon available
+   * again.
    */
   boolean pinnedVersionLacksEngine(
       CallerRequest request,
@@ -148,7 +152,7 @@
     return Optional.empty();
   }
 
-  /** Returns names of versions, the wanted one first and its substitutes after it. */
+  /** Returns the names of the versions to try, the preferred one first, then its substitutes. */
   private Set<String> preferences(
       Configuration current, Model model, CallerRequest request, Team team) {
     Set<String> names = new LinkedHashSet<>();
@@ -176,7 +180,7 @@
     return percentile < percent ? rollOut.to() : rollOut.from();
   }
 
-  /** Returns the percentage of a team's new work that the new version gets on this entry. */
+  /** Returns the percentage of a team's new requests on this entry that the new version gets. */
   private int rollOutPercent(RollOut rollOut, String team) {
     return switch (rollOut.state()) {
       case FINISHED -> ALL_PERCENT;
@@ -190,8 +194,8 @@
       return ALL_PERCENT;
     }
     List<RollOut.Step> reached = rollOut.steps().subList(0, rollOut.step() + 1);
-    // The greatest share reached so far: a wider step with a smaller share must not take back
-    // what an earlier step for this team or zone has given.
+    // The greatest percentage of all steps so far: a later step for more teams or zones with a
+    // smaller percentage must not reduce that of an earlier step for this team or zone.
     return reached.stream()
         .filter(step -> step.teams().isEmpty() || step.teams().contains(team))
         .filter(step -> step.zones().isEmpty() || step.zones().contains(zone))
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/package-info.java
@@ -1,4 +1,4 @@
-/** Which rule, plan and upstream a request gets. */
+/** Selection of the rule, the plan, the model version and the upstream for a request. */
 @NullMarked
 package org.skylarkfork.core.routing;
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/CompiledRulesTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/CompiledRulesTest.java
@@ -17,7 +17,7 @@
 import org.skylarkfork.core.request.RequestKind;
 import org.testng.annotations.Test;
 
-/** Tests that the index finds the same rule as a walk through the list. */
+/** Tests that the index finds the same rule as a linear scan of the list. */
 public class CompiledRulesTest {
 
   private final UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(20260504L);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/DryRunPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/DryRunPartTest.java
@@ -15,7 +15,7 @@
 import org.skylarkfork.core.event.OperatorEvent;
 import org.testng.annotations.Test;
 
-/** Tests what operators are told of a request that is not run. */
+/** Tests the results of dry runs. */
 public class DryRunPartTest {
 
   private final RoutingFakes.FakeConfiguration configuration = new RoutingFakes.FakeConfiguration();
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/PlannersTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/PlannersTest.java
@@ -20,7 +20,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests what the planners choose and that they choose only what is allowed. */
+/** Tests which plans the planners choose and that plans contain only allowed versions. */
 public class PlannersTest {
 
   private static final ModelVersion SMALL = new ModelVersion("small", "1");
@@ -39,7 +39,7 @@
   private RoutingFakes.FakePins pins;
   private Candidates candidates;
 
-  /** Makes three models, each ten times as dear as the one before. */
+  /** Creates three models, each ten times as expensive as the previous one. */
   @BeforeMethod
   public void setUp() {
     configuration = new RoutingFakes.FakeConfiguration();
@@ -84,9 +84,9 @@
   }
 
   /*
-   * A caller with little time asks for a target that a cascade reaches most cheaply. If the cheap
-   * step fell short, the dear one would end after the deadline and the caller would get nothing;
-   * so the plan is the single model that is enough.
+   * A request has a short deadline, and a cascade is the cheapest plan that reaches its target. If
+   * the answer of the cheap step were rejected, the expensive step would end after the deadline and
+   * the caller would get no answer. The plan must be the single model that reaches the target.
    */
   @Test
   public void shortDeadlineExcludesCascades() {
@@ -150,8 +150,8 @@
   }
 
   /*
-   * Whatever the configuration, the pins and the suspicions are, no plan may name a version that
-   * the team isn't allowed or that is withdrawn: a draft would run where it never may.
+   * For random configurations, pins and suspect versions, no plan may contain a version that the
+   * team isn't allowed to use, that is withdrawn or that has no engine.
    */
   @Test
   public void plansNeverIncludeForbiddenVersions() {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/PowerOfTwoChooserTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/PowerOfTwoChooserTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests the choice among upstreams under late reports, faults and cached prefixes. */
+/** Tests the choice of upstreams with delayed load reports, faults and cached prefixes. */
 public class PowerOfTwoChooserTest {
 
   private static final ModelVersion VERSION = new ModelVersion("ruling", "1");
@@ -25,7 +25,7 @@
   private int requests;
   private String sharedPrompt = "";
 
-  /** Makes a chooser that knows nothing. */
+  /** Creates a chooser without recorded attempts. */
   @BeforeMethod
   public void setUp() {
     chooser = new PowerOfTwoChooser("a", ChooserSettings.DEFAULT, 3L);
@@ -33,9 +33,9 @@
   }
 
   /*
-   * One engine reports no load, nine report some, and no new report comes for a while. By the least
-   * reported load every request of a burst would go to the one engine and wait there; with this
-   * entry's own requests counted they spread.
+   * One engine reports no load, nine report some, and no new report arrives during a burst. A
+   * choice by the least reported load would send the whole burst to the one engine. The chooser
+   * adds this entry's own requests to the reported load, so the burst must be spread.
    */
   @Test
   public void burstIsSpreadDespiteOldReports() {
@@ -51,8 +51,9 @@
   }
 
   /*
-   * One engine refuses all drafts at once, the other answers each after a second. If refusals
-   * counted as answers, the engine that refuses would look the fastest and draw nearly all drafts.
+   * One engine refuses all drafts at once, the other answers each after one second. If refusals
+   * counted for the latency, the refusing engine would seem the fastest and receive nearly all
+   * drafts.
    */
   @Test
   public void fastRefusingEngineReceivesFewRequests() {
@@ -99,9 +100,9 @@
   }
 
   /*
-   * An engine fails each request. After a few it gets none; later a single probe at a time goes to
-   * it, ever more seldom, until one succeeds. Callers see few failures, and a returning engine is
-   * not flooded.
+   * One engine fails every request. After a few failures it is ejected and receives only single
+   * probes, at growing intervals, until one succeeds. Without the ejection callers would see many
+   * failures; without the single probes a recovering engine would be overloaded.
    */
   @Test
   public void failingUpstreamIsEjectedAndProbedOneRequestAtATime() {
@@ -131,8 +132,8 @@
   }
 
   /*
-   * An engine takes requests and falls silent: nothing ends, so no failure tells of it for a long
-   * time. The age of what waits there does, and requests go elsewhere.
+   * One engine accepts requests and never answers. No request ends, so no failure is recorded for a
+   * long time. The age of the requests in flight must move new requests to the other engine.
    */
   @Test
   public void silentUpstreamReceivesNoNewRequestsBeforeAnyFailure() {
@@ -179,7 +180,7 @@
     for (int i = 0; i < 40; i++) {
       same += dispatch(engines, NOW).equals(first) ? 1 : 0;
     }
-    assertTrue(same >= 2 && same <= 8, same + " of 40 followed the prefix");
+    assertTrue(same >= 2 && same <= 8, same + " of 40 went to the engine with the prefix");
   }
 
   private String dispatch(List<Announcement> engines, Instant now) {
@@ -194,7 +195,7 @@
     return lastRequest();
   }
 
-  /** Returns the newest request again. */
+  /** Returns a copy of the most recent request. */
   private CallerRequest lastRequest() {
     CallerRequest request = RoutingFakes.request("r" + requests, "ruling", null);
     return new CallerRequest(
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/RoutingFakes.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/RoutingFakes.java
@@ -31,7 +31,7 @@
 import org.skylarkfork.core.upstream.UpstreamDirectory;
 import org.skylarkfork.core.upstream.UpstreamKind;
 
-/** What the tests of routing decisions stand on. */
+/** Fixtures and fakes for the tests of routing decisions. */
 final class RoutingFakes {
 
   static final Instant NOW = Instant.parse("2026-05-04T08:00:00Z");
@@ -101,7 +101,7 @@
         List.of());
   }
 
-  /** A configuration that tests change at will. */
+  /** Fake configuration with fields that tests set. */
   static final class FakeConfiguration implements ConfigurationView {
     List<Team> teams = List.of();
     List<Model> models = List.of();
@@ -137,7 +137,7 @@
     }
   }
 
-  /** One engine for each version, but for those that tests take away. */
+  /** Fake directory with one engine for each version, except the versions in {@code without}. */
   static final class FakeDirectory implements UpstreamDirectory {
     final Set<ModelVersion> without = new HashSet<>();
 
@@ -164,7 +164,7 @@
     }
   }
 
-  /** Pins that tests set. */
+  /** Fake pins that tests set. */
   static final class FakePins implements SessionPins {
     final Map<String, ModelVersion> pins = new HashMap<>();
 
@@ -185,7 +185,7 @@
     }
   }
 
-  /** Estimates and suspicions that tests set. */
+  /** Fake quality estimates and suspect versions that tests set. */
   static final class FakeQuality implements QualityBook {
     final Set<ModelVersion> suspects = new HashSet<>();
     final Map<ModelVersion, Estimate> estimates = new HashMap<>();
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/VersionChooserTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/VersionChooserTest.java
@@ -15,7 +15,7 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests which version of a model requests and sessions get. */
+/** Tests which version of a model is chosen for requests and sessions. */
 public class VersionChooserTest {
 
   private static final ModelVersion OLD = new ModelVersion("ruling", "1");
@@ -29,7 +29,7 @@
   private RoutingFakes.FakePins pins;
   private VersionChooser versions;
 
-  /** Makes a model with two versions, the first of which is current. */
+  /** Creates a model with two versions, the first of which is current. */
   @BeforeMethod
   public void setUp() {
     configuration = new RoutingFakes.FakeConfiguration();
@@ -61,8 +61,9 @@
 
   /*
    * A caller drafts in one session while a roll-out goes from 10% to 100% and the new version
-   * becomes current. If the version were hashed anew against each share, the session would flip
-   * at some step and its user would see another version's answers half-way through a case.
+   * becomes current. If the version were recomputed from the hash at each step, the session would
+   * change its version at some step, and its user would see another version's answers in the
+   * middle of a case.
    */
   @Test
   public void sessionsKeepTheirVersionThroughoutRollOut() {
@@ -80,14 +81,14 @@
         assertNull(choice.notice());
       }
       quality.suspects.add(first);
-      assertEquals(choose(name).get().version(), first, "a suspicion moves no session");
+      assertEquals(choose(name).get().version(), first, "a suspect version keeps its sessions");
       quality.suspects.clear();
     }
   }
 
   /*
-   * A session is pinned to a version that is then withdrawn, or struck from the team's list. Its
-   * next request must not run on it; it runs on another version and the caller is told.
+   * A session is pinned to a version that is then withdrawn or removed from the team's allowed
+   * versions. The next request of the session must run on another version and return a notice.
    */
   @Test
   public void withdrawalAndAllowedListOverridePin() {
