--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/LeastCostPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/LeastCostPlanner.java
@@ -111,13 +111,13 @@
     return all;
   }
 
-  private static void extend(List<Option> prefix, List<Option> left, List<Combination> all) {
-    for (int i = 0; i < left.size(); i++) {
+  private static void extend(List<Option> prefix, List<Option> remaining, List<Combination> all) {
+    for (int i = 0; i < remaining.size(); i++) {
       List<Option> extended = new ArrayList<>(prefix);
-      extended.add(left.get(i));
+      extended.add(remaining.get(i));
       all.add(new Combination(extended));
       if (extended.size() < MAX_STEPS) {
-        extend(extended, left.subList(i + 1, left.size()), all);
+        extend(extended, remaining.subList(i + 1, remaining.size()), all);
       }
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/TrackedUpstream.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/TrackedUpstream.java
@@ -125,8 +125,8 @@
       return -1;
     }
     long millis = Duration.between(dispatchedAt, now).toMillis();
-    // Fast refusals don't count: an upstream that refuses at once would otherwise have the lowest
-    // latency of all and receive all requests.
+    // Failures faster than the mean don't count: an upstream that refuses at once would otherwise
+    // have the lowest latency of all and receive all requests.
     if (healthy || millis > meanMillis) {
       meanMillis = meanMillis <= 0 ? millis : meanMillis + SMOOTHING_FACTOR * (millis - meanMillis);
     }
