--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/Handover.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/PinHandover.java
@@ -16,7 +16,7 @@
  * <p>Without it the loss of a session's second owner, hours after that of the first, would lose the
  * pin: the caller would see its session change its version.
  */
-final class Handover {
+final class PinHandover {
 
   private static final Duration ROUND = Duration.ofMillis(100);
   private static final int ROUNDS_A_SECOND = 10;
@@ -30,7 +30,7 @@
   private int position;
   private Instant nextRound = Instant.MIN;
 
-  Handover(String self, PinStore owned, int perSecond, SessionOwners owners) {
+  PinHandover(String self, PinStore owned, int perSecond, SessionOwners owners) {
     this.self = self;
     this.owned = owned;
     perRound = Math.max(1, perSecond / ROUNDS_A_SECOND);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/PinnedSession.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/PinnedSession.java
@@ -36,7 +36,7 @@
   /** Takes a pin if it prevails, and returns whether it did. */
   boolean merge(SessionPin pin) {
     SessionPin known = byModel.get(pin.model());
-    if (known != null && !pin.prevailsOver(known)) {
+    if (known != null && !pin.overrides(known)) {
       return false;
     }
     byModel.put(pin.model(), pin);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionPart.java
@@ -44,7 +44,7 @@
   private final SessionTokens tokens;
   private final PinStore owned;
   private final PinStore cache;
-  private final Handover handover;
+  private final PinHandover handover;
   private final Map<SessionKey, Ask> asks = new LinkedHashMap<>();
   private final List<Effect> unsent = new ArrayList<>();
   private SessionOwners owners;
@@ -67,10 +67,10 @@
     this.configuration = configuration;
     this.settings = settings;
     this.tokens = tokens;
-    owned = new PinStore(settings.ownedSessions(), settings.expiry());
-    cache = new PinStore(settings.cachedSessions(), settings.expiry());
+    owned = new PinStore(settings.maxOwnedSessions(), settings.expiry());
+    cache = new PinStore(settings.maxCachedSessions(), settings.expiry());
     owners = new SessionOwners(members.live(), members.self().region());
-    handover = new Handover(self(), owned, settings.handoverPerSecond(), owners);
+    handover = new PinHandover(self(), owned, settings.handoverRate(), owners);
   }
 
   @Override
@@ -154,7 +154,7 @@
 
   /** Returns whether the owners have told of this session and tell of changes. */
   private boolean isTrusted(PinnedSession session, Instant now) {
-    Duration trust = session.isEmpty() ? settings.emptyTrust() : settings.expiry();
+    Duration trust = session.isEmpty() ? settings.emptyAnswerLifetime() : settings.expiry();
     return session.askedEpoch == ownersEpoch && session.askedAt.plus(trust).isAfter(now);
   }
 
@@ -192,7 +192,7 @@
     }
     Ask ask = asks.get(key);
     if (ask == null) {
-      ask = new Ask(now.plus(settings.askTimeout()), others);
+      ask = new Ask(now.plus(settings.queryTimeout()), others);
       asks.put(key, ask);
       others.forEach(owner -> send(owner, new SessionMessage.AskPins(key)));
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/session/SessionPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/session/SessionPartTest.java
@@ -187,7 +187,7 @@
     String id = "request-" + requests++;
     if (entry.sessions.lookup(request(id, session, token), TEAM, network.now)
         == SessionPins.Lookup.PENDING) {
-      network.run(SessionSettings.DEFAULT.askTimeout().plusMillis(50));
+      network.run(SessionSettings.DEFAULT.queryTimeout().plusMillis(50));
       assertTrue(entry.resolved.contains(id), id + " hangs");
     }
     return entry.sessions.pinned(TEAM, session, ONE.model());
