--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionTokens.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionTokens.java
@@ -64,19 +64,19 @@
 
   /** Returns the pin in a token, or empty if it is malformed, forged or expired. */
   public Optional<SessionPin> verify(String token, Instant now) {
-    int end = token.lastIndexOf('.');
-    if (end < 0 || token.length() > MAX_TOKEN_LENGTH) {
+    int signatureStart = token.lastIndexOf('.');
+    if (signatureStart < 0 || token.length() > MAX_TOKEN_LENGTH) {
       return Optional.empty();
     }
-    String payload = token.substring(0, end);
-    byte[] signature = token.substring(end + 1).getBytes(StandardCharsets.UTF_8);
-    boolean signed = false;
+    String payload = token.substring(0, signatureStart);
+    byte[] signature = token.substring(signatureStart + 1).getBytes(StandardCharsets.UTF_8);
+    boolean isSigned = false;
     for (SecretKeySpec key : keys) {
-      signed |=
+      isSigned |=
           MessageDigest.isEqual(mac(key, payload).getBytes(StandardCharsets.UTF_8), signature);
     }
     try {
-      return signed ? parse(payload, now) : Optional.empty();
+      return isSigned ? parse(payload, now) : Optional.empty();
     } catch (IllegalArgumentException e) {
       // Only the holder of a key can sign such fields, as an older program might have.
       return Optional.empty();
