--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/PinHandover.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/PinHandover.java
@@ -11,10 +11,10 @@
 import org.skylarkfork.core.message.SessionMessage;
 
 /**
- * Sends the pins kept here to daemons that have become owners, at a bounded rate.
+ * Sends the pins that this daemon owns to new owners of their sessions, at a bounded rate.
  *
- * <p>Without it the loss of a session's second owner, hours after that of the first, would lose the
- * pin: the caller would see its session change its version.
+ * <p>Without the handover, the loss of both owners of a session, even hours apart, would lose the
+ * pin, and the session would change its version.
  */
 final class PinHandover {
 
@@ -38,7 +38,15 @@
     currentOwners = owners;
   }
 
-  /** Starts over, from the owners before the first change that isn't yet handled. */
+  /**
+   * Restarts the handover after a change of the owners.
+   *
+   * <p>If a handover is unfinished, the new one compares with the same previous owners, so that no
+   * earlier change is left out.
+   *
+   * @param owners the new owners
+   * @param restarted name of a daemon that started without pins, or empty if none did
+   */
   void ownersChanged(SessionOwners owners, String restarted) {
     previousOwners = (position < keys.size() ? previousOwners : currentOwners).without(restarted);
     currentOwners = owners;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/PinStore.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/PinStore.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
 
-/** Sessions in the order of their last use, bounded in number and in age. */
+/** Store of sessions in the order of their last use, with a maximum size and an expiry. */
 final class PinStore {
 
   private final int maxSessions;
@@ -22,7 +22,11 @@
     this.expiry = expiry;
   }
 
-  /** Returns a session, new if need be, and makes it the one used last. */
+  /**
+   * Returns a session, created if absent, and marks it as the most recently used.
+   *
+   * <p>If the store then exceeds its maximum size, the least recently used session is removed.
+   */
   PinnedSession getOrCreate(SessionKey key, Instant now) {
     PinnedSession session = sessions.computeIfAbsent(key, unused -> new PinnedSession());
     session.lastUsed = now;
@@ -34,7 +38,7 @@
     return session;
   }
 
-  /** Returns a session without prolonging its life, or null. */
+  /** Returns a session without changing the time of its last use, or null if absent. */
   @Nullable PinnedSession peek(SessionKey key) {
     return sessions.get(key);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/PinnedSession.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/PinnedSession.java
@@ -7,10 +7,13 @@
 import java.util.TreeMap;
 import org.jspecify.annotations.Nullable;
 
-/** The pins of one session. */
+/** The pins of one session and the state of their exchange between entries and owners. */
 final class PinnedSession {
 
-  /** Most daemons that an owner tells of changes; a caller seldom uses more entries at a time. */
+  /**
+   * Maximum number of daemons to which an owner sends changes; a caller seldom uses more entries at
+   * a time.
+   */
   private static final int MAX_SUBSCRIBERS = 4;
 
   final Set<String> subscribers = new LinkedHashSet<>();
@@ -33,7 +36,7 @@
     return byModel.get(model);
   }
 
-  /** Takes a pin if it prevails, and returns whether it did. */
+  /** Stores a pin if it overrides the known one, and returns whether it was stored. */
   boolean merge(SessionPin pin) {
     SessionPin known = byModel.get(pin.model());
     if (known != null && !pin.overrides(known)) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionKey.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionKey.java
@@ -1,9 +1,9 @@
 package org.skylarkfork.core.session;
 
 /**
- * Names a session; two teams may use the same text.
+ * Identifies a session; the sessions of two teams may have the same name.
  *
  * @param team name of the team
- * @param session the session as the caller named it
+ * @param session name of the session as given by the caller
  */
 public record SessionKey(String team, String session) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionOwners.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionOwners.java
@@ -8,16 +8,17 @@
 import org.skylarkfork.core.membership.ServingState;
 
 /**
- * Finds the two daemons, in two zones where there are two, that keep a session's pins.
+ * Determines the two owners of a session's pins by rendezvous hashing, in two zones if possible.
  *
- * <p>They are entries of this daemon's own region: asking another region would take longer than a
- * request may wait. A session that moves between regions is carried by its token.
+ * <p>The owners are entries of this daemon's own region, because a query to another region would
+ * take longer than a request may wait. A session that moves between regions keeps its pin through
+ * its token.
  */
 final class SessionOwners {
 
   private final List<Candidate> candidates;
 
-  /** Makes owners of the entries of a region that are there and stay. */
+  /** Creates owners from the entries of a region, except entries that are leaving. */
   SessionOwners(List<Member> members, String region) {
     this(
         members.stream()
@@ -31,7 +32,7 @@
     this.candidates = candidates;
   }
 
-  /** Returns the same owners but one. */
+  /** Returns the owners without one daemon. */
   SessionOwners without(String name) {
     return new SessionOwners(
         candidates.stream().filter(candidate -> !candidate.name.equals(name)).toList());
@@ -41,7 +42,7 @@
     return candidates.equals(other.candidates);
   }
 
-  /** Returns the owners of a session, at most two. */
+  /** Returns the names of the owners of a session, at most two. */
   List<String> of(SessionKey key) {
     long hash = Hashes.of(key.team() + '\n' + key.session());
     List<String> owners = new ArrayList<>(2);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionPart.java
@@ -28,10 +28,11 @@
 import org.skylarkfork.core.request.CallerRequest;
 
 /**
- * Remembers the versions that sessions keep: here, at two owners and in the caller's token.
+ * Stores the versions to which sessions are pinned: in a local cache, at two owners and in the
+ * caller's token.
  *
- * <p>Its place in the reducer is behind the part that handles requests, so that what a look-up or a
- * new pin sends goes out with the same event.
+ * <p>The reducer must apply this part after the part that handles requests, so that the effects of
+ * a lookup or a new pin are emitted for the same event.
  */
 public final class SessionPart implements Part, SessionPins {
 
@@ -51,12 +52,12 @@
   private long ownersEpoch;
 
   /**
-   * Makes a part without sessions.
+   * Creates a part without sessions.
    *
-   * @param members the daemons that are there
-   * @param configuration says which versions are withdrawn
-   * @param settings how pins are kept
-   * @param tokens signs and checks tokens
+   * @param members the known daemons
+   * @param configuration reports which versions are withdrawn
+   * @param settings limits and timeouts of stored pins
+   * @param tokens signs and verifies tokens
    */
   public SessionPart(
       Members members,
@@ -123,12 +124,12 @@
       known.storedEpoch = NO_EPOCH;
     }
     storeAtOwners(key, known, now);
-    // Where this daemon owns the session, a pin that came before may hold against the new one.
+    // If this daemon owns the session, an earlier pin may override the new one.
     SessionPin effective = Objects.requireNonNull(known.pin(version.model()));
     return tokens.sign(effective, now.plus(settings.tokenLifetime()));
   }
 
-  /** Returns how many sessions are kept here for others. */
+  /** Returns the number of sessions that this daemon owns. */
   public int ownedSessions() {
     return owned.size();
   }
@@ -137,7 +138,7 @@
     return members.self().name();
   }
 
-  /** Takes the pin in the caller's token, which counts until the owners know better. */
+  /** Merges the pin in the caller's token, which is used until the owners report a newer one. */
   private void mergeToken(
       CallerRequest request, SessionKey key, PinnedSession session, Instant now) {
     String token = request.sessionToken();
@@ -152,13 +153,13 @@
     }
   }
 
-  /** Returns whether the owners have told of this session and tell of changes. */
+  /** Returns whether the present owners have reported this session's pins and report changes. */
   private boolean isConfirmed(PinnedSession session, Instant now) {
     Duration lifetime = session.isEmpty() ? settings.emptyAnswerLifetime() : settings.expiry();
     return session.confirmedEpoch == ownersEpoch && session.confirmedAt.plus(lifetime).isAfter(now);
   }
 
-  /** Sends pins to their owners if that is new to them, or long enough ago to keep them alive. */
+  /** Sends pins to their owners if the pins or the owners changed, or to renew their expiry. */
   private void storeAtOwners(SessionKey key, PinnedSession session, Instant now) {
     boolean recent =
         session.storedAt.isAfter(now.minus(settings.expiry().dividedBy(STORES_PER_EXPIRY)));
@@ -209,10 +210,10 @@
   private void handleMessage(String node, SessionMessage message, Instant now, Output output) {
     if (message instanceof SessionMessage.StorePins stored) {
       store(node, stored.pins(), stored.follow(), now);
-    } else if (message instanceof SessionMessage.AskPins question) {
-      PinnedSession session = owned.getOrCreate(question.key(), now);
+    } else if (message instanceof SessionMessage.AskPins query) {
+      PinnedSession session = owned.getOrCreate(query.key(), now);
       session.addSubscriber(node);
-      send(node, new SessionMessage.PinsAnswer(question.key(), session.pins()));
+      send(node, new SessionMessage.PinsAnswer(query.key(), session.pins()));
     } else if (message instanceof SessionMessage.PinsAnswer answer) {
       handleAnswer(node, answer, now, output);
     }
@@ -262,7 +263,7 @@
       return;
     }
     query.waitingFor.remove(node);
-    // One owner may have started a moment ago and know nothing, so its "none" doesn't settle it.
+    // An owner that has just started has no pins yet, so one empty answer isn't conclusive.
     if (query.waitingFor.isEmpty() || !answer.pins().isEmpty()) {
       query.answered = true;
       resolve(answer.key(), query, now, output);
@@ -294,13 +295,13 @@
   }
 
   private void membersChanged(MembershipEvent change) {
-    SessionOwners now = new SessionOwners(members.live(), members.self().region());
+    SessionOwners updated = new SessionOwners(members.live(), members.self().region());
     String restarted =
         change instanceof MembershipEvent.MemberJoined joined ? joined.member().name() : "";
-    if (restarted.isEmpty() && now.hasSameCandidates(owners)) {
+    if (restarted.isEmpty() && updated.hasSameCandidates(owners)) {
       return;
     }
-    owners = now;
+    owners = updated;
     ownersEpoch++;
     handover.ownersChanged(owners, restarted);
   }
@@ -315,9 +316,9 @@
     private final Set<String> requests = new TreeSet<>();
     private boolean answered;
 
-    private OwnerQuery(Instant deadline, List<String> question) {
+    private OwnerQuery(Instant deadline, List<String> queried) {
       this.deadline = deadline;
-      waitingFor = new TreeSet<>(question);
+      waitingFor = new TreeSet<>(queried);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionPin.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionPin.java
@@ -3,13 +3,13 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 
 /**
- * The version of one model that a session keeps.
+ * The version of a model to which a session is pinned.
  *
  * @param key the session
  * @param version model and version
- * @param generation 0 for the first pin, one more each time a known pin was replaced on purpose
- * @param pinnedAtMillis when it was pinned, in milliseconds since 1970 by the writer's clock
- * @param writer name of the daemon that pinned it
+ * @param generation 0 for the first pin, incremented by one each time a known pin is replaced
+ * @param pinnedAtMillis time of the pin in milliseconds since 1970 by the writer's clock
+ * @param writer name of the daemon that created the pin
  */
 public record SessionPin(
     SessionKey key, ModelVersion version, long generation, long pinnedAtMillis, String writer) {
@@ -20,11 +20,12 @@
   }
 
   /**
-   * Returns whether this pin holds against another of the same session and model.
+   * Returns whether this pin overrides another one of the same session and model.
    *
-   * <p>Two entries may pin a session at once, and their messages reach its owners in different
-   * orders. As each owner compares the same numbers, all keep the same pin: of the same generation
-   * the one that was written first, and for equal times the one of the lesser writer.
+   * <p>Two entries may pin a session concurrently, and their messages may reach the owners in
+   * different orders. All owners compare the same values and therefore keep the same pin: the one
+   * with the higher generation, then the earlier time, then the lesser name of the writer, then the
+   * lesser version.
    */
   public boolean overrides(SessionPin other) {
     if (generation != other.generation) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionPins.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionPins.java
@@ -5,40 +5,40 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 import org.skylarkfork.core.request.CallerRequest;
 
-/** Remembers for each session and model the version that it keeps, through any entry. */
+/** Stores for each session and model the pinned version, which is the same at all entries. */
 public interface SessionPins {
 
   /**
-   * Looks for the pins of a request's session: here, in its token, and at the owners.
+   * Looks up the pins of a request's session: in the local cache, in its token and at the owners.
    *
-   * <p>Where the owners must be asked, the answer is {@code PENDING} and {@code
+   * <p>If the owners must be queried, the result is {@code PENDING}, and {@code
    * SessionEvent.PinsResolved} follows within a bounded time.
    *
-   * @param request a request with a session
-   * @param team name of its team
-   * @param now the present time
+   * @param request the request; without a session the result is {@code KNOWN}
+   * @param team name of the team that sent the request
+   * @param now the current time
    */
   Lookup lookup(CallerRequest request, String team, Instant now);
 
-  /** Returns the version of a model that a session keeps, as far as known here. */
+  /** Returns the version of a model that a session is pinned to, or empty if unknown here. */
   Optional<ModelVersion> pinned(String team, String session, String model);
 
   /**
-   * Pins a session to a version from its first answer on, here and at the owners.
+   * Pins a session to a version, in the local cache and at the owners.
    *
    * @param team name of the team
-   * @param session the session
-   * @param version version to keep
-   * @param now the present time
+   * @param session name of the session
+   * @param version version to pin
+   * @param now the current time
    * @return the signed token for the caller
    */
   String pin(String team, String session, ModelVersion version, Instant now);
 
-  /** What a lookup gave. */
+  /** Result of a lookup. */
   enum Lookup {
-    /** The pins are known here, none included. */
+    /** The session's pins, or the fact that it has none, are known here. */
     KNOWN,
-    /** The owners are asked and an event follows. */
+    /** The owners are being queried, and an event follows. */
     PENDING
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionSettings.java
@@ -3,15 +3,16 @@
 import java.time.Duration;
 
 /**
- * How sessions' pins are kept.
+ * Limits and timeouts of the pins of sessions.
  *
- * @param queryTimeout longest wait for the owners of a session
- * @param expiry time since the last use after which a pin is forgotten
- * @param tokenLifetime how long a token is accepted
- * @param maxOwnedSessions most sessions kept for others; the longest unused go first
- * @param maxCachedSessions most sessions remembered for this daemon's own callers
- * @param emptyAnswerLifetime how long the owners' answer that there is no pin is believed
- * @param handoverRate most sessions a second that are looked at and sent to new owners
+ * @param queryTimeout maximum wait for the answers of a session's owners
+ * @param expiry time since the last use after which a session's pins are removed
+ * @param tokenLifetime time for which a token is accepted
+ * @param maxOwnedSessions maximum number of sessions that this daemon owns; the least recently used
+ *     are removed first
+ * @param maxCachedSessions maximum number of sessions cached for this daemon's own callers
+ * @param emptyAnswerLifetime time for which the owners' answer that there is no pin is cached
+ * @param handoverRate maximum number of sessions per second that are checked and sent to new owners
  */
 public record SessionSettings(
     Duration queryTimeout,
@@ -23,11 +24,12 @@
     int handoverRate) {
 
   /**
-   * Settings for everyday use.
+   * Default settings.
    *
-   * <p>Should the wait for owners end early, a session would get a version anew, which in the
-   * middle of a roll-out is another one, and its caller would not be told. Half a second outlasts a
-   * VM that is short of processor time; an owner that is lost costs it only until that is noticed.
+   * <p>If a query of the owners timed out too early, a new version would be chosen for the session.
+   * During a roll-out this may be another version, and the caller would receive no notice. Half a
+   * second is long enough for a VM that is short of processor time. A lost owner causes this delay
+   * only until its loss is detected.
    */
   public static final SessionSettings DEFAULT =
       new SessionSettings(
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionTokens.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionTokens.java
@@ -13,13 +13,13 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 
 /**
- * Writes and checks the signed tokens that carry a pin through the caller.
+ * Signs and verifies the tokens in which callers return the pin of a session.
  *
- * <p>A token is the fields in base64 and an HMAC-SHA256 over them, joined by dots.
+ * <p>A token consists of the fields, texts in base64, and an HMAC-SHA256 over them, joined by dots.
  */
 public final class SessionTokens {
 
-  /** Least length of a key in bytes. */
+  /** Minimum length of a key in bytes. */
   public static final int MIN_KEY_BYTES = 16;
 
   private static final String FORMAT = "session1";
@@ -30,10 +30,10 @@
   private final List<SecretKeySpec> keys;
 
   /**
-   * Makes the signer and checker.
+   * Creates a signer and verifier of tokens.
    *
-   * @param keys the first signs and all are accepted, so that a key can be replaced in two steps
-   * @throws IllegalArgumentException if there is no key or one is too short
+   * @param keys the first key signs and all keys verify, so that a key can be replaced in two steps
+   * @throws IllegalArgumentException if there is no key or a key is too short
    */
   public SessionTokens(List<byte[]> keys) {
     if (keys.isEmpty() || keys.stream().anyMatch(key -> key.length < MIN_KEY_BYTES)) {
@@ -45,7 +45,7 @@
     this.keys = keys.stream().map(key -> new SecretKeySpec(key, ALGORITHM)).toList();
   }
 
-  /** Returns a token for a pin. */
+  /** Returns a signed token for a pin, valid until the expiry. */
   public String sign(SessionPin pin, Instant expiry) {
     String payload =
         String.join(
@@ -64,12 +64,12 @@
 
   /** Returns the pin in a token, or empty if it is malformed, forged or expired. */
   public Optional<SessionPin> verify(String token, Instant now) {
-    int signatureStart = token.lastIndexOf('.');
-    if (signatureStart < 0 || token.length() > MAX_TOKEN_LENGTH) {
+    int separator = token.lastIndexOf('.');
+    if (separator < 0 || token.length() > MAX_TOKEN_LENGTH) {
       return Optional.empty();
     }
-    String payload = token.substring(0, signatureStart);
-    byte[] signature = token.substring(signatureStart + 1).getBytes(StandardCharsets.UTF_8);
+    String payload = token.substring(0, separator);
+    byte[] signature = token.substring(separator + 1).getBytes(StandardCharsets.UTF_8);
     boolean isSigned = false;
     for (SecretKeySpec key : keys) {
       isSigned |=
@@ -78,7 +78,7 @@
     try {
       return isSigned ? parse(payload, now) : Optional.empty();
     } catch (IllegalArgumentException e) {
-      // Only the holder of a key can sign such fields, as an older program might have.
+      // Only the holder of a key can sign malformed fields, for example an older release.
       return Optional.empty();
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/package-info.java
@@ -1,4 +1,4 @@
-/** Which version each session keeps. */
+/** Storage and lookup of the model versions to which sessions are pinned. */
 @NullMarked
 package org.skylarkfork.core.session;
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/session/SessionPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/session/SessionPartTest.java
@@ -20,7 +20,7 @@
 import org.skylarkfork.core.request.RequestKind;
 import org.testng.annotations.Test;
 
-/** Tests that sessions keep their versions through any entry, losses and restarts. */
+/** Tests that sessions keep their versions at all entries and through failures and restarts. */
 public final class SessionPartTest {
 
   private static final String TEAM = "club";
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Two requests of a new session come through two entries at nearly the same time, and are pinned
-   * to different versions before either entry hears of the other. Afterwards the session has one
-   * version at all entries, that of the earlier pin, whichever owner heard which pin first.
+   * Two entries pin a new session to different versions at nearly the same time, before either
+   * receives the other's pin. Afterwards all entries must have the version of the earlier pin, in
+   * whichever order the owners received the pins.
    */
   @Test
   public void concurrentPinsConvergeToTheEarlierOne() {
@@ -63,9 +63,9 @@
   }
 
   /**
-   * Both owners of a session are short of processor time and answer late. The entry that asks them
-   * waits for their answer: if it gave up early, it would choose a version anew, and in the middle
-   * of a roll-out the caller would see its session change its version without being told.
+   * Both owners of a session are short of processor time and answer late. The entry must wait for
+   * their answers. If its query timed out early, it would choose a new version, and during a
+   * roll-out the session would change its version without a notice to the caller.
    */
   @Test
   public void waitsForSlowOwners() {
@@ -90,8 +90,9 @@
   }
 
   /**
-   * All entries restart at once, so that every pin is forgotten; the caller sends back its token
-   * and keeps its version. A token of another session, or of a withdrawn version, does nothing.
+   * All entries restart at once and lose all pins. The session must keep its version through the
+   * caller's token. A token of another session, a modified token or a token of a withdrawn version
+   * must have no effect.
    */
   @Test
   public void tokenRestoresPinAfterRestartOfAllEntries() {
@@ -114,8 +115,8 @@
   }
 
   /**
-   * The owners of a session are silent. The request goes on without a pin after a bounded wait, or
-   * with that of the token, and doesn't hang.
+   * The owners of a session don't answer. The request must continue after a bounded wait, without a
+   * pin or with the pin of its token, and must not hang.
    */
   @Test
   public void lookupWithSilentOwnersEndsAfterBoundedWait() {
@@ -130,8 +131,8 @@
   }
 
   /**
-   * Entries are killed, restarted and stopped one after the other, with time for the handover,
-   * while sessions come through any of them without tokens. No session may ever change its version.
+   * Entries are killed, stopped and restarted one after the other, with time for the handover,
+   * while requests without tokens arrive at random entries. No session may change its version.
    */
   @Test
   public void sessionsKeepVersionsWhileEntriesAreReplaced() {
@@ -188,7 +189,7 @@
     if (entry.sessions.lookup(request(id, session, token), TEAM, network.now)
         == SessionPins.Lookup.PENDING) {
       network.run(SessionSettings.DEFAULT.queryTimeout().plusMillis(50));
-      assertTrue(entry.resolved.contains(id), id + " hangs");
+      assertTrue(entry.resolved.contains(id), id + " is not resolved");
     }
     return entry.sessions.pinned(TEAM, session, ONE.model());
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/session/SessionTokensTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/session/SessionTokensTest.java
@@ -10,7 +10,7 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 import org.testng.annotations.Test;
 
-/** Tests that only whole tokens of our own keys are accepted. */
+/** Tests that only unmodified tokens that are signed with an accepted key are accepted. */
 public final class SessionTokensTest {
 
   private static final byte[] OLD = "an old key of enough length".getBytes(UTF_8);
