--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/LeastCostPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/LeastCostPlanner.java
@@ -202,9 +202,9 @@
      * @param first whether the version is the first of a plan, which isn't an escalation
      * @param margin number of standard deviations that are subtracted from the mean
      */
-    double successProbability(boolean first, double caution) {
+    double successProbability(boolean first, double margin) {
       QualityBook.Estimate from = first ? estimate : escalated;
-      return Math.max(0, from.mean() - caution * from.standardDeviation());
+      return Math.max(0, from.mean() - margin * from.standardDeviation());
     }
   }
 
@@ -218,10 +218,10 @@
       return new Combination(extended);
     }
 
-    double successProbability(double caution) {
+    double successProbability(double margin) {
       double failureProbability = 1;
       for (int i = 0; i < options.size(); i++) {
-        failureProbability *= 1 - options.get(i).successProbability(i == 0, caution);
+        failureProbability *= 1 - options.get(i).successProbability(i == 0, margin);
       }
       return 1 - failureProbability;
     }
