--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCollaborators.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCollaborators.java
@@ -18,7 +18,7 @@
  * The other parts that the life of a request needs.
  *
  * @param configuration the configuration in force
- * @param ruleBooks makes the rules of a configuration ready for matching; called once a revision
+ * @param ruleMatchers makes the rules of a configuration ready for matching; called once a revision
  * @param planner chooses the versions that a draft is tried on
  * @param directory the known upstreams
  * @param chooser picks the upstream of an attempt
@@ -31,7 +31,7 @@
  */
 public record RequestCollaborators(
     ConfigurationView configuration,
-    Function<Configuration, RuleMatcher> ruleBooks,
+    Function<Configuration, RuleMatcher> ruleMatchers,
     Planner planner,
     UpstreamDirectory directory,
     UpstreamChooser chooser,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestPart.java
@@ -53,7 +53,7 @@
     this.attempts = new Attempts(requests, parts);
     this.ending = new Ending(requests, parts, attempts);
     this.sampler = new RatingSampler(settings, parts.quality(), random);
-    Routes routes = new Routes(parts.configuration(), parts.ruleBooks());
+    Routes routes = new Routes(parts.configuration(), parts.ruleMatchers());
     Planning planning = new Planning(parts, routes);
     Retries retries = new Retries(requests, settings, random);
     this.drafts =
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Routes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/Routes.java
@@ -16,13 +16,13 @@
   private static final long NONE = -1;
 
   private final ConfigurationView configuration;
-  private final Function<Configuration, RuleMatcher> ruleBooks;
+  private final Function<Configuration, RuleMatcher> ruleMatchers;
   private long revision = NONE;
-  private @Nullable RuleMatcher book;
+  private @Nullable RuleMatcher matcher;
 
-  Routes(ConfigurationView configuration, Function<Configuration, RuleMatcher> ruleBooks) {
+  Routes(ConfigurationView configuration, Function<Configuration, RuleMatcher> ruleMatchers) {
     this.configuration = configuration;
-    this.ruleBooks = ruleBooks;
+    this.ruleMatchers = ruleMatchers;
   }
 
   Optional<Rule> match(CallerRequest request, String team, Instant now) {
@@ -31,10 +31,10 @@
 
   private RuleMatcher present() {
     Configuration current = configuration.current();
-    RuleMatcher known = book;
+    RuleMatcher known = matcher;
     if (known == null || revision != current.revision()) {
-      known = ruleBooks.apply(current);
-      book = known;
+      known = ruleMatchers.apply(current);
+      matcher = known;
       revision = current.revision();
     }
     return known;
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/PowerOfTwoChooserTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/PowerOfTwoChooserTest.java
@@ -105,7 +105,7 @@
    * failures; without the single probes a recovering engine would be overloaded.
    */
   @Test
-  public void failingUpstreamIsEjectedAndProbedOneRequestAtATime() {
+  public void failingUpstreamIsEjectedAndProbedBySingleRequests() {
     List<Announcement> engines =
         List.of(
             RoutingFakes.engine("e0", "a", 8, 0, VERSION),
