--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AttemptBudget.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AttemptBudget.java
@@ -1,44 +1,44 @@
 package org.skylarkfork.core.attempt;
 
 /**
- * Bounds extra attempts to a share of the requests, over the whole entry.
+ * Limits retries or hedges to a share of the requests of this entry, plus a reserve.
  *
- * <p>Without it each request of a burst that meets failing upstreams would be sent several times:
- * the load multiplies just when there is too much of it. Here the extra attempts are at most the
- * share of the requests, plus a reserve for quiet times.
+ * <p>Without a limit, each request of a burst that meets failing upstreams would be sent several
+ * times, which multiplies the load during an overload. The reserve allows extra attempts while
+ * there are few requests.
  */
 final class AttemptBudget {
 
   private final double share;
-  private final double most;
-  private double left;
+  private final double capacity;
+  private double balance;
 
   AttemptBudget(double share, int reserve) {
     this.share = share;
-    this.most = reserve;
-    this.left = reserve;
+    this.capacity = reserve;
+    this.balance = reserve;
   }
 
-  /** Takes note of a request, which earns its share of an extra attempt. */
-  void earn() {
-    left = Math.min(most, left + share);
+  /** Adds the share that one request contributes, up to the capacity. */
+  void deposit() {
+    balance = Math.min(capacity, balance + share);
   }
 
   boolean isEmpty() {
-    return left < 1;
+    return balance < 1;
   }
 
-  /** Takes an extra attempt if there is one left. */
-  boolean tryTake() {
-    if (left < 1) {
+  /** Withdraws one attempt if the balance allows it, and returns whether it did. */
+  boolean tryWithdraw() {
+    if (balance < 1) {
       return false;
     }
-    left -= 1;
+    balance -= 1;
     return true;
   }
 
-  /** Takes an extra attempt that has to be made, so that fewer others can be. */
-  void take() {
-    left = Math.max(0, left - 1);
+  /** Withdraws one attempt that is made in any case; the balance doesn't go below 0. */
+  void withdraw() {
+    balance = Math.max(0, balance - 1);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Election.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Election.java
@@ -7,7 +7,7 @@
 import org.skylarkfork.core.message.RaftMessage.VoteRequest;
 import org.skylarkfork.core.message.RaftMessage.VoteResponse;
 
-/** Finds a leader: pre-votes, votes and their count. */
+/** Leader election: requests, grants and counts pre-votes and votes. */
 final class Election {
 
   private final Replica replica;
@@ -17,55 +17,56 @@
     this.replica = replica;
   }
 
-  /** Campaigns if no leader was heard for the drawn time. */
-  void tick(Turn turn) {
-    if (replica.leads() || !replica.votes() || !replica.electionDue(turn.now())) {
+  /** Starts a pre-vote once the election timeout has elapsed without contact to a leader. */
+  void tick(EventContext context) {
+    if (replica.isLeader() || !replica.isVoter() || !replica.electionDue(context.now())) {
       return;
     }
-    if (replica.durability.stalledSince(turn.now().minus(replica.settings.storageStall()))) {
+    if (replica.durability.stalledSince(
+        context.now().minus(replica.settings.storageStallTimeout()))) {
       return;
     }
-    startPreVote(turn);
+    startPreVote(context);
   }
 
   /**
-   * Asks whether a campaign could win, without taking a new term.
+   * Asks the voters whether a campaign could win, without increasing the term.
    *
-   * <p>A voter cut off for a while would otherwise come back with a higher term and depose a
-   * working leader, so that callers see a pause though nothing but that voter failed.
+   * <p>Without the pre-vote, a voter that was partitioned for a while would return with a higher
+   * term and force a working leader to step down, which interrupts service for all callers.
    */
-  private void startPreVote(Turn turn) {
-    replica.become(Role.PRE_CANDIDATE, null, turn);
-    replica.drawElectionDeadline(turn.now());
+  private void startPreVote(EventContext context) {
+    replica.become(Role.PRE_CANDIDATE, null, context);
+    replica.resetElectionDeadline(context.now());
     grants.clear();
     grants.add(replica.node);
     if (hasMajority()) {
-      campaign(false, turn);
+      campaign(false, context);
       return;
     }
     VoteRequest request = request(replica.term() + 1, true, false);
     for (Member voter : replica.members.latest().voters()) {
       if (!voter.node().equals(replica.node)) {
-        turn.send(voter.node(), request);
+        context.send(voter.node(), request);
       }
     }
   }
 
-  /** Campaigns because the leader asked for it, without waiting for its lease to end. */
-  void takeOver(Turn turn) {
-    campaign(true, turn);
+  /** Campaigns at the leader's request, without waiting for the leader's lease to expire. */
+  void campaignOnTransfer(EventContext context) {
+    campaign(true, context);
   }
 
-  private void campaign(boolean handover, Turn turn) {
+  private void campaign(boolean handover, EventContext context) {
     replica.adoptTerm(replica.term() + 1);
     replica.voteFor(replica.node);
-    replica.become(Role.CANDIDATE, null, turn);
-    replica.drawElectionDeadline(turn.now());
+    replica.become(Role.CANDIDATE, null, context);
+    replica.resetElectionDeadline(context.now());
     grants.clear();
     VoteRequest request = request(replica.term(), false, handover);
     for (Member voter : replica.members.latest().voters()) {
       if (!voter.node().equals(replica.node)) {
-        replica.durability.afterHardState(voter.node(), replica.term(), request, turn);
+        replica.durability.sendAfterHardState(voter.node(), replica.term(), request, context);
       }
     }
   }
@@ -75,12 +76,12 @@
     return new VoteRequest(replica.group, term, log.lastIndex(), log.lastTerm(), preVote, handover);
   }
 
-  /** Returns whether the votes counted so far, the synced own one among them, are enough. */
-  boolean won() {
+  /** Returns whether a majority has granted its vote; the own vote counts once it is synced. */
+  boolean hasWon() {
     if (replica.role() != Role.CANDIDATE) {
       return false;
     }
-    if (replica.durability.hardStateSynced()) {
+    if (replica.durability.isHardStateSynced()) {
       grants.add(replica.node);
     }
     return hasMajority();
@@ -97,35 +98,36 @@
     return count >= members.quorum();
   }
 
-  void onRequest(String from, VoteRequest request, Turn turn) {
+  void onRequest(String from, VoteRequest request, EventContext context) {
     boolean newerTerm = request.term() > replica.term();
-    boolean leaseGivenUp = request.handover() && !replica.leads();
-    if (newerTerm && !leaseGivenUp && replica.leaseMayHold(turn.now())) {
-      respond(from, request, false, turn);
+    boolean leaseReleased = request.handover() && !replica.isLeader();
+    if (newerTerm && !leaseReleased && replica.leaseMayBeActive(context.now())) {
+      respond(from, request, false, context);
       return;
     }
     if (request.preVote()) {
       boolean upToDate = upToDate(request);
-      respond(from, request, newerTerm && upToDate, turn);
+      respond(from, request, newerTerm && upToDate, context);
       if (newerTerm && !upToDate) {
-        // The sender can't win against this voter's log; waiting for another try of it is in vain.
-        replica.campaignSoon(turn.now());
+        // The sender can't win because its log is behind this voter's log, so this voter campaigns
+        // at once.
+        replica.expireElectionDeadline(context.now());
       } else if (newerTerm) {
-        replica.yieldTo(turn.now());
+        replica.deferCampaign(context.now());
       }
       return;
     }
     if (newerTerm) {
       replica.adoptTerm(request.term());
-      replica.become(Role.FOLLOWER, null, turn);
+      replica.become(Role.FOLLOWER, null, context);
     }
-    boolean free = replica.votedFor() == null || from.equals(replica.votedFor());
-    boolean granted = request.term() == replica.term() && free && upToDate(request);
+    boolean voteAvailable = replica.votedFor() == null || from.equals(replica.votedFor());
+    boolean granted = request.term() == replica.term() && voteAvailable && upToDate(request);
     if (granted) {
       replica.voteFor(from);
-      replica.drawElectionDeadline(turn.now());
+      replica.resetElectionDeadline(context.now());
     }
-    respond(from, request, granted, turn);
+    respond(from, request, granted, context);
   }
 
   private boolean upToDate(VoteRequest request) {
@@ -136,18 +138,18 @@
     return request.lastIndex() >= log.lastIndex();
   }
 
-  private void respond(String from, VoteRequest request, boolean granted, Turn turn) {
+  private void respond(String from, VoteRequest request, boolean granted, EventContext context) {
     long term = granted ? request.term() : replica.term();
     VoteResponse response =
         new VoteResponse(replica.group, term, replica.instance(), granted, request.preVote());
-    replica.durability.afterHardState(from, replica.term(), response, turn);
+    replica.durability.sendAfterHardState(from, replica.term(), response, context);
   }
 
-  /** Counts a vote, unless the disk that gave it isn't the voter's. */
-  void onResponse(String from, VoteResponse response, Turn turn) {
+  /** Counts a vote, unless it comes from a disk other than the voter's registered one. */
+  void onResponse(String from, VoteResponse response, EventContext context) {
     if (!response.granted() && response.term() > replica.term()) {
       replica.adoptTerm(response.term());
-      replica.become(Role.FOLLOWER, null, turn);
+      replica.become(Role.FOLLOWER, null, context);
       return;
     }
     if (!response.granted() || !replica.members.latest().votes(member(from, response))) {
@@ -158,7 +160,7 @@
         grants.add(from);
       }
       if (hasMajority()) {
-        campaign(false, turn);
+        campaign(false, context);
       }
     } else if (!response.preVote() && response.term() == replica.term()) {
       grants.add(from);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/FollowerLog.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/FollowerLog.java
@@ -6,7 +6,9 @@
 import org.skylarkfork.core.message.RaftMessage.AppendRequest;
 import org.skylarkfork.core.message.RaftMessage.AppendResponse;
 
-/** A follower's work: making its log agree with the leader's and acknowledging what is synced. */
+/**
+ * Follower-side log replication: matches the log to the leader's and acknowledges synced entries.
+ */
 final class FollowerLog {
 
   private final Replica replica;
@@ -15,16 +17,18 @@
     this.replica = replica;
   }
 
-  /** Takes over entries of the present leader. */
-  void onAppend(String from, AppendRequest request, Turn turn) {
+  /**
+   * Appends entries from the current leader, or rejects them if the logs don't match before them.
+   */
+  void onAppend(String from, AppendRequest request, EventContext context) {
     long previous = request.previousIndex();
     if (previous > replica.log.lastIndex()) {
-      refuse(from, request, replica.log.lastIndex(), turn);
+      reject(from, request, replica.log.lastIndex(), context);
       return;
     }
-    boolean agreed = previous <= replica.commitIndex();
-    if (!agreed && replica.log.termAt(previous) != request.previousTerm()) {
-      refuse(from, request, replica.commitIndex(), turn);
+    boolean consistent = previous <= replica.commitIndex();
+    if (!consistent && replica.log.termAt(previous) != request.previousTerm()) {
+      reject(from, request, replica.commitIndex(), context);
       return;
     }
     boolean appended = append(request.entries());
@@ -34,11 +38,12 @@
       replica.commit(committed);
     }
     if (appended) {
-      replica.durability.afterAll(from, replica.term(), response(request, true, matched), turn);
+      replica.durability.sendAfterAll(
+          from, replica.term(), response(request, true, matched), context);
     } else {
       long synced = Math.min(matched, replica.durability.syncedIndex());
-      replica.durability.afterHardState(
-          from, replica.term(), response(request, true, synced), turn);
+      replica.durability.sendAfterHardState(
+          from, replica.term(), response(request, true, synced), context);
     }
   }
 
@@ -63,9 +68,10 @@
     return appended;
   }
 
-  /** Answers that the logs don't agree before the entries sent. */
-  void refuse(String from, AppendRequest request, long index, Turn turn) {
-    replica.durability.afterHardState(from, replica.term(), response(request, false, index), turn);
+  /** Rejects entries because the logs don't match before them. */
+  void reject(String from, AppendRequest request, long index, EventContext context) {
+    replica.durability.sendAfterHardState(
+        from, replica.term(), response(request, false, index), context);
   }
 
   private AppendResponse response(AppendRequest request, boolean matched, long index) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Proposals.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Proposals.java
@@ -10,63 +10,63 @@
 import org.skylarkfork.core.message.RaftMessage.SubmitRedirect;
 import org.skylarkfork.core.message.RaftMessage.SubmitRequest;
 
-/** Submissions that a leader has appended and whose results it owes. */
+/** Submissions that the leader has appended and not yet answered. */
 final class Proposals {
 
   private final Replica replica;
-  private final Map<Long, Submission> waiting = new HashMap<>();
-  private final Set<Submission> known = new HashSet<>();
+  private final Map<Long, Submission> submissionsByIndex = new HashMap<>();
+  private final Set<Submission> pendingSubmissions = new HashSet<>();
   private long uncommittedBytes;
 
   Proposals(Replica replica) {
     this.replica = replica;
   }
 
-  /** Returns whether the submission was appended and isn't answered yet. */
-  boolean isWaiting(String from, SubmitRequest request) {
-    return known.contains(Submission.of(from, request));
+  /** Returns whether the submission was appended and is not yet answered. */
+  boolean isPending(String from, SubmitRequest request) {
+    return pendingSubmissions.contains(Submission.of(from, request));
   }
 
-  /** Returns what stands against another entry, or null if there is room. */
-  @Nullable String refusal() {
+  /** Returns why no further entry can be accepted, or null if one can. */
+  @Nullable String overloadReason() {
     RaftSettings settings = replica.settings;
     long entries = replica.log.lastIndex() - replica.commitIndex();
-    if (entries >= settings.uncommittedEntries()
-        || uncommittedBytes >= settings.uncommittedBytes()) {
-      return "raft: " + replica.group + " is behind with its commits; submit again later";
+    if (entries >= settings.maxUncommittedEntries()
+        || uncommittedBytes >= settings.maxUncommittedBytes()) {
+      return "raft: " + replica.group + " has too many uncommitted entries; submit again later";
     }
     return null;
   }
 
   void appended(String from, SubmitRequest request, long index) {
     Submission submission = Submission.of(from, request);
-    waiting.put(index, submission);
-    known.add(submission);
+    submissionsByIndex.put(index, submission);
+    pendingSubmissions.add(submission);
     uncommittedBytes += replica.log.sizeAt(index);
   }
 
-  void applied(long index, CommandResult result, Turn turn) {
-    Submission submission = waiting.remove(index);
+  void applied(long index, CommandResult result, EventContext context) {
+    Submission submission = submissionsByIndex.remove(index);
     if (submission == null) {
       return;
     }
-    known.remove(submission);
+    pendingSubmissions.remove(submission);
     uncommittedBytes -= replica.log.sizeAt(index);
-    turn.send(
+    context.send(
         submission.node,
         new SubmitAnswer(replica.group, submission.session, submission.submissionId, result));
   }
 
-  /** Sends all waiting submitters to the next leader; the entries may still be committed by it. */
-  void stop(Turn turn) {
-    for (Submission submission : waiting.values()) {
-      turn.send(
+  /** Redirects all pending submitters to the next leader, which may still commit the entries. */
+  void redirectAll(EventContext context) {
+    for (Submission submission : submissionsByIndex.values()) {
+      context.send(
           submission.node,
           new SubmitRedirect(
               replica.group, submission.session, submission.submissionId, replica.leader()));
     }
-    waiting.clear();
-    known.clear();
+    submissionsByIndex.clear();
+    pendingSubmissions.clear();
     uncommittedBytes = 0;
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Replica.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Replica.java
@@ -15,7 +15,7 @@
 import org.skylarkfork.core.command.Snapshot;
 import org.skylarkfork.core.event.ConsensusEvent;
 
-/** What the parts of one replica share: term, role, log and members. */
+/** State that the components of one replica share: term, role, log and members. */
 final class Replica {
 
   final GroupId group;
@@ -30,7 +30,7 @@
   private long term;
   private @Nullable String votedFor;
   private @Nullable String leader;
-  private @Nullable String leaderOfTerm;
+  private @Nullable String currentTermLeader;
   private long announcedTerm;
   private Role role = Role.FOLLOWER;
   private long commitIndex;
@@ -65,7 +65,7 @@
     return role;
   }
 
-  boolean leads() {
+  boolean isLeader() {
     return role == Role.LEADER;
   }
 
@@ -85,7 +85,7 @@
     return failed;
   }
 
-  /** Returns the newest saved snapshot, or null. */
+  /** Returns the latest saved snapshot, or null if there is none. */
   @Nullable Snapshot snapshot() {
     return snapshot;
   }
@@ -94,16 +94,18 @@
     return new Member(node, instance);
   }
 
-  boolean votes() {
+  boolean isVoter() {
     return members.latest().votes(self());
   }
 
-  /** Returns whether neither a term nor an entry was ever stored. */
-  boolean empty() {
+  /** Returns whether no term and no entry was ever stored. */
+  boolean isEmpty() {
     return term == 0 && log.lastIndex() == 0;
   }
 
-  /** Takes over the stored hard state, or draws an instance for an empty disk and stores that. */
+  /**
+   * Restores the stored hard state, or generates and stores an instance id if the disk is empty.
+   */
   void recoverHardState(@Nullable HardState hardState) {
     if (hardState == null) {
       instance = random.nextLong(1, Long.MAX_VALUE);
@@ -119,7 +121,7 @@
     Invariants.check(newTerm > term, "terms never decrease");
     term = newTerm;
     votedFor = null;
-    leaderOfTerm = null;
+    currentTermLeader = null;
     stageHardState();
   }
 
@@ -135,58 +137,59 @@
     durability.stage(new HardState(term, votedFor, instance));
   }
 
-  /** Changes the role and the known leader, and tells the other parts. */
-  void become(Role newRole, @Nullable String newLeader, Turn turn) {
+  /** Sets the role and the known leader, and raises an event if the leader or its term changed. */
+  void become(Role newRole, @Nullable String newLeader, EventContext context) {
     if (newLeader != null) {
       Invariants.check(
-          leaderOfTerm == null || leaderOfTerm.equals(newLeader), "one leader in a term");
-      leaderOfTerm = newLeader;
+          currentTermLeader == null || currentTermLeader.equals(newLeader), "one leader in a term");
+      currentTermLeader = newLeader;
     }
     role = newRole;
     boolean changed = !Objects.equals(leader, newLeader);
     leader = newLeader;
     if (changed || (newLeader != null && announcedTerm != term)) {
       announcedTerm = term;
-      turn.raise(new ConsensusEvent.LeaderChanged(group, newLeader, term));
+      context.raise(new ConsensusEvent.LeaderChanged(group, newLeader, term));
     }
   }
 
-  void contact(Instant now) {
+  void recordLeaderContact(Instant now) {
     lastContact = now;
-    drawElectionDeadline(now);
+    resetElectionDeadline(now);
   }
 
   /**
-   * Begins to wait for a leader after a start.
+   * Starts the election timer after a start of the process.
    *
-   * <p>After a crash of all voters there is no leader to wait for. A voter that waits as after a
-   * contact adds up to {@link RaftSettings#electionMax} to the time in which nothing is served.
+   * <p>After a crash of all voters there is no leader to wait for. A full election timeout would
+   * add up to {@link RaftSettings#electionMax} to the outage.
    */
-  void started(Instant now) {
-    long longest = settings.restartWait().toMillis();
+  void startElectionTimer(Instant now) {
+    long longest = settings.maxRestartWait().toMillis();
     if (longest == 0) {
-      contact(now);
+      recordLeaderContact(now);
     } else {
       electionDeadline = now.plusMillis(random.nextLong(longest + 1));
     }
   }
 
-  void drawElectionDeadline(Instant now) {
+  void resetElectionDeadline(Instant now) {
     long spread = settings.electionMax().minus(settings.electionMin()).toMillis();
     Duration wait = settings.electionMin().plusMillis(random.nextLong(spread + 1));
     electionDeadline = now.plus(wait);
   }
 
-  void campaignSoon(Instant now) {
+  void expireElectionDeadline(Instant now) {
     electionDeadline = now;
   }
 
   /**
-   * Lets a voter that asked for support campaign first.
+   * Delays this voter's campaign by up to a heartbeat after it granted a pre-vote.
    *
-   * <p>Two that campaign at once split the votes, and the next try comes only after a whole wait.
+   * <p>Two voters that campaign at once split the votes, and the next attempt starts only after
+   * another election timeout.
    */
-  void yieldTo(Instant now) {
+  void deferCampaign(Instant now) {
     Instant later = now.plus(settings.heartbeat());
     if (later.isAfter(electionDeadline)) {
       electionDeadline = later;
@@ -198,13 +201,14 @@
   }
 
   /**
-   * Returns whether a leader may still hold its lease because of this voter.
+   * Returns whether a leader may still hold a lease that counts on this voter.
    *
-   * <p>A vote given within this time could make a second leader while the first still answers under
-   * its lease. A restarted voter doesn't know what it acknowledged, so its start counts as contact.
+   * <p>A vote granted within this time could elect a second leader while the first one still serves
+   * under its lease. A restarted voter doesn't know what it acknowledged, so its start counts as
+   * contact.
    */
-  boolean leaseMayHold(Instant now) {
-    return leads() || now.isBefore(lastContact.plus(settings.electionMin()));
+  boolean leaseMayBeActive(Instant now) {
+    return isLeader() || now.isBefore(lastContact.plus(settings.electionMin()));
   }
 
   void commit(long index) {
@@ -213,7 +217,7 @@
     commitIndex = index;
   }
 
-  /** Appends a command as leader. */
+  /** Appends a command to the leader's log in the current term. */
   LogEntry append(Command command, Instant now) {
     Instant stamp = now.isBefore(log.lastStamp()) ? log.lastStamp() : now;
     LogEntry entry = new LogEntry(log.lastIndex() + 1, term, stamp, command);
@@ -227,7 +231,7 @@
   }
 
   void truncateFrom(long index) {
-    Invariants.check(index > commitIndex, "committed entries are never dropped");
+    Invariants.check(index > commitIndex, "committed entries are never truncated");
     log.truncateFrom(index);
     members.truncateFrom(index);
     durability.truncateFrom(index);
@@ -237,7 +241,7 @@
     snapshot = saved;
   }
 
-  /** Goes on behind a saved snapshot, with the entries after it if they continue it. */
+  /** Installs a saved snapshot and keeps the log entries after it if they continue it. */
   void install(Snapshot saved) {
     Invariants.check(saved.index() > commitIndex, "commit index never decreases");
     snapshot = saved;
@@ -254,10 +258,12 @@
     commitIndex = saved.index();
   }
 
-  /** Stops taking part: a voter that can't store a promise must not give one. */
-  void fail(Turn turn) {
+  /**
+   * Stops participating: a voter that can't persist votes and entries must not acknowledge them.
+   */
+  void fail(EventContext context) {
     failed = true;
     durability.fail();
-    become(Role.FOLLOWER, null, turn);
+    become(Role.FOLLOWER, null, context);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/EntryList.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/EntryList.java
@@ -9,21 +9,24 @@
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.LifecycleEvent;
 
-/** Makes the list of entries and times this entry's own way off it. */
+/**
+ * Creates the list of entries and determines until when this entry accepts work after its removal.
+ */
 public final class EntryList implements Part, EntryListing {
 
   private final Members members;
   private final ConfigurationView configuration;
   private final EntryListSettings settings;
   private boolean stopping;
-  private @Nullable Instant offListSince;
+  private @Nullable Instant delistedSince;
 
   /**
-   * Makes a list.
+   * Creates the list.
    *
-   * @param members the daemons that are there
-   * @param configuration says which VMs are drained and whether this one holds its lease
-   * @param settings how long callers keep a list
+   * @param members the live daemons
+   * @param configuration provides the drained VMs and whether this daemon holds its configuration
+   *     lease
+   * @param settings lifetime of lists
    */
   public EntryList(Members members, ConfigurationView configuration, EntryListSettings settings) {
     this.members = members;
@@ -37,11 +40,11 @@
       stopping = true;
     }
     if (event instanceof LifecycleEvent.Tick || event instanceof LifecycleEvent.StopRequested) {
-      boolean off = stopping || isDrained(members.self());
-      if (!off) {
-        offListSince = null;
-      } else if (offListSince == null) {
-        offListSince = now;
+      boolean delisted = stopping || isDrained(members.self());
+      if (!delisted) {
+        delistedSince = null;
+      } else if (delistedSince == null) {
+        delistedSince = now;
       }
     }
   }
@@ -49,10 +52,11 @@
   @Override
   public EntryPage entries(Instant now) {
     List<Member> listed = members.live().stream().filter(member -> isListed(member, now)).toList();
-    List<Member> sound =
+    List<Member> unsuspected =
         listed.stream().filter(member -> !members.isSuspected(member.name())).toList();
-    // If most others look dead, this daemon rather than they may be cut off: name them all then.
-    List<Member> chosen = sound.size() * 2 >= listed.size() ? sound : listed;
+    // If most listed entries are suspected, this daemon is probably isolated itself, so all are
+    // listed.
+    List<Member> chosen = unsuspected.size() * 2 >= listed.size() ? unsuspected : listed;
     List<Entry> entries = chosen.stream().map(EntryList::entry).toList();
     return new EntryPage(entries, settings.lifetime().toMillis());
   }
@@ -62,17 +66,17 @@
     if (!configuration.mayServe(now) || members.isSuperseded()) {
       return false;
     }
-    return offListSince == null || now.isBefore(refusesFrom(offListSince));
+    return delistedSince == null || now.isBefore(refusalStart(delistedSince));
   }
 
-  private Instant refusesFrom(Instant since) {
-    // Another entry may name this one until it hears of the change, and a caller keeps that list
-    // for its lifetime; refusing earlier would turn away callers who did as they were told.
-    return since.plus(settings.spreadMargin()).plus(settings.lifetime());
+  private Instant refusalStart(Instant since) {
+    // Other entries may list this one until they receive the change, and a caller may use such a
+    // list for its lifetime. An earlier refusal would reject callers with a valid list.
+    return since.plus(settings.propagationMargin()).plus(settings.lifetime());
   }
 
   private boolean isListed(Member member, Instant now) {
-    if (!member.has(Member.ENTRY) || isDrained(member)) {
+    if (!member.hasRole(Member.ENTRY) || isDrained(member)) {
       return false;
     }
     if (member.name().equals(members.self().name())) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/FailureDetector.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/FailureDetector.java
@@ -9,7 +9,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.jspecify.annotations.Nullable;
 
-/** Probes contacts one after the other and says which of them did not answer. */
+/** SWIM failure detector: probes the peers in turn and reports those that did not answer. */
 final class FailureDetector {
 
   private final String self;
@@ -39,50 +39,50 @@
     this.messenger = messenger;
   }
 
-  /** How the detector speaks with others. */
+  /** Sends the detector's messages to other daemons. */
   interface Messenger {
 
     void ping(String node, long sequence);
 
-    void askToPing(String helper, String target, long sequence);
+    void requestPing(String helper, String target, long sequence);
 
     void ack(String node, long sequence);
 
     void nack(String node, long sequence);
   }
 
-  /** Starts what is due and returns the daemons whose probes failed for good. */
+  /** Starts probes that are due and returns the daemons whose direct and indirect probes failed. */
   List<String> tick(Instant now) {
-    List<String> silent = new ArrayList<>();
+    List<String> unresponsive = new ArrayList<>();
     for (Iterator<Probe> it = probes.values().iterator(); it.hasNext(); ) {
       Probe probe = it.next();
       if (probe.origin != null) {
-        dropIfLate(probe, it, now);
-      } else if (!now.isBefore(probe.start.plus(health.stretch(settings.probeDeadline())))) {
+        expireRelayedProbe(probe, it, now);
+      } else if (!now.isBefore(probe.start.plus(health.scale(settings.probeDeadline())))) {
         it.remove();
-        failed(probe, silent);
+        recordFailure(probe, unresponsive);
       } else if (!probe.indirect
-          && !now.isBefore(probe.start.plus(health.stretch(settings.probeTimeout())))) {
+          && !now.isBefore(probe.start.plus(health.scale(settings.probeTimeout())))) {
         probeIndirectly(probe);
       }
     }
     if (!now.isBefore(nextProbe)) {
-      nextProbe = now.plus(health.stretch(settings.probeEvery()));
+      nextProbe = now.plus(health.scale(settings.probeInterval()));
       probeNext(now);
     }
-    return silent;
+    return unresponsive;
   }
 
-  /** Probes a daemon out of turn, such as one held dead; its silence has no consequence. */
+  /** Probes a daemon out of turn, such as one considered dead; a missing answer has no effect. */
   void probeOnce(String node) {
     messenger.ping(node, ++lastSequence);
   }
 
-  void relay(String origin, long originSequence, String target, Instant now) {
+  void relayProbe(String origin, long originSequence, String target, Instant now) {
     start(new Probe(++lastSequence, target, now, origin, originSequence));
   }
 
-  void acked(long sequence) {
+  void onAck(long sequence) {
     Probe probe = probes.remove(sequence);
     if (probe == null) {
       return;
@@ -90,49 +90,49 @@
     if (probe.origin != null) {
       messenger.ack(probe.origin, probe.originSequence);
     } else {
-      health.better();
+      health.improve();
     }
   }
 
-  void nacked(long sequence) {
+  void onNack(long sequence) {
     Probe probe = probes.get(sequence);
     if (probe != null && probe.origin == null) {
-      probe.nacksMissing--;
+      probe.missingNacks--;
     }
   }
 
-  private void dropIfLate(Probe probe, Iterator<Probe> it, Instant now) {
+  private void expireRelayedProbe(Probe probe, Iterator<Probe> it, Instant now) {
     if (!now.isBefore(probe.start.plus(settings.probeTimeout()))) {
       it.remove();
       messenger.nack(String.valueOf(probe.origin), probe.originSequence);
     }
   }
 
-  private void failed(Probe probe, List<String> silent) {
-    // A helper that neither reached the target nor said so is a sign that this daemon is cut off.
-    health.worse(probe.helpers == 0 ? 1 : Math.max(0, probe.nacksMissing));
-    silent.add(probe.target);
+  private void recordFailure(Probe probe, List<String> unresponsive) {
+    // A helper that sends neither an ack nor a nack indicates that this daemon itself is isolated.
+    health.degrade(probe.helperCount == 0 ? 1 : Math.max(0, probe.missingNacks));
+    unresponsive.add(probe.target);
   }
 
   private void probeIndirectly(Probe probe) {
     probe.indirect = true;
-    List<String> helpers = new ArrayList<>(table.contacts(self));
+    List<String> helpers = new ArrayList<>(table.peers(self));
     helpers.remove(probe.target);
     Shuffle.inPlace(helpers, random);
     for (String helper : helpers.subList(0, Math.min(settings.indirectProbes(), helpers.size()))) {
-      probe.helpers++;
-      probe.nacksMissing++;
-      messenger.askToPing(helper, probe.target, probe.sequence);
+      probe.helperCount++;
+      probe.missingNacks++;
+      messenger.requestPing(helper, probe.target, probe.sequence);
     }
-    // The first ping may have been lost alone.
+    // Only the first ping may have been lost.
     messenger.ping(probe.target, probe.sequence);
   }
 
   private void probeNext(Instant now) {
     if (position >= round.size()) {
-      List<String> next = new ArrayList<>(table.contacts(self));
-      Shuffle.inPlace(next, random);
-      round = next;
+      List<String> nextRound = new ArrayList<>(table.peers(self));
+      Shuffle.inPlace(nextRound, random);
+      round = nextRound;
       position = 0;
     }
     while (position < round.size()) {
@@ -161,8 +161,8 @@
     private final @Nullable String origin;
     private final long originSequence;
     private boolean indirect;
-    private int helpers;
-    private int nacksMissing;
+    private int helperCount;
+    private int missingNacks;
 
     private Probe(
         long sequence, String target, Instant start, @Nullable String origin, long originSequence) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CompiledRules.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CompiledRules.java
@@ -18,7 +18,7 @@
  * index lists that apply to a request are merged in the order of the rules, and the first rule
  * whose whole condition holds is the match.
  */
-public final class CompiledRules implements RuleMatcher {
+public final class CompiledRules implements RuleBook {
 
   private static final String ANY = "*";
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CurrentRules.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CurrentRules.java
@@ -8,11 +8,11 @@
 import org.skylarkfork.core.request.CallerRequest;
 
 /** Matches against the rules of the configuration in force; rebuilds the index when they change. */
-public final class CurrentRules implements RuleMatcher {
+public final class CurrentRules implements RuleBook {
 
   private final ConfigurationView configuration;
   private List<Rule> sourceRules = List.of();
-  private RuleMatcher compiled = new CompiledRules(List.of());
+  private RuleBook compiled = new CompiledRules(List.of());
 
   /**
    * Creates a matcher.
@@ -33,7 +33,7 @@
     return currentMatcher().explain(request, team, now);
   }
 
-  private RuleMatcher currentMatcher() {
+  private RuleBook currentMatcher() {
     List<Rule> rules = configuration.current().rules();
     if (rules != sourceRules) {
       compiled = new CompiledRules(rules);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/RuleMatcher.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/RuleBook.java
@@ -6,7 +6,7 @@
 import org.skylarkfork.core.request.CallerRequest;
 
 /** Matches requests against the rules of a configuration. */
-public interface RuleMatcher {
+public interface RuleBook {
 
   /**
    * Returns the first rule whose condition holds.
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/GrowthTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/AutomaticMembershipTest.java
@@ -13,10 +13,11 @@
 import org.skylarkfork.core.command.Members;
 import org.testng.annotations.Test;
 
-/** Tests of groups that change their members by themselves. */
-public final class GrowthTest {
+/** Tests groups that change their members without an operator. */
+public final class AutomaticMembershipTest {
 
-  private static final Growth AUTOMATIC = new Growth(true, 3, Duration.ofSeconds(2));
+  private static final MembershipChangePolicy AUTOMATIC =
+      new MembershipChangePolicy(true, 3, Duration.ofSeconds(2));
   private static final int RANDOM_RUNS = 120;
   private static final int STEPS = 12;
 
@@ -32,11 +33,11 @@
   }
 
   /**
-   * Operators lose nothing and are served again. A control VM is gone for good; an empty one at
-   * another address copies the log, votes, and only then the lost one is dropped.
+   * Guards against lost changes when a control VM is lost permanently: an empty one at another
+   * address must copy the log and become a voter before the lost one is removed.
    */
   @Test
-  public void newcomerTakesThePlaceOfLostVoter() {
+  public void joiningNodeReplacesLostVoter() {
     TestCluster cluster = cluster(1);
     cluster.write(cluster.awaitLeader(), "before-", 30);
     cluster.network.crash("node-3");
@@ -52,11 +53,11 @@
   }
 
   /**
-   * Operators lose nothing. A voter comes back at its old address with an empty disk; it counts
-   * again only once it has copied what it had promised to keep.
+   * Guards against lost changes when a voter returns at its old address with an empty disk: it must
+   * vote again only once it has copied the entries that it had acknowledged.
    */
   @Test
-  public void wipedVoterVotesAgainOnceItHasCaughtUp() {
+  public void wipedVoterVotesAgainAfterCatchingUp() {
     TestCluster cluster = cluster(2);
     cluster.write(cluster.awaitLeader(), "before-", 30);
     cluster.network.crash("node-2");
@@ -67,20 +68,23 @@
   }
 
   /**
-   * Nobody is told of an empty configuration. All disks were lost after the system had run; a group
-   * founded now would hide that what was accepted is gone.
+   * Guards against serving an empty configuration: if all disks are lost after the system has been
+   * in service, a newly bootstrapped group would hide that accepted changes are lost.
    */
   @Test
-  public void groupIsNotFoundedOnceTheSystemHasRun() {
+  public void groupIsNotBootstrappedAgainAfterService() {
     TestCluster cluster =
         new TestCluster(
-            3, 3, TestCluster.settings(20), new Growth(false, 3, Duration.ofSeconds(2)));
+            3,
+            3,
+            TestCluster.settings(20),
+            new MembershipChangePolicy(false, 3, Duration.ofSeconds(2)));
     cluster.network.run(Duration.ofSeconds(20));
     assertNull(cluster.leader());
     assertEquals(cluster.status("node-1").members(), Members.NONE);
   }
 
-  /** A fourth control VM copies the log without a vote while no voter is missing. */
+  /** A fourth control VM replicates the log as a learner while no voter is missing. */
   @Test
   public void spareControlVmDoesNotVote() {
     TestCluster cluster = cluster(4);
@@ -91,11 +95,11 @@
   }
 
   /**
-   * Nothing that was answered is lost, over crashes, cuts, wiped disks and newcomers, one lost disk
-   * at a time.
+   * Guards against loss of answered changes under crashes, partitions, wiped disks and joining
+   * nodes, with one lost disk at a time.
    */
   @Test
-  public void nothingIsLostInRandomRuns() {
+  public void answeredChangesSurviveRandomFaults() {
     for (long seed = 0; seed < RANDOM_RUNS; seed++) {
       try {
         randomRun(seed, cluster(seed));
@@ -106,14 +110,14 @@
   }
 
   /**
-   * Nothing that was answered is lost either where voters campaign as soon as they have started;
-   * only a leader's lease would be.
+   * Guards against loss of answered changes where voters campaign right after their start. Such a
+   * start can break only a leader's lease.
    */
   @Test
-  public void nothingIsLostInRandomRunsWithQuickRestarts() {
+  public void answeredChangesSurviveRandomFaultsWithQuickRestarts() {
     for (long seed = 0; seed < RANDOM_RUNS; seed++) {
       try {
-        randomRun(seed, new TestCluster(seed, 3, TestCluster.quickRestarts(20), AUTOMATIC));
+        randomRun(seed, new TestCluster(seed, 3, TestCluster.quickRestartSettings(20), AUTOMATIC));
       } catch (AssertionError failed) {
         throw new AssertionError("seed " + seed, failed);
       }
@@ -121,13 +125,15 @@
   }
 
   /**
-   * Operators wait a tenth of a second longer than the start takes. All voters were killed at once,
-   * so that there is no leader for whom a restarted one should wait.
+   * Guards against a long outage after all voters were killed at once: there is no leader to wait
+   * for, so restarted voters must elect one after a tenth of a second and not after a full election
+   * timeout.
    */
   @Test
-  public void votersElectSoonAfterAllWereRestarted() {
+  public void leaderIsElectedSoonAfterRestartOfAllVoters() {
     for (long seed = 1; seed <= 20; seed++) {
-      TestCluster cluster = new TestCluster(seed, 3, TestCluster.quickRestarts(20), AUTOMATIC);
+      TestCluster cluster =
+          new TestCluster(seed, 3, TestCluster.quickRestartSettings(20), AUTOMATIC);
       cluster.write(cluster.awaitLeader(), "before-", 30);
       List<String> names = List.copyOf(cluster.daemons.keySet());
       names.forEach(cluster.network::crash);
@@ -148,7 +154,7 @@
     List<String> names = new ArrayList<>(cluster.daemons.keySet());
     for (int step = 0; step < STEPS; step++) {
       String victim = names.get(random.nextInt(names.size()));
-      strike(cluster, victim, random.nextInt(4));
+      injectFault(cluster, victim, random.nextInt(4));
       for (int key = 0; key < 5; key++) {
         cluster.submit(names.get(random.nextInt(names.size())), "key-" + step + "-" + key);
       }
@@ -157,24 +163,24 @@
       if (!cluster.network.isUp(victim)) {
         cluster.network.start(victim);
       }
-      settle(cluster);
+      awaitFullRedundancy(cluster);
     }
     cluster.assertNothingLost();
   }
 
-  private static void strike(TestCluster cluster, String victim, int kind) {
-    if (kind == 0) {
+  private static void injectFault(TestCluster cluster, String victim, int faultKind) {
+    if (faultKind == 0) {
       cluster.network.isolate(victim);
       return;
     }
     cluster.network.crash(victim);
-    if (kind == 1) {
+    if (faultKind == 1) {
       cluster.network.wipe(victim);
     }
   }
 
-  /** Waits until the next disk may be lost: three voters that have all that was accepted. */
-  private static void settle(TestCluster cluster) {
+  /** Waits until another disk may be lost: three voters hold all accepted entries. */
+  private static void awaitFullRedundancy(TestCluster cluster) {
     assertTrue(cluster.awaitVoters(3), cluster.statuses());
     cluster.network.run(Duration.ofSeconds(2));
     assertTrue(cluster.awaitVoters(3), cluster.statuses());
