--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashGuard.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashGuard.java
@@ -3,14 +3,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
-import org.skylarkfork.core.crash.CrashWatch;
+import org.skylarkfork.core.crash.CrashDetector;
 import org.skylarkfork.core.crash.RequestKey;
-import org.skylarkfork.core.crash.WatchedUpstream;
+import org.skylarkfork.core.crash.SuspectedUpstream;
 import org.skylarkfork.core.effect.UpstreamEffect;
 import org.skylarkfork.core.error.ErrorKind;
 import org.skylarkfork.core.error.RoutingError;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.RunState;
 import org.skylarkfork.core.routing.StableHash;
@@ -31,11 +31,11 @@
           + " Change it before you send it again, or ask your operator to lift the quarantine of ";
 
   private final RequestCollaborators collaborators;
-  private final CrashWatch detector;
+  private final CrashDetector detector;
 
   CrashGuard(RequestCollaborators collaborators) {
     this.collaborators = collaborators;
-    this.detector = new CrashWatch(collaborators.crashReviewers(), "upstreams_ended");
+    this.detector = new CrashDetector(collaborators.crashReviewers(), "upstreams_ended");
   }
 
   /** Returns the key of a request's content, which is the same for a resend at any entry. */
@@ -81,7 +81,8 @@
    *
    * <p>Upstreams that leave or were drained are ignored, since they stop on their own.
    */
-  void attemptLost(ActiveRequest active, Attempt attempt, Moment moment, EventContext context) {
+  void attemptLost(
+      ActiveRequest active, Attempt attempt, AttemptStage moment, EventContext context) {
     if (!mayHaveCrashedUpstream(moment) || isPlannedShutdown(attempt.target.id())) {
       return;
     }
@@ -89,8 +90,8 @@
     UpstreamRun run = new UpstreamRun(target.id(), target.incarnation());
     String service = target.service() == null ? target.kind().name() : target.service();
     String version = attempt.version == null ? "" : attempt.version.toString();
-    detector.lost(
-        new WatchedUpstream(
+    detector.recordLoss(
+        new SuspectedUpstream(
             run,
             service,
             version,
@@ -101,10 +102,10 @@
         context.output());
   }
 
-  private static boolean mayHaveCrashedUpstream(Moment moment) {
-    return moment == Moment.PARTLY_WRITTEN
-        || moment == Moment.WRITTEN
-        || moment == Moment.ANSWER_BEGUN;
+  private static boolean mayHaveCrashedUpstream(AttemptStage moment) {
+    return moment == AttemptStage.PARTLY_WRITTEN
+        || moment == AttemptStage.WRITTEN
+        || moment == AttemptStage.ANSWER_BEGUN;
   }
 
   private boolean isPlannedShutdown(String upstream) {
@@ -115,14 +116,14 @@
 
   /** Reports that the last upstream of a request answered it completely. */
   void requestServed(ActiveRequest active, EventContext context) {
-    if (detector.suspects()) {
-      detector.served(active.contentKey(), context.output());
+    if (detector.hasLosses()) {
+      detector.recordServed(active.contentKey(), context.output());
     }
   }
 
   /** Applies the result of an upstream probe. */
   void probed(UpstreamEvent.UpstreamProbed probed, EventContext context) {
-    detector.probed(probed.upstream(), probed.reachable(), context.now(), context.output());
+    detector.onProbeResult(probed.upstream(), probed.reachable(), context.now(), context.output());
   }
 
   /** Sends reports again that may not have arrived. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashReviewPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashReviewPart.java
@@ -53,9 +53,9 @@
 
   private void onMessage(PeerEvent.MessageReceived received, Instant now) {
     if (received.message() instanceof CrashMessage.UpstreamEnded ended) {
-      review.ended(ended, now);
+      review.onUpstreamEnded(ended, now);
     } else if (received.message() instanceof CrashMessage.RequestServed served) {
-      review.served(served.key(), now);
+      review.onRequestServed(served.key(), now);
     }
   }
 
@@ -64,8 +64,8 @@
     if (current == quarantined) {
       return;
     }
-    current.stream().filter(key -> !quarantined.contains(key)).forEach(review::refused);
-    quarantined.stream().filter(key -> !current.contains(key)).forEach(review::lifted);
+    current.stream().filter(key -> !quarantined.contains(key)).forEach(review::onQuarantined);
+    quarantined.stream().filter(key -> !current.contains(key)).forEach(review::onLifted);
     quarantined = current;
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCollaborators.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCollaborators.java
@@ -4,10 +4,10 @@
 import org.skylarkfork.core.admission.Admission;
 import org.skylarkfork.core.configuration.Configuration;
 import org.skylarkfork.core.configuration.ConfigurationView;
-import org.skylarkfork.core.crash.CrashJudges;
+import org.skylarkfork.core.crash.CrashReviewers;
 import org.skylarkfork.core.ledger.Ledger;
 import org.skylarkfork.core.membership.EntryListing;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 import org.skylarkfork.core.routing.Planner;
 import org.skylarkfork.core.routing.RuleBook;
 import org.skylarkfork.core.routing.UpstreamChooser;
@@ -35,9 +35,9 @@
     Planner planner,
     UpstreamDirectory directory,
     UpstreamChooser chooser,
-    QualityBook quality,
+    VersionQuality quality,
     SessionPins pins,
     Ledger ledger,
     Admission admission,
     EntryListing listing,
-    CrashJudges crashReviewers) {}
+    CrashReviewers crashReviewers) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/VoterCrashReviewers.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/VoterCrashReviewers.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.skylarkfork.core.Output;
-import org.skylarkfork.core.crash.CrashJudges;
+import org.skylarkfork.core.crash.CrashReviewers;
 import org.skylarkfork.core.effect.PeerEffect.SendToPeer;
 import org.skylarkfork.core.event.PeerEvent;
 import org.skylarkfork.core.message.CrashMessage;
@@ -11,7 +11,7 @@
  * Reports lost requests to all voters of the configuration group. Only the leader proposes
  * quarantines; the other voters receive the reports so that the next leader has the same data.
  */
-public final class VoterCrashReviewers implements CrashJudges {
+public final class VoterCrashReviewers implements CrashReviewers {
 
   private final String self;
   private final List<String> voters;
@@ -33,7 +33,7 @@
   }
 
   @Override
-  public void tell(CrashMessage message, Output output) {
+  public void report(CrashMessage message, Output output) {
     for (String voter : voters) {
       if (voter.equals(self)) {
         output.raise(new PeerEvent.MessageReceived(self, message));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscriber.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscriber.java
@@ -20,14 +20,14 @@
   int laggingCount;
   long pushedRevision;
   Instant pushedAt = Instant.EPOCH;
-  private final Deque<Granted> grants = new ArrayDeque<>();
+  private final Deque<Grant> grants = new ArrayDeque<>();
 
   Subscriber(String node) {
     this.node = node;
   }
 
   /** Leases granted until an end while the granter was at a revision. */
-  private record Granted(long revision, Instant end) {}
+  private record Grant(long revision, Instant end) {}
 
   void renewed(Renew renew, Instant now) {
     sentAt = renew.sentAt();
@@ -40,16 +40,16 @@
 
   /** Notes a grant; ends never decrease, so one entry a revision is enough. */
   void granted(long revision, Instant end) {
-    Granted last = grants.peekLast();
+    Grant last = grants.peekLast();
     if (last != null && last.revision() == revision) {
       grants.removeLast();
     }
-    grants.addLast(new Granted(revision, end));
+    grants.addLast(new Grant(revision, end));
   }
 
   /** Returns when the last grant ends, or the epoch if there is none. */
   Instant end() {
-    Granted last = grants.peekLast();
+    Grant last = grants.peekLast();
     return last == null ? Instant.EPOCH : last.end();
   }
 
@@ -74,7 +74,7 @@
       return null;
     }
     Instant end = null;
-    for (Granted grant : grants) {
+    for (Grant grant : grants) {
       if (grant.revision() < revision) {
         end = grant.end();
       }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashLedger.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashCorrelator.java
@@ -30,7 +30,7 @@
  *   <li>it was not answered since. One whole answer clears a request.
  * </ul>
  */
-final class CrashLedger {
+final class CrashCorrelator {
 
   /** Upstreams that end under a request until it is found. */
   static final int ENDS = 3;
@@ -103,7 +103,8 @@
    * @param lostAt when it was lost
    * @param now the present time
    */
-  void lost(UpstreamRun upstream, RequestKey key, Instant sentAt, Instant lostAt, Instant now) {
+  void recordLoss(
+      UpstreamRun upstream, RequestKey key, Instant sentAt, Instant lostAt, Instant now) {
     if (!sentAt.isAfter(servedAt.getOrDefault(key, Instant.MIN))) {
       return;
     }
@@ -112,7 +113,7 @@
       end.at = lostAt;
     }
     if (end.sentAt.size() < MAX_LOST) {
-      end.sentAt.merge(key, sentAt, CrashLedger::later);
+      end.sentAt.merge(key, sentAt, CrashCorrelator::later);
     }
     forgetOldestBeyond(MAX_UPSTREAMS, ends.keySet());
     if (dueAt == null) {
@@ -131,7 +132,7 @@
   }
 
   /** Clears a request that was answered whole; attempts that were sent before count no more. */
-  void served(RequestKey key, Instant now) {
+  void recordServed(RequestKey key, Instant now) {
     boolean wasLost = false;
     for (End end : ends.values()) {
       wasLost |= end.sentAt.remove(key) != null;
@@ -147,7 +148,7 @@
   }
 
   /** Takes note that a request is refused: the ends under it are explained. */
-  void quarantined(RequestKey key) {
+  void markExplained(RequestKey key) {
     for (End end : ends.values()) {
       end.explained |= end.sentAt.containsKey(key);
     }
@@ -155,7 +156,7 @@
   }
 
   /** Takes note that a request is let through again: one more end is enough to find it. */
-  void lifted(RequestKey key) {
+  void putOnProbation(RequestKey key) {
     ends.values().forEach(end -> end.sentAt.remove(key));
     onProbation.add(key);
     forgetOldestBeyond(MAX_ON_PROBATION, onProbation);
@@ -175,7 +176,7 @@
    * <p>Looks only once new ends have settled: what many upstreams took with them is too much to go
    * through at each tick for as long as it is remembered.
    */
-  List<RequestKey> found(Instant now) {
+  List<RequestKey> findCrashing(Instant now) {
     if (dueAt == null || now.isBefore(dueAt)) {
       return List.of();
     }
@@ -185,7 +186,7 @@
     List<RequestKey> found = new ArrayList<>();
     suspicions.forEach(
         (key, suspicion) -> {
-          if (isFound(key, suspicion, suspicions)) {
+          if (isCrashing(key, suspicion, suspicions)) {
             found.add(key);
           }
         });
@@ -238,7 +239,7 @@
     return suspicion;
   }
 
-  private static boolean isFound(
+  private static boolean isCrashing(
       RequestKey key, Suspicion suspicion, Map<RequestKey, Suspicion> suspicions) {
     boolean suspected = suspicion.ends >= ENDS && suspicion.inTurn >= ENDS_IN_TURN;
     if (!suspected || suspicion.lostWith.isEmpty()) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashWatch.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashDetector.java
@@ -25,7 +25,7 @@
  * <p>A judge keeps what it is told in memory. A new one is told again all that is kept here, so
  * that a content which ends upstreams isn't unknown again after each election.
  */
-public final class CrashWatch {
+public final class CrashDetector {
 
   /** Time after the first lost attempt in which others are put down to the same end. */
   private static final Duration SAME_END = Duration.ofSeconds(5);
@@ -47,7 +47,7 @@
   /** Requests that are named in a log line. */
   private static final int MAX_NAMED = 12;
 
-  private final CrashJudges judges;
+  private final CrashReviewers judges;
   private final String counter;
   private final Map<UpstreamRun, Losses> losses = new LinkedHashMap<>();
 
@@ -57,7 +57,7 @@
    * @param judges those that are told
    * @param counter name of the metric that counts upstreams that ended, by service
    */
-  public CrashWatch(CrashJudges judges, String counter) {
+  public CrashDetector(CrashReviewers judges, String counter) {
     this.judges = judges;
     this.counter = counter;
   }
@@ -67,14 +67,14 @@
 
   /** What was lost at one start of an upstream. */
   private static final class Losses {
-    private final WatchedUpstream upstream;
+    private final SuspectedUpstream upstream;
     private final Instant firstAt;
     private final Map<RequestKey, Lost> byKey = new LinkedHashMap<>();
     private @Nullable Instant endedAt;
     private Instant toldAt = Instant.EPOCH;
     private List<String> toldTo = List.of();
 
-    private Losses(WatchedUpstream upstream, Instant firstAt) {
+    private Losses(SuspectedUpstream upstream, Instant firstAt) {
       this.upstream = upstream;
       this.firstAt = firstAt;
     }
@@ -90,8 +90,8 @@
    * @param now the present time
    * @param output takes what is to be done
    */
-  public void lost(
-      WatchedUpstream upstream, RequestKey key, Instant sentAt, Instant now, Output output) {
+  public void recordLoss(
+      SuspectedUpstream upstream, RequestKey key, Instant sentAt, Instant now, Output output) {
     Losses known = losses.get(upstream.run());
     if (known == null) {
       known = new Losses(upstream, now);
@@ -114,7 +114,7 @@
   }
 
   /** Takes the word of a probe: losses at an upstream that goes on are its connections' only. */
-  public void probed(UpstreamRun upstream, boolean reachable, Instant now, Output output) {
+  public void onProbeResult(UpstreamRun upstream, boolean reachable, Instant now, Output output) {
     Losses known = losses.get(upstream);
     if (known == null || known.endedAt != null) {
       return;
@@ -145,18 +145,18 @@
   }
 
   /** Returns whether anything is kept that was lost, so that answers matter. */
-  public boolean suspects() {
+  public boolean hasLosses() {
     return !losses.isEmpty();
   }
 
   /** Takes note that a request was answered whole: it has ended no upstream. */
-  public void served(RequestKey key, Output output) {
+  public void recordServed(RequestKey key, Output output) {
     boolean suspected = false;
     for (Losses one : losses.values()) {
       suspected |= one.byKey.remove(key) != null && one.endedAt != null;
     }
     if (suspected) {
-      judges.tell(new RequestServed(key), output);
+      judges.report(new RequestServed(key), output);
     }
   }
 
@@ -194,7 +194,7 @@
       return;
     }
     List<LostRequest> lost = keys.stream().map(key -> told(key, one.byKey.get(key), now)).toList();
-    judges.tell(new UpstreamEnded(one.upstream.run(), lost), output);
+    judges.report(new UpstreamEnded(one.upstream.run(), lost), output);
   }
 
   private static LostRequest told(RequestKey key, @Nullable Lost lost, Instant now) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashReview.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashReview.java
@@ -32,7 +32,7 @@
   private static final Duration AGAIN = Duration.ofSeconds(1);
 
   private final QuarantineList list;
-  private final CrashLedger ledger = new CrashLedger();
+  private final CrashCorrelator ledger = new CrashCorrelator();
   private final Set<RequestKey> found = new LinkedHashSet<>();
   private final Map<RequestKey, Instant> refusedSince = new HashMap<>();
   private final Map<RequestKey, Instant> askedAt = new HashMap<>();
@@ -47,33 +47,33 @@
   }
 
   /** Takes an entry's word on an upstream that ended. */
-  public void ended(UpstreamEnded ended, Instant now) {
+  public void onUpstreamEnded(UpstreamEnded ended, Instant now) {
     for (LostRequest lost : ended.lost()) {
-      ledger.lost(
+      ledger.recordLoss(
           ended.upstream(),
           lost.key(),
           now.minusMillis(lost.sentMillis()),
           now.minusMillis(lost.lostMillis()),
           now);
     }
-    list.keys().forEach(ledger::quarantined);
+    list.keys().forEach(ledger::markExplained);
   }
 
   /** Takes an entry's word that a request was answered whole. */
-  public void served(RequestKey key, Instant now) {
-    ledger.served(key, now);
+  public void onRequestServed(RequestKey key, Instant now) {
+    ledger.recordServed(key, now);
     found.remove(key);
   }
 
   /** Takes note that a request is refused from now on. */
-  public void refused(RequestKey key) {
-    ledger.quarantined(key);
+  public void onQuarantined(RequestKey key) {
+    ledger.markExplained(key);
     found.remove(key);
   }
 
   /** Takes note that a request is let through again. */
-  public void lifted(RequestKey key) {
-    ledger.lifted(key);
+  public void onLifted(RequestKey key) {
+    ledger.putOnProbation(key);
   }
 
   /** Forgets what entries told: another control VM leads, or this one begins to. */
@@ -87,7 +87,7 @@
   /** Has requests refused that were found, and let through whose time is over. */
   public void tick(Instant now, Output output) {
     askedAt.values().removeIf(at -> !now.isBefore(at.plus(AGAIN)));
-    found.addAll(ledger.found(now));
+    found.addAll(ledger.findCrashing(now));
     for (RequestKey key : found) {
       if (mayAsk(key, now)) {
         list.refuse(key, now, output);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashJudges.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/CrashReviewers.java
@@ -5,7 +5,7 @@
 import org.skylarkfork.core.message.CrashMessage;
 
 /** The daemons that judge which requests end their upstreams. */
-public interface CrashJudges {
+public interface CrashReviewers {
 
   /** Returns the peer names of those that are to be told now; empty while none is known. */
   List<String> peers();
@@ -16,5 +16,5 @@
    * @param message what they are told
    * @param output takes what is to be done
    */
-  void tell(CrashMessage message, Output output);
+  void report(CrashMessage message, Output output);
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/WatchedUpstream.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/crash/SuspectedUpstream.java
@@ -9,6 +9,7 @@
  * @param run which start of it
  * @param service name of its service, for operators
  * @param version version that it runs, for operators; empty if it has none of its own
- * @param probe has a connection opened to it, whose outcome goes to {@link CrashWatch#probed}
+ * @param probe has a connection opened to it, whose outcome goes to {@link
+ *     CrashDetector#onProbeResult}
  */
-public record WatchedUpstream(UpstreamRun run, String service, String version, Effect probe) {}
+public record SuspectedUpstream(UpstreamRun run, String service, String version, Effect probe) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -4,8 +4,8 @@
 import java.time.Instant;
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.Output;
-import org.skylarkfork.core.crash.CrashWatch;
-import org.skylarkfork.core.crash.WatchedUpstream;
+import org.skylarkfork.core.crash.CrashDetector;
+import org.skylarkfork.core.crash.SuspectedUpstream;
 import org.skylarkfork.core.effect.RelayEffect;
 import org.skylarkfork.core.event.RelayEvent;
 import org.skylarkfork.core.message.RelayMessage.AttemptProgress;
@@ -29,18 +29,18 @@
   private final AttemptSender sender;
   private final AttemptStarter starter;
   private final RequestCompleter completer;
-  private final VersionLedger counts;
+  private final VersionStatistics counts;
   private final FirstByteTimeout firstByteTimeout;
-  private final CrashWatch crashes;
+  private final CrashDetector crashes;
   private final RequestTrace trace;
 
   AttemptFailureHandler(
       AttemptSender sender,
       AttemptStarter starter,
       RequestCompleter completer,
-      VersionLedger counts,
+      VersionStatistics counts,
       FirstByteTimeout firstByteTimeout,
-      CrashWatch crashes,
+      CrashDetector crashes,
       RequestTrace trace) {
     this.sender = sender;
     this.starter = starter;
@@ -54,12 +54,12 @@
   /** Handles an upstream's report that it has not run the request. */
   void onNotRun(
       ActiveRelay relay,
-      UpstreamTrack track,
+      TrackedUpstream track,
       RelayEvent.AnswerBegan began,
       Instant now,
       Output output) {
     if (began.status() == MISDIRECTED_REQUEST) {
-      track.answeredByOther();
+      track.markReplaced();
     } else {
       sender.recordFailure(relay, AttemptProgress.FAILED, now, output);
     }
@@ -78,12 +78,12 @@
    */
   boolean onServerError(
       ActiveRelay relay,
-      UpstreamTrack track,
+      TrackedUpstream track,
       RelayEvent.AnswerBegan began,
       Instant now,
       Output output) {
     sender.recordFailure(relay, AttemptProgress.FAILED, now, output);
-    counts.failed(track.instance());
+    counts.recordFailure(track.instance());
     trace.attemptEnded("upstream_failed", relay, "status=" + began.status(), now, output);
     boolean retried =
         relay.route.retryable()
@@ -101,7 +101,7 @@
   /** Handles an attempt that failed before its answer was complete. */
   void onAttemptFailed(
       ActiveRelay relay, RelayEvent.AttemptFailed failed, Instant now, Output output) {
-    UpstreamTrack track = relay.upstream();
+    TrackedUpstream track = relay.upstream();
     if (track == null) {
       return;
     }
@@ -112,10 +112,10 @@
     }
     if (failed.failure().mayHaveRun()) {
       relay.mayHaveRun = true;
-      crashes.lost(suspected(track.instance()), relay.requestKey, relay.sentAt, now, output);
+      crashes.recordLoss(suspected(track.instance()), relay.requestKey, relay.sentAt, now, output);
     }
     if (failed.failure().countsAgainstVersion()) {
-      counts.failed(track.instance());
+      counts.recordFailure(track.instance());
     }
     updateLastEventId(relay, failed.lastEventId());
     String facts = "how=" + failed.failure() + " after_event=" + relay.lastEventId;
@@ -194,7 +194,7 @@
    */
   private void failOver(
       ActiveRelay relay, double maxFirstByteMillis, String why, Instant now, Output output) {
-    UpstreamTrack silent = relay.upstream();
+    TrackedUpstream silent = relay.upstream();
     boolean possible = !relay.failedOver && silent != null && relay.route.retryable();
     if (!possible || relay.sentAttempts >= relay.route.maxAttempts()) {
       return;
@@ -209,12 +209,12 @@
     recordAbandonedWait(relay, silent, now);
     trace.attemptEnded(why, relay, "after_event=" + relay.lastEventId, now, output);
     sender.cancelAttempt(relay, output);
-    crashes.lost(suspected(silent.instance()), relay.requestKey, relay.sentAt, now, output);
+    crashes.recordLoss(suspected(silent.instance()), relay.requestKey, relay.sentAt, now, output);
     starter.startNext(relay, now, output);
   }
 
-  private static WatchedUpstream suspected(UpstreamInstance instance) {
-    return new WatchedUpstream(
+  private static SuspectedUpstream suspected(UpstreamInstance instance) {
+    return new SuspectedUpstream(
         instance.run(),
         instance.service(),
         instance.version(),
@@ -227,11 +227,11 @@
    * <p>A new version has no cached prompt prefixes and is slow at first. When abandoned attempts
    * counted as failures, a good version was rolled back.
    */
-  private void recordAbandonedWait(ActiveRelay relay, UpstreamTrack silent, Instant now) {
+  private void recordAbandonedWait(ActiveRelay relay, TrackedUpstream silent, Instant now) {
     if (!relay.forwarding) {
       long waitedMillis = Duration.between(relay.sentAt, now).toMillis();
       firstByteTimeout.addSample(relay.route, relay.modelIndex, waitedMillis);
-      counts.answered(silent.instance(), waitedMillis);
+      counts.recordAnswer(silent.instance(), waitedMillis);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRegistry.java
@@ -34,7 +34,7 @@
   private static final int LEAST_GROUP = 16;
 
   private final RelayTimings times;
-  private boolean changed;
+  private boolean takeChanged;
   private final Map<String, Known> entries = new LinkedHashMap<>();
 
   /**
@@ -51,7 +51,7 @@
   }
 
   /** Takes note of a poll and returns the one before it from the same process, or the same. */
-  EntryPoll heard(String node, EntryPoll poll, Instant now) {
+  EntryPoll recordPoll(String node, EntryPoll poll, Instant now) {
     Known before = entries.put(node, new Known(poll, now));
     boolean same = before != null && before.poll.incarnation() == poll.incarnation();
     if (!same || before.poll.serving() != poll.serving() || before.poll.busy() != poll.busy()) {
@@ -67,14 +67,14 @@
   }
 
   private void noteChange() {
-    changed = true;
+    takeChanged = true;
     neighbourhoods.clear();
   }
 
   /** Returns whether entries have come, gone or changed since this was last asked. */
-  boolean changed() {
-    boolean since = changed;
-    changed = false;
+  boolean takeChanged() {
+    boolean since = takeChanged;
+    takeChanged = false;
     return since;
   }
 
@@ -95,11 +95,11 @@
   private Neighbourhood neighbourhoodNow(String node, int engines) {
     List<String> sorted = new ArrayList<>(new TreeSet<>(entries.keySet()));
     int own = sorted.indexOf(node);
-    List<String> addresses = addresses(poll(node).zone(), sorted, own);
+    List<String> addresses = addresses(newestPoll(node).zone(), sorted, own);
     boolean few = sorted.size() <= MOST_PEERS + 1;
     List<String> peers = few ? others(sorted, own) : List.of();
     List<String> schedulers = few ? List.of() : schedulers(sorted, engines);
-    EntryPlace place = new EntryPlace(own, sorted.size());
+    EntryOrdinal place = new EntryOrdinal(own, sorted.size());
     long version =
         StableHash.of(
                 String.join(",", addresses),
@@ -131,7 +131,7 @@
     int groups = Math.max(1, Integer.highestOneBit(Math.max(1, most)));
     List<String> free = new ArrayList<>();
     for (String node : sorted) {
-      if (poll(node).serving() && !poll(node).busy()) {
+      if (newestPoll(node).serving() && !newestPoll(node).busy()) {
         free.add(node);
       }
     }
@@ -165,7 +165,8 @@
    * busy, leaving some out would only make the others slower.
    */
   private List<String> addresses(String zone, List<String> sorted, int from) {
-    List<EntryPoll> serving = sorted.stream().map(this::poll).filter(EntryPoll::serving).toList();
+    List<EntryPoll> serving =
+        sorted.stream().map(this::newestPoll).filter(EntryPoll::serving).toList();
     List<EntryPoll> free = serving.stream().filter(poll -> !poll.busy()).toList();
     List<EntryPoll> named = free.size() * 2 >= serving.size() ? free : serving;
     int first = named.size() > MOST_ADDRESSES ? from : 0;
@@ -179,7 +180,7 @@
     return near;
   }
 
-  int serving() {
+  int servingCount() {
     return (int) entries.values().stream().filter(known -> known.poll.serving()).count();
   }
 
@@ -188,12 +189,12 @@
   }
 
   /** Returns the newest poll of an entry, which must be one of {@link #nodes}. */
-  EntryPoll poll(String node) {
+  EntryPoll newestPoll(String node) {
     return known(node).poll;
   }
 
   /** Returns when an entry, which must be one of {@link #nodes}, last polled. */
-  Instant heardAt(String node) {
+  Instant lastPollAt(String node) {
     return known(node).heardAt;
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdates.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryUpdateSender.java
@@ -21,7 +21,7 @@
 import org.skylarkfork.core.message.RelayMessage.SharedState;
 
 /** What a control VM tells entries: the answers to their polls, and what is new. */
-final class EntryUpdates {
+final class EntryUpdateSender {
 
   private final RelayMachine machine;
   private final ConsensusPart consensus;
@@ -33,7 +33,7 @@
   private long term;
   private Instant leadsSince = Instant.EPOCH;
 
-  EntryUpdates(
+  EntryUpdateSender(
       RelayMachine machine,
       ConsensusPart consensus,
       UpstreamRegistry upstreams,
@@ -47,16 +47,16 @@
   }
 
   /** Forgets the polls that wait for a proof; their senders ask the new leader. */
-  void forget() {
+  void clear() {
     unproven.clear();
     unprovenSince.clear();
   }
 
   /** Begins to lead: the newest poll of each entry is to be answered. */
-  void lead(long newTerm, Instant now) {
+  void startLeading(long newTerm, Instant now) {
     term = newTerm;
     leadsSince = now;
-    entries.nodes().forEach(entry -> await(entry, entries.heardAt(entry)));
+    entries.nodes().forEach(entry -> awaitProof(entry, entries.lastPollAt(entry)));
   }
 
   /**
@@ -66,8 +66,8 @@
    * they came is in the log of each later leader. An entry needn't poll again then, which took it a
    * quarter of a second after each election.
    */
-  void await(String entry, Instant polledAt) {
-    unproven.put(entry, entries.poll(entry));
+  void awaitProof(String entry, Instant polledAt) {
+    unproven.put(entry, entries.newestPoll(entry));
     unprovenSince.put(entry, polledAt);
   }
 
@@ -77,7 +77,7 @@
    * <p>A restarted entry knows the seeds only. Once another control VM leads, none of them would
    * answer it, and it would refuse its callers for good.
    */
-  void nameControlNodes(String entry, Output output) {
+  void sendControlNodes(String entry, Output output) {
     if (!controlNodes().isEmpty()) {
       DirectoryChanges nothing = new DirectoryChanges(0, 0, false, false, List.of());
       output.effect(
@@ -98,7 +98,7 @@
    * @param output takes the messages
    * @return whether what is new was told
    */
-  boolean tell(boolean news, long stateIndex, Instant now, Output output) {
+  boolean sendUpdates(boolean news, long stateIndex, Instant now, Output output) {
     if (consensus.leadershipConfirmedAt(GroupId.RELAY).equals(Instant.EPOCH)) {
       return false;
     }
@@ -135,7 +135,7 @@
 
   private void update(
       String entry, @Nullable Instant provenAt, long stateIndex, Instant now, Output output) {
-    EntryPoll known = entries.poll(entry);
+    EntryPoll known = entries.newestPoll(entry);
     RelayConfiguration newest = machine.configuration();
     boolean sharedKnown = known.stateIndex() >= stateIndex;
     boolean settled = leadsSince.plus(times.settlingTime()).isBefore(now);
@@ -150,7 +150,7 @@
                 upstreams.changes(
                     term, settled, known.directoryEpoch(), known.directorySequence(), now),
                 controlNodes(),
-                entries.serving(),
+                entries.servingCount(),
                 neighbourhood(entry, known, now))));
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeaderAsJudge.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeaderCrashReviewers.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 import org.skylarkfork.core.Output;
-import org.skylarkfork.core.crash.CrashJudges;
+import org.skylarkfork.core.crash.CrashReviewers;
 import org.skylarkfork.core.effect.PeerEffect.SendToPeer;
 import org.skylarkfork.core.message.CrashMessage;
 
 /** The control VM that leads judges which requests end their upstreams. */
-final class LeaderAsJudge implements CrashJudges {
+final class LeaderCrashReviewers implements CrashReviewers {
 
   private final RelayView view;
 
-  LeaderAsJudge(RelayView view) {
+  LeaderCrashReviewers(RelayView view) {
     this.view = view;
   }
 
@@ -22,7 +22,7 @@
   }
 
   @Override
-  public void tell(CrashMessage message, Output output) {
+  public void report(CrashMessage message, Output output) {
     peers().forEach(peer -> output.effect(new SendToPeer(peer, message)));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
@@ -25,7 +25,7 @@
 import org.skylarkfork.core.message.CrashMessage;
 import org.skylarkfork.core.message.RelayMessage;
 import org.skylarkfork.core.message.RelayMessage.EntryPoll;
-import org.skylarkfork.core.message.RelayMessage.HeardLimit;
+import org.skylarkfork.core.message.RelayMessage.UpstreamRateLimit;
 
 /** A control VM's work for the relay: operators' commands, the directory and its spreading. */
 public final class RelayControlPart implements Part {
@@ -42,10 +42,10 @@
   private final RelayMachine machine;
   private final ConsensusPart consensus;
   private final RelayTimings times;
-  private final RollOutJudge judge;
+  private final RollOutEvaluator judge;
   private final UpstreamRegistry upstreams;
   private final EntryRegistry entries;
-  private final EntryUpdates updates;
+  private final EntryUpdateSender updates;
   private final CrashReview crashes;
   private final Map<Long, AskedCall> callBySubmission = new HashMap<>();
   private @Nullable String leader;
@@ -77,10 +77,10 @@
     this.machine = machine;
     this.consensus = consensus;
     this.times = times;
-    this.judge = new RollOutJudge(rollOuts);
+    this.judge = new RollOutEvaluator(rollOuts);
     this.upstreams = new UpstreamRegistry(times);
     this.entries = new EntryRegistry(times);
-    this.updates = new EntryUpdates(machine, consensus, upstreams, entries, times);
+    this.updates = new EntryUpdateSender(machine, consensus, upstreams, entries, times);
     this.crashes = new CrashReview(new ReplicatedQuarantine(machine, consensus));
   }
 
@@ -100,7 +100,7 @@
 
   /** Returns the upstreams that name a rate limit; only the leader is told of them. */
   public List<LimitedUpstream> limitedUpstreams() {
-    return upstreams.limited();
+    return upstreams.limitedUpstreams();
   }
 
   /** Returns what this control VM's replica knows of its group, or null before it has one. */
@@ -166,7 +166,7 @@
       committed(committed, now, output);
     } else if (event instanceof ConsensusEvent.GroupRestored restored) {
       stateIndex = restored.index();
-      machine.leaving().forEach(upstreams::leaves);
+      machine.leaving().forEach(upstreams::markLeaving);
     } else if (event instanceof ConsensusEvent.LeaderChanged changed) {
       leaderChanged(changed, now, output);
     }
@@ -196,13 +196,13 @@
     }
     stateIndex = committed.index();
     if (command instanceof RelayCommand.UpstreamLeaves leaves) {
-      upstreams.leaves(leaves.run());
+      upstreams.markLeaving(leaves.run());
     } else if (command instanceof RelayCommand.TakeZoneBack back) {
-      upstreams.zoneTakenBack(back.zone(), longestColdMillis(), now);
+      upstreams.restoreZone(back.zone(), longestColdMillis(), now);
     } else if (command instanceof RelayCommand.QuarantineRequest request) {
-      crashes.refused(request.key());
+      crashes.onQuarantined(request.key());
     } else if (command instanceof RelayCommand.LiftQuarantine lift) {
-      crashes.lifted(lift.key());
+      crashes.onLifted(lift.key());
     }
     // A restart replays the log, as fast as it can; only what is new is told.
     if (Duration.between(committed.stampedAt(), now).compareTo(REPLAYED) < 0) {
@@ -239,10 +239,10 @@
 
   private void leaderChanged(ConsensusEvent.LeaderChanged changed, Instant now, Output output) {
     leader = changed.node();
-    updates.forget();
+    updates.clear();
     crashes.clear();
     if (node.equals(leader)) {
-      updates.lead(changed.term(), now);
+      updates.startLeading(changed.term(), now);
     } else if (leader != null) {
       for (UpstreamStatus status : upstreams.all(now)) {
         send(leader, new RelayMessage.UpstreamHeard(status.instance()), output);
@@ -281,7 +281,7 @@
 
   private void heard(UpstreamInstance instance, Instant now, Output output) {
     long before = upstreams.sequence();
-    upstreams.heard(instance, machine.isLeaving(instance.run()), now);
+    upstreams.recordHeartbeat(instance, machine.isLeaving(instance.run()), now);
     if (upstreams.sequence() != before) {
       news = true;
       log(
@@ -304,30 +304,30 @@
     } else if (received.message() instanceof RelayMessage.UpstreamHeard heard) {
       heard(heard.instance(), now, output);
     } else if (leads() && received.message() instanceof CrashMessage.UpstreamEnded ended) {
-      crashes.ended(ended, now);
+      crashes.onUpstreamEnded(ended, now);
     } else if (leads() && received.message() instanceof CrashMessage.RequestServed served) {
-      crashes.served(served.key(), now);
+      crashes.onRequestServed(served.key(), now);
     }
   }
 
   private void onPoll(String entry, EntryPoll poll, Instant now, Output output) {
-    EntryPoll before = entries.heard(entry, poll, now);
-    news |= entries.changed();
+    EntryPoll before = entries.recordPoll(entry, poll, now);
+    news |= entries.takeChanged();
     for (VersionCounts counts : poll.counts()) {
       judge.add(counts, find(before, counts));
     }
-    for (HeardLimit heard : poll.limits()) {
+    for (UpstreamRateLimit heard : poll.limits()) {
       limitHeard(entry, heard, now, output);
     }
     if (leads()) {
-      updates.await(entry, now);
+      updates.awaitProof(entry, now);
     } else if (poll.searching()) {
-      updates.nameControlNodes(entry, output);
+      updates.sendControlNodes(entry, output);
     }
   }
 
-  private void limitHeard(String entry, HeardLimit heard, Instant now, Output output) {
-    if (upstreams.named(heard.upstream(), heard.named(), entry, now)) {
+  private void limitHeard(String entry, UpstreamRateLimit heard, Instant now, Output output) {
+    if (upstreams.recordRateLimit(heard.upstream(), heard.named(), entry, now)) {
       news = true;
       String facts =
           "id="
@@ -353,7 +353,7 @@
 
   private void tick(Instant now, Output output) {
     entries.tick(now);
-    news |= entries.changed();
+    news |= entries.takeChanged();
     long before = upstreams.sequence();
     upstreams.tick(now);
     news |= upstreams.sequence() != before;
@@ -367,7 +367,7 @@
       return;
     }
     crashes.tick(now, output);
-    if (updates.tell(news, stateIndex, now, output)) {
+    if (updates.sendUpdates(news, stateIndex, now, output)) {
       news = false;
     }
     if (!now.isBefore(judgedAt.plus(JUDGE))) {
@@ -379,10 +379,10 @@
 
   private void judgeRollOuts(Instant now, Output output) {
     for (ServiceRollOut rollOut : machine.rollOuts()) {
-      if (!rollOut.running()) {
+      if (!rollOut.isRunning()) {
         continue;
       }
-      RollOutPhase next = judge.next(rollOut, now);
+      RollOutPhase next = judge.nextPhase(rollOut, now);
       if (next != null) {
         log(
             output,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -40,7 +40,7 @@
 
   private final EntryIdentity self;
   private final RelayTimings timings;
-  private final VersionLedger counts;
+  private final VersionStatistics counts;
   private List<String> seeds;
   private List<String> controlNodes = List.of();
   private @Nullable String leader;
@@ -68,7 +68,7 @@
    * @param counts outcomes that this entry observed per version
    */
   public RelayEntryPart(
-      EntryIdentity self, List<String> seeds, RelayTimings timings, VersionLedger counts) {
+      EntryIdentity self, List<String> seeds, RelayTimings timings, VersionStatistics counts) {
     this.self = self;
     this.seeds = List.copyOf(seeds);
     this.timings = timings;
@@ -112,7 +112,7 @@
   }
 
   @Override
-  public List<UpstreamTrack> upstreams(String service) {
+  public List<TrackedUpstream> upstreams(String service) {
     return directory.upstreams(service);
   }
 
@@ -123,7 +123,7 @@
 
   @Override
   public @Nullable String stableVersion(String service) {
-    return directory.usualVersion(service);
+    return directory.stableVersion(service);
   }
 
   @Override
@@ -132,7 +132,7 @@
   }
 
   @Override
-  public EntryPlace place() {
+  public EntryOrdinal place() {
     return neighbourhood.place();
   }
 
@@ -193,11 +193,11 @@
     return neighbourhood.schedulers();
   }
 
-  Collection<UpstreamTrack> tracks() {
+  Collection<TrackedUpstream> tracks() {
     return directory.tracks();
   }
 
-  @Nullable UpstreamTrack track(String id) {
+  @Nullable TrackedUpstream track(String id) {
     return directory.track(id);
   }
 
@@ -273,8 +273,8 @@
                 leader == null,
                 lag.busy(),
                 neighbourhood.version(),
-                node.equals(leader) ? counts.all() : List.of(),
-                node.equals(leader) ? directory.limitsNewToLeader(now) : List.of())));
+                node.equals(leader) ? counts.allCounts() : List.of(),
+                node.equals(leader) ? directory.limitsUnknownToLeader(now) : List.of())));
   }
 
   private void onUpdate(String from, EntryUpdate update, Instant now, Output output) {
@@ -288,7 +288,7 @@
     }
     applyConfiguration(update.configuration(), output);
     applySharedState(update, now, output);
-    directory.take(update.directory(), now, output);
+    directory.apply(update.directory(), now, output);
     if (!update.controlNodes().isEmpty()) {
       controlNodes =
           proofTime == null ? mergedControlNodes(update.controlNodes()) : update.controlNodes();
@@ -340,12 +340,12 @@
     rollOuts = shared.rollOuts();
     for (ServiceRollOut rollOut : rollOuts) {
       if (rollOut.phase() == RollOutPhase.SUCCEEDED) {
-        directory.usualVersion(rollOut.service(), rollOut.target());
+        directory.stableVersion(rollOut.service(), rollOut.target());
       }
     }
     applyEvacuatedZones(Set.copyOf(shared.evacuated()), now, output);
     applyQuarantine(Set.copyOf(shared.quarantined()), now, output);
-    directory.leaving(shared.leaving(), stateIndex, output);
+    directory.updateLeaving(shared.leaving(), stateIndex, output);
   }
 
   private void applyEvacuatedZones(Set<String> zones, Instant now, Output output) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayMachine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayMachine.java
@@ -121,7 +121,7 @@
     if (known != null && known.target().equals(begin.target())) {
       return new RelayResult.RollOutRead(known);
     }
-    if (known != null && known.running()) {
+    if (known != null && known.isRunning()) {
       return new CommandResult.Rejected(
           "a roll-out to " + known.target() + " is running; wait until it is decided");
     }
@@ -134,9 +134,9 @@
 
   private CommandResult advance(RelayCommand.AdvanceRollOut advance) {
     @Nullable ServiceRollOut known = rollOuts.get(advance.service());
-    boolean meant = known != null && known.target().equals(advance.target()) && known.running();
+    boolean meant = known != null && known.target().equals(advance.target()) && known.isRunning();
     if (meant && advance.phase().compareTo(known.phase()) > 0) {
-      rollOuts.put(advance.service(), known.in(advance.phase()));
+      rollOuts.put(advance.service(), known.withPhase(advance.phase()));
     }
     return new CommandResult.Done();
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -5,7 +5,7 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.Output;
 import org.skylarkfork.core.Part;
-import org.skylarkfork.core.crash.CrashWatch;
+import org.skylarkfork.core.crash.CrashDetector;
 import org.skylarkfork.core.effect.RelayEffect;
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.LifecycleEvent;
@@ -35,14 +35,14 @@
   private static final Duration MAX_OVERRUN = Duration.ofMillis(60);
 
   private final ModelPolicy models;
-  private final VersionLedger counts;
+  private final VersionStatistics counts;
   private final ShutdownPolicy shutdownPolicy;
   private final RequestTrace trace;
   private final FirstByteTimeout firstByteTimeout = new FirstByteTimeout();
-  private final SentPrompts prompts = new SentPrompts();
+  private final SentPrefixes prompts = new SentPrefixes();
   private final ActiveRelays active = new ActiveRelays();
-  private final CrashWatch crashes;
-  private final RateLimitWatch rateLimits = new RateLimitWatch();
+  private final CrashDetector crashes;
+  private final RateLimitRecorder rateLimits = new RateLimitRecorder();
   private final RequestIntake intake;
   private final SchedulerClient schedulers;
   private final AttemptSender sender;
@@ -59,14 +59,14 @@
    * @param seed seed of random choices
    */
   public RelayRequestPart(
-      RelayEntryPart entry, RelayRequestSettings settings, VersionLedger counts, long seed) {
+      RelayEntryPart entry, RelayRequestSettings settings, VersionStatistics counts, long seed) {
     this(entry, settings, counts, new AnswerTimes(), seed);
   }
 
   private RelayRequestPart(
       RelayEntryPart entry,
       RelayRequestSettings settings,
-      VersionLedger counts,
+      VersionStatistics counts,
       AnswerTimes answerTimes,
       long seed) {
     this(
@@ -79,7 +79,7 @@
             seed),
         new ConfidenceCascade(answerTimes),
         answerTimes,
-        new VersionRule(entry, settings.canaryShare()),
+        new VersionSelector(entry, settings.canaryShare()),
         new RetryBudget(settings.retryRatio()),
         counts,
         new ShutdownPolicy(settings.grace()),
@@ -92,16 +92,16 @@
       UpstreamPicker picker,
       ModelPolicy models,
       AnswerTimes answerTimes,
-      VersionRule versions,
+      VersionSelector versions,
       RetryBudget budget,
-      VersionLedger counts,
+      VersionStatistics counts,
       ShutdownPolicy shutdownPolicy,
       long seed) {
     this.models = models;
     this.counts = counts;
     this.shutdownPolicy = shutdownPolicy;
     this.trace = new RequestTrace(view);
-    this.crashes = new CrashWatch(new LeaderAsJudge(view), "relay_upstreams_ended");
+    this.crashes = new CrashDetector(new LeaderCrashReviewers(view), "relay_upstreams_ended");
     this.schedulers = new SchedulerClient(view);
     this.sender = new AttemptSender(view, zone, picker, schedulers, versions, prompts, trace);
     this.completer = new RequestCompleter(active, sender, answerTimes, trace);
@@ -114,7 +114,7 @@
   }
 
   /** Returns the prompt prefixes that this entry has sent, for reports to other entries. */
-  SentPrompts prompts() {
+  SentPrefixes prompts() {
     return prompts;
   }
 
@@ -131,7 +131,8 @@
       shutdownPolicy.stop(now);
     } else if (event instanceof PeerEvent.MessageReceived received
         && received.message() instanceof PlacementAnswer answer) {
-      SchedulerClient.Placed placed = schedulers.answered(received.node(), answer, output);
+      SchedulerClient.SchedulerDecision placed =
+          schedulers.handleAnswer(received.node(), answer, output);
       if (placed != null) {
         onPlacement(placed, now, output);
       }
@@ -150,7 +151,7 @@
         failures.onAttemptFailed(relay, failed, now, output);
       }
     } else if (event instanceof RelayEvent.UpstreamProbed probed) {
-      crashes.probed(probed.upstream(), probed.reachable(), now, output);
+      crashes.onProbeResult(probed.upstream(), probed.reachable(), now, output);
     } else if (event instanceof RelayEvent.AnswerSilent silent) {
       ActiveRelay relay = active.find(silent.request(), silent.attempt());
       if (relay != null) {
@@ -159,7 +160,7 @@
     } else if (event instanceof RelayEvent.AnswerEnded ended) {
       ActiveRelay relay = active.find(ended.request(), ended.attempt());
       if (relay != null) {
-        crashes.served(relay.requestKey, output);
+        crashes.recordServed(relay.requestKey, output);
         completer.complete(relay, now, output);
       }
     }
@@ -174,12 +175,12 @@
 
   private void answerBegan(
       ActiveRelay relay, RelayEvent.AnswerBegan began, Instant now, Output output) {
-    UpstreamTrack track = relay.upstream();
+    TrackedUpstream track = relay.upstream();
     if (track == null) {
       return;
     }
     if (began.status() != MISDIRECTED_REQUEST) {
-      rateLimits.heard(track, began, relay.request.id(), now, output);
+      rateLimits.recordAnswer(track, began, relay.request.id(), now, output);
     }
     if (began.notRun() || began.status() == MISDIRECTED_REQUEST) {
       failures.onNotRun(relay, track, began, now, output);
@@ -189,7 +190,7 @@
     relay.confidence = began.confidence();
     relay.answeredAt = now;
     long millis = Duration.between(relay.sentAt, now).toMillis();
-    track.answered(now);
+    track.recordAnswered(now);
     sender.recordFirstByte(relay, now, output);
     firstByteTimeout.addSample(relay.route, relay.modelIndex, millis);
     boolean serverError = began.status() >= FIRST_SERVER_ERROR;
@@ -198,8 +199,8 @@
     }
     if (!serverError) {
       trace.answered(relay, began.status(), now, output);
-      track.succeeded();
-      counts.answered(track.instance(), millis);
+      track.recordSuccess();
+      counts.recordAnswer(track.instance(), millis);
     }
     if (relay.forwarding || serverError || relay.modelIndex < 0 || !escalate(relay, now, output)) {
       forwardAnswer(relay, track, output);
@@ -211,8 +212,8 @@
    * entry discards the answer or waits for a scheduler's placement.
    */
   private boolean escalate(ActiveRelay relay, Instant now, Output output) {
-    int largerModel = models.larger(relay.route, relay.modelIndex);
-    if (largerModel < 0 || !models.doubts(relay)) {
+    int largerModel = models.largerModel(relay.route, relay.modelIndex);
+    if (largerModel < 0 || !models.wouldEscalate(relay)) {
       return false;
     }
     if (sender.querySchedulerForEscalation(relay, largerModel, now, output)) {
@@ -233,7 +234,7 @@
       @Nullable SchedulerGrant grant,
       Instant now,
       Output output) {
-    if (!models.asks(relay, placement, now) || !starter.acquireRetry(relay, now)) {
+    if (!models.shouldEscalate(relay, placement, now) || !starter.acquireRetry(relay, now)) {
       sender.releaseGrant(grant, output);
       return false;
     }
@@ -245,16 +246,16 @@
   }
 
   /** Continues a request whose placement query was answered or timed out. */
-  private void onPlacement(SchedulerClient.Placed placed, Instant now, Output output) {
-    if (!placed.larger()) {
+  private void onPlacement(SchedulerClient.SchedulerDecision placed, Instant now, Output output) {
+    if (!placed.isEscalation()) {
       starter.onPlacement(placed, now, output);
       return;
     }
     ActiveRelay relay = placed.relay();
-    int largerModel = models.larger(relay.route, relay.modelIndex);
+    int largerModel = models.largerModel(relay.route, relay.modelIndex);
     Placement chosen = placed.placement();
     Placement placement = chosen == null ? sender.placeEscalation(relay, largerModel, now) : chosen;
-    UpstreamTrack track = relay.upstream();
+    TrackedUpstream track = relay.upstream();
     boolean isEscalated =
         placement != null && escalate(relay, largerModel, placement, placed.grant(), now, output);
     if (!isEscalated && track != null) {
@@ -262,7 +263,7 @@
     }
   }
 
-  private static void forwardAnswer(ActiveRelay relay, UpstreamTrack track, Output output) {
+  private static void forwardAnswer(ActiveRelay relay, TrackedUpstream track, Output output) {
     if (!relay.forwarding) {
       relay.forwarding = true;
       relay.version = track.instance().version();
@@ -273,7 +274,7 @@
   private void tick(Instant now, Output output) {
     crashes.tick(now, output);
     intake.releasePending(now, output).forEach(relay -> start(relay, now, output));
-    schedulers.overdue(now, output).forEach(placed -> onPlacement(placed, now, output));
+    schedulers.takeTimedOut(now, output).forEach(placed -> onPlacement(placed, now, output));
     for (ActiveRelay relay : active.all()) {
       if (now.isBefore(relay.deadline)) {
         failures.checkFirstByteTimeout(relay, now, output);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RollOutJudge.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RollOutEvaluator.java
@@ -13,7 +13,7 @@
  * late isn't hidden by its good past. The old version is judged over all of its past, since it gets
  * little work at the end.
  */
-final class RollOutJudge {
+final class RollOutEvaluator {
 
   private static final double HALF_LIFE_SECONDS = 3.0;
 
@@ -37,7 +37,7 @@
   private final Map<String, Instant> moving = new HashMap<>();
   private final RollOutSettings settings;
 
-  RollOutJudge(RollOutSettings settings) {
+  RollOutEvaluator(RollOutSettings settings) {
     this.settings = settings;
   }
 
@@ -61,7 +61,7 @@
   }
 
   /** Returns the phase that a running roll-out should enter now, or null to stay. */
-  @Nullable RollOutPhase next(ServiceRollOut rollOut, Instant now) {
+  @Nullable RollOutPhase nextPhase(ServiceRollOut rollOut, Instant now) {
     String id = key(rollOut.service(), rollOut.target());
     Instant begunAt = begun.computeIfAbsent(id, missing -> now);
     if (bad(rollOut)) {
@@ -69,7 +69,7 @@
     }
     Duration age = Duration.between(begunAt, now);
     if (rollOut.phase() == RollOutPhase.CANARY) {
-      return age.toMillis() >= settings.moveAfter(rollOut.deadlineMillis())
+      return age.toMillis() >= settings.moveAfterMillis(rollOut.deadlineMillis())
           ? RollOutPhase.MOVING
           : null;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RollOutSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RollOutSettings.java
@@ -19,7 +19,7 @@
   public static final RollOutSettings DEFAULT =
       new RollOutSettings(0.05, 0.55, Duration.ofMillis(5000));
 
-  long moveAfter(long deadlineMillis) {
+  long moveAfterMillis(long deadlineMillis) {
     return (long) (deadlineMillis * moveShare);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ServiceRollOut.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ServiceRollOut.java
@@ -12,12 +12,12 @@
     String service, String target, long deadlineMillis, RollOutPhase phase) {
 
   /** Returns this roll-out in another phase. */
-  public ServiceRollOut in(RollOutPhase next) {
+  public ServiceRollOut withPhase(RollOutPhase next) {
     return new ServiceRollOut(service, target, deadlineMillis, next);
   }
 
   /** Returns whether it isn't decided yet. */
-  public boolean running() {
+  public boolean isRunning() {
     return phase == RollOutPhase.CANARY || phase == RollOutPhase.MOVING;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
@@ -14,7 +14,7 @@
 import org.skylarkfork.core.Output;
 import org.skylarkfork.core.effect.TraceEffect;
 import org.skylarkfork.core.message.RelayMessage.DirectoryChanges;
-import org.skylarkfork.core.message.RelayMessage.HeardLimit;
+import org.skylarkfork.core.message.RelayMessage.UpstreamRateLimit;
 import org.skylarkfork.core.upstream.UpstreamRun;
 
 /** The upstreams that an entry knows of, as the leader tells of them. */
@@ -23,10 +23,10 @@
   /** Rate limits in one poll, some 30 bytes each; the others come with the next. */
   private static final int MOST_LIMITS = 64;
 
-  private final Map<String, UpstreamTrack> byId = new LinkedHashMap<>();
-  private final Map<String, List<UpstreamTrack>> byService = new HashMap<>();
+  private final Map<String, TrackedUpstream> byId = new LinkedHashMap<>();
+  private final Map<String, List<TrackedUpstream>> byService = new HashMap<>();
   private final Map<String, String> usualVersions = new HashMap<>();
-  private final Map<String, UpstreamRun> leaving = new HashMap<>();
+  private final Map<String, UpstreamRun> updateLeaving = new HashMap<>();
   private Set<String> evacuated = Set.of();
   private long epoch;
   private long sequence;
@@ -47,25 +47,25 @@
     return settled;
   }
 
-  List<UpstreamTrack> upstreams(String service) {
+  List<TrackedUpstream> upstreams(String service) {
     return byService.getOrDefault(service, List.of());
   }
 
-  Collection<UpstreamTrack> tracks() {
+  Collection<TrackedUpstream> tracks() {
     return byId.values();
   }
 
-  @Nullable UpstreamTrack track(String id) {
+  @Nullable TrackedUpstream track(String id) {
     return byId.get(id);
   }
 
   /** Returns the version of a service that is used apart from roll-outs, or null if none is. */
-  @Nullable String usualVersion(String service) {
+  @Nullable String stableVersion(String service) {
     return usualVersions.get(service);
   }
 
   /** Takes note that a version of a service has come into use with a roll-out. */
-  void usualVersion(String service, String version) {
+  void stableVersion(String service, String version) {
     usualVersions.put(service, version);
   }
 
@@ -79,7 +79,7 @@
     byId.values().forEach(this::markEvacuated);
   }
 
-  private void markEvacuated(UpstreamTrack track) {
+  private void markEvacuated(TrackedUpstream track) {
     track.evacuated(evacuated.contains(track.instance().zone()));
   }
 
@@ -90,21 +90,21 @@
    * @param index log index that this rests on
    * @param output takes a line for each that is new
    */
-  void leaving(List<UpstreamRun> runs, long index, Output output) {
-    leaving.clear();
-    runs.forEach(run -> leaving.put(run.id(), run));
-    for (UpstreamRun run : leaving.values()) {
-      UpstreamTrack track = byId.get(run.id());
+  void updateLeaving(List<UpstreamRun> runs, long index, Output output) {
+    updateLeaving.clear();
+    runs.forEach(run -> updateLeaving.put(run.id(), run));
+    for (UpstreamRun run : updateLeaving.values()) {
+      TrackedUpstream track = byId.get(run.id());
       boolean meant = track != null && run.covers(track.instance().run());
       if (meant && track.condition() != UpstreamCondition.LEAVING) {
-        track.leaves();
+        track.markLeaving();
         log("event=upstream_leaves id=" + run.id() + " index=" + index, output);
       }
     }
   }
 
   /** Takes what the leader tells, unless it is older than what is known or doesn't follow it. */
-  void take(DirectoryChanges changes, Instant now, Output output) {
+  void apply(DirectoryChanges changes, Instant now, Output output) {
     if (changes.epoch() < epoch) {
       return;
     }
@@ -113,7 +113,7 @@
       return;
     }
     for (UpstreamStatus status : changes.upstreams()) {
-      take(status, now, output);
+      apply(status, now, output);
     }
     settled |= changes.settled();
     epoch = changes.epoch();
@@ -126,17 +126,17 @@
     }
   }
 
-  private void take(UpstreamStatus status, Instant now, Output output) {
+  private void apply(UpstreamStatus status, Instant now, Output output) {
     UpstreamInstance instance = status.instance();
-    UpstreamTrack known = byId.get(instance.id());
+    TrackedUpstream known = byId.get(instance.id());
     if (known == null || instance.bornMillis() > known.instance().bornMillis()) {
       takeRun(status, known, output);
     } else if (instance.bornMillis() != known.instance().bornMillis()) {
       return;
-    } else if (known.condition() != status.condition() || instance.follows(known.instance())) {
-      known.told(status);
+    } else if (known.condition() != status.condition() || instance.isNewerThan(known.instance())) {
+      known.updateStatus(status);
     }
-    UpstreamTrack track = byId.get(instance.id());
+    TrackedUpstream track = byId.get(instance.id());
     takeCold(track, instance, now, output);
     takeLimit(track, status.named(), now, output);
   }
@@ -145,7 +145,7 @@
    * Takes over how long an upstream is cold; the way of the message makes it longer, never less.
    */
   private static void takeCold(
-      UpstreamTrack track, UpstreamInstance told, Instant now, Output output) {
+      TrackedUpstream track, UpstreamInstance told, Instant now, Output output) {
     if (told.sequence() < track.instance().sequence()) {
       return;
     }
@@ -162,15 +162,15 @@
    * <p>Kept, its failures would turn work away from a sound process, and prompts would be sent to
    * where they were kept before.
    */
-  private void takeRun(UpstreamStatus status, @Nullable UpstreamTrack before, Output output) {
+  private void takeRun(UpstreamStatus status, @Nullable TrackedUpstream before, Output output) {
     UpstreamInstance instance = status.instance();
     if (before != null) {
       byService.getOrDefault(before.instance().service(), List.of()).remove(before);
     }
-    UpstreamTrack track = new UpstreamTrack(status);
-    UpstreamRun left = leaving.get(instance.id());
+    TrackedUpstream track = new TrackedUpstream(status);
+    UpstreamRun left = updateLeaving.get(instance.id());
     if (left != null && left.covers(instance.run())) {
-      track.leaves();
+      track.markLeaving();
     }
     markEvacuated(track);
     byId.put(instance.id(), track);
@@ -180,10 +180,10 @@
   }
 
   private static void takeLimit(
-      UpstreamTrack track, @Nullable NamedLimit named, Instant now, Output output) {
+      TrackedUpstream track, @Nullable ReportedLimit named, Instant now, Output output) {
     RateLimit before = track.rateLimit();
-    track.rate().leaderKnows(named);
-    if (track.rate().told(named, now) && !track.rateLimit().isNear(before)) {
+    track.rate().setKnownToLeader(named);
+    if (track.rate().updateIfNewer(named, now) && !track.rateLimit().isNear(before)) {
       String facts =
           "event=rate_limit_told id="
               + track.instance().id()
@@ -192,19 +192,19 @@
               + " before="
               + before
               + " age_ms="
-              + Duration.between(track.rate().namedAt(), now).toMillis();
+              + Duration.between(track.rate().reportedAt(), now).toMillis();
       log(facts, output);
     }
   }
 
   /** Returns what upstreams named to this entry and the leader doesn't know. */
-  List<HeardLimit> limitsNewToLeader(Instant now) {
-    List<HeardLimit> limits = new ArrayList<>();
-    for (UpstreamTrack track : byId.values()) {
+  List<UpstreamRateLimit> limitsUnknownToLeader(Instant now) {
+    List<UpstreamRateLimit> limits = new ArrayList<>();
+    for (TrackedUpstream track : byId.values()) {
       TrackedRateLimit rate = track.rate();
-      NamedLimit named = rate.isNewsToLeader() ? rate.toTell(now) : null;
+      ReportedLimit named = rate.differsFromLeader() ? rate.toReport(now) : null;
       if (named != null && limits.size() < MOST_LIMITS) {
-        limits.add(new HeardLimit(track.instance().run(), named));
+        limits.add(new UpstreamRateLimit(track.instance().run(), named));
       }
     }
     return limits;
@@ -214,7 +214,7 @@
     Set<String> ids = new HashSet<>();
     all.forEach(status -> ids.add(status.instance().id()));
     byId.keySet().retainAll(ids);
-    for (List<UpstreamTrack> tracks : byService.values()) {
+    for (List<TrackedUpstream> tracks : byService.values()) {
       tracks.removeIf(track -> !ids.contains(track.instance().id()));
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamInstance.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamInstance.java
@@ -40,7 +40,7 @@
   }
 
   /** Returns the same state as it is to be told when the upstream stays cold for some time. */
-  public UpstreamInstance coldFor(long millis) {
+  public UpstreamInstance withColdMillis(long millis) {
     return new UpstreamInstance(
         id, service, address, zone, version, slots, sequence, bornMillis, millis);
   }
@@ -51,7 +51,7 @@
   }
 
   /** Returns whether this was told later than another state of the same id. */
-  public boolean follows(UpstreamInstance other) {
+  public boolean isNewerThan(UpstreamInstance other) {
     return bornMillis == other.bornMillis
         ? sequence > other.sequence
         : bornMillis > other.bornMillis;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
@@ -43,12 +43,12 @@
    * so a start that lost its address never gets it back. A later start of the same id may: it is
    * another process, of which nothing that was known of the earlier one holds.
    */
-  void heard(UpstreamInstance instance, boolean leaving, Instant now) {
+  void recordHeartbeat(UpstreamInstance instance, boolean leaving, Instant now) {
     if (isSuperseded(instance.run())) {
       return;
     }
     Entry known = byId.get(instance.id());
-    if (known != null && !instance.follows(known.instance())) {
+    if (known != null && !instance.isNewerThan(known.instance())) {
       return;
     }
     if (!takeAddress(instance, known)) {
@@ -78,26 +78,26 @@
    * Takes note of what an upstream said of its rate limit to an entry; the newest word counts.
    *
    * @param run the start of the upstream
-   * @param named what it said
+   * @param recordRateLimit what it said
    * @param by the entry that got that answer
    * @param now the present time
    * @return whether entries are to be told
    */
-  boolean named(UpstreamRun run, NamedLimit named, String by, Instant now) {
+  boolean recordRateLimit(UpstreamRun run, ReportedLimit named, String by, Instant now) {
     Entry entry = byId.get(run.id());
     boolean meant = entry != null && entry.instance().run().equals(run);
-    if (!meant || !entry.rate.told(named, now) || named.limit().isNear(entry.toldLimit)) {
+    if (!meant || !entry.rate.updateIfNewer(named, now) || named.limit().isNear(entry.toldLimit)) {
       return false;
     }
     entry.toldLimit = named.limit();
     entry.limitBy = by;
-    entry.limitSince = entry.rate.namedAt();
+    entry.limitSince = entry.rate.reportedAt();
     entry.changedAt = ++sequence;
     return true;
   }
 
   /** Returns the upstreams that name a rate limit. */
-  List<LimitedUpstream> limited() {
+  List<LimitedUpstream> limitedUpstreams() {
     return byId.values().stream()
         .filter(entry -> entry.rate.limit().isBounded())
         .map(
@@ -133,7 +133,7 @@
     }
     if (held != null) {
       supersede(held.instance().run());
-      leaves(held.instance().run());
+      markLeaving(held.instance().run());
     }
     if (known != null) {
       idByAddress.remove(known.instance().address(), instance.id());
@@ -149,7 +149,7 @@
   }
 
   /** Takes note that a start of an upstream, and each one before it, gets no new work any more. */
-  void leaves(UpstreamRun run) {
+  void markLeaving(UpstreamRun run) {
     Entry entry = byId.get(run.id());
     boolean meant = entry != null && run.covers(entry.instance().run());
     if (meant && entry.condition != UpstreamCondition.LEAVING) {
@@ -168,7 +168,7 @@
    * @param coldMillis how long they count as cold, in milliseconds
    * @param now the present time
    */
-  void zoneTakenBack(String zone, long coldMillis, Instant now) {
+  void restoreZone(String zone, long coldMillis, Instant now) {
     zoneColdUntil.put(zone, now.plusMillis(coldMillis));
     for (Entry entry : byId.values()) {
       if (entry.instance().zone().equals(zone)) {
@@ -229,7 +229,7 @@
     return changed.stream()
         .map(
             entry ->
-                new UpstreamStatus(toldAt(entry, now), entry.condition, entry.rate.toTell(now)))
+                new UpstreamStatus(toldAt(entry, now), entry.condition, entry.rate.toReport(now)))
         .toList();
   }
 
@@ -238,7 +238,7 @@
     UpstreamInstance instance = entry.instance();
     Instant zoneCold = zoneColdUntil.getOrDefault(instance.zone(), Instant.EPOCH);
     Instant until = entry.coldUntil.isAfter(zoneCold) ? entry.coldUntil : zoneCold;
-    return instance.coldFor(Math.max(0, Duration.between(now, until).toMillis()));
+    return instance.withColdMillis(Math.max(0, Duration.between(now, until).toMillis()));
   }
 
   /** Returns what an entry lacks that has this much of the directory of the epoch. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamStatus.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamStatus.java
@@ -10,7 +10,7 @@
  * @param named what it said of its rate limit, or null if it never named one
  */
 public record UpstreamStatus(
-    UpstreamInstance instance, UpstreamCondition condition, @Nullable NamedLimit named) {
+    UpstreamInstance instance, UpstreamCondition condition, @Nullable ReportedLimit named) {
 
   /** Makes the status of an upstream that never named a rate limit. */
   public UpstreamStatus(UpstreamInstance instance, UpstreamCondition condition) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionRule.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionSelector.java
@@ -4,20 +4,20 @@
 import org.skylarkfork.core.routing.StableHash;
 
 /** Decides which versions of a service may get a request while a roll-out is on or after it. */
-final class VersionRule {
+final class VersionSelector {
 
   private static final int BUCKETS = 10_000;
 
   private final RelayView view;
   private final double canaryShare;
 
-  VersionRule(RelayView view, double canaryShare) {
+  VersionSelector(RelayView view, double canaryShare) {
     this.view = view;
     this.canaryShare = canaryShare;
   }
 
   /** Tells the allowed versions from the others. */
-  interface Allowed {
+  interface VersionFilter {
 
     /** Returns whether a version may get the request. */
     boolean allows(String version);
@@ -29,7 +29,7 @@
    * @param service service that it goes to
    * @param request the request
    */
-  Allowed allowed(String service, RelayRequest request) {
+  VersionFilter filterFor(String service, RelayRequest request) {
     ServiceRollOut rollOut = rollOut(service);
     if (rollOut == null) {
       String usual = view.stableVersion(service);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionLedger.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/VersionStatistics.java
@@ -5,17 +5,17 @@
 import java.util.Map;
 
 /** Counts what this entry sees of each version of each service. */
-public final class VersionLedger {
+public final class VersionStatistics {
 
   private final Map<String, VersionCounts> counts = new LinkedHashMap<>();
 
   /** Adds a good answer and the time to its first byte, in milliseconds. */
-  public void answered(UpstreamInstance upstream, long firstByteMillis) {
+  public void recordAnswer(UpstreamInstance upstream, long firstByteMillis) {
     add(upstream, 0, firstByteMillis);
   }
 
   /** Adds a failure. */
-  public void failed(UpstreamInstance upstream) {
+  public void recordFailure(UpstreamInstance upstream) {
     add(upstream, 1, 0);
   }
 
@@ -23,7 +23,7 @@
     counts.merge(
         upstream.service() + "\n" + upstream.version(),
         new VersionCounts(upstream.service(), upstream.version(), 1, failures, millis),
-        VersionLedger::sum);
+        VersionStatistics::sum);
   }
 
   private static VersionCounts sum(VersionCounts one, VersionCounts other) {
@@ -36,7 +36,7 @@
   }
 
   /** Returns the counts. */
-  List<VersionCounts> all() {
+  List<VersionCounts> allCounts() {
     return List.copyOf(counts.values());
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/BestModelPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/BestModelPlanner.java
@@ -4,13 +4,13 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Optional;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 
 /** Plans the single model with the best expected answers, regardless of its price. */
 public final class BestModelPlanner implements Planner {
 
   private final Candidates candidates;
-  private final QualityBook quality;
+  private final VersionQuality quality;
 
   /**
    * Creates a planner.
@@ -18,7 +18,7 @@
    * @param candidates lists the candidate versions
    * @param quality estimates the answer quality of each version
    */
-  public BestModelPlanner(Candidates candidates, QualityBook quality) {
+  public BestModelPlanner(Candidates candidates, VersionQuality quality) {
     this.candidates = candidates;
     this.quality = quality;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/LeastCostPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/LeastCostPlanner.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.Usage;
 
@@ -28,7 +28,7 @@
   private static final int MAX_CANDIDATES = 8;
 
   private final Candidates candidates;
-  private final QualityBook quality;
+  private final VersionQuality quality;
   private final PlannerSettings settings;
   private final UniformRandomProvider random;
 
@@ -41,7 +41,7 @@
    * @param seed seed of the random selection of requests that explore
    */
   public LeastCostPlanner(
-      Candidates candidates, QualityBook quality, PlannerSettings settings, long seed) {
+      Candidates candidates, VersionQuality quality, PlannerSettings settings, long seed) {
     this.candidates = candidates;
     this.quality = quality;
     this.settings = settings;
@@ -189,8 +189,8 @@
       Candidates.Candidate candidate,
       double costMicros,
       double expectedMillis,
-      QualityBook.Estimate estimate,
-      QualityBook.Estimate escalated) {
+      VersionQuality.Estimate estimate,
+      VersionQuality.Estimate escalated) {
 
     boolean isPinned() {
       return candidate.choice().pinned();
@@ -203,7 +203,7 @@
      * @param margin number of standard deviations that are subtracted from the mean
      */
     double successProbability(boolean first, double margin) {
-      QualityBook.Estimate from = first ? estimate : escalated;
+      VersionQuality.Estimate from = first ? estimate : escalated;
       return Math.max(0, from.mean() - margin * from.standardDeviation());
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/VersionChooser.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/VersionChooser.java
@@ -12,7 +12,7 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 import org.skylarkfork.core.configuration.RollOut;
 import org.skylarkfork.core.configuration.Team;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.session.SessionPins;
 import org.skylarkfork.core.upstream.UpstreamDirectory;
@@ -29,7 +29,7 @@
 
   private final ConfigurationView configuration;
   private final UpstreamDirectory upstreams;
-  private final QualityBook quality;
+  private final VersionQuality quality;
   private final SessionPins pins;
   private final String zone;
 
@@ -45,7 +45,7 @@
   public VersionChooser(
       ConfigurationView configuration,
       UpstreamDirectory upstreams,
-      QualityBook quality,
+      VersionQuality quality,
       SessionPins pins,
       String zone) {
     this.configuration = configuration;
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/crash/CrashLedgerTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/crash/CrashCorrelatorTest.java
@@ -8,19 +8,19 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link CrashLedger}. */
-public final class CrashLedgerTest {
+/** Tests of {@link CrashCorrelator}. */
+public final class CrashCorrelatorTest {
 
   private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
   private static final int SETTLED = 200;
 
-  private CrashLedger ledger = new CrashLedger();
+  private CrashCorrelator ledger = new CrashCorrelator();
   private Instant now = START;
 
   /** Each test begins anew. */
   @BeforeMethod
   public void setUp() {
-    ledger = new CrashLedger();
+    ledger = new CrashCorrelator();
     now = START;
   }
 
@@ -33,13 +33,13 @@
     now = now.plusMillis(300);
     lost(upstream, contents);
     now = now.plusMillis(SETTLED);
-    return ledger.found(now);
+    return ledger.findCrashing(now);
   }
 
   private void lost(String upstream, long... contents) {
     for (long content : contents) {
       UpstreamRun run = new UpstreamRun(upstream, 0);
-      ledger.lost(run, key(content), now.minusMillis(100), now.minusMillis(2), now);
+      ledger.recordLoss(run, key(content), now.minusMillis(100), now.minusMillis(2), now);
     }
   }
 
@@ -80,9 +80,9 @@
     ends("up-1", 1, 2);
     ends("up-2", 1, 2);
     assertEquals(ends("up-3", 1, 2), List.of());
-    assertEquals(ledger.found(now), List.of());
-    ledger.served(key(2), now);
-    assertEquals(ledger.found(now), List.of(key(1)));
+    assertEquals(ledger.findCrashing(now), List.of());
+    ledger.recordServed(key(2), now);
+    assertEquals(ledger.findCrashing(now), List.of(key(1)));
   }
 
   /** Many callers send the same lookup; a zone is lost and takes all that run it at once. */
@@ -92,7 +92,7 @@
       lost("up-" + upstream, 1);
     }
     now = now.plusMillis(SETTLED);
-    assertEquals(ledger.found(now), List.of());
+    assertEquals(ledger.findCrashing(now), List.of());
   }
 
   /**
@@ -113,7 +113,7 @@
     now = now.plusMillis(150);
     lost("up-6", 2, 1);
     now = now.plusMillis(SETTLED);
-    assertEquals(ledger.found(now), List.of(key(1)));
+    assertEquals(ledger.findCrashing(now), List.of(key(1)));
   }
 
   /** A request that is unlucky twice and then answered begins from nothing. */
@@ -121,7 +121,7 @@
   public void answerClearsRequest() {
     ends("up-1", 1);
     ends("up-2", 1);
-    ledger.served(key(1), now);
+    ledger.recordServed(key(1), now);
     lost("up-2", 1);
     assertEquals(ends("up-3", 1), List.of());
   }
@@ -133,10 +133,10 @@
     ends("up-2", 1, 2);
     ends("up-3", 1, 2);
     assertEquals(ends("up-4", 1), List.of(key(1)));
-    ledger.quarantined(key(1));
-    assertEquals(ledger.found(now), List.of());
+    ledger.markExplained(key(1));
+    assertEquals(ledger.findCrashing(now), List.of());
     now = now.plusSeconds(1);
-    assertEquals(ledger.found(now), List.of());
+    assertEquals(ledger.findCrashing(now), List.of());
   }
 
   /**
@@ -149,14 +149,14 @@
     ends("up-2", 1, 2);
     ends("up-3", 1, 2);
     assertEquals(ends("up-4", 1), List.of(key(1)));
-    ledger.quarantined(key(1));
+    ledger.markExplained(key(1));
     assertEquals(ends("up-5", 2, 3), List.of(key(2)));
   }
 
   /** A request that is let through again is refused after one more end. */
   @Test
   public void requestOnProbationIsFoundAtItsNextEnd() {
-    ledger.lifted(key(1));
+    ledger.putOnProbation(key(1));
     assertEquals(ends("up-1", 1, 2), List.of(key(1)));
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashWatchTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashDetectorTest.java
@@ -5,9 +5,9 @@
 
 import java.time.Instant;
 import java.util.List;
-import org.skylarkfork.core.crash.CrashWatch;
+import org.skylarkfork.core.crash.CrashDetector;
 import org.skylarkfork.core.crash.RequestKey;
-import org.skylarkfork.core.crash.WatchedUpstream;
+import org.skylarkfork.core.crash.SuspectedUpstream;
 import org.skylarkfork.core.effect.PeerEffect.SendToPeer;
 import org.skylarkfork.core.effect.RelayEffect;
 import org.skylarkfork.core.effect.TraceEffect;
@@ -19,32 +19,33 @@
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link CrashWatch}. */
-public final class CrashWatchTest {
+/** Tests of {@link CrashDetector}. */
+public final class CrashDetectorTest {
 
   private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
   private static final UpstreamInstance UPSTREAM = RelayFixture.instance("up-1", "v1");
-  private static final WatchedUpstream WATCHED =
-      new WatchedUpstream(
+  private static final SuspectedUpstream WATCHED =
+      new SuspectedUpstream(
           UPSTREAM.run(),
           UPSTREAM.service(),
           UPSTREAM.version(),
           new RelayEffect.ProbeUpstream(UPSTREAM));
 
   private RelayFixture.FakeView view = new RelayFixture.FakeView();
-  private CrashWatch watch = new CrashWatch(new LeaderAsJudge(view), "upstreams_ended");
+  private CrashDetector watch =
+      new CrashDetector(new LeaderCrashReviewers(view), "upstreams_ended");
   private RecordedOutput output = new RecordedOutput();
 
   /** Each test begins anew. */
   @BeforeMethod
   public void setUp() {
     view = new RelayFixture.FakeView();
-    watch = new CrashWatch(new LeaderAsJudge(view), "upstreams_ended");
+    watch = new CrashDetector(new LeaderCrashReviewers(view), "upstreams_ended");
     output = new RecordedOutput();
   }
 
   private void lost(long content) {
-    watch.lost(WATCHED, new RequestKey("team", content), START, START, output);
+    watch.recordLoss(WATCHED, new RequestKey("team", content), START, START, output);
   }
 
   private List<String> lines() {
@@ -62,7 +63,7 @@
     lost(1);
     lost(0xabc);
     assertEquals(output.effects(RelayEffect.ProbeUpstream.class).size(), 1);
-    watch.probed(UPSTREAM.run(), false, START.plusMillis(3), output);
+    watch.onProbeResult(UPSTREAM.run(), false, START.plusMillis(3), output);
     assertEquals(lines().size(), 1);
     String line = lines().get(0);
     assertTrue(line.startsWith("event=upstream_ended id=up-1 service=service"), line);
@@ -75,7 +76,7 @@
   @Test
   public void upstreamThatTakesConnectionsHasNotEnded() {
     lost(1);
-    watch.probed(UPSTREAM.run(), true, START.plusMillis(3), output);
+    watch.onProbeResult(UPSTREAM.run(), true, START.plusMillis(3), output);
     assertEquals(lines(), List.of());
     lost(2);
     assertEquals(output.effects(RelayEffect.ProbeUpstream.class).size(), 2);
@@ -86,7 +87,7 @@
   public void oldLossesAreForgotten() {
     lost(1);
     watch.tick(START.plusSeconds(6), output);
-    watch.probed(UPSTREAM.run(), false, START.plusSeconds(7), output);
+    watch.onProbeResult(UPSTREAM.run(), false, START.plusSeconds(7), output);
     assertEquals(lines(), List.of());
   }
 
@@ -104,7 +105,7 @@
   @Test
   public void endIsToldAgainAndToNewLeaders() {
     lost(1);
-    watch.probed(UPSTREAM.run(), false, START, output);
+    watch.onProbeResult(UPSTREAM.run(), false, START, output);
     assertEquals(told(UpstreamEnded.class).size(), 1);
     assertEquals(told(UpstreamEnded.class).get(0).node(), "control-1");
     for (int tick = 1; tick <= 100; tick++) {
@@ -128,7 +129,7 @@
   @Test
   public void laterLossIsToldAtOnce() {
     lost(1);
-    watch.probed(UPSTREAM.run(), false, START, output);
+    watch.onProbeResult(UPSTREAM.run(), false, START, output);
     lost(2);
     UpstreamEnded last = (UpstreamEnded) told(UpstreamEnded.class).get(1).message();
     assertEquals(last.lost().size(), 1);
@@ -139,11 +140,11 @@
   @Test
   public void answerIsToldOfLostRequestsOnly() {
     lost(1);
-    watch.probed(UPSTREAM.run(), false, START, output);
-    watch.served(new RequestKey("team", 2), output);
+    watch.onProbeResult(UPSTREAM.run(), false, START, output);
+    watch.recordServed(new RequestKey("team", 2), output);
     assertEquals(told(RequestServed.class), List.of());
-    watch.served(new RequestKey("team", 1), output);
-    watch.served(new RequestKey("team", 1), output);
+    watch.recordServed(new RequestKey("team", 1), output);
+    watch.recordServed(new RequestKey("team", 1), output);
     assertEquals(told(RequestServed.class).size(), 1);
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestSimulation.java
@@ -25,7 +25,7 @@
 final class CrashingRequestSimulation extends EmulatedDeployment {
 
   /** Ends after which a content is known to end what runs it. */
-  static final int ENDS_THAT_TELL = 3;
+  static final int ENDS_UNTIL_FOUND = 3;
 
   private static final Duration DOWN = Duration.ofSeconds(3);
   private static final int WAIT_MILLIS = 150;
@@ -35,13 +35,13 @@
   private static final List<String> PATHS = List.of("/stream/x", "/lookup/x", "/book/x");
 
   /** What became of each content that ends upstreams. */
-  final Map<Long, Record> records = new LinkedHashMap<>();
+  final Map<Long, CrashRecord> recordsByContent = new LinkedHashMap<>();
 
   /** Good requests, and those of them that were refused, by the reason. */
-  final Map<Refusal, Integer> goodRefused = new HashMap<>();
+  final Map<Refusal, Integer> ordinaryRefused = new HashMap<>();
 
-  int goodSent;
-  int goodAnswered;
+  int ordinarySent;
+  int ordinaryAnswered;
   int upstreamsEnded;
 
   private final Map<String, Upstream> upstreams = new LinkedHashMap<>();
@@ -56,7 +56,7 @@
   private record Run(String entry, long request, int attempt, long content, Instant sentAt) {}
 
   /** The ends of upstreams under one content, and the sends that came too late. */
-  static final class Record {
+  static final class CrashRecord {
     final Set<String> ended = new LinkedHashSet<>();
     final Map<Refusal, Integer> refused = new HashMap<>();
     @Nullable Instant knownAt;
@@ -107,33 +107,33 @@
   }
 
   /** Sends good requests, each of another content, for as long as the run lasts. */
-  void load(int requestsPerSecond) {
-    after(
-        Math.max(1, upTo(2 * 1000 / requestsPerSecond) - 1),
+  void sendOrdinaryRequests(int requestsPerSecond) {
+    schedule(
+        Math.max(1, randomMillis(2 * 1000 / requestsPerSecond) - 1),
         () -> {
           long content = ++lastContent;
-          goodSent++;
+          ordinarySent++;
           send(content, path(content), 1);
-          load(requestsPerSecond);
+          sendOrdinaryRequests(requestsPerSecond);
         });
   }
 
   /** Sends one and the same good lookup for as long as the run lasts, as many callers do. */
-  void popular(long content, int requestsPerSecond) {
-    after(
-        upTo(2 * 1000 / requestsPerSecond),
+  void sendPopularLookups(long content, int requestsPerSecond) {
+    schedule(
+        randomMillis(2 * 1000 / requestsPerSecond),
         () -> {
-          goodSent++;
+          ordinarySent++;
           send(content, "/lookup/x", 1);
-          popular(content, requestsPerSecond);
+          sendPopularLookups(content, requestsPerSecond);
         });
   }
 
   /** Sends a content that ends upstreams, again and again, at most so long after its last end. */
-  void crashing(long content, int pauseMillis) {
-    records.computeIfAbsent(content, unknown -> new Record());
+  void sendCrashingRequest(long content, int pauseMillis) {
+    recordsByContent.computeIfAbsent(content, unknown -> new CrashRecord());
     send(content, path(content), 0);
-    after(upTo(pauseMillis), () -> crashing(content, pauseMillis));
+    schedule(randomMillis(pauseMillis), () -> sendCrashingRequest(content, pauseMillis));
   }
 
   private static String path(long content) {
@@ -170,7 +170,7 @@
   @Override
   void onEffect(String node, Effect effect) {
     if (effect instanceof RelayEffect.SendAttempt sent) {
-      after(1, () -> arrives(node, sent));
+      schedule(1, () -> arrives(node, sent));
     } else if (effect instanceof RelayEffect.DropAttempt drop) {
       dropped(node, drop);
     } else if (effect instanceof RelayEffect.Refuse refuse) {
@@ -179,7 +179,7 @@
       lost(callers.remove(broken.request()));
     } else if (effect instanceof RelayEffect.ProbeUpstream probe) {
       Upstream upstream = upstreams.get(probe.upstream().id());
-      after(
+      schedule(
           1,
           () ->
               inject(
@@ -201,18 +201,18 @@
     }
     Run run = new Run(entry, sent.request(), sent.attempt(), caller.content(), network.now());
     upstream.begunByRun.put(run, false);
-    Record record = records.get(caller.content());
+    CrashRecord record = recordsByContent.get(caller.content());
     if (record != null) {
       count(record, entry);
     }
-    after(upTo(WAIT_MILLIS), () -> begins(upstream, run, caller));
+    schedule(randomMillis(WAIT_MILLIS), () -> begins(upstream, run, caller));
   }
 
-  private void count(Record record, String entry) {
+  private void count(CrashRecord record, String entry) {
     record.sends++;
     Instant known = record.knownAt;
-    boolean late = known != null && network.now().isAfter(known.plus(CONTACT));
-    if (late && isInTouch(entry)) {
+    boolean late = known != null && network.now().isAfter(known.plus(SETTLE_TIME));
+    if (late && isSettled(entry)) {
       record.lateSends++;
     }
   }
@@ -223,17 +223,17 @@
     }
     upstream.begunByRun.put(run, true);
     boolean streams = caller.path().startsWith("/stream/");
-    if (records.containsKey(run.content())) {
+    if (recordsByContent.containsKey(run.content())) {
       if (streams && random.nextBoolean()) {
         answer(run);
       }
-      after(upTo(CRASH_MILLIS) - 1, () -> crashUnder(upstream, run));
+      schedule(randomMillis(CRASH_MILLIS) - 1, () -> crashUnder(upstream, run));
       return;
     }
     if (streams) {
       answer(run);
     }
-    after(upTo(ANSWER_MILLIS), () -> ends(upstream, run, streams));
+    schedule(randomMillis(ANSWER_MILLIS), () -> ends(upstream, run, streams));
   }
 
   private void answer(Run run) {
@@ -247,7 +247,7 @@
     if (!streams) {
       answer(run);
     }
-    goodAnswered++;
+    ordinaryAnswered++;
     callers.remove(run.request());
     inject(run.entry(), new RelayEvent.AnswerEnded(run.request(), run.attempt()));
   }
@@ -256,9 +256,9 @@
     if (!upstream.begunByRun.containsKey(run)) {
       return;
     }
-    Record record = records.get(run.content());
+    CrashRecord record = recordsByContent.get(run.content());
     record.ended.add(upstream.instance.id());
-    if (record.ended.size() == ENDS_THAT_TELL) {
+    if (record.ended.size() == ENDS_UNTIL_FOUND) {
       record.knownAt = network.now();
     }
     crash(upstream);
@@ -288,12 +288,12 @@
     String[] words = upstream.instance.id().substring("up-".length()).split("\\.");
     int number = Integer.parseInt(words[0]);
     int start = Integer.parseInt(words[1]);
-    after(DOWN.toMillis(), () -> startUpstream(number, start + 1));
+    schedule(DOWN.toMillis(), () -> startUpstream(number, start + 1));
   }
 
   private void fail(String entry, long request, int attempt, AttemptFailure failure) {
-    after(
-        upTo(3),
+    schedule(
+        randomMillis(3),
         () -> inject(entry, new RelayEvent.AttemptFailed(request, attempt, failure, null)));
   }
 
@@ -315,12 +315,12 @@
     if (caller == null) {
       return;
     }
-    Record record = records.get(caller.content());
+    CrashRecord record = recordsByContent.get(caller.content());
     if (record != null) {
       record.refused.merge(refuse.refusal(), 1, Integer::sum);
       return;
     }
-    goodRefused.merge(refuse.refusal(), 1, Integer::sum);
+    ordinaryRefused.merge(refuse.refusal(), 1, Integer::sum);
     if (refuse.refusal() != Refusal.QUARANTINED) {
       lost(caller);
     }
@@ -329,7 +329,8 @@
   /** Lets a caller whose request failed send it once more. */
   private void lost(@Nullable Caller caller) {
     if (caller != null && caller.repeatsLeft() > 0) {
-      after(REPEAT_MILLIS, () -> send(caller.content(), caller.path(), caller.repeatsLeft() - 1));
+      schedule(
+          REPEAT_MILLIS, () -> send(caller.content(), caller.path(), caller.repeatsLeft() - 1));
     }
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestTest.java
@@ -37,12 +37,12 @@
   @Test
   public void requestThatEndsItsUpstreamsIsNotSentOnForGood() {
     CrashingRequestSimulation run = new CrashingRequestSimulation(1, 7, 13);
-    run.load(130);
+    run.sendOrdinaryRequests(130);
     run.run(Duration.ofSeconds(2));
-    run.crashing(1, 400);
+    run.sendCrashingRequest(1, 400);
     run.run(Duration.ofSeconds(30));
-    CrashingRequestSimulation.Record record = run.records.get(1L);
-    assertTrue(record.ended.size() >= CrashingRequestSimulation.ENDS_THAT_TELL);
+    CrashingRequestSimulation.CrashRecord record = run.recordsByContent.get(1L);
+    assertTrue(record.ended.size() >= CrashingRequestSimulation.ENDS_UNTIL_FOUND);
     assertTrue(
         record.lateSends <= MOST_LATE_SENDS,
         record.lateSends + " late sends, " + record.ended.size() + " upstreams ended");
@@ -55,25 +55,26 @@
   @Test
   public void goodRequestsAreServedWhereUpstreamsEndByThemselves() {
     CrashingRequestSimulation run = new CrashingRequestSimulation(1, 7, 13);
-    run.load(400);
-    run.popular(7, 100);
+    run.sendOrdinaryRequests(400);
+    run.sendPopularLookups(7, 100);
     for (int second = 0; second < 200; second++) {
       run.run(Duration.ofSeconds(1));
       run.crashUpstreams(0.1);
     }
-    assertTrue(run.goodSent >= 100_000, run.goodSent + " requests");
+    assertTrue(run.ordinarySent >= 100_000, run.ordinarySent + " requests");
     assertTrue(run.upstreamsEnded > 100, run.upstreamsEnded + " upstreams ended");
-    assertFalse(run.goodRefused.containsKey(Refusal.QUARANTINED), run.goodRefused.toString());
+    assertFalse(
+        run.ordinaryRefused.containsKey(Refusal.QUARANTINED), run.ordinaryRefused.toString());
   }
 
   /** All daemons are killed after a request was found; they refuse it from their start on. */
   @Test
   public void whatWasFoundOutlivesAllDaemons() {
     CrashingRequestSimulation run = new CrashingRequestSimulation(2, 7, 13);
-    run.load(60);
-    run.crashing(1, 400);
+    run.sendOrdinaryRequests(60);
+    run.sendCrashingRequest(1, 400);
     run.run(Duration.ofSeconds(4));
-    CrashingRequestSimulation.Record record = run.records.get(1L);
+    CrashingRequestSimulation.CrashRecord record = run.recordsByContent.get(1L);
     assertTrue(record.refused.containsKey(Refusal.QUARANTINED), record.refused.toString());
     final int sends = record.sends;
     List<String> all = new ArrayList<>(run.controls);
@@ -82,7 +83,7 @@
     all.forEach(run.network::start);
     run.run(Duration.ofSeconds(10));
     assertEquals(record.sends, sends);
-    assertTrue(run.goodAnswered > 0);
+    assertTrue(run.ordinaryAnswered > 0);
   }
 
   /**
@@ -107,21 +108,21 @@
 
   private static CrashingRequestSimulation randomRun(long seed) {
     CrashingRequestSimulation run = new CrashingRequestSimulation(seed, 7, 13);
-    run.network.weather(0.01, 0.01, 3);
-    run.load(60);
+    run.network.setMessageFaults(0.01, 0.01, 3);
+    run.sendOrdinaryRequests(60);
     for (int strike = 1; strike <= STRIKES; strike++) {
-      run.crashing(strike, 600);
+      run.sendCrashingRequest(strike, 600);
       run.run(Duration.ofMillis(run.random.nextInt(1500)));
       List<String> struck = strike(run);
       run.run(Duration.ofMillis(500 + run.random.nextInt(3000)));
       recover(run, struck);
       run.run(Duration.ofSeconds(9));
     }
-    run.records.forEach((content, record) -> check(content, record));
+    run.recordsByContent.forEach((content, record) -> check(content, record));
     return run;
   }
 
-  private static void check(long content, CrashingRequestSimulation.Record record) {
+  private static void check(long content, CrashingRequestSimulation.CrashRecord record) {
     String what =
         content + ": " + record.lateSends + " late sends, " + record.ended.size() + " ended";
     assertTrue(record.lateSends <= MOST_LATE_SENDS, what);
@@ -138,36 +139,36 @@
       case 1 -> struck.addAll(run.controls);
       case 2 -> struck.addAll(run.entries.subList(0, 1 + random.nextInt(run.entries.size())));
       case 3 -> {
-        run.network.wipe(control);
+        run.network.crashAndWipe(control);
         struck.add(control);
       }
       case 4 -> {
         String frozen = random.nextBoolean() || leader == null ? run.entries.get(0) : leader;
-        run.network.freeze(frozen);
-        run.disturbed(frozen);
+        run.network.suspend(frozen);
+        run.markDisturbed(frozen);
         return List.of();
       }
       default -> {
         run.network.isolate(control);
-        run.disturbed(control);
+        run.markDisturbed(control);
         return List.of();
       }
     }
     struck.forEach(run.network::crash);
-    struck.forEach(run::disturbed);
+    struck.forEach(run::markDisturbed);
     return struck;
   }
 
   private static void recover(CrashingRequestSimulation run, List<String> struck) {
-    run.network.heal();
+    run.network.reconnectAll();
     List<String> all = new ArrayList<>(run.controls);
     all.addAll(run.entries);
     for (String name : all) {
-      if (run.network.isFrozen(name)) {
-        run.network.thaw(name);
+      if (run.network.isSuspended(name)) {
+        run.network.resume(name);
       }
     }
     struck.forEach(run.network::start);
-    all.forEach(run::disturbed);
+    all.forEach(run::markDisturbed);
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EntryRegistryTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EntryRegistryTest.java
@@ -33,7 +33,7 @@
         new EntryRegistry(RelayTimings.of(Duration.ofSeconds(5), Duration.ofSeconds(1)));
     for (int number = 0; number < busy.length; number++) {
       String zone = number % 2 == 0 ? "a" : "b";
-      registry.heard("entry-" + number, poll(number, zone, true, busy[number]), START);
+      registry.recordPoll("entry-" + number, poll(number, zone, true, busy[number]), START);
     }
     return registry;
   }
@@ -56,12 +56,12 @@
   public void neighbourhoodChangesWithTheOthers() {
     EntryRegistry registry = registry(false, false, false);
     assertEquals(registry.neighbourhood("entry-1", 6).callerAddresses().size(), 3);
-    registry.heard("entry-2", poll(2, "a", false, false), START);
+    registry.recordPoll("entry-2", poll(2, "a", false, false), START);
     assertEquals(
         registry.neighbourhood("entry-1", 6).callerAddresses(), List.of("10.0.0.1", "10.0.0.0"));
-    registry.heard("entry-3", poll(3, "b", true, false), START.plusSeconds(2));
+    registry.recordPoll("entry-3", poll(3, "b", true, false), START.plusSeconds(2));
     assertEquals(registry.neighbourhood("entry-1", 6).callerAddresses().size(), 3);
-    registry.heard("entry-1", poll(1, "b", true, false), START.plusSeconds(2));
+    registry.recordPoll("entry-1", poll(1, "b", true, false), START.plusSeconds(2));
     registry.tick(START.plusSeconds(4));
     assertEquals(
         registry.neighbourhood("entry-1", 6).callerAddresses(), List.of("10.0.0.1", "10.0.0.3"));
@@ -145,14 +145,14 @@
   @Test
   public void comingAndGoingIsNoticed() {
     EntryRegistry registry = registry(false);
-    assertTrue(registry.changed());
-    assertFalse(registry.changed());
-    registry.heard("entry-0", poll(0, "a", true, false), START);
-    assertFalse(registry.changed(), "as before");
-    registry.heard("entry-0", poll(0, "a", false, false), START);
-    assertTrue(registry.changed(), "it stops");
+    assertTrue(registry.takeChanged());
+    assertFalse(registry.takeChanged());
+    registry.recordPoll("entry-0", poll(0, "a", true, false), START);
+    assertFalse(registry.takeChanged(), "as before");
+    registry.recordPoll("entry-0", poll(0, "a", false, false), START);
+    assertTrue(registry.takeChanged(), "it stops");
     registry.tick(START.plusSeconds(10));
-    assertTrue(registry.changed(), "it is gone");
+    assertTrue(registry.takeChanged(), "it is gone");
   }
 
   /** Callers of a zone get its entries first, and the others as well. */
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ExtremeValuesTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ExtremeValuesTest.java
@@ -38,7 +38,7 @@
     for (int seed = 1; seed <= SEEDS; seed++) {
       UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
       CrashingRequestSimulation run = new CrashingRequestSimulation(seed, 3, 3);
-      run.load(50);
+      run.sendOrdinaryRequests(50);
       for (int number = 0; number < STEPS; number++) {
         try {
           step.accept(run, random);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRandomRunTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRandomRunTest.java
@@ -78,7 +78,8 @@
   private static void order(RelaySimulation run, UniformRandomProvider random) {
     List<String> running = run.runningControls();
     if (!running.isEmpty()) {
-      run.order(running.get(random.nextInt(running.size())), random.nextBoolean() ? "a" : "b");
+      run.orderOnZone(
+          running.get(random.nextInt(running.size())), random.nextBoolean() ? "a" : "b");
     }
   }
 
@@ -89,9 +90,9 @@
   private static RelaySimulation run(long seed, Consumer<RelaySimulation> orders) {
     int voters = VOTERS.get((int) Math.floorMod(seed, (long) VOTERS.size()));
     RelaySimulation run = new RelaySimulation(seed, voters, (int) (seed % 2), ENTRIES);
-    run.network.weather(0.01, 0.01, 3);
-    assertTrue(run.repaired(), "the group is founded and grows" + run.states());
-    run.put(run.controls.get(0));
+    run.network.setMessageFaults(0.01, 0.01, 3);
+    assertTrue(run.runUntilRepaired(), "the group is founded and grows" + run.describeGroups());
+    run.putNext(run.controls.get(0));
     UniformRandomProvider random = run.random();
     for (int step = 0; step < STEPS; step++) {
       final List<String> struck = strike(run, random);
@@ -100,7 +101,7 @@
       orders.accept(run);
       recover(run, struck);
     }
-    run.assertServes();
+    run.assertAcceptsChanges();
     return run;
   }
 
@@ -139,12 +140,12 @@
 
   private static List<String> wipe(RelaySimulation run) {
     List<String> wiped = pick(run, run.controls, 1);
-    wiped.forEach(run.network::wipe);
+    wiped.forEach(run.network::crashAndWipe);
     return wiped;
   }
 
   private static void freeze(RelaySimulation run, List<String> from, int count) {
-    pick(run, from, count).forEach(run.network::freeze);
+    pick(run, from, count).forEach(run.network::suspend);
   }
 
   private static void halves(RelaySimulation run, UniformRandomProvider random) {
@@ -152,7 +153,7 @@
     for (String cut : one) {
       for (String other : run.controls) {
         if (!one.contains(other)) {
-          run.network.cut(cut, other);
+          run.network.disconnect(cut, other);
         }
       }
     }
@@ -173,8 +174,8 @@
         String control = running.get(random.nextInt(running.size()));
         switch (random.nextInt(4)) {
           case 0 -> run.read(control);
-          case 1 -> run.putOther(control);
-          default -> run.put(control);
+          case 1 -> run.putConflicting(control);
+          default -> run.putNext(control);
         }
       }
       run.network.run(Duration.ofMillis(random.nextInt(1600)));
@@ -182,11 +183,11 @@
   }
 
   private static void recover(RelaySimulation run, List<String> struck) {
-    run.network.heal();
+    run.network.reconnectAll();
     List<String> all = new ArrayList<>(run.controls);
     all.addAll(run.entries);
-    all.stream().filter(run.network::isFrozen).forEach(run.network::thaw);
+    all.stream().filter(run.network::isSuspended).forEach(run.network::resume);
     struck.stream().filter(name -> !run.network.isUp(name)).forEach(run::start);
-    assertTrue(run.repaired(), "all voters are there again" + run.states());
+    assertTrue(run.runUntilRepaired(), "all voters are there again" + run.describeGroups());
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
@@ -32,7 +32,7 @@
 import org.skylarkfork.core.event.ConsensusEvent;
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.RelayEvent;
-import org.skylarkfork.core.testing.MiniNetwork;
+import org.skylarkfork.core.testing.SimulatedNetwork;
 
 /**
  * Control VMs and entries of the relay in virtual time, and what must hold for them at each moment.
@@ -46,13 +46,13 @@
   static final Duration KEY_BOUND = Duration.ofSeconds(5);
 
   private static final Duration HEARTBEAT = Duration.ofMillis(1200);
-  static final Duration VOTER_SILENCE = Duration.ofMillis(2500);
+  static final Duration VOTER_TIMEOUT = Duration.ofMillis(2500);
   private static final int SNAPSHOT_ENTRIES = 8;
   private static final long CALL_MILLIS = 4000;
   private static final int MAX_OFFSET_SECONDS = 3600;
   private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
-  final MiniNetwork network;
+  final SimulatedNetwork network;
   final List<String> controls = new ArrayList<>();
   final List<String> entries = new ArrayList<>();
   long events;
@@ -63,12 +63,12 @@
   private final Map<String, ConsensusPart> groups = new HashMap<>();
   private final Map<String, Long> versions = new HashMap<>();
   private final Map<String, Integer> starts = new HashMap<>();
-  private final Map<Long, Command> agreed = new HashMap<>();
-  private final Map<Long, String> leaders = new HashMap<>();
+  private final Map<Long, Command> commandByIndex = new HashMap<>();
+  private final Map<Long, String> leaderByTerm = new HashMap<>();
   private final Map<Long, Call> calls = new HashMap<>();
   private final Map<Long, String> contents = new HashMap<>();
   private final Map<String, Order> orders = new HashMap<>();
-  private final SnapshotNumbers codec = new SnapshotNumbers();
+  private final InMemorySnapshotCodec codec = new InMemorySnapshotCodec();
   private long lastCall;
   private long lastVersion;
   private long acceptedVersion;
@@ -104,11 +104,11 @@
    * @param entryCount how many entries there are
    */
   RelaySimulation(long seed, int voters, int spares, int entryCount) {
-    this.network = new MiniNetwork(seed);
+    this.network = new SimulatedNetwork(seed);
     this.voters = voters;
     this.firstSeeds = List.of("control-1", "control-2", "control-3");
-    network.listen(this::onEffect);
-    network.check(this::check);
+    network.setEffectListener(this::onEffect);
+    network.setCheck(this::check);
     for (int number = 1; number <= voters + spares; number++) {
       addControl("control-" + number);
     }
@@ -130,7 +130,7 @@
   /** Starts a daemon; its clock may have jumped since its last start. */
   void start(String name) {
     int seconds = network.random().nextInt(2 * MAX_OFFSET_SECONDS) - MAX_OFFSET_SECONDS;
-    network.clock(name, Duration.ofSeconds(seconds));
+    network.setClockOffset(name, Duration.ofSeconds(seconds));
     network.start(name);
   }
 
@@ -156,7 +156,7 @@
                 new GroupSetup(
                     GroupId.RELAY,
                     seeds(),
-                    new MembershipChangePolicy(first, voters, VOTER_SILENCE),
+                    new MembershipChangePolicy(first, voters, VOTER_TIMEOUT),
                     machine)),
             settings(),
             codec,
@@ -164,7 +164,7 @@
     groups.put(name, consensus);
     RelayControlPart control =
         new RelayControlPart(name, machine, consensus, times(), RollOutSettings.DEFAULT);
-    return new Reducer(List.of(consensus, control, new Watch(name)));
+    return new Reducer(List.of(consensus, control, new AgreementCheck(name)));
   }
 
   /** Returns the times of daemons whose keys are dead within {@link #KEY_BOUND}. */
@@ -200,7 +200,7 @@
             new EntryIdentity(name + ":80", "a", starts.merge(name, 1, Integer::sum)),
             seeds(),
             times(),
-            new VersionLedger());
+            new VersionStatistics());
     entryParts.put(name, part);
     return new Reducer(List.of(part));
   }
@@ -213,13 +213,13 @@
   }
 
   /** Lets an operator put the next configuration. */
-  void put(String control) {
+  void putNext(String control) {
     lastVersion++;
     send(control, lastVersion);
   }
 
   /** Lets an operator put other content under the newest number, as two operators may. */
-  void putOther(String control) {
+  void putConflicting(String control) {
     if (lastVersion > 0) {
       send(control, lastVersion);
     }
@@ -237,7 +237,7 @@
    * Lets an operator evacuate an availability zone or take it back, by turns, unless its last order
    * for that zone may still be on its way.
    */
-  void order(String control, String zone) {
+  void orderOnZone(String control, String zone) {
     Order before = orders.get(zone);
     if (before != null && network.now().isBefore(before.sentAt.plusMillis(2 * CALL_MILLIS))) {
       return;
@@ -328,7 +328,7 @@
   private void check() {
     events++;
     for (Map.Entry<String, RelayEntryPart> entry : entryParts.entrySet()) {
-      if (network.isUp(entry.getKey()) && !network.isFrozen(entry.getKey())) {
+      if (network.isUp(entry.getKey()) && !network.isSuspended(entry.getKey())) {
         checkEntry(entry.getKey(), entry.getValue());
       }
     }
@@ -360,11 +360,13 @@
 
   /** Returns the control VMs that run and are awake. */
   List<String> runningControls() {
-    return controls.stream().filter(name -> network.isUp(name) && !network.isFrozen(name)).toList();
+    return controls.stream()
+        .filter(name -> network.isUp(name) && !network.isSuspended(name))
+        .toList();
   }
 
   /** Lets time pass until all voters are there again. */
-  boolean repaired() {
+  boolean runUntilRepaired() {
     return network.runUntil(Duration.ofSeconds(40), this::whole);
   }
 
@@ -390,7 +392,7 @@
   }
 
   /** Checks that a change is accepted and reaches every entry once all faults are over. */
-  void assertServes() {
+  void assertAcceptsChanges() {
     long wanted = lastVersion + 1;
     lastVersion = wanted;
     boolean taken = false;
@@ -400,11 +402,11 @@
       taken = network.runUntil(Duration.ofSeconds(2), () -> acceptedVersion >= wanted);
     }
     if (!taken) {
-      throw new AssertionError("no change is accepted any more " + states());
+      throw new AssertionError("no change is accepted any more " + describeGroups());
     }
     boolean known = network.runUntil(Duration.ofSeconds(4), () -> everyEntryHas(wanted));
     if (!known) {
-      throw new AssertionError(wanted + " didn't reach every entry " + versions + states());
+      throw new AssertionError(wanted + " didn't reach every entry " + versions + describeGroups());
     }
   }
 
@@ -418,7 +420,7 @@
             });
   }
 
-  String states() {
+  String describeGroups() {
     StringBuilder text = new StringBuilder();
     groups.forEach((name, group) -> text.append('\n').append(name).append(group.statuses()));
     return text.toString();
@@ -429,10 +431,10 @@
   }
 
   /** Checks that all control VMs apply the same commands, under one leader a term. */
-  private final class Watch implements Part {
+  private final class AgreementCheck implements Part {
     private final String name;
 
-    private Watch(String name) {
+    private AgreementCheck(String name) {
       this.name = name;
     }
 
@@ -440,13 +442,13 @@
     public void apply(Event event, Instant now, Output output) {
       if (event instanceof ConsensusEvent.CommandCommitted committed
           && !(committed.command() instanceof GroupCommand)) {
-        Command other = agreed.putIfAbsent(committed.index(), committed.command());
+        Command other = commandByIndex.putIfAbsent(committed.index(), committed.command());
         if (other != null && !other.equals(committed.command())) {
           throw new AssertionError(name + " applied " + committed + " in place of " + other);
         }
       } else if (event instanceof ConsensusEvent.LeaderChanged changed
           && name.equals(changed.node())) {
-        String other = leaders.putIfAbsent(changed.term(), name);
+        String other = leaderByTerm.putIfAbsent(changed.term(), name);
         if (other != null && !other.equals(name)) {
           throw new AssertionError("two leaders in term " + changed.term());
         }
@@ -455,7 +457,7 @@
   }
 
   /** Keeps snapshots in memory under a number. */
-  static final class SnapshotNumbers implements GroupCodec {
+  static final class InMemorySnapshotCodec implements GroupCodec {
     private final Map<String, Snapshot> snapshots = new LinkedHashMap<>();
 
     @Override
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UpstreamRegistryTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UpstreamRegistryTest.java
@@ -49,9 +49,9 @@
    */
   @Test
   public void lateHeartbeatDoesNotBringAnEarlierRunBack() {
-    registry.heard(beat("old", "one", 4), false, RelayFixture.START);
-    registry.heard(beat("new", "two", 1), false, RelayFixture.START);
-    registry.heard(beat("old", "one", 5), false, RelayFixture.START);
+    registry.recordHeartbeat(beat("old", "one", 4), false, RelayFixture.START);
+    registry.recordHeartbeat(beat("new", "two", 1), false, RelayFixture.START);
+    registry.recordHeartbeat(beat("old", "one", 5), false, RelayFixture.START);
     assertEquals(conditions(), "old=LEAVING new=READY");
   }
 
@@ -61,13 +61,13 @@
    */
   @Test
   public void laterStartUnderTheSameIdIsHeardAndLeavesAnew() {
-    registry.heard(started("up", "10.0.0.1:80", 40, 1000), false, RelayFixture.START);
-    registry.leaves(new UpstreamRun("up", 1000));
-    registry.heard(started("up", "10.0.0.1:80", 1, 2000), false, RelayFixture.START);
+    registry.recordHeartbeat(started("up", "10.0.0.1:80", 40, 1000), false, RelayFixture.START);
+    registry.markLeaving(new UpstreamRun("up", 1000));
+    registry.recordHeartbeat(started("up", "10.0.0.1:80", 1, 2000), false, RelayFixture.START);
     assertEquals(conditions(), "up=READY");
-    registry.leaves(new UpstreamRun("up", 1000));
+    registry.markLeaving(new UpstreamRun("up", 1000));
     assertEquals(conditions(), "up=READY", "it was said of the earlier start");
-    registry.leaves(new UpstreamRun("up", 2000));
+    registry.markLeaving(new UpstreamRun("up", 2000));
     assertEquals(conditions(), "up=LEAVING");
   }
 
@@ -77,9 +77,9 @@
    */
   @Test
   public void lateHeartbeatOfAnEarlierStartChangesNothing() {
-    registry.heard(started("up", "10.0.0.2:80", 1, 2000), false, RelayFixture.START);
+    registry.recordHeartbeat(started("up", "10.0.0.2:80", 1, 2000), false, RelayFixture.START);
     long before = registry.sequence();
-    registry.heard(started("up", "10.0.0.1:80", 41, 1000), true, RelayFixture.START);
+    registry.recordHeartbeat(started("up", "10.0.0.1:80", 41, 1000), true, RelayFixture.START);
     assertEquals(registry.sequence(), before);
     assertEquals(registry.all(RelayFixture.START).get(0).instance().address(), "10.0.0.2:80");
   }
@@ -90,36 +90,36 @@
    */
   @Test
   public void addressStaysWithItsYoungestHolder() {
-    registry.heard(started("new", "10.0.0.1:80", 1, 2000), false, RelayFixture.START);
-    registry.heard(started("old", "10.0.0.1:80", 9, 1000), false, RelayFixture.START);
+    registry.recordHeartbeat(started("new", "10.0.0.1:80", 1, 2000), false, RelayFixture.START);
+    registry.recordHeartbeat(started("old", "10.0.0.1:80", 9, 1000), false, RelayFixture.START);
     assertEquals(conditions(), "new=READY");
-    registry.heard(started("old", "10.0.0.3:80", 1, 3000), false, RelayFixture.START);
+    registry.recordHeartbeat(started("old", "10.0.0.3:80", 1, 3000), false, RelayFixture.START);
     assertEquals(conditions(), "new=READY old=READY", "started again elsewhere");
   }
 
   @Test
   public void heartbeatWithoutStartDoesNotReplaceOneThatSaysIt() {
-    registry.heard(started("up", "10.0.0.1:80", 1, 2000), false, RelayFixture.START);
-    registry.heard(started("up", "10.0.0.9:80", 50, 0), false, RelayFixture.START);
-    registry.heard(started("other", "10.0.0.1:80", 50, 0), false, RelayFixture.START);
+    registry.recordHeartbeat(started("up", "10.0.0.1:80", 1, 2000), false, RelayFixture.START);
+    registry.recordHeartbeat(started("up", "10.0.0.9:80", 50, 0), false, RelayFixture.START);
+    registry.recordHeartbeat(started("other", "10.0.0.1:80", 50, 0), false, RelayFixture.START);
     assertEquals(registry.all(RelayFixture.START).size(), 1);
     assertEquals(registry.all(RelayFixture.START).get(0).instance().address(), "10.0.0.1:80");
   }
 
   @Test
   public void lateHeartbeatDoesNotUndoLeaving() {
-    registry.heard(beat("up", "one", 4), false, RelayFixture.START);
-    registry.leaves(new UpstreamRun("up", 0));
-    registry.heard(beat("up", "one", 5), false, RelayFixture.START);
+    registry.recordHeartbeat(beat("up", "one", 4), false, RelayFixture.START);
+    registry.markLeaving(new UpstreamRun("up", 0));
+    registry.recordHeartbeat(beat("up", "one", 5), false, RelayFixture.START);
     assertEquals(conditions(), "up=LEAVING");
   }
 
   @Test
   public void silentUpstreamIsMarkedAndComesBack() {
-    registry.heard(beat("up", "one", 1), false, RelayFixture.START);
+    registry.recordHeartbeat(beat("up", "one", 1), false, RelayFixture.START);
     registry.tick(RelayFixture.START.plusSeconds(4));
     assertEquals(conditions(), "up=SILENT");
-    registry.heard(beat("up", "one", 2), false, RelayFixture.START.plusSeconds(5));
+    registry.recordHeartbeat(beat("up", "one", 2), false, RelayFixture.START.plusSeconds(5));
     assertEquals(conditions(), "up=READY");
     registry.tick(RelayFixture.START.plusSeconds(70));
     assertEquals(conditions(), "");
@@ -127,10 +127,10 @@
 
   @Test
   public void changesSinceKnownNumberAreOnlyThose() {
-    registry.heard(beat("up", "one", 1), false, RelayFixture.START);
+    registry.recordHeartbeat(beat("up", "one", 1), false, RelayFixture.START);
     long known = registry.sequence();
     assertEquals(registry.changes(7, true, 7, known, RelayFixture.START).upstreams(), List.of());
-    registry.leaves(new UpstreamRun("up", 0));
+    registry.markLeaving(new UpstreamRun("up", 0));
     assertEquals(registry.changes(7, true, 7, known, RelayFixture.START).upstreams().size(), 1);
     assertEquals(registry.changes(8, true, 7, known, RelayFixture.START).whole(), true);
   }
@@ -142,15 +142,15 @@
    */
   @Test
   public void upstreamThatTurnsColdIsToldWithWhatIsLeft() {
-    registry.heard(beat("up", "one", 1), false, RelayFixture.START);
+    registry.recordHeartbeat(beat("up", "one", 1), false, RelayFixture.START);
     long known = registry.sequence();
-    registry.heard(beat("up", "one", 2).coldFor(3000), false, RelayFixture.START);
+    registry.recordHeartbeat(beat("up", "one", 2).withColdMillis(3000), false, RelayFixture.START);
     assertEquals(coldMillis(known, RelayFixture.START.plusMillis(1000)), 2000);
     long cold = registry.sequence();
     Instant next = RelayFixture.START.plusMillis(1200);
-    registry.heard(beat("up", "one", 3).coldFor(1790), false, next);
+    registry.recordHeartbeat(beat("up", "one", 3).withColdMillis(1790), false, next);
     assertEquals(registry.sequence(), cold, "the same end is no news");
-    registry.heard(beat("up", "one", 4), false, next);
+    registry.recordHeartbeat(beat("up", "one", 4), false, next);
     assertEquals(coldMillis(cold, next), 0, "warm earlier than it said");
   }
 
@@ -160,13 +160,13 @@
    */
   @Test
   public void upstreamsOfZoneThatIsTakenBackCountAsCold() {
-    registry.heard(beat("up", "one", 1), false, RelayFixture.START);
+    registry.recordHeartbeat(beat("up", "one", 1), false, RelayFixture.START);
     long known = registry.sequence();
-    registry.zoneTakenBack("b", 3000, RelayFixture.START);
+    registry.restoreZone("b", 3000, RelayFixture.START);
     assertEquals(registry.sequence(), known, "another zone");
-    registry.zoneTakenBack("a", 3000, RelayFixture.START);
+    registry.restoreZone("a", 3000, RelayFixture.START);
     assertEquals(coldMillis(known, RelayFixture.START.plusMillis(500)), 2500);
-    registry.heard(beat("up", "one", 2), false, RelayFixture.START.plusMillis(600));
+    registry.recordHeartbeat(beat("up", "one", 2), false, RelayFixture.START.plusMillis(600));
     assertEquals(coldMillis(known, RelayFixture.START.plusMillis(1000)), 2000, "a late heartbeat");
     assertEquals(coldMillis(known, RelayFixture.START.plusMillis(4000)), 0);
   }
@@ -178,42 +178,43 @@
   }
 
   private boolean named(double perSecond, long ageMillis, Instant now) {
-    NamedLimit named = new NamedLimit(new RateLimit(perSecond), ageMillis);
-    return registry.named(new UpstreamRun("up", 0), named, "entry-1", now);
+    ReportedLimit named = new ReportedLimit(new RateLimit(perSecond), ageMillis);
+    return registry.recordRateLimit(new UpstreamRun("up", 0), named, "entry-1", now);
   }
 
-  private @Nullable NamedLimit told() {
+  private @Nullable ReportedLimit told() {
     return registry.all(RelayFixture.START.plusSeconds(9)).get(0).named();
   }
 
   /** Guards against entries that go on by a limit which fell by steps too small to be told. */
   @Test
   public void limitThatFallsBySmallStepsIsTold() {
-    registry.heard(beat("up", "one", 1), false, RelayFixture.START);
+    registry.recordHeartbeat(beat("up", "one", 1), false, RelayFixture.START);
     assertTrue(named(10, 0, RelayFixture.START));
     assertFalse(named(9.5, 0, RelayFixture.START.plusSeconds(1)), "not worth a word");
     assertTrue(named(8.9, 0, RelayFixture.START.plusSeconds(2)));
-    assertEquals(registry.limited().get(0).perSecond(), 8.9);
-    assertEquals(registry.limited().get(0).heardBy(), "entry-1");
+    assertEquals(registry.limitedUpstreams().get(0).perSecond(), 8.9);
+    assertEquals(registry.limitedUpstreams().get(0).heardBy(), "entry-1");
   }
 
   /** Guards against a word that was held up and takes the place of a newer one. */
   @Test
   public void newestWordOnLimitCounts() {
-    registry.heard(beat("up", "one", 1), false, RelayFixture.START);
+    registry.recordHeartbeat(beat("up", "one", 1), false, RelayFixture.START);
     assertTrue(named(2, 0, RelayFixture.START.plusSeconds(5)));
     assertFalse(named(30, 700, RelayFixture.START.plusMillis(5200)));
-    assertEquals(told(), new NamedLimit(new RateLimit(2), 4000));
+    assertEquals(told(), new ReportedLimit(new RateLimit(2), 4000));
     assertTrue(named(Double.POSITIVE_INFINITY, 100, RelayFixture.START.plusSeconds(6)));
-    assertEquals(registry.limited(), List.of());
+    assertEquals(registry.limitedUpstreams(), List.of());
   }
 
   /** Guards against an upstream that starts again and counts as limited as it was before. */
   @Test
   public void laterStartNamesNoLimit() {
-    registry.heard(beat("up", "one", 1), false, RelayFixture.START);
+    registry.recordHeartbeat(beat("up", "one", 1), false, RelayFixture.START);
     assertTrue(named(2, 0, RelayFixture.START));
-    registry.heard(started("up", "10.0.0.1:80", 1, 1000), false, RelayFixture.START.plusSeconds(3));
+    registry.recordHeartbeat(
+        started("up", "10.0.0.1:80", 1, 1000), false, RelayFixture.START.plusSeconds(3));
     assertNull(told());
     assertFalse(named(2, 0, RelayFixture.START.plusSeconds(4)), "of the start before");
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/PlannersTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/PlannersTest.java
@@ -16,7 +16,7 @@
 import org.skylarkfork.core.configuration.RollOut;
 import org.skylarkfork.core.configuration.Rule;
 import org.skylarkfork.core.configuration.Team;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
@@ -207,7 +207,7 @@
   }
 
   private void setEstimate(ModelVersion version, double mean, double deviation) {
-    quality.estimates.put(version, new QualityBook.Estimate(mean, deviation, 100));
+    quality.estimates.put(version, new VersionQuality.Estimate(mean, deviation, 100));
   }
 
   private static PlannerSettings settingsWithoutExploration() {
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/PlannerMeasure.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/PlannerMeasure.java
@@ -17,7 +17,7 @@
 import org.skylarkfork.core.configuration.Rule;
 import org.skylarkfork.core.configuration.Team;
 import org.skylarkfork.core.quality.AttemptOutcome;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 import org.skylarkfork.core.request.Bytes;
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.RequestKind;
@@ -55,7 +55,7 @@
 
   private final UniformRandomProvider random;
   private final EntryBooks books;
-  private final QualityBook quality;
+  private final VersionQuality quality;
   private final Planner planner;
   private final Map<String, ModelVersion> pins = new HashMap<>();
   private final Team team;
@@ -75,7 +75,7 @@
    * @param make makes the planner from candidates and the book
    * @param seed seed of requests and answers
    */
-  public PlannerMeasure(BiFunction<Candidates, QualityBook, Planner> make, long seed) {
+  public PlannerMeasure(BiFunction<Candidates, VersionQuality, Planner> make, long seed) {
     random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     List<ModelTruth> models = models(0.55);
     truths = byVersion(models);
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/RelayDecisionBenchmark.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/RelayDecisionBenchmark.java
@@ -38,7 +38,7 @@
 import org.skylarkfork.core.relay.UpstreamCondition;
 import org.skylarkfork.core.relay.UpstreamInstance;
 import org.skylarkfork.core.relay.UpstreamStatus;
-import org.skylarkfork.core.relay.VersionLedger;
+import org.skylarkfork.core.relay.VersionStatistics;
 import org.skylarkfork.core.relay.WeightedService;
 
 /** Time of all decisions on one relayed stream, by the number of engines. */
@@ -67,7 +67,7 @@
   @Setup
   public void setUp() {
     RelayTimings times = RelayTimings.of(Duration.ofSeconds(5), Duration.ofSeconds(1));
-    VersionLedger counts = new VersionLedger();
+    VersionStatistics counts = new VersionStatistics();
     RelayEntryPart entry =
         new RelayEntryPart(
             new EntryIdentity("127.0.0.2:80", "a", 1), List.of("127.0.0.3:1"), times, counts);
