--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/HeadValues.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/HeadValues.java
@@ -30,7 +30,7 @@
   }
 
   /** Returns the key of an {@code Authorization} header, or null if there is none. */
-  public static @Nullable String key(@Nullable String authorization) {
+  public static @Nullable String bearerKey(@Nullable String authorization) {
     boolean bearer =
         authorization != null && authorization.regionMatches(true, 0, BEARER, 0, BEARER.length());
     return bearer ? authorization.substring(BEARER.length()).trim() : null;
@@ -41,7 +41,7 @@
    *
    * @throws BadHeadException if they are no numbers
    */
-  public static int[] tokens(String name, @Nullable String value) throws BadHeadException {
+  public static int[] tokenCounts(String name, @Nullable String value) throws BadHeadException {
     int[] counts = {0, 0};
     if (value == null) {
       return counts;
@@ -62,7 +62,7 @@
    *
    * @throws BadHeadException if a length is no number
    */
-  public static List<PromptPart> prompt(String name, @Nullable String value)
+  public static List<PromptPart> promptParts(String name, @Nullable String value)
       throws BadHeadException {
     List<PromptPart> parts = new ArrayList<>();
     if (value == null) {
@@ -71,13 +71,14 @@
     for (String entry : value.split(",")) {
       int colon = entry.indexOf(':');
       if (colon >= 0) {
-        parts.add(new PromptPart(entry.substring(0, colon).trim(), length(name, entry, colon)));
+        parts.add(
+            new PromptPart(entry.substring(0, colon).trim(), parseLength(name, entry, colon)));
       }
     }
     return parts;
   }
 
-  private static int length(String name, String entry, int colon) throws BadHeadException {
+  private static int parseLength(String name, String entry, int colon) throws BadHeadException {
     try {
       return Integer.parseInt(entry.substring(colon + 1).trim());
     } catch (NumberFormatException e) {
@@ -105,7 +106,7 @@
     RateLimit least = values.isEmpty() ? RateLimit.NONE : null;
     for (String value : values) {
       for (String word : value.split(",")) {
-        Double perSecond = finite(word);
+        Double perSecond = parseFinite(word);
         if (perSecond != null && (least == null || perSecond < least.perSecond())) {
           least = new RateLimit(perSecond);
         }
@@ -115,7 +116,7 @@
   }
 
   /** Returns a number from 0 that is finite, or null if a word is none. */
-  private static @Nullable Double finite(String word) {
+  private static @Nullable Double parseFinite(String word) {
     try {
       double number = Double.parseDouble(word.trim());
       return number >= 0 && number < Double.POSITIVE_INFINITY ? number : null;
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/OpenCalls.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/OpenCalls.java
@@ -20,12 +20,12 @@
 final class OpenCalls implements ControlCalls {
 
   /** Longest wait; callers move on to another control VM after a second. */
-  private static final long LIMIT_MILLIS = 900;
+  private static final long TIMEOUT_MILLIS = 900;
 
   private final EventLoopReducer loop;
   private final RelayControlPart control;
   private final List<String> zones;
-  private final Map<Long, CompletableFuture<CommandResult>> open = new HashMap<>();
+  private final Map<Long, CompletableFuture<CommandResult>> pending = new HashMap<>();
   private long lastCall;
 
   /**
@@ -42,16 +42,16 @@
   }
 
   @Override
-  public CompletableFuture<CommandResult> ask(RelayCommand command) {
+  public CompletableFuture<CommandResult> submit(RelayCommand command) {
     long call = ++lastCall;
     CompletableFuture<CommandResult> answer = new CompletableFuture<>();
-    open.put(call, answer);
-    loop.submit(new RelayEvent.CommandAsked(call, command, LIMIT_MILLIS));
+    pending.put(call, answer);
+    loop.submit(new RelayEvent.CommandAsked(call, command, TIMEOUT_MILLIS));
     return answer;
   }
 
   void reply(RelayEffect.ReplyToCall reply) {
-    CompletableFuture<CommandResult> answer = open.remove(reply.callId());
+    CompletableFuture<CommandResult> answer = pending.remove(reply.callId());
     CommandResult result = reply.result();
     if (answer == null) {
       return;
@@ -64,7 +64,7 @@
   }
 
   @Override
-  public UpstreamRun startsUntilNow(String id) {
+  public UpstreamRun runsUntilNow(String id) {
     return new UpstreamRun(id, loop.now().toEpochMilli());
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayDialect.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayDialect.java
@@ -29,13 +29,13 @@
    * @param target where the attempt goes
    * @param leftMillis time left for the answer, in milliseconds
    */
-  void forUpstream(HttpHeaders headers, AttemptTarget target, long leftMillis);
+  void rewriteForUpstream(HttpHeaders headers, AttemptTarget target, long leftMillis);
 
   /** Returns the id of the request that an answer belongs to, or null if it names none. */
   @Nullable String requestIdOf(HttpResponse answer);
 
   /** Returns whether an answer states that the request did not run. */
-  boolean saysNotRun(HttpResponse answer);
+  boolean reportsNotRun(HttpResponse answer);
 
   /** Returns whether an answer's head is certainly whole and bears the upstream's signature. */
   boolean isSigned(HttpResponse answer);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -71,11 +71,11 @@
   private static final long SEGMENT_BYTES = 4 * 1024 * 1024;
 
   /** Time after the order to stop in which callers' lists with this entry run out. */
-  private static final Duration LISTS_RUN_OUT = Duration.ofMillis(6300);
+  private static final Duration ENTRY_LIST_EXPIRY = Duration.ofMillis(6300);
 
   private static final Duration STOP_MARGIN = Duration.ofMillis(500);
-  private static final Duration QUIET = Duration.ofMillis(100);
-  private static final long POLL_MILLIS = 50;
+  private static final Duration STOPPING_IDLE_TIMEOUT = Duration.ofMillis(100);
+  private static final long POLL_INTERVAL_MILLIS = 50;
 
   private final RelaySettings settings;
   private final RelayDialect dialect;
@@ -94,8 +94,8 @@
   private final Consumer<Throwable> onFailure;
   private final long seed;
   private @Nullable RelayEntryPart entry;
-  private @Nullable RelayFront front;
-  private @Nullable OpenCalls calls;
+  private @Nullable RelayFront callerServer;
+  private @Nullable OpenCalls controlCalls;
   private @Nullable InetSocketAddress callerAddress;
   private @Nullable InetSocketAddress metricsAddress;
   private final CompletableFuture<InetSocketAddress> controlAddress = new CompletableFuture<>();
@@ -128,7 +128,7 @@
             settings.name(), Long.toString(incarnation), Long.toString(System.nanoTime()));
     this.traces = new TraceHandler(settings.name(), metrics, null);
     this.log = new BoundedLog(settings.name());
-    this.loop = new EventLoopReducer(clock, eventLoop, this::carryOut, onFailure);
+    this.loop = new EventLoopReducer(clock, eventLoop, this::execute, onFailure);
     this.transport = new PeerTransport(transportSettings(), codec, loop::submit, eventLoop);
     this.peers = new AddressedPeers(transport);
     this.storage = openStorage(settings.dataFolder());
@@ -177,7 +177,7 @@
       addEntry(parts, settings.caller());
     }
     openMetrics();
-    loop.start(new Reducer(parts), times().tickInterval(), this::afterTick);
+    loop.start(new Reducer(parts), timings().tickInterval(), this::afterTick);
     if (storage != null) {
       storage.recover(GroupId.RELAY);
     }
@@ -195,7 +195,7 @@
     RelayMachine machine = new RelayMachine();
     MembershipChangePolicy growth =
         new MembershipChangePolicy(
-            settings.mayFound(), settings.voters(), RelayPeerLimits.VOTER_SILENCE);
+            settings.mayFound(), settings.voters(), RelayPeerLimits.VOTER_REPLACEMENT_TIMEOUT);
     ConsensusPart consensus =
         new ConsensusPart(
             settings.peerName(),
@@ -205,24 +205,24 @@
             seed);
     RelayControlPart control =
         new RelayControlPart(
-            settings.peerName(), machine, consensus, times(), RollOutSettings.DEFAULT);
+            settings.peerName(), machine, consensus, timings(), RollOutSettings.DEFAULT);
     OpenCalls open = new OpenCalls(loop, control, settings.zones());
-    calls = open;
+    controlCalls = open;
     parts.add(consensus);
     parts.add(control);
   }
 
   /** Runs on the event loop, which must not wait for the listeners. */
-  private void takeCalls(OpenCalls open) {
+  private void openControlListeners(OpenCalls open) {
     for (InetSocketAddress address : Arrays.asList(settings.control(), settings.lists())) {
       if (address != null) {
         HttpEndpoint.open(eventLoop, address, call -> controlDialect.answer(call, open))
-            .addListener((ChannelFutureListener) done -> callsTaken(address, done));
+            .addListener((ChannelFutureListener) done -> onControlListenerBound(address, done));
       }
     }
   }
 
-  private void callsTaken(InetSocketAddress address, ChannelFuture bound) {
+  private void onControlListenerBound(InetSocketAddress address, ChannelFuture bound) {
     if (!bound.isSuccess()) {
       Logger.error(bound.cause(), "node: no calls are taken at {}", address);
       onFailure.accept(bound.cause());
@@ -232,13 +232,13 @@
     }
   }
 
-  private RelayTimings times() {
+  private RelayTimings timings() {
     RelayTimings times = RelayTimings.of(settings.keyBound(), settings.heartbeat());
     return settings.dataFolder() == null ? times.forEntry() : times;
   }
 
   private void afterTick() {
-    RelayFront open = front;
+    RelayFront open = callerServer;
     if (open != null) {
       open.tick(System.nanoTime());
     }
@@ -263,7 +263,7 @@
             caller.getAddress().getHostAddress() + ":" + caller.getPort(),
             settings.zone(),
             incarnation);
-    RelayEntryPart made = new RelayEntryPart(self, settings.seeds(), times(), counts);
+    RelayEntryPart made = new RelayEntryPart(self, settings.seeds(), timings(), counts);
     entry = made;
     parts.add(made);
     RelayRequestPart requests =
@@ -281,14 +281,14 @@
     parts.add(new SchedulerPart(made, settings.peerName(), seed));
     RelayFront opened =
         new RelayFront(eventLoop, dialect, loop, () -> made.table().configuration().limits());
-    front = opened;
+    callerServer = opened;
     callerAddress = opened.start(caller);
     listen(settings.ready(), call -> CompletableFuture.completedFuture(readiness(made)));
     if (settings.dataFolder() == null) {
       EntryDirectory directory = zone -> made.callerAddresses();
       listen(
           settings.lists(),
-          call -> CompletableFuture.completedFuture(controlDialect.lookUp(call, directory)));
+          call -> CompletableFuture.completedFuture(controlDialect.lookUpEntries(call, directory)));
     }
   }
 
@@ -313,7 +313,7 @@
 
   private void refreshGauges() {
     RelayEntryPart known = entry;
-    RelayFront open = front;
+    RelayFront open = callerServer;
     if (known != null && open != null) {
       Instant now = loop.now();
       metrics.set("relay_configuration_version", "", known.table().configuration().version());
@@ -322,7 +322,7 @@
       metrics.set("relay_quarantined_requests", "", known.quarantinedCount());
       metrics.set("relay_limited_upstreams", "", known.limitedUpstreamCount());
       metrics.set("relay_ready", "", known.ready(now) ? 1 : 0);
-      metrics.set("relay_requests_under_way", "", open.underWay());
+      metrics.set("relay_requests_under_way", "", open.activeRequests());
       metrics.set("relay_caller_connections", "", open.openConnections());
     }
     Runtime memory = Runtime.getRuntime();
@@ -332,24 +332,24 @@
     metrics.set("relay_peer_messages", "dropped", transport.counts().dropped());
   }
 
-  private void carryOut(Effect effect) {
+  private void execute(Effect effect) {
     if (effect instanceof RelayEffect.TakeCalls) {
-      if (calls != null) {
-        takeCalls(calls);
+      if (controlCalls != null) {
+        openControlListeners(controlCalls);
       }
     } else if (effect instanceof RelayEffect.ReplyToCall reply) {
-      if (calls != null) {
-        calls.reply(reply);
+      if (controlCalls != null) {
+        controlCalls.reply(reply);
       }
     } else if (effect instanceof RelayEffect relay) {
-      if (front != null) {
-        front.carryOut(relay);
+      if (callerServer != null) {
+        callerServer.execute(relay);
       }
     } else if (effect instanceof PeerEffect.SendToPeer own
         && own.node().equals(settings.peerName())) {
       loop.submit(new PeerEvent.MessageReceived(own.node(), own.message()));
     } else if (effect instanceof PeerEffect peer) {
-      peers.carryOut(peer);
+      peers.execute(peer);
     } else if (effect instanceof StorageEffect write) {
       if (storage != null) {
         storage.carryOut(write);
@@ -409,32 +409,32 @@
     Logger.info("node: stops name={}", settings.name());
     stopping = true;
     loop.submit(new LifecycleEvent.StopRequested());
-    RelayFront open = front;
+    RelayFront open = callerServer;
     if (open != null) {
-      stopFront(open, end);
+      stopCallerServer(open, end);
     } else {
-      TimeUnit.MILLISECONDS.sleep(2 * POLL_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(2 * POLL_INTERVAL_MILLIS);
     }
     Logger.info("node: stopped name={}", settings.name());
   }
 
-  private void stopFront(RelayFront open, long end) throws InterruptedException {
-    eventLoop.execute(open::stopKeepingConnections);
-    long listsOut = Math.min(end, System.nanoTime() + LISTS_RUN_OUT.toNanos());
+  private void stopCallerServer(RelayFront open, long end) throws InterruptedException {
+    eventLoop.execute(open::disableKeepAlive);
+    long listsOut = Math.min(end, System.nanoTime() + ENTRY_LIST_EXPIRY.toNanos());
     while (System.nanoTime() < listsOut) {
-      TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
     }
     eventLoop.execute(open::stopListening);
     CountDownLatch done = new CountDownLatch(1);
     while (System.nanoTime() < end && done.getCount() > 0) {
       eventLoop.execute(
           () -> {
-            open.closeQuiet(QUIET);
-            if (open.underWay() == 0 && open.openConnections() == 0) {
+            open.closeIdle(STOPPING_IDLE_TIMEOUT);
+            if (open.activeRequests() == 0 && open.openConnections() == 0) {
               done.countDown();
             }
           });
-      done.await(POLL_MILLIS, TimeUnit.MILLISECONDS);
+      done.await(POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/EventSplitterTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/EventSplitterTest.java
@@ -18,7 +18,7 @@
       "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\ndata: c\r\n\r\n: note\n\nid: 30\ndata: ä\n\n";
 
   private static String taken(EventSplitter splitter) {
-    ByteBuf whole = splitter.whole();
+    ByteBuf whole = splitter.takeWholeEvents();
     if (whole == null) {
       return "";
     }
@@ -54,9 +54,9 @@
   public void unfinishedEventIsKeptBack() {
     EventSplitter splitter = new EventSplitter(Unpooled.buffer());
     splitter.add(Unpooled.copiedBuffer("id: 1\ndata: a\n", StandardCharsets.UTF_8));
-    assertNull(splitter.whole());
+    assertNull(splitter.takeWholeEvents());
     assertNull(splitter.lastId());
-    assertTrue(splitter.unfinished());
+    assertTrue(splitter.hasPartialEvent());
     splitter.release();
   }
 }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/UpstreamAddressTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/UpstreamAddressTest.java
@@ -33,11 +33,11 @@
 
   @Test
   public void numbersWithPortsAreRead() {
-    assertTrue(UpstreamAddress.isReadable("10.128.0.9:8080"));
-    assertTrue(UpstreamAddress.isReadable("[::1]:8080"));
-    assertEquals(String.valueOf(UpstreamAddress.read("10.1.2.3:65535")), "/10.1.2.3:65535");
+    assertTrue(UpstreamAddress.isValid("10.128.0.9:8080"));
+    assertTrue(UpstreamAddress.isValid("[::1]:8080"));
+    assertEquals(String.valueOf(UpstreamAddress.parse("10.1.2.3:65535")), "/10.1.2.3:65535");
     for (String text : UNREADABLE) {
-      assertFalse(UpstreamAddress.isReadable(text), text);
+      assertFalse(UpstreamAddress.isValid(text), text);
     }
   }
 
