--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/CallerConnection.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/CallerConnection.java
@@ -30,7 +30,7 @@
 
   private static final int MAX_PIPELINED = 256;
 
-  private final RelayFront front;
+  private final RelayCallerServer front;
   private final Deque<HttpObject> pipelined = new ArrayDeque<>();
   private @Nullable ChannelHandlerContext context;
   private @Nullable HttpRequest head;
@@ -41,7 +41,7 @@
   private boolean idle = true;
   private long idleSince = System.nanoTime();
 
-  CallerConnection(RelayFront front) {
+  CallerConnection(RelayCallerServer front) {
     this.front = front;
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/ControlCalls.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/ControlCalls.java
@@ -17,7 +17,8 @@
    * Has a command agreed on.
    *
    * @param command the command
-   * @return what it gave; fails with {@link NotAgreedException} if that isn't known in time
+   * @return what it gave; fails with {@link CommandUnconfirmedException} if that isn't known in
+   *     time
    */
   CompletableFuture<CommandResult> submit(RelayCommand command);
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/OpenCalls.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/PendingControlCalls.java
@@ -17,7 +17,7 @@
 import org.skylarkfork.runtime.loop.EventLoopReducer;
 
 /** Calls to a control VM that wait for an answer of the reducer; one thread only. */
-final class OpenCalls implements ControlCalls {
+final class PendingControlCalls implements ControlCalls {
 
   /** Longest wait; callers move on to another control VM after a second. */
   private static final long TIMEOUT_MILLIS = 900;
@@ -35,7 +35,7 @@
    * @param control the control VM's part
    * @param zones the deployment's availability zones; empty if they aren't known
    */
-  OpenCalls(EventLoopReducer loop, RelayControlPart control, List<String> zones) {
+  PendingControlCalls(EventLoopReducer loop, RelayControlPart control, List<String> zones) {
     this.loop = loop;
     this.control = control;
     this.zones = zones;
@@ -57,7 +57,7 @@
       return;
     }
     if (result == null) {
-      answer.completeExceptionally(new NotAgreedException(reply.remedy()));
+      answer.completeExceptionally(new CommandUnconfirmedException(reply.remedy()));
     } else {
       answer.complete(result);
     }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayFront.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayCallerServer.java
@@ -30,7 +30,7 @@
 import org.skylarkfork.runtime.loop.EventLoopReducer;
 
 /** The callers' side of an entry: listener, connections and requests; one thread only. */
-final class RelayFront {
+final class RelayCallerServer {
 
   private static final int BACKLOG = 1024;
   private static final long SWEEP_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
@@ -53,7 +53,7 @@
   private long lastSweepAt = System.nanoTime();
   private boolean stopping;
 
-  RelayFront(
+  RelayCallerServer(
       EventLoop eventLoop,
       RelayDialect dialect,
       EventLoopReducer loop,
@@ -82,8 +82,8 @@
                         .pipeline()
                         .addLast(
                             new HttpResponseEncoder(),
-                            new HttpRequestDecoder(HttpSizes.decoderConfig()),
-                            new CallerConnection(RelayFront.this));
+                            new HttpRequestDecoder(HttpDecoderLimits.decoderConfig()),
+                            new CallerConnection(RelayCallerServer.this));
                   }
                 })
             .bind(address)
@@ -170,7 +170,7 @@
     RelayRequest request;
     try {
       request = dialect.read(number, head, ContentHash.of(head, body));
-    } catch (BadHeadException unreadable) {
+    } catch (MalformedHeaderException unreadable) {
       body.release();
       caller.reject(HttpResponseStatus.BAD_REQUEST);
       return null;
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayDialect.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayDialect.java
@@ -17,9 +17,10 @@
    * @param number number that the entry gave the request
    * @param head the head
    * @param contentHash hash of what the request has in common with the same one sent again
-   * @throws BadHeadException if a value can't be read
+   * @throws MalformedHeaderException if a value can't be read
    */
-  RelayRequest read(long number, HttpRequest head, long contentHash) throws BadHeadException;
+  RelayRequest read(long number, HttpRequest head, long contentHash)
+      throws MalformedHeaderException;
 
   /**
    * Makes a caller's headers those of an attempt: removes what only the system may set and what
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -94,8 +94,8 @@
   private final Consumer<Throwable> onFailure;
   private final long seed;
   private @Nullable RelayEntryPart entry;
-  private @Nullable RelayFront callerServer;
-  private @Nullable OpenCalls controlCalls;
+  private @Nullable RelayCallerServer callerServer;
+  private @Nullable PendingControlCalls controlCalls;
   private @Nullable InetSocketAddress callerAddress;
   private @Nullable InetSocketAddress metricsAddress;
   private final CompletableFuture<InetSocketAddress> controlAddress = new CompletableFuture<>();
@@ -206,14 +206,14 @@
     RelayControlPart control =
         new RelayControlPart(
             settings.peerName(), machine, consensus, timings(), RollOutSettings.DEFAULT);
-    OpenCalls open = new OpenCalls(loop, control, settings.zones());
+    PendingControlCalls open = new PendingControlCalls(loop, control, settings.zones());
     controlCalls = open;
     parts.add(consensus);
     parts.add(control);
   }
 
   /** Runs on the event loop, which must not wait for the listeners. */
-  private void openControlListeners(OpenCalls open) {
+  private void openControlListeners(PendingControlCalls open) {
     for (InetSocketAddress address : Arrays.asList(settings.control(), settings.lists())) {
       if (address != null) {
         HttpEndpoint.open(eventLoop, address, call -> controlDialect.answer(call, open))
@@ -238,7 +238,7 @@
   }
 
   private void afterTick() {
-    RelayFront open = callerServer;
+    RelayCallerServer open = callerServer;
     if (open != null) {
       open.tick(System.nanoTime());
     }
@@ -279,8 +279,9 @@
     parts.add(requests);
     parts.add(new LoadSharePart(made, requests));
     parts.add(new SchedulerPart(made, settings.peerName(), seed));
-    RelayFront opened =
-        new RelayFront(eventLoop, dialect, loop, () -> made.table().configuration().limits());
+    RelayCallerServer opened =
+        new RelayCallerServer(
+            eventLoop, dialect, loop, () -> made.table().configuration().limits());
     callerServer = opened;
     callerAddress = opened.start(caller);
     listen(settings.ready(), call -> CompletableFuture.completedFuture(readiness(made)));
@@ -313,7 +314,7 @@
 
   private void refreshGauges() {
     RelayEntryPart known = entry;
-    RelayFront open = callerServer;
+    RelayCallerServer open = callerServer;
     if (known != null && open != null) {
       Instant now = loop.now();
       metrics.set("relay_configuration_version", "", known.table().configuration().version());
@@ -409,7 +410,7 @@
     Logger.info("node: stops name={}", settings.name());
     stopping = true;
     loop.submit(new LifecycleEvent.StopRequested());
-    RelayFront open = callerServer;
+    RelayCallerServer open = callerServer;
     if (open != null) {
       stopCallerServer(open, end);
     } else {
@@ -418,7 +419,7 @@
     Logger.info("node: stopped name={}", settings.name());
   }
 
-  private void stopCallerServer(RelayFront open, long end) throws InterruptedException {
+  private void stopCallerServer(RelayCallerServer open, long end) throws InterruptedException {
     eventLoop.execute(open::disableKeepAlive);
     long listsOut = Math.min(end, System.nanoTime() + ENTRY_LIST_EXPIRY.toNanos());
     while (System.nanoTime() < listsOut) {
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/UpstreamPool.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/UpstreamPool.java
@@ -30,7 +30,7 @@
   private final @Nullable InetSocketAddress address;
   private final RelayDialect dialect;
   private final Deque<UpstreamConnection> idle = new ArrayDeque<>();
-  private final Deque<Waiter> pending = new ArrayDeque<>();
+  private final Deque<PendingAcquisition> pending = new ArrayDeque<>();
   private int openConnections;
   private long lastUsedAt;
   private long maxIdleNanos = Long.MAX_VALUE;
@@ -50,11 +50,11 @@
   }
 
   /** Takes a connection, or null if none could be made. */
-  interface Taker {
+  interface ConnectionReceiver {
     void receive(@Nullable UpstreamConnection connection);
   }
 
-  private record Waiter(int maxConnections, Taker receiver) {}
+  private record PendingAcquisition(int maxConnections, ConnectionReceiver receiver) {}
 
   /**
    * Gives a connection to a taker, now or later.
@@ -63,7 +63,7 @@
    * @param maxConnections connections that may be open
    * @param receiver gets it
    */
-  void acquire(boolean fresh, int most, Taker taker) {
+  void acquire(boolean fresh, int most, ConnectionReceiver taker) {
     long now = System.nanoTime();
     lastUsedAt = now;
     UpstreamConnection kept = fresh ? null : takeNewestUsable(now);
@@ -72,7 +72,7 @@
     } else if (openConnections < most || closeOldestIdle()) {
       connect(taker);
     } else if (pending.size() < MAX_PENDING) {
-      pending.addLast(new Waiter(most, taker));
+      pending.addLast(new PendingAcquisition(most, taker));
     } else {
       taker.receive(null);
     }
@@ -110,7 +110,7 @@
     return oldest != null;
   }
 
-  private void connect(Taker taker) {
+  private void connect(ConnectionReceiver taker) {
     if (address == null) {
       // Thrown here, the fault of one upstream would halt each entry that sends to it.
       taker.receive(null);
@@ -129,7 +129,7 @@
                         .pipeline()
                         .addLast(
                             new HttpRequestEncoder(),
-                            new HttpResponseDecoder(HttpSizes.decoderConfig()),
+                            new HttpResponseDecoder(HttpDecoderLimits.decoderConfig()),
                             connection);
                   }
                 })
@@ -178,7 +178,7 @@
   }
 
   private void serveNextPending() {
-    Waiter next = pending.pollFirst();
+    PendingAcquisition next = pending.pollFirst();
     if (next != null) {
       acquire(false, next.maxConnections(), next.receiver());
     }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/HeadValuesTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/HeaderValuesTest.java
@@ -8,28 +8,28 @@
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
-/** Tests of {@link HeadValues}. */
-public final class HeadValuesTest {
+/** Tests of {@link HeaderValues}. */
+public final class HeaderValuesTest {
 
   @Test
   public void answerWithoutRateLimitNamesNone() {
-    assertEquals(HeadValues.rateLimit(List.of()), RateLimit.NONE);
+    assertEquals(HeaderValues.rateLimit(List.of()), RateLimit.NONE);
   }
 
   @Test
   public void rateLimitIsRead() {
-    assertEquals(HeadValues.rateLimit(List.of("2.7")), new RateLimit(2.7));
-    assertEquals(HeadValues.rateLimit(List.of(" 0 ")), new RateLimit(0));
-    assertEquals(HeadValues.rateLimit(List.of("1e300")), new RateLimit(1e300));
+    assertEquals(HeaderValues.rateLimit(List.of("2.7")), new RateLimit(2.7));
+    assertEquals(HeaderValues.rateLimit(List.of(" 0 ")), new RateLimit(0));
+    assertEquals(HeaderValues.rateLimit(List.of("1e300")), new RateLimit(1e300));
   }
 
   /** Two numbers in one head: the upstream gets no more than the smaller one. */
   @Test
   public void leastOfSeveralRateLimitsCounts() {
-    assertEquals(HeadValues.rateLimit(List.of("4", "2.5")), new RateLimit(2.5));
-    assertEquals(HeadValues.rateLimit(List.of("4, 2.5")), new RateLimit(2.5));
-    assertEquals(HeadValues.rateLimit(List.of("soon", "3")), new RateLimit(3));
-    assertEquals(HeadValues.rateLimit(List.of("2,7x")), new RateLimit(2));
+    assertEquals(HeaderValues.rateLimit(List.of("4", "2.5")), new RateLimit(2.5));
+    assertEquals(HeaderValues.rateLimit(List.of("4, 2.5")), new RateLimit(2.5));
+    assertEquals(HeaderValues.rateLimit(List.of("soon", "3")), new RateLimit(3));
+    assertEquals(HeaderValues.rateLimit(List.of("2,7x")), new RateLimit(2));
   }
 
   /** What is no number. */
@@ -43,6 +43,6 @@
   /** A value that makes no sense is no limit and lifts none. */
   @Test(dataProvider = "unreadable")
   public void rateLimitThatIsNoNumberSaysNothing(String value) {
-    assertNull(HeadValues.rateLimit(List.of(value)));
+    assertNull(HeaderValues.rateLimit(List.of(value)));
   }
 }
