--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/HeaderValuesTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/HeaderValuesTest.java
@@ -12,12 +12,12 @@
 public final class HeaderValuesTest {
 
   @Test
-  public void answerWithoutRateLimitNamesNone() {
+  public void missingRateLimitIsNone() {
     assertEquals(HeaderValues.rateLimit(List.of()), RateLimit.NONE);
   }
 
   @Test
-  public void rateLimitIsRead() {
+  public void rateLimitIsParsed() {
     assertEquals(HeaderValues.rateLimit(List.of("2.7")), new RateLimit(2.7));
     assertEquals(HeaderValues.rateLimit(List.of(" 0 ")), new RateLimit(0));
     assertEquals(HeaderValues.rateLimit(List.of("1e300")), new RateLimit(1e300));
@@ -25,7 +25,7 @@
 
   /** Two numbers in one head: the upstream gets no more than the smaller one. */
   @Test
-  public void leastOfSeveralRateLimitsCounts() {
+  public void smallestOfSeveralRateLimitsApplies() {
     assertEquals(HeaderValues.rateLimit(List.of("4", "2.5")), new RateLimit(2.5));
     assertEquals(HeaderValues.rateLimit(List.of("4, 2.5")), new RateLimit(2.5));
     assertEquals(HeaderValues.rateLimit(List.of("soon", "3")), new RateLimit(3));
@@ -42,7 +42,7 @@
 
   /** A value that makes no sense is no limit and lifts none. */
   @Test(dataProvider = "unreadable")
-  public void rateLimitThatIsNoNumberSaysNothing(String value) {
+  public void malformedRateLimitIsIgnored(String value) {
     assertNull(HeaderValues.rateLimit(List.of(value)));
   }
 }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/UpstreamPoolTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/UpstreamPoolTest.java
@@ -18,7 +18,7 @@
    * some time later the upstream is trusted again.
    */
   @Test
-  public void connectionsRestShorterAfterOneWasStale() {
+  public void staleConnectionLowersMaxIdleTime() {
     UpstreamPool pool =
         new UpstreamPool(
             new Bootstrap(), new InetSocketAddress("127.0.0.1", 1), new RelayHeaders());
@@ -32,7 +32,7 @@
 
   /** An upstream whose address can't be read takes no connection; the request goes elsewhere. */
   @Test
-  public void upstreamWithoutAddressTakesNoConnection() {
+  public void upstreamWithoutAddressProvidesNoConnection() {
     UpstreamPool pool = new UpstreamPool(new Bootstrap(), null, new RelayHeaders());
     List<Boolean> taken = new ArrayList<>();
     pool.acquire(false, 2, connection -> taken.add(connection != null));
