--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -193,13 +193,13 @@
 
   private void addControl(List<Part> parts) {
     RelayMachine machine = new RelayMachine();
-    MembershipChangePolicy growth =
+    MembershipChangePolicy membershipPolicy =
         new MembershipChangePolicy(
             settings.mayFound(), settings.voters(), RelayPeerLimits.VOTER_REPLACEMENT_TIMEOUT);
     ConsensusPart consensus =
         new ConsensusPart(
             settings.peerName(),
-            List.of(new GroupSetup(GroupId.RELAY, settings.seeds(), growth, machine)),
+            List.of(new GroupSetup(GroupId.RELAY, settings.seeds(), membershipPolicy, machine)),
             RelayPeerLimits.raft(),
             new WireCodec(codec),
             seed);
@@ -263,12 +263,12 @@
             caller.getAddress().getHostAddress() + ":" + caller.getPort(),
             settings.zone(),
             incarnation);
-    RelayEntryPart made = new RelayEntryPart(self, settings.seeds(), timings(), counts);
-    entry = made;
-    parts.add(made);
+    RelayEntryPart entryPart = new RelayEntryPart(self, settings.seeds(), timings(), counts);
+    entry = entryPart;
+    parts.add(entryPart);
     RelayRequestPart requests =
         new RelayRequestPart(
-            made,
+            entryPart,
             new RelayRequestSettings(
                 settings.zone(),
                 settings.retryRatio(),
@@ -277,24 +277,24 @@
             counts,
             seed);
     parts.add(requests);
-    parts.add(new LoadSharePart(made, requests));
-    parts.add(new SchedulerPart(made, settings.peerName(), seed));
-    RelayCallerServer opened =
+    parts.add(new LoadSharePart(entryPart, requests));
+    parts.add(new SchedulerPart(entryPart, settings.peerName(), seed));
+    RelayCallerServer started =
         new RelayCallerServer(
-            eventLoop, dialect, loop, () -> made.table().configuration().limits());
-    callerServer = opened;
-    callerAddress = opened.start(caller);
-    listen(settings.ready(), call -> CompletableFuture.completedFuture(readiness(made)));
+            eventLoop, dialect, loop, () -> entryPart.table().configuration().limits());
+    callerServer = started;
+    callerAddress = started.start(caller);
+    listen(settings.ready(), call -> CompletableFuture.completedFuture(readiness(entryPart)));
     if (settings.dataFolder() == null) {
-      EntryDirectory directory = zone -> made.callerAddresses();
+      EntryDirectory directory = zone -> entryPart.callerAddresses();
       listen(
           settings.lists(),
           call -> CompletableFuture.completedFuture(controlDialect.lookUpEntries(call, directory)));
     }
   }
 
-  private HttpReply readiness(RelayEntryPart made) {
-    boolean ready = !stopping && made.ready(loop.now());
+  private HttpReply readiness(RelayEntryPart entryPart) {
+    boolean ready = !stopping && entryPart.ready(loop.now());
     return text(ready ? 200 : 503, ready ? "ready" : "not ready");
   }
 
@@ -313,16 +313,16 @@
   }
 
   private void refreshGauges() {
-    RelayEntryPart known = entry;
+    RelayEntryPart entryPart = entry;
     RelayCallerServer open = callerServer;
-    if (known != null && open != null) {
+    if (entryPart != null && open != null) {
       Instant now = loop.now();
-      metrics.set("relay_configuration_version", "", known.table().configuration().version());
-      metrics.set("relay_proof_age_seconds", "", known.proofAge(now).toMillis() / 1000.0);
-      metrics.set("relay_evacuated_zones", "", known.evacuatedZones().size());
-      metrics.set("relay_quarantined_requests", "", known.quarantinedCount());
-      metrics.set("relay_limited_upstreams", "", known.limitedUpstreamCount());
-      metrics.set("relay_ready", "", known.ready(now) ? 1 : 0);
+      metrics.set("relay_configuration_version", "", entryPart.table().configuration().version());
+      metrics.set("relay_proof_age_seconds", "", entryPart.proofAge(now).toMillis() / 1000.0);
+      metrics.set("relay_evacuated_zones", "", entryPart.evacuatedZones().size());
+      metrics.set("relay_quarantined_requests", "", entryPart.quarantinedCount());
+      metrics.set("relay_limited_upstreams", "", entryPart.limitedUpstreamCount());
+      metrics.set("relay_ready", "", entryPart.ready(now) ? 1 : 0);
       metrics.set("relay_requests_under_way", "", open.activeRequests());
       metrics.set("relay_caller_connections", "", open.openConnections());
     }
