--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/AddressedPeers.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/AddressedPeers.java
@@ -5,7 +5,9 @@
 import org.skylarkfork.core.effect.PeerEffect;
 import org.skylarkfork.runtime.transport.PeerTransport;
 
-/** Sends to peers whose names are their addresses. */
+/**
+ * Sends messages to peers whose names are their addresses, and registers each address on first use.
+ */
 final class AddressedPeers {
 
   private final PeerTransport transport;
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/CallerConnection.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/CallerConnection.java
@@ -25,7 +25,7 @@
 import org.jspecify.annotations.Nullable;
 import org.tinylog.Logger;
 
-/** One caller's connection, which is served one request at a time. */
+/** A caller's connection, on which requests are served one after the other. */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
 
   private static final int MAX_PIPELINED = 256;
@@ -56,13 +56,13 @@
     if (closing || !(message instanceof HttpObject part)) {
       ReferenceCountUtil.release(message);
     } else if (exchange != null) {
-      wait(part);
+      enqueue(part);
     } else {
       process(part);
     }
   }
 
-  private void wait(HttpObject part) {
+  private void enqueue(HttpObject part) {
     pipelined.addLast(part);
     if (pipelined.size() > MAX_PIPELINED) {
       channel().close();
@@ -104,10 +104,10 @@
   }
 
   /**
-   * Returns whether two readers could see the end of the body at different places.
+   * Returns whether two HTTP implementations could disagree on the end of the body.
    *
-   * <p>What one takes for the body the other takes for a further request, which would run in the
-   * name of this caller.
+   * <p>One of them would treat a part of the body as a further request, which would run with this
+   * caller's identity (request smuggling).
    */
   private static boolean hasAmbiguousLength(HttpRequest request) {
     int lengths = request.headers().getAll(HttpHeaderNames.CONTENT_LENGTH).size();
@@ -117,26 +117,29 @@
   }
 
   private void processContent(HttpContent content) {
-    CompositeByteBuf whole = body;
-    if (whole == null) {
+    CompositeByteBuf buffered = body;
+    if (buffered == null) {
       return;
     }
-    if (whole.readableBytes() + content.content().readableBytes() > front.maxBodyBytes()) {
+    if (buffered.readableBytes() + content.content().readableBytes() > front.maxBodyBytes()) {
       reject(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE);
       return;
     }
-    whole.addComponent(true, content.content().retain());
+    buffered.addComponent(true, content.content().retain());
     if (content instanceof LastHttpContent) {
-      HttpRequest whose = head;
+      HttpRequest request = head;
       head = null;
       body = null;
-      if (whose != null) {
-        exchange = front.startRequest(whose, whole, this);
+      if (request != null) {
+        exchange = front.startRequest(request, buffered, this);
       }
     }
   }
 
-  /** Answers a request that can't be read and closes, since its end isn't known. */
+  /**
+   * Rejects a malformed request and closes the connection, since the end of the request isn't
+   * known.
+   */
   void reject(HttpResponseStatus status) {
     closing = true;
     discardRequest();
@@ -177,7 +180,7 @@
     }
   }
 
-  /** Writes the end of an answer and goes on with the next request. */
+  /** Writes the last part of an answer and processes the next pipelined request. */
   void finish(HttpObject last, RelayExchange from) {
     if (last instanceof HttpResponse answer) {
       announceClose(answer);
@@ -201,7 +204,7 @@
     channel().close();
   }
 
-  /** Closes the connection if no request is on it. */
+  /** Closes the connection if it has been without a request for longer than the given time. */
   void closeIfIdle(long idleNanos, long now) {
     if (idle && exchange == null && now - idleSince > idleNanos) {
       closing = true;
@@ -232,7 +235,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     if (!(cause instanceof IOException)) {
-      Logger.warn(cause, "caller: a connection fails");
+      Logger.warn(cause, "caller: connection failed");
     }
     context.close();
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/CommandUnconfirmedException.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/CommandUnconfirmedException.java
@@ -1,12 +1,15 @@
 package org.skylarkfork.runtime.relay;
 
-/** A command has no result in time; it may take effect later, so it may only be sent again. */
+/**
+ * Thrown if a command has no result in time. The command may still take effect later, so a caller
+ * may only retry the same command.
+ */
 public final class CommandUnconfirmedException extends Exception {
 
   private static final long serialVersionUID = 1L;
 
   /**
-   * Makes the exception.
+   * Creates the exception.
    *
    * @param remedy what the caller can do
    */
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/ConnectionHeaders.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/ConnectionHeaders.java
@@ -4,7 +4,7 @@
 import io.netty.handler.codec.http.HttpHeaders;
 import java.util.List;
 
-/** Headers that concern one connection only and are never passed on. */
+/** Hop-by-hop headers, which concern one connection only and are never forwarded. */
 public final class ConnectionHeaders {
 
   private static final List<CharSequence> NAMES =
@@ -22,7 +22,9 @@
 
   private ConnectionHeaders() {}
 
-  /** Removes them, with those that the headers themselves declare as such. */
+  /**
+   * Removes the hop-by-hop headers, including those that the {@code Connection} header declares.
+   */
   public static void remove(HttpHeaders headers) {
     for (String declared : headers.getAll(HttpHeaderNames.CONNECTION)) {
       for (String name : declared.split(",")) {
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/ContentHash.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/ContentHash.java
@@ -9,11 +9,12 @@
 import org.skylarkfork.core.routing.StableHash;
 
 /**
- * Hashes what a request has in common with the same one sent again: method, host, path and body.
+ * Hashes the properties that a request shares with its retries: method, host, path and body.
  *
- * <p>Ids, deadlines and trace headers differ each time. The hash is the same on each entry, however
- * the body was cut into pieces on its way. It is no secret and resists no one who looks for two
- * bodies alike; {@link org.skylarkfork.core.crash.RequestKey} keeps teams apart.
+ * <p>Ids, deadlines and trace headers differ for each retry and aren't included. The hash is the
+ * same on each entry, regardless of how the body was split into pieces. It isn't cryptographic and
+ * can be made to collide on purpose; {@link org.skylarkfork.core.crash.RequestKey} keeps the hashes
+ * of teams apart.
  */
 public final class ContentHash {
 
@@ -25,7 +26,7 @@
    * Returns the hash.
    *
    * @param head the request's head
-   * @param body its whole body, not read on
+   * @param body the complete body, whose reader index stays
    */
   public static long of(HttpRequest head, ByteBuf body) {
     byte[] bytes = ByteBufUtil.getBytes(body, body.readerIndex(), body.readableBytes(), false);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/ControlCalls.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/ControlCalls.java
@@ -10,34 +10,45 @@
 import org.skylarkfork.core.relay.UpstreamInstance;
 import org.skylarkfork.core.upstream.UpstreamRun;
 
-/** What a control VM does for operators, upstreams and callers; called on its one thread. */
+/**
+ * Operations of a control VM for operators, upstreams and callers; called on its event loop's
+ * thread only.
+ */
 public interface ControlCalls extends EntryDirectory {
 
   /**
-   * Has a command agreed on.
+   * Submits a command to the replicated group.
    *
    * @param command the command
-   * @return what it gave; fails with {@link CommandUnconfirmedException} if that isn't known in
-   *     time
+   * @return the command's result; fails with {@link CommandUnconfirmedException} if the result
+   *     isn't known in time
    */
   CompletableFuture<CommandResult> submit(RelayCommand command);
 
   /**
-   * Returns what stands for all starts of an upstream until now.
+   * Returns a run that stands for all runs of an upstream until now.
    *
-   * <p>For an upstream that says that it leaves without saying which start of it does.
+   * <p>Applies to an upstream that announces that it leaves without naming the run that leaves.
    */
   UpstreamRun runsUntilNow(String id);
 
-  /** Returns what this control VM's replica knows of its group, or null before it has one. */
+  /**
+   * Returns the group's status as this control VM's replica knows it, or null before the replica
+   * has a group.
+   */
   @Nullable GroupStatus group();
 
-  /** Returns the upstreams that name a rate limit, or null if this control VM doesn't lead. */
+  /**
+   * Returns the upstreams that report a rate limit, or null if this control VM isn't the leader.
+   */
   @Nullable List<LimitedUpstream> limitedUpstreams();
 
-  /** Returns whether there is such an availability zone, as far as this control VM knows. */
+  /**
+   * Returns whether the text names an availability zone; any non-empty name does if the zones
+   * aren't known.
+   */
   boolean isZone(String zone);
 
-  /** Takes note of an upstream's heartbeat. */
+  /** Records an upstream's heartbeat. */
   void heartbeat(UpstreamInstance instance);
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/EntryDirectory.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/EntryDirectory.java
@@ -2,11 +2,12 @@
 
 import java.util.List;
 
-/** Knows the entries that callers may use. */
+/** Directory of the entries that callers may use. */
 public interface EntryDirectory {
 
   /**
-   * Returns where callers may connect, entries of their zone first; empty if none is known.
+   * Returns the caller addresses of the known entries, those in the given zone first; empty if no
+   * entry is known.
    *
    * @param zone the caller's availability zone
    */
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/EventSplitter.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/EventSplitter.java
@@ -5,10 +5,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Cuts a stream of server-sent events into whole events.
+ * Splits a stream of server-sent events into complete events.
  *
- * <p>An upstream can break off in the middle of an event. Had its beginning been passed on, the
- * same event would come twice, in pieces of two runs, once the stream goes on at another upstream.
+ * <p>An upstream can fail in the middle of an event. If the first part of this event were
+ * forwarded, the caller would receive the same event twice, in parts of two runs, once the stream
+ * resumes at another upstream.
  */
 final class EventSplitter {
 
@@ -18,27 +19,31 @@
   private @Nullable String lastId;
 
   /**
-   * Makes a splitter.
+   * Creates a splitter.
    *
-   * @param buffer an empty buffer that it takes over
+   * @param buffer an empty buffer, which the splitter owns from now on
    */
   EventSplitter(ByteBuf buffer) {
     this.pending = buffer;
   }
 
   /**
-   * Takes bytes in.
+   * Appends received bytes.
    *
    * @throws IllegalStateException if one event is longer than 1 MiB
    */
   void add(ByteBuf bytes) {
     pending.writeBytes(bytes);
     if (pending.readableBytes() > MAX_EVENT_BYTES) {
-      throw new IllegalStateException("an event is longer than " + MAX_EVENT_BYTES + " bytes");
+      throw new IllegalStateException(
+          "a server-sent event is longer than " + MAX_EVENT_BYTES + " bytes");
     }
   }
 
-  /** Returns the whole events that came, which the receiver must release, or null for none. */
+  /**
+   * Removes and returns the complete events received so far, or null if there are none; the caller
+   * must release the buffer.
+   */
   @Nullable ByteBuf takeWholeEvents() {
     int end = endOfLastEvent();
     if (end <= pending.readerIndex()) {
@@ -51,19 +56,25 @@
     return events;
   }
 
-  /** Returns what is left at the end of an answer, which the receiver must release. */
+  /**
+   * Removes and returns the bytes that remain at the end of an answer; the caller must release the
+   * buffer.
+   */
   ByteBuf takeRemainder() {
     ByteBuf rest = pending.alloc().buffer(Math.max(1, pending.readableBytes()));
     rest.writeBytes(pending);
     return rest;
   }
 
-  /** Returns whether bytes of an unfinished event wait. */
+  /** Returns whether bytes of an incomplete event are buffered. */
   boolean hasPartialEvent() {
     return pending.isReadable();
   }
 
-  /** Returns the id of the newest whole event, or null. */
+  /**
+   * Returns the id of the newest event that {@link #takeWholeEvents} returned, or null if there is
+   * none.
+   */
   @Nullable String lastId() {
     return lastId;
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/HeaderValues.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/HeaderValues.java
@@ -6,7 +6,7 @@
 import org.skylarkfork.core.placement.PromptPart;
 import org.skylarkfork.core.relay.RateLimit;
 
-/** Reads the values of headers that every dialect has under names of its own. */
+/** Parses the values of headers that all dialects have in common but name differently. */
 public final class HeaderValues {
 
   private static final String BEARER = "Bearer ";
@@ -14,9 +14,9 @@
   private HeaderValues() {}
 
   /**
-   * Returns a time in milliseconds, at least 1; 0 if there is none.
+   * Returns a time in milliseconds: at smallest 1, or 0 if the header is missing.
    *
-   * @throws MalformedHeaderException if it is no number
+   * @throws MalformedHeaderException if the value isn't a number
    */
   public static long millis(String name, @Nullable String value) throws MalformedHeaderException {
     if (value == null) {
@@ -25,11 +25,11 @@
     try {
       return Math.max(1, (long) Double.parseDouble(value.trim()));
     } catch (NumberFormatException e) {
-      throw new MalformedHeaderException(name + " is no number; send milliseconds");
+      throw new MalformedHeaderException(name + " is not a number; send milliseconds");
     }
   }
 
-  /** Returns the key of an {@code Authorization} header, or null if there is none. */
+  /** Returns the bearer key of an {@code Authorization} header, or null if there is none. */
   public static @Nullable String bearerKey(@Nullable String authorization) {
     boolean bearer =
         authorization != null && authorization.regionMatches(true, 0, BEARER, 0, BEARER.length());
@@ -37,9 +37,9 @@
   }
 
   /**
-   * Returns the tokens of a prompt and of its answer; 0 for what isn't told.
+   * Returns the numbers of tokens of a prompt and of its answer, 0 for each that is missing.
    *
-   * @throws MalformedHeaderException if they are no numbers
+   * @throws MalformedHeaderException if a value isn't a whole number
    */
   public static int[] tokenCounts(String name, @Nullable String value)
       throws MalformedHeaderException {
@@ -49,19 +49,19 @@
     }
     String[] words = value.split(",");
     try {
-      for (int place = 0; place < Math.min(words.length, counts.length); place++) {
-        counts[place] = Integer.parseInt(words[place].trim());
+      for (int index = 0; index < Math.min(words.length, counts.length); index++) {
+        counts[index] = Integer.parseInt(words[index].trim());
       }
     } catch (NumberFormatException e) {
-      throw new MalformedHeaderException(name + " is unreadable; send two numbers");
+      throw new MalformedHeaderException(name + " is malformed; send two numbers");
     }
     return counts;
   }
 
   /**
-   * Returns the parts of a prompt; what isn't a part is left out.
+   * Returns the parts of a prompt, without entries that lack a colon.
    *
-   * @throws MalformedHeaderException if a length is no number
+   * @throws MalformedHeaderException if a length isn't a whole number
    */
   public static List<PromptPart> promptParts(String name, @Nullable String value)
       throws MalformedHeaderException {
@@ -84,11 +84,11 @@
     try {
       return Integer.parseInt(entry.substring(colon + 1).trim());
     } catch (NumberFormatException e) {
-      throw new MalformedHeaderException(name + " is unreadable; send ID:TOKENS entries");
+      throw new MalformedHeaderException(name + " is malformed; send ID:TOKENS entries");
     }
   }
 
-  /** Returns a count that only decisions rest on; 0 if there is none that can be read. */
+  /** Returns a count that serves as a hint only, or 0 if it is missing or malformed. */
   public static int count(@Nullable String value) {
     try {
       return value == null ? 0 : Math.max(0, (int) Double.parseDouble(value.trim()));
@@ -98,26 +98,26 @@
   }
 
   /**
-   * Returns the rate limit that an answer names; the least if it names several.
+   * Returns the rate limit that an answer reports, or the smallest if it reports several.
    *
-   * @param values values of the header, none if the answer lacks it
-   * @return the limit, {@link RateLimit#NONE} if there is no value, or null if none can be read: no
-   *     number from 0 that is finite
+   * @param values values of the header; empty if the answer lacks the header
+   * @return the limit, {@link RateLimit#NONE} if there is no value, or null if no value is a finite
+   *     number from 0
    */
   public static @Nullable RateLimit rateLimit(List<String> values) {
-    RateLimit least = values.isEmpty() ? RateLimit.NONE : null;
+    RateLimit smallest = values.isEmpty() ? RateLimit.NONE : null;
     for (String value : values) {
       for (String word : value.split(",")) {
         Double perSecond = parseFinite(word);
-        if (perSecond != null && (least == null || perSecond < least.perSecond())) {
-          least = new RateLimit(perSecond);
+        if (perSecond != null && (smallest == null || perSecond < smallest.perSecond())) {
+          smallest = new RateLimit(perSecond);
         }
       }
     }
-    return least;
+    return smallest;
   }
 
-  /** Returns a number from 0 that is finite, or null if a word is none. */
+  /** Returns the value of a finite number from 0, or null if the text is anything else. */
   private static @Nullable Double parseFinite(String word) {
     try {
       double number = Double.parseDouble(word.trim());
@@ -127,7 +127,7 @@
     }
   }
 
-  /** Returns a share from 0 to 100, or null if there is none that can be read. */
+  /** Returns a percentage, or null if it is missing or malformed; the range isn't checked. */
   public static @Nullable Integer percent(@Nullable String value) {
     try {
       return value == null ? null : (int) Double.parseDouble(value.trim());
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/HttpCall.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/HttpCall.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * A whole HTTP request to a control VM.
+ * A complete HTTP request to a control VM.
  *
  * @param method method in upper case
  * @param path path without its query
@@ -13,7 +13,7 @@
  */
 public record HttpCall(String method, String path, Map<String, List<String>> query, byte[] body) {
 
-  /** Returns the first value of a parameter, or an empty text. */
+  /** Returns the first value of a parameter of the query, or an empty text if it is missing. */
   public String parameter(String name) {
     List<String> values = query.get(name);
     return values == null || values.isEmpty() ? "" : values.get(0);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/HttpDecoderLimits.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/HttpDecoderLimits.java
@@ -2,7 +2,7 @@
 
 import io.netty.handler.codec.http.HttpDecoderConfig;
 
-/** Sizes of what HTTP decoders take. */
+/** Size limits of the HTTP decoders. */
 final class HttpDecoderLimits {
 
   private static final int MAX_LINE_BYTES = 16 * 1024;
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/HttpEndpoint.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/HttpEndpoint.java
@@ -29,7 +29,9 @@
 import java.util.function.Function;
 import org.tinylog.Logger;
 
-/** A small HTTP server for whole calls, such as operators' and health checks. */
+/**
+ * A small HTTP server for calls with complete bodies, such as operators' calls and health checks.
+ */
 final class HttpEndpoint {
 
   private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
@@ -38,17 +40,17 @@
   private HttpEndpoint() {}
 
   /**
-   * Opens a server.
+   * Opens a listener.
    *
-   * @param eventLoop thread that serves it
+   * @param eventLoop event loop that serves the connections
    * @param address address to listen on
-   * @param answers gives the answer to a call; the future never fails
-   * @return the listener, once it is bound
+   * @param handler answers a call; its future never fails
+   * @return the future of the bound listener
    */
   static ChannelFuture open(
       EventLoop eventLoop,
       InetSocketAddress address,
-      Function<HttpCall, CompletableFuture<HttpReply>> answers) {
+      Function<HttpCall, CompletableFuture<HttpReply>> handler) {
     return new ServerBootstrap()
         .group(eventLoop)
         .channel(NioServerSocketChannel.class)
@@ -64,17 +66,17 @@
                         new IdleStateHandler(0, 0, IDLE_SECONDS),
                         new HttpServerCodec(),
                         new HttpObjectAggregator(MAX_BODY_BYTES),
-                        new CallHandler(answers));
+                        new CallHandler(handler));
               }
             })
         .bind(address);
   }
 
   private static final class CallHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
-    private final Function<HttpCall, CompletableFuture<HttpReply>> answers;
+    private final Function<HttpCall, CompletableFuture<HttpReply>> handler;
 
-    private CallHandler(Function<HttpCall, CompletableFuture<HttpReply>> answers) {
-      this.answers = answers;
+    private CallHandler(Function<HttpCall, CompletableFuture<HttpReply>> handler) {
+      this.handler = handler;
     }
 
     @Override
@@ -91,7 +93,7 @@
               uri.parameters(),
               ByteBufUtil.getBytes(request.content()));
       boolean keepAlive = HttpUtil.isKeepAlive(request);
-      answers
+      handler
           .apply(call)
           .whenComplete(
               (reply, failure) -> {
@@ -129,7 +131,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
       if (!(cause instanceof IOException)) {
-        Logger.warn(cause, "control: a connection fails");
+        Logger.warn(cause, "control: connection failed");
       }
       context.close();
     }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/MalformedHeaderException.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/MalformedHeaderException.java
@@ -1,14 +1,16 @@
 package org.skylarkfork.runtime.relay;
 
-/** A request's head can't be read; the message says why and what to send instead. */
+/**
+ * Thrown if a header of a request is malformed; the message names the fault and the expected value.
+ */
 public final class MalformedHeaderException extends Exception {
 
   private static final long serialVersionUID = 1L;
 
   /**
-   * Makes the exception.
+   * Creates the exception.
    *
-   * @param message what is wrong and what to send instead
+   * @param message the fault and the expected value
    */
   public MalformedHeaderException(String message) {
     super(message);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/PendingControlCalls.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/PendingControlCalls.java
@@ -16,10 +16,10 @@
 import org.skylarkfork.core.upstream.UpstreamRun;
 import org.skylarkfork.runtime.loop.EventLoopReducer;
 
-/** Calls to a control VM that wait for an answer of the reducer; one thread only. */
+/** Calls to a control VM that wait for the reducer's reply; confined to one thread. */
 final class PendingControlCalls implements ControlCalls {
 
-  /** Longest wait; callers move on to another control VM after a second. */
+  /** Timeout of a call; callers try another control VM after a second. */
   private static final long TIMEOUT_MILLIS = 900;
 
   private final EventLoopReducer loop;
@@ -29,10 +29,10 @@
   private long lastCall;
 
   /**
-   * Makes the calls.
+   * Creates an empty set of pending calls.
    *
-   * @param loop takes the events
-   * @param control the control VM's part
+   * @param loop receives the events
+   * @param control the part that answers queries about the group, limits and entries
    * @param zones the deployment's availability zones; empty if they aren't known
    */
   PendingControlCalls(EventLoopReducer loop, RelayControlPart control, List<String> zones) {
@@ -43,10 +43,10 @@
 
   @Override
   public CompletableFuture<CommandResult> submit(RelayCommand command) {
-    long call = ++lastCall;
+    long callId = ++lastCall;
     CompletableFuture<CommandResult> answer = new CompletableFuture<>();
-    pending.put(call, answer);
-    loop.submit(new RelayEvent.CommandAsked(call, command, TIMEOUT_MILLIS));
+    pending.put(callId, answer);
+    loop.submit(new RelayEvent.CommandAsked(callId, command, TIMEOUT_MILLIS));
     return answer;
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayAdmin.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayAdmin.java
@@ -21,7 +21,7 @@
 import org.skylarkfork.runtime.codec.Codec;
 import org.skylarkfork.runtime.codec.CodecException;
 
-/** The relay's own calls to control VMs: JSON under {@code /relay/v1}. */
+/** Answers the relay's own calls to control VMs, which are JSON under {@code /relay/v1}. */
 public final class RelayAdmin implements ControlDialect {
 
   private static final String PREFIX = "/relay/v1/";
@@ -36,7 +36,7 @@
   private final Codec codec;
 
   /**
-   * Makes the calls.
+   * Creates the handler of calls.
    *
    * @param codec reads and writes JSON
    */
@@ -45,26 +45,26 @@
   }
 
   /**
-   * An order to move a service to another version.
+   * An operator's order to roll out another version of a service.
    *
-   * @param target the version
-   * @param deadlineMillis time by which it should be decided, in milliseconds
+   * @param target version to roll out
+   * @param deadlineMillis time within which the roll-out should be decided, in milliseconds
    */
   public record RollOutOrder(String target, long deadlineMillis) {}
 
   private record Entries(List<String> entries) {}
 
   /**
-   * A replicated group as one of its replicas knows it.
+   * The state of a replicated group as one of its replicas knows it.
    *
-   * @param instance number of the disk that this replica has now
-   * @param role what this replica does
-   * @param leader peer name of the leader, or null if it knows none
-   * @param term newest term that it has seen
-   * @param commitIndex last index that it knows to be agreed on
-   * @param membersAgreed whether voters and learners are agreed on, as far as it knows
-   * @param voters replicas that count for the quorum, each with the number of its disk
-   * @param learners replicas that copy the log
+   * @param instance number of the replica's present disk
+   * @param role role of the replica
+   * @param leader peer name of the leader, or null if the replica knows no leader
+   * @param term newest term known to the replica
+   * @param commitIndex last log index that the replica knows to be committed
+   * @param membersAgreed whether the replica knows its voters and learners to be committed
+   * @param voters replicas that count towards the quorum, each with the number of its disk
+   * @param learners replicas that receive the log without voting
    */
   public record Group(
       long instance,
@@ -89,7 +89,7 @@
   @Override
   public CompletableFuture<HttpReply> answer(HttpCall call, ControlCalls control) {
     if (!call.path().startsWith(PREFIX)) {
-      return completed(error(NOT_FOUND, "calls begin with " + PREFIX));
+      return completed(error(NOT_FOUND, "paths of calls start with " + PREFIX));
     }
     String[] path = call.path().substring(PREFIX.length()).split("/");
     String last = path.length > 1 ? path[1] : "";
@@ -114,12 +114,14 @@
             submit(control, new RelayCommand.LiftQuarantine(requestKey(last, call)));
         case "GET quarantine" ->
             mapResult(control.submit(new RelayCommand.ReadQuarantine()), this::quarantine);
-        default -> completed(error(NOT_FOUND, "there is no such call; see the page for operators"));
+        default ->
+            completed(error(NOT_FOUND, "there is no such call; see the operators' documentation"));
       };
-    } catch (CodecException unreadable) {
-      return completed(error(BAD_REQUEST, String.valueOf(unreadable.getMessage())));
-    } catch (NumberFormatException unreadable) {
-      return completed(error(BAD_REQUEST, "the path ends with the request's hash in hexadecimal"));
+    } catch (CodecException malformed) {
+      return completed(error(BAD_REQUEST, String.valueOf(malformed.getMessage())));
+    } catch (NumberFormatException malformed) {
+      return completed(
+          error(BAD_REQUEST, "the path must end with the request's hash in hexadecimal"));
     }
   }
 
@@ -132,7 +134,7 @@
     boolean known = call.method().equals("GET") && call.path().equals(PREFIX + "entries");
     return known
         ? json(new Entries(directory.callerAddresses(call.parameter("zone"))))
-        : error(NOT_FOUND, "only entries are looked up here; ask a control VM");
+        : error(NOT_FOUND, "this daemon only looks up entries; ask a control VM");
   }
 
   private <T> T body(HttpCall call, Class<T> type) {
@@ -156,11 +158,14 @@
                 : error(NOT_FOUND, "there is no configuration yet; put one"));
   }
 
-  /** Tells who votes: before a control VM is replaced, all wanted voters should be named. */
+  /**
+   * Returns the group's members, so that operators can check that all intended voters are listed
+   * before replacing a control VM.
+   */
   private HttpReply group(ControlCalls control) {
     GroupStatus status = control.group();
     if (status == null) {
-      return error(UNAVAILABLE, "this control VM knows of no group yet; ask another one");
+      return error(UNAVAILABLE, "this control VM knows no group yet; ask another one");
     }
     return json(
         new Group(
@@ -177,7 +182,7 @@
   private HttpReply limits(ControlCalls control) {
     List<LimitedUpstream> limited = control.limitedUpstreams();
     return limited == null
-        ? error(UNAVAILABLE, "only the control VM that leads is told of limits; ask another one")
+        ? error(UNAVAILABLE, "only the leading control VM knows the rate limits; ask another one")
         : json(new Limits(limited));
   }
 
@@ -187,7 +192,8 @@
       return completed(error(BAD_REQUEST, "the path and the body name different upstreams"));
     }
     if (!UpstreamAddress.isValid(instance.address())) {
-      return completed(error(BAD_REQUEST, "the address is no IP number with a port; send one"));
+      return completed(
+          error(BAD_REQUEST, "the address is not an IP address with a port; send one"));
     }
     control.heartbeat(instance);
     return completed(json(new Version(instance.sequence())));
@@ -204,14 +210,14 @@
       String zone, RelayCommand command, ControlCalls control) {
     return control.isZone(zone)
         ? submit(control, command)
-        : completed(error(NOT_FOUND, "no availability zone is called " + zone));
+        : completed(error(NOT_FOUND, "unknown availability zone " + zone));
   }
 
   private CompletableFuture<HttpReply> submit(ControlCalls control, RelayCommand command) {
     return mapResult(control.submit(command), this::reply);
   }
 
-  /** Names requests as logs and the command line do. */
+  /** Formats each quarantined request's key as the logs and the command line do. */
   private HttpReply quarantine(CommandResult result) {
     List<Quarantined> requests =
         result instanceof RelayResult.QuarantineRead read
@@ -229,9 +235,9 @@
   }
 
   private CompletableFuture<HttpReply> mapResult(
-      CompletableFuture<CommandResult> asked, Function<CommandResult, HttpReply> reply) {
-    return asked.handle(
-        (result, failure) -> failure == null ? reply.apply(result) : unavailable(failure));
+      CompletableFuture<CommandResult> result, Function<CommandResult, HttpReply> reply) {
+    return result.handle(
+        (value, failure) -> failure == null ? reply.apply(value) : unavailable(failure));
   }
 
   private HttpReply unavailable(Throwable failure) {
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayCallerServer.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayCallerServer.java
@@ -29,13 +29,16 @@
 import org.skylarkfork.core.relay.UpstreamInstance;
 import org.skylarkfork.runtime.loop.EventLoopReducer;
 
-/** The callers' side of an entry: listener, connections and requests; one thread only. */
+/**
+ * Serves callers at an entry: owns the listener, the connections and the active requests. Confined
+ * to the event loop's thread.
+ */
 final class RelayCallerServer {
 
   private static final int BACKLOG = 1024;
   private static final long SWEEP_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /** Time between two looks for silent streams; a fifth of the shortest silence that matters. */
+  /** Time between two checks for stalled streams, a fifth of the shortest stall to detect. */
   private static final long STALL_CHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
   private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(500);
@@ -94,9 +97,9 @@
   }
 
   /**
-   * Does what is due at times: looks for silent streams, closes what rests.
+   * Runs the periodic tasks: checks for stalled streams and closes idle connections.
    *
-   * @param now the present time of the process's steady clock, in nanoseconds
+   * @param now current time of the process's monotonic clock, in nanoseconds
    */
   void tick(long now) {
     if (now - lastStallCheckAt >= STALL_CHECK_INTERVAL_NANOS) {
@@ -128,23 +131,26 @@
     return stopping;
   }
 
-  /** From now on each answer says that its connection closes. */
+  /**
+   * Closes each connection after its next answer, which announces this by {@code Connection:
+   * close}.
+   */
   void disableKeepAlive() {
     stopping = true;
   }
 
-  /** Takes no new connections. */
+  /** Stops accepting connections. */
   void stopListening() {
     if (listener != null) {
       listener.close();
     }
   }
 
-  /** Closes connections that have been without a request for some time. */
-  void closeIdle(Duration quiet) {
+  /** Closes the connections that have been idle for longer than the given time. */
+  void closeIdle(Duration idleTime) {
     long now = System.nanoTime();
     for (CallerConnection connection : new ArrayList<>(connections)) {
-      connection.closeIfIdle(quiet.toNanos(), now);
+      connection.closeIfIdle(idleTime.toNanos(), now);
     }
   }
 
@@ -164,13 +170,13 @@
     connections.remove(connection);
   }
 
-  /** Starts a request that was read whole. */
+  /** Starts a request that was received completely; returns null if its head was rejected. */
   @Nullable RelayExchange startRequest(HttpRequest head, ByteBuf body, CallerConnection caller) {
     long number = ++lastRequestNumber;
     RelayRequest request;
     try {
       request = dialect.read(number, head, ContentHash.of(head, body));
-    } catch (MalformedHeaderException unreadable) {
+    } catch (MalformedHeaderException malformed) {
       body.release();
       caller.reject(HttpResponseStatus.BAD_REQUEST);
       return null;
@@ -181,7 +187,7 @@
     return exchange;
   }
 
-  /** Carries an effect out. */
+  /** Executes an effect on the request or upstream that it names; ignores unknown requests. */
   void execute(RelayEffect effect) {
     if (effect instanceof RelayEffect.SendAttempt send) {
       withExchange(
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayClock.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayClock.java
@@ -5,19 +5,19 @@
 import org.skylarkfork.runtime.loop.BootClock;
 import org.skylarkfork.runtime.loop.MonotonicClock;
 
-/** Makes the clock of a daemon of the relay. */
+/** Creates the clock of a relay daemon. */
 public final class RelayClock {
 
   private RelayClock() {}
 
   /**
-   * Returns the clock for a daemon: an entry's runs on through a suspension, since its right to
-   * take keyed requests must run out in time.
+   * Returns the clock of a daemon. An entry's clock includes the time that its VM is suspended,
+   * since the entry's permission to accept requests with keys must expire in time.
    *
-   * <p>A control VM counts no such right: it compares only what happened before what, which a
-   * suspension doesn't change. The usual steady clock spares it the native library, which takes a
-   * fifth of the processor time of its start, and all entries wait for that start after a crash of
-   * everything.
+   * <p>A control VM has no such permission: it only compares the order of events, which a
+   * suspension doesn't change. It uses the standard monotonic clock, because loading the native
+   * library takes a fifth of the processor time of its start, and all entries wait for that start
+   * after a crash of all daemons (full outage).
    *
    * @param settings the daemon's settings
    */
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayDialect.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayDialect.java
@@ -8,48 +8,55 @@
 import org.skylarkfork.core.relay.RateLimit;
 import org.skylarkfork.core.relay.RelayRequest;
 
-/** The names of headers that callers and upstreams of a deployment speak. */
+/**
+ * Mapping between the headers of a deployment's callers and upstreams and the relay's own types.
+ */
 public interface RelayDialect {
 
   /**
-   * Reads a request's head.
+   * Parses a request's head.
    *
    * @param number number that the entry gave the request
    * @param head the head
-   * @param contentHash hash of what the request has in common with the same one sent again
-   * @throws MalformedHeaderException if a value can't be read
+   * @param contentHash hash of the properties that the request shares with its retries
+   * @throws MalformedHeaderException if a value is malformed
    */
   RelayRequest read(long number, HttpRequest head, long contentHash)
       throws MalformedHeaderException;
 
   /**
-   * Makes a caller's headers those of an attempt: removes what only the system may set and what
-   * concerns one connection, and adds what the upstream is to know.
+   * Rewrites a caller's headers for an attempt: removes those that only the system may set and
+   * those that concern one connection, and adds those that the upstream needs.
    *
    * @param headers the caller's headers, changed in place
-   * @param target where the attempt goes
+   * @param target upstream and parameters of the attempt
    * @param leftMillis time left for the answer, in milliseconds
    */
   void rewriteForUpstream(HttpHeaders headers, AttemptTarget target, long leftMillis);
 
-  /** Returns the id of the request that an answer belongs to, or null if it names none. */
+  /** Returns the id of the request that an answer belongs to, or null if the answer has none. */
   @Nullable String requestIdOf(HttpResponse answer);
 
-  /** Returns whether an answer states that the request did not run. */
+  /** Returns whether an answer reports that the request didn't run. */
   boolean reportsNotRun(HttpResponse answer);
 
-  /** Returns whether an answer's head is certainly whole and bears the upstream's signature. */
+  /**
+   * Returns whether an answer's head carries the upstream's signature, which proves that the head
+   * is complete.
+   */
   boolean isSigned(HttpResponse answer);
 
-  /** Returns the model's opinion of its answer from 0 to 100, or null if there is none. */
+  /**
+   * Returns the model's confidence in its answer from 0 to 100, or null if the answer reports none.
+   */
   @Nullable Integer confidenceOf(HttpResponse answer);
 
   /**
-   * Returns the rate limit that the upstream names in an answer, {@link RateLimit#NONE} if it names
-   * none, or null if what it names can't be read.
+   * Returns the rate limit that the upstream reports in an answer, {@link RateLimit#NONE} if it
+   * reports none, or null if the reported value is malformed.
    */
   @Nullable RateLimit rateLimitOf(HttpResponse answer);
 
-  /** Returns the name of the header in which requests and answers carry the request's id. */
+  /** Returns the name of the header that carries the request's id in requests and answers. */
   String requestIdHeader();
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayExchange.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayExchange.java
@@ -25,7 +25,7 @@
 import org.skylarkfork.core.relay.Refusal;
 import org.skylarkfork.runtime.loop.EventLoopReducer;
 
-/** A caller's request with its body, and its answer so far. */
+/** A caller's request with its body, and the state of its answer. */
 final class RelayExchange {
 
   private static final long MILLIS_PER_SECOND = 1000;
@@ -74,14 +74,17 @@
     loop.submit(event);
   }
 
-  /** Sends the request to an upstream, once a connection is there. */
+  /**
+   * Starts an attempt, which sends the request as soon as a connection to the upstream is
+   * available.
+   */
   void startAttempt(int attemptNumber, AttemptTarget target) {
-    UpstreamAttempt started = new UpstreamAttempt(this, attemptNumber, target, dialect);
-    attempt = started;
+    UpstreamAttempt startedAttempt = new UpstreamAttempt(this, attemptNumber, target, dialect);
+    attempt = startedAttempt;
     sentAt = loop.now();
     pools
         .pool(target.upstream())
-        .acquire(target.fresh(), target.maxConnections(), started::onConnection);
+        .acquire(target.fresh(), target.maxConnections(), startedAttempt::onConnection);
   }
 
   void sendOver(UpstreamConnection connection, UpstreamAttempt sender) {
@@ -91,9 +94,9 @@
     if (body.isReadable() || head.headers().contains(HttpHeaderNames.CONTENT_LENGTH)) {
       headers.set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
     }
-    long waited = Duration.between(sentAt, loop.now()).toMillis();
-    long left = Math.max(1, sender.target().leftMillis() - waited);
-    dialect.rewriteForUpstream(headers, sender.target(), left);
+    long waitedMillis = Duration.between(sentAt, loop.now()).toMillis();
+    long leftMillis = Math.max(1, sender.target().leftMillis() - waitedMillis);
+    dialect.rewriteForUpstream(headers, sender.target(), leftMillis);
     FullHttpRequest request =
         new DefaultFullHttpRequest(
             HttpVersion.HTTP_1_1,
@@ -131,7 +134,7 @@
             HttpVersion.HTTP_1_1, answer.status(), content, headers, EmptyHttpHeaders.INSTANCE));
   }
 
-  /** Begins a stream of events, unless an earlier attempt has begun it. */
+  /** Starts a stream of events, unless an earlier attempt has startedAttempt it. */
   void startStream(HttpResponse answer) {
     if (streamStarted || completed) {
       return;
@@ -160,15 +163,20 @@
     }
   }
 
-  /** Returns the newest event that the caller has, given what an attempt passed on. */
-  @Nullable String lastForwardedEventId(@Nullable String lastOfAttempt, boolean passed) {
-    if (passed && lastOfAttempt != null) {
+  /**
+   * Returns the id of the last event forwarded to the caller, or null if there is none.
+   *
+   * @param lastOfAttempt id of the last whole event of the current attempt, or null
+   * @param forwarded whether the attempt's events were forwarded
+   */
+  @Nullable String lastForwardedEventId(@Nullable String lastOfAttempt, boolean forwarded) {
+    if (forwarded && lastOfAttempt != null) {
       lastEventId = lastOfAttempt;
     }
     return lastEventId;
   }
 
-  /** Ends the request with an answer of the entry's own. */
+  /** Completes the request with an answer that the entry generates. */
   void refuse(Refusal refusal, long retryAfterMillis) {
     if (completed) {
       return;
@@ -191,7 +199,7 @@
     return switch (refusal) {
       case UNKNOWN_KEY -> HttpResponseStatus.UNAUTHORIZED;
       case NO_ROUTE -> HttpResponseStatus.NOT_FOUND;
-      // Final: a caller that was told to come back would bring the request again.
+      // Not retryable: a caller that received a retryable status would send the request again.
       case QUARANTINED -> HttpResponseStatus.BAD_REQUEST;
       case NOT_SERVING, STOPPING, NO_UPSTREAM, OVERLOADED, TOO_LATE ->
           HttpResponseStatus.SERVICE_UNAVAILABLE;
@@ -206,7 +214,7 @@
     caller.finish(answer, this);
   }
 
-  /** Closes the caller's connection in the middle of the answer. */
+  /** Aborts the answer by closing the caller's connection. */
   void abort() {
     if (!completed) {
       completed = true;
@@ -215,7 +223,7 @@
     }
   }
 
-  /** Takes note that the caller's connection is closed. */
+  /** Completes the request after the caller closed its connection. */
   void onCallerDisconnected() {
     if (!completed) {
       completed = true;
@@ -224,16 +232,16 @@
     }
   }
 
-  /** Looks whether the upstream has fallen silent in the middle of a stream. */
+  /** Checks whether the upstream's stream has stalled. */
   void checkForStall(long now) {
     if (attempt != null) {
       attempt.checkForStall(now);
     }
   }
 
-  void onCallerWritabilityChanged(boolean reads) {
+  void onCallerWritabilityChanged(boolean writable) {
     if (attempt != null) {
-      attempt.setReading(reads);
+      attempt.setReading(writable);
     }
   }
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayHeaders.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayHeaders.java
@@ -10,7 +10,7 @@
 import org.skylarkfork.core.relay.RelayRequest;
 import org.skylarkfork.runtime.http.HttpNames;
 
-/** The relay's own headers. */
+/** Mapping of the relay's own headers. */
 public final class RelayHeaders implements RelayDialect {
 
   private static final String LAST_EVENT = "Last-Event-Id";
@@ -68,7 +68,7 @@
     return answer.headers().contains(HttpNames.NOT_STARTED);
   }
 
-  /** Upstreams of the relay's own sign nothing but repeat the request's id. */
+  /** The relay's own upstreams sign no answers; the repeated request id serves as the signature. */
   @Override
   public boolean isSigned(HttpResponse answer) {
     return answer.headers().contains(HttpNames.REQUEST_ID);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -64,13 +64,15 @@
 import org.skylarkfork.runtime.transport.TransportSettings;
 import org.tinylog.Logger;
 
-/** One daemon of the relay: an entry, a control VM, or both. */
+/** A daemon of the relay, which is an entry, a control VM, or both. */
 public final class RelayNode {
 
   private static final String CLUSTER = "relay";
   private static final long SEGMENT_BYTES = 4 * 1024 * 1024;
 
-  /** Time after the order to stop in which callers' lists with this entry run out. */
+  /**
+   * Time from the start of a shutdown until the lists of entries that callers hold have expired.
+   */
   private static final Duration ENTRY_LIST_EXPIRY = Duration.ofMillis(6300);
 
   private static final Duration STOP_MARGIN = Duration.ofMillis(500);
@@ -102,13 +104,14 @@
   private volatile boolean stopping;
 
   /**
-   * Makes a daemon; {@link #start} opens it.
+   * Creates a daemon; {@link #start} opens its listeners.
    *
-   * @param settings its settings
-   * @param clock the daemon's clock, which never goes back and counts a suspension
-   * @param dialect names of headers of requests
-   * @param controlDialect calls to control VMs
-   * @param onFailure told if an invariant breaks
+   * @param settings settings of the daemon
+   * @param clock clock of the daemon, which is monotonic and includes the time that the VM is
+   *     suspended
+   * @param dialect mapping of the headers of requests and answers
+   * @param controlDialect protocol of calls to control VMs
+   * @param onFailure receives the failure if an invariant is violated
    */
   public RelayNode(
       RelaySettings settings,
@@ -121,8 +124,8 @@
     this.dialect = dialect;
     this.controlDialect = controlDialect;
     this.incarnation = clock.instant().toEpochMilli();
-    // Differs for each daemon and start, which is all that is asked of it here; the system's secure
-    // generator takes 20 ms to load.
+    // Needs to differ only between daemons and their restarts; loading the system's secure
+    // generator takes 20 ms.
     this.seed =
         StableHash.of(
             settings.name(), Long.toString(incarnation), Long.toString(System.nanoTime()));
@@ -166,7 +169,7 @@
         loop::submit);
   }
 
-  /** Opens the listeners, recovers what is stored and starts to work. */
+  /** Opens the listeners, recovers the stored state and starts the event loop. */
   public void start() {
     transport.start();
     List<Part> parts = new ArrayList<>();
@@ -212,7 +215,10 @@
     parts.add(control);
   }
 
-  /** Runs on the event loop, which must not wait for the listeners. */
+  /**
+   * Opens the listeners for calls to control VMs asynchronously, since the event loop calls it and
+   * must not block.
+   */
   private void openControlListeners(PendingControlCalls open) {
     for (InetSocketAddress address : Arrays.asList(settings.control(), settings.lists())) {
       if (address != null) {
@@ -224,10 +230,10 @@
 
   private void onControlListenerBound(InetSocketAddress address, ChannelFuture bound) {
     if (!bound.isSuccess()) {
-      Logger.error(bound.cause(), "node: no calls are taken at {}", address);
+      Logger.error(bound.cause(), "node: cannot listen for control calls at {}", address);
       onFailure.accept(bound.cause());
     } else if (address.equals(settings.control())) {
-      Logger.info("node: takes calls at {}", bound.channel().localAddress());
+      Logger.info("node: listens for control calls at {}", bound.channel().localAddress());
       controlAddress.complete((InetSocketAddress) bound.channel().localAddress());
     }
   }
@@ -238,9 +244,9 @@
   }
 
   private void afterTick() {
-    RelayCallerServer open = callerServer;
-    if (open != null) {
-      open.tick(System.nanoTime());
+    RelayCallerServer server = callerServer;
+    if (server != null) {
+      server.tick(System.nanoTime());
     }
   }
 
@@ -314,8 +320,8 @@
 
   private void refreshGauges() {
     RelayEntryPart entryPart = entry;
-    RelayCallerServer open = callerServer;
-    if (entryPart != null && open != null) {
+    RelayCallerServer server = callerServer;
+    if (entryPart != null && server != null) {
       Instant now = loop.now();
       metrics.set("relay_configuration_version", "", entryPart.table().configuration().version());
       metrics.set("relay_proof_age_seconds", "", entryPart.proofAge(now).toMillis() / 1000.0);
@@ -323,8 +329,8 @@
       metrics.set("relay_quarantined_requests", "", entryPart.quarantinedCount());
       metrics.set("relay_limited_upstreams", "", entryPart.limitedUpstreamCount());
       metrics.set("relay_ready", "", entryPart.ready(now) ? 1 : 0);
-      metrics.set("relay_requests_under_way", "", open.activeRequests());
-      metrics.set("relay_caller_connections", "", open.openConnections());
+      metrics.set("relay_requests_under_way", "", server.activeRequests());
+      metrics.set("relay_caller_connections", "", server.openConnections());
     }
     Runtime memory = Runtime.getRuntime();
     metrics.set("relay_heap_bytes", "", memory.totalMemory() - memory.freeMemory());
@@ -362,25 +368,28 @@
     }
   }
 
-  /** Returns where callers connect, or null if this is no entry; only after the start. */
+  /** Returns the address for callers, or null if the daemon isn't an entry or isn't started. */
   public @Nullable InetSocketAddress callerAddress() {
     return callerAddress;
   }
 
-  /** Returns where metrics are served, or null for nowhere; only after the start. */
+  /**
+   * Returns the address that serves metrics, or null if there is none or the daemon isn't started.
+   */
   public @Nullable InetSocketAddress metricsAddress() {
     return metricsAddress;
   }
 
   /**
-   * Returns where operators call, once this control VM takes calls; that is when it first knows a
-   * leader, and never on another daemon.
+   * Returns the address for operators' calls. The future completes when the listener is bound,
+   * after this control VM first knows a leader, and never completes on a daemon that isn't a
+   * control VM.
    */
   public CompletableFuture<InetSocketAddress> controlAddress() {
     return controlAddress;
   }
 
-  /** Closes everything at once, as a crash would. */
+  /** Closes all connections and the storage immediately, without a graceful shutdown. */
   public void close() {
     transport.close();
     eventLoop.shutdownGracefully(0, 0, TimeUnit.SECONDS).syncUninterruptibly();
@@ -390,7 +399,7 @@
   }
 
   /**
-   * Takes changed settings over: the control VMs to ask.
+   * Applies changed settings, which are the control VMs to contact.
    *
    * @param seeds peer names of control VMs
    */
@@ -400,38 +409,38 @@
   }
 
   /**
-   * Stops gracefully within the grace time.
+   * Shuts the daemon down gracefully within the grace time.
    *
-   * <p>Callers learn of other entries first, and go on using this one until their lists have run
-   * out; a request that comes until then is served.
+   * <p>Callers first receive lists that name other entries, and keep using this entry until their
+   * lists have expired; requests that arrive until then are served.
    */
   public void stop() throws InterruptedException {
     final long end = System.nanoTime() + settings.grace().minus(STOP_MARGIN).toNanos();
-    Logger.info("node: stops name={}", settings.name());
+    Logger.info("node: shutting down name={}", settings.name());
     stopping = true;
     loop.submit(new LifecycleEvent.StopRequested());
-    RelayCallerServer open = callerServer;
-    if (open != null) {
-      stopCallerServer(open, end);
+    RelayCallerServer server = callerServer;
+    if (server != null) {
+      stopCallerServer(server, end);
     } else {
       TimeUnit.MILLISECONDS.sleep(2 * POLL_INTERVAL_MILLIS);
     }
     Logger.info("node: stopped name={}", settings.name());
   }
 
-  private void stopCallerServer(RelayCallerServer open, long end) throws InterruptedException {
-    eventLoop.execute(open::disableKeepAlive);
-    long listsOut = Math.min(end, System.nanoTime() + ENTRY_LIST_EXPIRY.toNanos());
-    while (System.nanoTime() < listsOut) {
+  private void stopCallerServer(RelayCallerServer server, long end) throws InterruptedException {
+    eventLoop.execute(server::disableKeepAlive);
+    long listsExpired = Math.min(end, System.nanoTime() + ENTRY_LIST_EXPIRY.toNanos());
+    while (System.nanoTime() < listsExpired) {
       TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MILLIS);
     }
-    eventLoop.execute(open::stopListening);
+    eventLoop.execute(server::stopListening);
     CountDownLatch done = new CountDownLatch(1);
     while (System.nanoTime() < end && done.getCount() > 0) {
       eventLoop.execute(
           () -> {
-            open.closeIdle(STOPPING_IDLE_TIMEOUT);
-            if (open.activeRequests() == 0 && open.openConnections() == 0) {
+            server.closeIdle(STOPPING_IDLE_TIMEOUT);
+            if (server.activeRequests() == 0 && server.openConnections() == 0) {
               done.countDown();
             }
           });
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayPeerLimits.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayPeerLimits.java
@@ -4,10 +4,15 @@
 import org.skylarkfork.core.consensus.RaftSettings;
 import org.skylarkfork.runtime.transport.TransportSettings;
 
-/** Times and bounds between the relay's daemons, on VMs with less than half a core each. */
+/**
+ * Timeouts and size limits between the relay's daemons, for VMs with less than half a core each.
+ */
 final class RelayPeerLimits {
 
-  /** Connections can fall silent without a reset; one is given up after 1.5 s of silence. */
+  /**
+   * Connections can stop working without a reset, so a connection is closed after 1.5 s without
+   * data.
+   */
   static final TransportSettings.Limits LIMITS =
       new TransportSettings.Limits(
           8 << 20,
@@ -19,25 +24,31 @@
           Duration.ofMillis(50),
           Duration.ofMillis(150));
 
-  /** A voter is replaced after this silence, well after a restart, which takes about a second. */
+  /**
+   * Time without a sign of a voter after which it is replaced, well above a restart of about a
+   * second.
+   */
   static final Duration VOTER_REPLACEMENT_TIMEOUT = Duration.ofMillis(2500);
 
   /**
-   * Entries after which a snapshot is taken. A restart decodes every entry behind it, each with a
-   * whole configuration: 133 of them took 0.9 s on 0.45 of a core.
+   * Log entries between two snapshots. A restart decodes every entry after the last snapshot, each
+   * with a whole configuration: 133 of them took 0.9 s on 0.45 of a core.
    */
   private static final int SNAPSHOT_ENTRIES = 12;
 
   /**
-   * Longest wait of a restarted voter for a leader. No leader of the relay acts under a lease: each
-   * read and each proof asks a majority. With the usual wait a crash of all control VMs took 0.5 s
-   * longer.
+   * Longest time that a restarted voter waits for a leader. A short wait is safe because no leader
+   * of the relay relies on a lease: each read and each proof of leadership queries a majority. With
+   * the default wait, recovery from a crash of all control VMs took 0.5 s longer.
    */
   private static final Duration RESTART_ELECTION_TIMEOUT = Duration.ofMillis(120);
 
   private RelayPeerLimits() {}
 
-  /** Returns settings under which a slow start or a pause of collection deposes no leader. */
+  /**
+   * Returns settings under which a slow start or a garbage collection pause doesn't depose a
+   * leader.
+   */
   static RaftSettings raft() {
     return new RaftSettings(
         Duration.ofMillis(350),
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelaySettings.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelaySettings.java
@@ -7,26 +7,27 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Settings of one daemon of the relay.
+ * Settings of a relay daemon.
  *
- * @param name name for logs
+ * @param name name of the daemon in logs
  * @param zone availability zone
  * @param zones the deployment's availability zones; empty if they aren't known
- * @param peer address for other daemons; its text is the daemon's peer name
- * @param seeds peer names of control VMs to begin with
- * @param caller where callers connect, or null if this is no entry
- * @param ready where readiness is asked for, or null
- * @param control where operators and upstreams call, or null if this is no control VM
- * @param lists where callers ask for entries, or null
- * @param metrics where metrics are served, or null
- * @param dataFolder where a control VM keeps its state, or null if this is none
- * @param mayFound whether the control VMs may found their group on empty disks
- * @param voters control VMs that are to agree on changes
- * @param keyBound time from the acceptance of a change until a key that it removes is dead, and
- *     until nothing is sent to an evacuated zone
- * @param heartbeat time between two heartbeats of an upstream
- * @param retryRatio repeats that are allowed for each request
- * @param grace time that a stop may take
+ * @param peer address for other daemons, which also forms the daemon's peer name
+ * @param seeds peer names of the control VMs to contact first
+ * @param caller address for callers, or null if the daemon isn't an entry
+ * @param ready address of the readiness check, or null if there is none
+ * @param control address for calls of operators and upstreams, or null if the daemon isn't a
+ *     control VM
+ * @param lists address for callers' look-ups of entries, or null if there is none
+ * @param metrics address that serves metrics, or null if there is none
+ * @param dataFolder folder of a control VM's state, or null if the daemon isn't a control VM
+ * @param mayFound whether the control VMs may bootstrap their group on empty disks
+ * @param voters target number of control VMs that vote on changes
+ * @param keyBound maximum time from the acceptance of a change until a removed key is rejected
+ *     everywhere, and until nothing is sent to an evacuated zone
+ * @param heartbeat interval between two heartbeats of an upstream
+ * @param retryRatio retries allowed per request
+ * @param grace maximum duration of a graceful shutdown
  */
 public record RelaySettings(
     String name,
@@ -47,7 +48,7 @@
     double retryRatio,
     Duration grace) {
 
-  /** Copies the list. */
+  /** Copies the lists. */
   public RelaySettings {
     zones = List.copyOf(zones);
     seeds = List.copyOf(seeds);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/UpstreamAddress.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/UpstreamAddress.java
@@ -6,7 +6,7 @@
 import java.net.UnknownHostException;
 import org.jspecify.annotations.Nullable;
 
-/** Reads where an upstream listens: an IP number, a colon and a port. */
+/** Parses the address of an upstream: an IP address, a colon and a port. */
 public final class UpstreamAddress {
 
   private static final int MAX_PORT = 65_535;
@@ -14,33 +14,33 @@
 
   private UpstreamAddress() {}
 
-  /** Returns whether a text is an address that can be connected to. */
+  /** Returns whether a text is a valid address. */
   public static boolean isValid(String text) {
     return parse(text) != null;
   }
 
-  /** Returns the address, or null if the text is none; names are not looked up. */
+  /** Returns the address, or null if the text isn't a valid one; host names aren't resolved. */
   static @Nullable InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
-    byte[] number =
+    byte[] ipBytes =
         colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
     int port = parsePort(text.substring(colon + 1));
-    if (number == null || port <= 0) {
+    if (ipBytes == null || port <= 0) {
       return null;
     }
     try {
-      return new InetSocketAddress(InetAddress.getByAddress(number), port);
-    } catch (UnknownHostException unreadable) {
+      return new InetSocketAddress(InetAddress.getByAddress(ipBytes), port);
+    } catch (UnknownHostException invalid) {
       return null;
     }
   }
 
-  /** Returns the port, or 0 if the text is none. */
+  /** Returns the port, or 0 if the text isn't a valid port. */
   private static int parsePort(String text) {
     boolean digits =
         !text.isEmpty()
             && text.length() <= MAX_PORT_DIGITS
-            && text.chars().allMatch(letter -> letter >= '0' && letter <= '9');
+            && text.chars().allMatch(character -> character >= '0' && character <= '9');
     int port = digits ? Integer.parseInt(text) : 0;
     return port > MAX_PORT ? 0 : port;
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/UpstreamAttempt.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/UpstreamAttempt.java
@@ -12,7 +12,7 @@
 import org.skylarkfork.core.relay.AttemptFailure;
 import org.skylarkfork.core.relay.AttemptTarget;
 
-/** One attempt of a request at an upstream, and what came of its answer so far. */
+/** An attempt of a request at an upstream, with the part of the answer that was received. */
 final class UpstreamAttempt {
 
   private static final String EVENT_STREAM = "text/event-stream";
@@ -47,20 +47,23 @@
     return exchange.requestId();
   }
 
-  /** Takes the connection, or null if there is none; an attempt given up meanwhile returns it. */
-  void onConnection(@Nullable UpstreamConnection made) {
+  /**
+   * Sends the request on the connection, which is null if none could be opened; an attempt that was
+   * abandoned in the meantime releases the connection.
+   */
+  void onConnection(@Nullable UpstreamConnection opened) {
     if (finished) {
-      if (made != null) {
-        made.pool().release(made);
+      if (opened != null) {
+        opened.pool().release(opened);
       }
       return;
     }
-    if (made == null) {
+    if (opened == null) {
       onFailure(AttemptFailure.NOT_SENT);
       return;
     }
-    connection = made;
-    exchange.sendOver(made, this);
+    connection = opened;
+    exchange.sendOver(opened, this);
   }
 
   void onHead(HttpResponse answer) {
@@ -104,7 +107,7 @@
     }
   }
 
-  /** Starts to give the answer to the caller. */
+  /** Starts forwarding the answer to the caller. */
   void forward() {
     forwarding = true;
     HttpResponse answer = head;
@@ -180,7 +183,7 @@
             exchange.number(), number, failure, exchange.lastForwardedEventId(last, forwarding)));
   }
 
-  /** Gives the attempt up; no event of it follows. */
+  /** Abandons the attempt, which raises no further events. */
   void abandon() {
     finished = true;
     releaseBuffers();
@@ -190,27 +193,30 @@
     }
   }
 
-  /** Tells of a stream that has begun and from which nothing has come for too long. */
+  /**
+   * Reports a stream that has stalled: it was started, and no bytes arrived for a multiple of the
+   * timeout.
+   */
   void checkForStall(long now) {
-    boolean flows = forwarding && events != null && !answerEnded && !finished && !readingPaused;
-    long longest = TimeUnit.MILLISECONDS.toNanos(target.silenceMillis());
-    long silent = now - lastBytesAt;
-    if (flows && longest > 0 && silent > longest * (reportedStalls + 1)) {
+    boolean streaming = forwarding && events != null && !answerEnded && !finished && !readingPaused;
+    long timeoutNanos = TimeUnit.MILLISECONDS.toNanos(target.silenceMillis());
+    long silentNanos = now - lastBytesAt;
+    if (streaming && timeoutNanos > 0 && silentNanos > timeoutNanos * (reportedStalls + 1)) {
       reportedStalls++;
       exchange.submit(
           new RelayEvent.AnswerSilent(
               exchange.number(),
               number,
               exchange.lastForwardedEventId(events.lastId(), true),
-              TimeUnit.NANOSECONDS.toMillis(silent)));
+              TimeUnit.NANOSECONDS.toMillis(silentNanos)));
     }
   }
 
-  void setReading(boolean more) {
-    readingPaused = !more;
+  void setReading(boolean enabled) {
+    readingPaused = !enabled;
     lastBytesAt = System.nanoTime();
     if (connection != null) {
-      connection.setReading(more);
+      connection.setReading(enabled);
     }
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/UpstreamConnection.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/UpstreamConnection.java
@@ -17,20 +17,23 @@
 import org.skylarkfork.core.relay.AttemptFailure;
 import org.tinylog.Logger;
 
-/** One connection to an upstream, which carries one request at a time. */
+/** A connection to an upstream, which carries one request at a time. */
 final class UpstreamConnection extends ChannelInboundHandlerAdapter {
 
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-  /** Time before the upstream's own idle timeout at which a connection isn't used any more. */
+  /** Safety margin: a connection isn't reused this long before the upstream's own idle timeout. */
   private static final long IDLE_MARGIN_NANOS = 700_000_000L;
 
   private static final int MAX_SKIPPED_ANSWERS = 2;
 
-  /** Rest of a connection from which on an upstream may have given it up without a word. */
+  /** Idle time above which an upstream may have dropped the connection without closing it. */
   private static final long MIN_STALE_IDLE_NANOS = 100_000_000L;
 
-  /** Time in which the reset of such a connection comes back; a few times a way between zones. */
+  /**
+   * Time within which the reset of a dropped connection arrives, a few times the latency between
+   * zones.
+   */
   private static final long RESET_WINDOW_NANOS = 50_000_000L;
 
   private final UpstreamPool pool;
@@ -49,17 +52,17 @@
   private int skippedAnswers;
   private boolean closeDelimited;
 
-  UpstreamConnection(UpstreamPool pool, RelayDialect dialect, long idleNanos) {
+  UpstreamConnection(UpstreamPool pool, RelayDialect dialect, long idleTimeoutNanos) {
     this.pool = pool;
     this.dialect = dialect;
-    this.idleTimeoutNanos = idleNanos;
+    this.idleTimeoutNanos = idleTimeoutNanos;
   }
 
   UpstreamPool pool() {
     return pool;
   }
 
-  /** Sends a request; its answer goes to the attempt. */
+  /** Sends a request, whose answer is delivered to the attempt. */
   void send(FullHttpRequest request, UpstreamAttempt sender) {
     attempt = sender;
     sentAt = System.nanoTime();
@@ -77,7 +80,10 @@
     return channel;
   }
 
-  /** Gives the attempt up, so that the upstream stops working on it. */
+  /**
+   * Abandons the attempt and closes the connection, so that the upstream stops processing the
+   * request.
+   */
   void abandon() {
     attempt = null;
     close();
@@ -90,16 +96,16 @@
     }
   }
 
-  void setReading(boolean more) {
+  void setReading(boolean enabled) {
     if (channel != null) {
-      channel.config().setAutoRead(more);
+      channel.config().setAutoRead(enabled);
     }
   }
 
-  /** Returns whether a request may be sent on this idle connection. */
+  /** Returns whether this idle connection may carry another request. */
   boolean isUsable(long now) {
-    long longest = Math.min(idleTimeoutNanos, pool.maxIdleNanos(now));
-    return channel != null && channel.isActive() && reusable && now - idleSince < longest;
+    long maxIdleNanos = Math.min(idleTimeoutNanos, pool.maxIdleNanos(now));
+    return channel != null && channel.isActive() && reusable && now - idleSince < maxIdleNanos;
   }
 
   void markIdle(long now) {
@@ -115,7 +121,7 @@
   public void channelRead(ChannelHandlerContext context, Object message) {
     try {
       if (attempt == null || !(message instanceof HttpObject part)) {
-        // Bytes that no request waits for belong to none; the next answer here could be another's.
+        // Unexpected bytes: the next answer on this connection could belong to another request.
         close();
       } else if (part.decoderResult().isFailure()) {
         fail(AttemptFailure.NOT_AN_ANSWER);
@@ -140,8 +146,8 @@
   }
 
   private void onHead(HttpResponse head) {
-    UpstreamAttempt waiting = attempt;
-    if (waiting == null) {
+    UpstreamAttempt current = attempt;
+    if (current == null) {
       return;
     }
     if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
@@ -149,19 +155,19 @@
       return;
     }
     String id = dialect.requestIdOf(head);
-    boolean foreign = id == null ? dialect.isSigned(head) : !id.equals(waiting.requestId());
+    boolean foreign = id == null ? dialect.isSigned(head) : !id.equals(current.requestId());
     if (foreign) {
       skipForeignAnswer();
       return;
     }
-    // An upstream that dies while it writes its head leaves one that looks whole but lacks its end.
+    // An upstream that crashes while it writes the head leaves one that looks complete but is cut.
     if (head.status().codeClass() == HttpStatusClass.SUCCESS && !dialect.isSigned(head)) {
       fail(AttemptFailure.NOT_AN_ANSWER);
       return;
     }
     answering = true;
     updateKeepAlive(head);
-    waiting.onHead(head);
+    current.onHead(head);
   }
 
   private void skipForeignAnswer() {
@@ -180,9 +186,9 @@
     closeDelimited =
         !HttpUtil.isTransferEncodingChunked(head) && !HttpUtil.isContentLengthSet(head);
     String keepAlive = head.headers().get("Keep-Alive");
-    int place = keepAlive == null ? -1 : keepAlive.indexOf("timeout=");
-    if (keepAlive != null && place >= 0) {
-      String digits = keepAlive.substring(place + "timeout=".length()).split("\\D", 2)[0];
+    int index = keepAlive == null ? -1 : keepAlive.indexOf("timeout=");
+    if (keepAlive != null && index >= 0) {
+      String digits = keepAlive.substring(index + "timeout=".length()).split("\\D", 2)[0];
       if (!digits.isEmpty() && digits.length() < 6) {
         idleTimeoutNanos = Long.parseLong(digits) * NANOS_PER_SECOND - IDLE_MARGIN_NANOS;
       }
@@ -190,9 +196,9 @@
   }
 
   private void onContent(ByteBuf bytes) {
-    UpstreamAttempt waiting = attempt;
-    if (!skipping && waiting != null && bytes.isReadable()) {
-      waiting.onBytes(bytes);
+    UpstreamAttempt current = attempt;
+    if (!skipping && current != null && bytes.isReadable()) {
+      current.onBytes(bytes);
     }
   }
 
@@ -201,8 +207,8 @@
       skipping = false;
       return;
     }
-    UpstreamAttempt waiting = attempt;
-    if (waiting == null) {
+    UpstreamAttempt current = attempt;
+    if (current == null) {
       return;
     }
     if (closeDelimited && connectionFailed) {
@@ -211,22 +217,23 @@
     }
     attempt = null;
     answering = false;
-    // Before the request is written whole, the upstream still waits for its rest on this
-    // connection, and would take the next request for it.
+    // Until the request is completely written, the upstream expects the remainder of its body on
+    // this
+    // connection and would mistake the next request for it.
     if (reusable && requestWritten && !closeDelimited) {
       pool.release(this);
     } else {
       close();
     }
-    waiting.onEnd();
+    current.onEnd();
   }
 
   private void fail(AttemptFailure failure) {
-    UpstreamAttempt waiting = attempt;
+    UpstreamAttempt current = attempt;
     attempt = null;
     close();
-    if (waiting != null) {
-      waiting.onFailure(failure);
+    if (current != null) {
+      current.onFailure(failure);
     }
   }
 
@@ -256,7 +263,7 @@
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     connectionFailed = true;
     if (!(cause instanceof IOException)) {
-      Logger.warn(cause, "upstream: a connection fails");
+      Logger.warn(cause, "upstream: connection failed");
     }
     if (attempt != null) {
       fail(attemptFailure());
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/UpstreamPool.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/UpstreamPool.java
@@ -12,18 +12,20 @@
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
 
-/** The connections to one run of an upstream; used by one thread only. */
+/** A pool of connections to one upstream; confined to one thread. */
 final class UpstreamPool {
 
-  /** Idle time after which a connection isn't used if the upstream names none, in nanoseconds. */
+  /** Idle timeout of a connection if the upstream doesn't state one, in nanoseconds. */
   private static final long DEFAULT_IDLE_NANOS = 2_000_000_000L;
 
   private static final int MAX_PENDING = 256;
 
-  /** Share of the rest that was too long up to which connections are still used. */
+  /**
+   * Fraction of the idle time of a stale connection up to which other connections are still used.
+   */
   private static final double SAFE_IDLE_FRACTION = 0.7;
 
-  /** Time for which a rest that was too long is remembered. */
+  /** Time for which the idle time of a stale connection limits the use of others. */
   private static final long STALE_RETENTION_NANOS = 20_000_000_000L;
 
   private final Bootstrap bootstrap;
@@ -37,11 +39,11 @@
   private long staleAt;
 
   /**
-   * Makes a pool without connections.
+   * Creates an empty pool.
    *
    * @param bootstrap opens connections
-   * @param address where the upstream listens, or null if its address can't be read
-   * @param dialect names of headers
+   * @param address address of the upstream, or null if it is invalid
+   * @param dialect mapping of the headers
    */
   UpstreamPool(Bootstrap bootstrap, @Nullable InetSocketAddress address, RelayDialect dialect) {
     this.bootstrap = bootstrap;
@@ -49,7 +51,7 @@
     this.dialect = dialect;
   }
 
-  /** Takes a connection, or null if none could be made. */
+  /** Receives a connection, or null if none could be opened. */
   interface ConnectionReceiver {
     void receive(@Nullable UpstreamConnection connection);
   }
@@ -57,47 +59,45 @@
   private record PendingAcquisition(int maxConnections, ConnectionReceiver receiver) {}
 
   /**
-   * Gives a connection to a taker, now or later.
+   * Passes a connection to a receiver, immediately or when one becomes available.
    *
-   * @param fresh whether it must be new
-   * @param maxConnections connections that may be open
-   * @param receiver gets it
+   * @param fresh whether the connection must be new
+   * @param maxConnections maximum number of open connections
+   * @param receiver receives the connection, or null if none can be opened
    */
-  void acquire(boolean fresh, int most, ConnectionReceiver taker) {
+  void acquire(boolean fresh, int maxConnections, ConnectionReceiver receiver) {
     long now = System.nanoTime();
     lastUsedAt = now;
-    UpstreamConnection kept = fresh ? null : takeNewestUsable(now);
-    if (kept != null) {
-      taker.receive(kept);
-    } else if (openConnections < most || closeOldestIdle()) {
-      connect(taker);
+    UpstreamConnection reusable = fresh ? null : takeNewestUsable(now);
+    if (reusable != null) {
+      receiver.receive(reusable);
+    } else if (openConnections < maxConnections || closeOldestIdle()) {
+      connect(receiver);
     } else if (pending.size() < MAX_PENDING) {
-      pending.addLast(new PendingAcquisition(most, taker));
+      pending.addLast(new PendingAcquisition(maxConnections, receiver));
     } else {
-      taker.receive(null);
+      receiver.receive(null);
     }
   }
 
-  /**
-   * Tells whether the upstream takes a connection; one that was made is kept for the next request.
-   */
+  /** Reports whether the upstream accepts a connection; an opened connection stays in the pool. */
   void probe(Consumer<Boolean> result) {
     connect(
-        made -> {
-          if (made != null) {
-            release(made);
+        opened -> {
+          if (opened != null) {
+            release(opened);
           }
-          result.accept(made != null);
+          result.accept(opened != null);
         });
   }
 
   private @Nullable UpstreamConnection takeNewestUsable(long now) {
     while (!idle.isEmpty()) {
-      UpstreamConnection kept = idle.removeLast();
-      if (kept.isUsable(now)) {
-        return kept;
+      UpstreamConnection reusable = idle.removeLast();
+      if (reusable.isUsable(now)) {
+        return reusable;
       }
-      kept.close();
+      reusable.close();
     }
     return null;
   }
@@ -110,10 +110,10 @@
     return oldest != null;
   }
 
-  private void connect(ConnectionReceiver taker) {
+  private void connect(ConnectionReceiver receiver) {
     if (address == null) {
-      // Thrown here, the fault of one upstream would halt each entry that sends to it.
-      taker.receive(null);
+      // An exception here would halt every entry that sends to this one faulty upstream.
+      receiver.receive(null);
       return;
     }
     openConnections++;
@@ -137,27 +137,30 @@
     connecting.addListener(
         done -> {
           if (done.isSuccess()) {
-            taker.receive(connection);
+            receiver.receive(connection);
           } else {
             openConnections--;
-            taker.receive(null);
+            receiver.receive(null);
             serveNextPending();
           }
         });
   }
 
   /**
-   * Takes note that the upstream had given up a connection that rested here.
+   * Records that the upstream had dropped an idle connection.
+   *
+   * <p>An upstream may drop connections earlier than it states. Each request on a dropped
+   * connection is lost after it was sent and counts as a retry when it is sent again, so other
+   * connections with a similar idle time aren't reused.
    *
-   * <p>An upstream may forget connections sooner than it says. Each request on one is lost after it
-   * was sent, and counts as a repeat when it is sent again, so the others are used no longer.
+   * @param idleNanos idle time of the stale connection, in nanoseconds
    */
-  void recordStale(long restNanos) {
-    maxIdleNanos = Math.min(maxIdleNanos, (long) (restNanos * SAFE_IDLE_FRACTION));
+  void recordStale(long idleNanos) {
+    maxIdleNanos = Math.min(maxIdleNanos, (long) (idleNanos * SAFE_IDLE_FRACTION));
     staleAt = System.nanoTime();
   }
 
-  /** Returns for how long a connection may rest until it isn't used any more, in nanoseconds. */
+  /** Returns the maximum idle time of a connection that may be reused, in nanoseconds. */
   long maxIdleNanos(long now) {
     if (now - staleAt > STALE_RETENTION_NANOS) {
       maxIdleNanos = Long.MAX_VALUE;
@@ -184,7 +187,7 @@
     }
   }
 
-  /** Returns whether nothing uses this pool and nothing did lately. */
+  /** Returns whether the pool has no connection in use and had no request for the given time. */
   boolean isUnused(long now, long nanos) {
     return pending.isEmpty() && openConnections == idle.size() && now - lastUsedAt > nanos;
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/UpstreamPools.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/UpstreamPools.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.skylarkfork.core.relay.UpstreamInstance;
 
-/** The connections to all upstreams; used by one thread only. */
+/** Pools of connections to all upstreams; confined to one thread. */
 final class UpstreamPools {
 
   private static final Duration UNUSED_RETENTION = Duration.ofSeconds(20);
@@ -35,7 +35,7 @@
         id -> new UpstreamPool(bootstrap, UpstreamAddress.parse(upstream.address()), dialect));
   }
 
-  /** Forgets upstreams that got nothing for a while. */
+  /** Removes the pools of upstreams that had no request for a while. */
   void removeUnused() {
     long now = System.nanoTime();
     Iterator<UpstreamPool> all = pools.values().iterator();
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/package-info.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/package-info.java
@@ -1,4 +1,4 @@
-/** Carries the relay's effects out: connections to callers and upstreams, bodies, control calls. */
+/** Executes the relay's effects: connections to callers and upstreams, bodies, control calls. */
 @NullMarked
 package org.skylarkfork.runtime.relay;
 
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/ContentHashTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/ContentHashTest.java
@@ -30,7 +30,7 @@
     return ContentHash.of(head(method, host, path, "one"), body(text));
   }
 
-  /** A repeat has a new id and deadline, and its body comes in other pieces. */
+  /** A retry has a new id and deadline, and its body may arrive in different pieces. */
   @Test
   public void retriedRequestHasTheSameHash() {
     CompositeByteBuf pieces = Unpooled.compositeBuffer();
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/CrashingRequestNodeTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/CrashingRequestNodeTest.java
@@ -9,7 +9,7 @@
 import java.util.regex.Pattern;
 import org.testng.annotations.Test;
 
-/** Tests with upstreams that end as they run a request, over real connections. */
+/** Tests with requests that crash the upstreams that run them, over real connections. */
 public final class CrashingRequestNodeTest extends RelayNodeHarness {
 
   private static final String QUARANTINED = "relay_quarantined_requests{kind=\"\"} 1";
@@ -39,17 +39,18 @@
   }
 
   /**
-   * A caller sends a request three times, and each time an upstream ends as it begins to run it.
-   * From then on it gets 400 and no time to come back, other callers are served by the upstreams
-   * that are left, and operators see the request, and let it through again.
+   * Guards against a crashing request that ends one upstream after the other. A caller sends it
+   * three times, and each attempt an upstream crashes as it starts to run the request. From then on
+   * the request receives 400 without Retry-After, other requests are served by the remaining
+   * upstreams, and operators see the request and can lift its quarantine.
    */
   @Test
   public void crashingRequestIsRefusedUntilItsQuarantineIsLifted() throws Exception {
-    ScriptedUpstream.Script script = crashesOn("/book/bad");
-    serveWith(script, script, script, script, script);
+    ScriptedUpstream.Script crashing = crashesOn("/book/bad");
+    serveWith(crashing, crashing, crashing, crashing, crashing);
     sendUntilServed("/lookup/good", "good");
-    for (int time = 1; time <= 3; time++) {
-      String answer = exchange("/book/bad", "request-" + time, "body");
+    for (int attempt = 1; attempt <= 3; attempt++) {
+      String answer = exchange("/book/bad", "request-" + attempt, "body");
       assertTrue(answer.startsWith("HTTP/1.1 502"), answer);
     }
     String served = "";
@@ -64,11 +65,11 @@
     assertTrue(exchange("/lookup/good", "good", "body").startsWith("HTTP/1.1 200"));
     assertTrue(exchange("/book/bad", "other", "another body").startsWith("HTTP/1.1 502"));
     liftFirstQuarantine();
-    String through = "";
-    for (int tries = 0; tries < MAX_TRIES && !through.startsWith("HTTP/1.1 502"); tries++) {
-      through = exchange("/book/bad", "let-through", "body");
+    String lifted = "";
+    for (int tries = 0; tries < MAX_TRIES && !lifted.startsWith("HTTP/1.1 502"); tries++) {
+      lifted = exchange("/book/bad", "let-through", "body");
     }
-    assertTrue(through.startsWith("HTTP/1.1 502"), through);
+    assertTrue(lifted.startsWith("HTTP/1.1 502"), lifted);
   }
 
   private void liftFirstQuarantine() throws Exception {
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/EventSplitterTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/EventSplitterTest.java
@@ -18,16 +18,16 @@
       "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\ndata: c\r\n\r\n: note\n\nid: 30\ndata: ä\n\n";
 
   private static String takeText(EventSplitter splitter) {
-    ByteBuf whole = splitter.takeWholeEvents();
-    if (whole == null) {
+    ByteBuf events = splitter.takeWholeEvents();
+    if (events == null) {
       return "";
     }
-    String text = whole.toString(StandardCharsets.UTF_8);
-    whole.release();
+    String text = events.toString(StandardCharsets.UTF_8);
+    events.release();
     return text;
   }
 
-  /** However the bytes are cut on their way, only whole events come out, and all of them. */
+  /** The splitter returns only complete events, and all of them, however the bytes are split. */
   @Test
   public void eventsDoNotDependOnHowBytesAreSplit() {
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(20261204L);
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/HeaderValuesTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/HeaderValuesTest.java
@@ -23,7 +23,7 @@
     assertEquals(HeaderValues.rateLimit(List.of("1e300")), new RateLimit(1e300));
   }
 
-  /** Two numbers in one head: the upstream gets no more than the smaller one. */
+  /** If a head carries two limits, the smaller one applies. */
   @Test
   public void smallestOfSeveralRateLimitsApplies() {
     assertEquals(HeaderValues.rateLimit(List.of("4", "2.5")), new RateLimit(2.5));
@@ -32,7 +32,7 @@
     assertEquals(HeaderValues.rateLimit(List.of("2,7x")), new RateLimit(2));
   }
 
-  /** What is no number. */
+  /** Returns values that aren't finite numbers from 0. */
   @DataProvider
   public Object[][] unreadable() {
     return new Object[][] {
@@ -40,7 +40,7 @@
     };
   }
 
-  /** A value that makes no sense is no limit and lifts none. */
+  /** A malformed value neither sets a limit nor removes one. */
   @Test(dataProvider = "unreadable")
   public void malformedRateLimitIsIgnored(String value) {
     assertNull(HeaderValues.rateLimit(List.of(value)));
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/RateLimitNodeTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/RateLimitNodeTest.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import org.testng.annotations.Test;
 
-/** Tests with upstreams that name rate limits, over real connections. */
+/** Tests with upstreams that report rate limits, over real connections. */
 public final class RateLimitNodeTest extends RelayNodeHarness {
 
   private static final String GAUGE = "relay_limited_upstreams{kind=\"\"} ";
@@ -26,17 +26,19 @@
     };
   }
 
-  private void assertLimitedAfterAnswer(String named, int limited) throws Exception {
-    header.set(named);
+  private void assertLimitedAfterAnswer(String rateLimitHeader, int limitedUpstreams)
+      throws Exception {
+    header.set(rateLimitHeader);
     String answer = sendUntilServed("/lookup/x", "request");
-    assertTrue(answer.contains(named), answer);
+    assertTrue(answer.contains(rateLimitHeader), answer);
     String metrics = metrics();
-    assertTrue(metrics.contains(GAUGE + limited + ".0"), named + " in " + metrics);
+    assertTrue(
+        metrics.contains(GAUGE + limitedUpstreams + ".0"), rateLimitHeader + " in " + metrics);
   }
 
   /**
-   * Operators see which upstreams name a limit, for as long as they name it; callers get the
-   * answer's head as it is.
+   * Operators see which upstreams report a limit, for as long as answers report it; callers receive
+   * the answer's head unchanged.
    */
   @Test
   public void rateLimitIsVisibleWhileAnswersReportIt() throws Exception {
@@ -55,8 +57,8 @@
   }
 
   /**
-   * Guards against a limit that is heard and not obeyed: the only upstream takes one request in
-   * five seconds, and the callers of the others are told when to come back.
+   * Guards against a reported limit that isn't obeyed: the only upstream accepts one request in
+   * five seconds, and the answers to all other requests carry Retry-After.
    */
   @Test
   public void rateLimitIsObeyedAndRefusalsCarryRetryAfter() throws Exception {
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/RelayNodeHarness.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/RelayNodeHarness.java
@@ -35,7 +35,7 @@
 import org.testng.annotations.AfterMethod;
 import org.testng.annotations.BeforeMethod;
 
-/** One daemon that is entry and control VM, for each test a new one, and its upstreams. */
+/** Starts a new daemon for each test, which is both entry and control VM, and its upstreams. */
 abstract class RelayNodeHarness {
 
   static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
@@ -46,7 +46,7 @@
   final List<ScriptedUpstream> upstreams = new ArrayList<>();
   private @Nullable RelayNode node;
 
-  /** Starts a daemon with an empty disk. */
+  /** Starts a daemon with an empty data folder. */
   @BeforeMethod
   public void start() throws IOException {
     Path folder = Files.createTempDirectory("relay");
@@ -74,7 +74,7 @@
             Duration.ofSeconds(1),
             0.9,
             Duration.ofSeconds(1));
-    RelayNode made =
+    RelayNode started =
         new RelayNode(
             settings,
             new MonotonicClock(InstantSource.system(), System::nanoTime),
@@ -83,8 +83,8 @@
             failure -> {
               throw new AssertionError(failure);
             });
-    made.start();
-    node = made;
+    started.start();
+    node = started;
   }
 
   /** Closes the daemon and the upstreams. */
@@ -155,10 +155,12 @@
       }
       assertEquals(answer.statusCode(), 503, answer.body());
     }
-    throw new AssertionError("no answer to " + path);
+    throw new AssertionError("not accepted: " + path);
   }
 
-  /** Sends a request on a connection of its own and returns all bytes until its end. */
+  /**
+   * Sends a request on a new connection and returns all bytes received until the connection closes.
+   */
   String exchange(String path, String id, String body) throws IOException {
     return exchangeRaw(
         "POST "
@@ -185,7 +187,10 @@
     }
   }
 
-  /** Sends a request until an upstream is known; only before upstreams that count nothing. */
+  /**
+   * Sends a request until it is served, which takes until the upstream is known; only for upstreams
+   * whose script ignores the number of requests.
+   */
   String sendUntilServed(String path, String id) throws IOException {
     String answer = "";
     for (int tries = 0; tries < MAX_TRIES; tries++) {
@@ -194,10 +199,10 @@
         return answer;
       }
     }
-    throw new AssertionError("never served: " + answer);
+    throw new AssertionError("request was never served: " + answer);
   }
 
-  /** Sends an operator's call and returns the answer. */
+  /** Sends an operator's call to the control VM and returns the answer. */
   HttpResponse<String> callControl(String method, String path) throws Exception {
     int port = node().controlAddress().join().getPort();
     URI uri = URI.create("http://127.0.0.1:" + port + "/relay/v1/" + path);
@@ -206,7 +211,7 @@
         HttpResponse.BodyHandlers.ofString());
   }
 
-  /** Returns what the daemon serves as its metrics. */
+  /** Returns the daemon's metrics. */
   String metrics() throws Exception {
     assertNotNull(node().metricsAddress());
     URI uri = URI.create("http://127.0.0.1:" + node().metricsAddress().getPort() + "/metrics");
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/RelayNodeTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/RelayNodeTest.java
@@ -18,12 +18,13 @@
 import org.skylarkfork.core.consensus.Role;
 import org.testng.annotations.Test;
 
-/** Tests of one daemon that is entry and control VM, before upstreams that misbehave. */
+/** Tests of one daemon that is both entry and control VM, with faulty upstreams. */
 public final class RelayNodeTest extends RelayNodeHarness {
 
   /**
-   * Operators see that an upstream ended while it ran a request. The upstream closes its listener
-   * and the request's connection, as a process that crashes does; the entry's probe is refused.
+   * The metrics show that an upstream ended while it ran a request. The upstream closes its
+   * listener and the request's connection, as a crashing process does, so the entry's probe is
+   * refused.
    */
   @Test
   public void upstreamThatEndsUnderItsRequestIsCounted() throws Exception {
@@ -40,7 +41,7 @@
     assertTrue(served.contains("relay_upstreams_ended_total{kind=\"service\"} 1"), served);
   }
 
-  /** An operator sees who votes before a control VM is replaced. */
+  /** Operators can see the voters before they replace a control VM. */
   @Test
   public void controlVmReportsVoters() throws Exception {
     serveWith();
@@ -57,8 +58,8 @@
   }
 
   /**
-   * A caller is told at once that its request has not run while the only zone with upstreams is
-   * evacuated, and is served again once operators have taken it back.
+   * A request is refused at once as not run while the only zone with upstreams is evacuated, and is
+   * served again after operators restore the zone.
    */
   @Test
   public void evacuatedZoneIsListedAndServesAgainOnceRestored() throws Exception {
@@ -103,8 +104,9 @@
   }
 
   /**
-   * The second caller gets its own answer. The upstream answers the first request twice; its second
-   * answer lies on the kept connection where the next one is expected.
+   * Guards against forwarding a foreign answer. The upstream answers the first request twice, and
+   * the second answer waits on the reused connection where the answer to the next request is
+   * expected.
    */
   @Test
   public void extraAnswerIsNotForwardedToTheNextCaller() throws Exception {
@@ -123,8 +125,8 @@
   }
 
   /**
-   * The caller sees one whole stream. The upstream dies in the middle of the third event; another
-   * goes on behind the second, so that no event comes twice or in pieces of two runs.
+   * Guards against duplicated or mixed events in a resumed stream. The upstream crashes in the
+   * middle of the third event, and another upstream resumes after the second.
    */
   @Test
   public void streamResumesElsewhereAfterCutWithinAnEvent() throws Exception {
@@ -151,8 +153,9 @@
   }
 
   /**
-   * The caller sees one whole stream. The upstream falls silent after the second event with its
-   * connection open, as one that is cut off does; another goes on from there.
+   * Guards against a stream that stalls without an error. After the second event the upstream sends
+   * nothing but keeps its connection open, as if isolated by the network, and another upstream
+   * resumes the stream.
    */
   @Test
   public void streamResumesElsewhereAfterStall() throws Exception {
@@ -176,8 +179,8 @@
   }
 
   /**
-   * The caller gets 502. The upstream dies while it writes its head, and what is left lacks the
-   * repeated id; taken for a whole answer it would be a success without content.
+   * The caller receives 502. The upstream crashes while it writes its head, which then lacks the
+   * repeated request id; treated as complete, it would be a success without content.
    */
   @Test
   public void truncatedHeadIsAnUpstreamFailure() throws Exception {
@@ -189,7 +192,7 @@
     assertTrue(sendUntilServed("/book/x", "one").startsWith("HTTP/1.1 502"));
   }
 
-  /** The caller gets 502 and not a shorter answer. */
+  /** The caller receives 502 instead of a truncated answer. */
   @Test
   public void truncatedBodyIsAnUpstreamFailure() throws Exception {
     serveWith(
@@ -201,7 +204,10 @@
     assertTrue(sendUntilServed("/book/x", "one").startsWith("HTTP/1.1 502"));
   }
 
-  /** The caller gets the whole answer although its end is only the end of the connection. */
+  /**
+   * The caller receives the complete answer although only the close of the connection marks its
+   * end.
+   */
   @Test
   public void answerDelimitedByConnectionCloseIsComplete() throws Exception {
     serveWith(
@@ -217,8 +223,8 @@
   }
 
   /**
-   * Nothing reaches the upstream but one request. A second one hides in a body whose length is told
-   * twice, in two ways.
+   * Guards against request smuggling: a second request hides in a body whose length is stated by
+   * both Content-Length and Transfer-Encoding, and must not reach the upstream.
    */
   @Test
   public void requestWithAmbiguousLengthIsRejected() throws Exception {
@@ -240,8 +246,8 @@
   }
 
   /**
-   * Operators' dashboard and alerts show what is served. One upstream answers part of the requests
-   * with failures and one ends under its first, so that each counter has counted.
+   * All metrics of the dashboard and the alerts are exported. One upstream fails part of the
+   * requests and another crashes under its first request, so that each counter is above zero.
    */
   @Test
   public void metricsOfDashboardAndAlertsAreExported() throws Exception {
@@ -274,12 +280,16 @@
         }
       }
     }
-    // A larger model is asked only where a route has several; its counter is named in the trace.
+    // Requests escalate to a larger model only on routes with several models; the trace names the
+    // counter.
     missing.remove("skylarkfork_relay_larger_models_total");
     assertEquals(missing, Set.of(), served);
   }
 
-  /** The caller learns from the second upstream; the first was full and said so. */
+  /**
+   * The second upstream serves the request after the first, which is full, rejected it as not
+   * started.
+   */
   @Test
   public void requestRejectedByFullUpstreamIsRetriedElsewhere() throws Exception {
     serveWith(
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/ScriptedUpstream.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/ScriptedUpstream.java
@@ -12,7 +12,7 @@
 import java.util.Locale;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** An upstream that answers with the bytes that a test gives it. */
+/** An upstream that answers with the bytes that a test's script writes. */
 final class ScriptedUpstream implements AutoCloseable {
 
   private final ServerSocket listener;
@@ -26,15 +26,15 @@
     startDaemonThread(this::accept);
   }
 
-  /** Answers one request. */
+  /** Answers the requests to an upstream. */
   interface Script {
 
     /**
-     * Writes what the upstream answers.
+     * Writes the upstream's answer to a request.
      *
      * @param run number of the request at this upstream, from 1
      * @param head the request's head
-     * @param out where the answer goes
+     * @param out receives the answer
      * @return whether the connection stays open
      */
     boolean answer(int run, String head, OutputStream out) throws IOException;
@@ -53,7 +53,7 @@
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Returns a whole answer of a plain service. */
+  /** Returns a complete answer of a plain service. */
   static byte[] response(String head, int status, String body) {
     return bytes(
         "HTTP/1.1 "
@@ -82,13 +82,13 @@
     return "127.0.0.1:" + listener.getLocalPort();
   }
 
-  /** Returns the heads of the requests that came. */
+  /** Returns the heads of the received requests. */
   List<String> heads() {
     return heads;
   }
 
-  private static void startDaemonThread(Runnable work) {
-    Thread thread = new Thread(work, "upstream");
+  private static void startDaemonThread(Runnable task) {
+    Thread thread = new Thread(task, "upstream");
     thread.setDaemon(true);
     thread.start();
   }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/UpstreamAddressTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/UpstreamAddressTest.java
@@ -11,7 +11,7 @@
 import org.skylarkfork.core.relay.UpstreamInstance;
 import org.testng.annotations.Test;
 
-/** Tests of {@link UpstreamAddress} and of what an entry does with an address that is none. */
+/** Tests of {@link UpstreamAddress} and of an entry's handling of invalid addresses. */
 public final class UpstreamAddressTest extends RelayNodeHarness {
 
   private static final List<String> INVALID =
@@ -42,9 +42,9 @@
   }
 
   /**
-   * The caller is served. An upstream of its service had announced an address that is none; the
-   * first entry to send there halted, then the next one that the caller came to. Control VMs refuse
-   * such a heartbeat.
+   * Guards against an upstream that announces an invalid address: the first entry that sent to it
+   * halted, then the next entry that the caller used. Control VMs reject such a heartbeat, and
+   * callers are served.
    */
   @Test
   public void invalidAddressDoesNotStopTheEntry() throws Exception {
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/UpstreamPoolTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/UpstreamPoolTest.java
@@ -13,9 +13,9 @@
 public final class UpstreamPoolTest {
 
   /**
-   * Callers' requests aren't lost one after the other. The upstream forgets resting connections
-   * sooner than it says; after the first that it had given up, others aren't used for as long, and
-   * some time later the upstream is trusted again.
+   * Guards against losing one request after the other to an upstream that drops idle connections
+   * earlier than it states. After the first stale connection, the pool reuses connections only up
+   * to a shorter idle time, and lifts this limit some time later.
    */
   @Test
   public void staleConnectionLowersMaxIdleTime() {
@@ -30,13 +30,16 @@
     assertEquals(pool.maxIdleNanos(now + TimeUnit.SECONDS.toNanos(60)), Long.MAX_VALUE);
   }
 
-  /** An upstream whose address can't be read takes no connection; the request goes elsewhere. */
+  /**
+   * An upstream with an invalid address provides no connection, so the request goes to another
+   * upstream.
+   */
   @Test
   public void upstreamWithoutAddressProvidesNoConnection() {
     UpstreamPool pool = new UpstreamPool(new Bootstrap(), null, new RelayHeaders());
-    List<Boolean> taken = new ArrayList<>();
-    pool.acquire(false, 2, connection -> taken.add(connection != null));
-    pool.probe(taken::add);
-    assertEquals(taken, List.of(false, false));
+    List<Boolean> connected = new ArrayList<>();
+    pool.acquire(false, 2, connection -> connected.add(connection != null));
+    pool.probe(connected::add);
+    assertEquals(connected, List.of(false, false));
   }
 }
