--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayExchange.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayExchange.java
@@ -134,7 +134,7 @@
             HttpVersion.HTTP_1_1, answer.status(), content, headers, EmptyHttpHeaders.INSTANCE));
   }
 
-  /** Starts a stream of events, unless an earlier attempt has startedAttempt it. */
+  /** Starts a stream of events, unless an earlier attempt has started it. */
   void startStream(HttpResponse answer) {
     if (streamStarted || completed) {
       return;
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/UpstreamConnection.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/UpstreamConnection.java
@@ -218,8 +218,7 @@
     attempt = null;
     answering = false;
     // Until the request is completely written, the upstream expects the remainder of its body on
-    // this
-    // connection and would mistake the next request for it.
+    // this connection and would mistake the next request for it.
     if (reusable && requestWritten && !closeDelimited) {
       pool.release(this);
     } else {
