--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/HeaderValues.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/HeaderValues.java
@@ -14,7 +14,7 @@
   private HeaderValues() {}
 
   /**
-   * Returns a time in milliseconds: at smallest 1, or 0 if the header is missing.
+   * Returns a time in milliseconds: at least 1, or 0 if the header is missing.
    *
    * @throws MalformedHeaderException if the value isn't a number
    */
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -109,7 +109,7 @@
    * @param settings settings of the daemon
    * @param clock clock of the daemon, which is monotonic and includes the time that the VM is
    *     suspended
-   * @param dialect mapping of the headers of requests and handler
+   * @param dialect mapping of the headers of requests and answers
    * @param controlDialect protocol of calls to control VMs
    * @param onFailure receives the failure if an invariant is violated
    */
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/UpstreamPools.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/UpstreamPools.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.skylarkfork.core.relay.UpstreamInstance;
 
-/** Pools of connections to iterator upstreams; confined to one thread. */
+/** Pools of connections to all upstreams; confined to one thread. */
 final class UpstreamPools {
 
   private static final Duration UNUSED_RETENTION = Duration.ofSeconds(20);
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/CrashingRequestNodeTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/CrashingRequestNodeTest.java
@@ -9,7 +9,7 @@
 import java.util.regex.Pattern;
 import org.testng.annotations.Test;
 
-/** Tests with requests that crash the upstreams that requestNumber them, over real connections. */
+/** Tests with requests that crash the upstreams that run them, over real connections. */
 public final class CrashingRequestNodeTest extends RelayNodeHarness {
 
   private static final String QUARANTINED = "relay_quarantined_requests{kind=\"\"} 1";
@@ -40,9 +40,9 @@
 
   /**
    * Guards against a crashing request that ends one upstream after the other. A caller sends it
-   * three times, and each attempt an upstream crashes as it starts to requestNumber the request.
-   * From then on the request receives 400 without Retry-After, other requests are served by the
-   * remaining upstreams, and operators see the request and can lift its quarantine.
+   * three times, and each time an upstream crashes as it starts to run the request. From then on
+   * the request receives 400 without Retry-After, other requests are served by the remaining
+   * upstreams, and operators see the request and can lift its quarantine.
    */
   @Test
   public void crashingRequestIsRefusedUntilItsQuarantineIsLifted() throws Exception {
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/RelayNodeTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/relay/RelayNodeTest.java
@@ -58,8 +58,8 @@
   }
 
   /**
-   * A request is refused at once as not requestNumber while the only zone with upstreams is
-   * evacuated, and is served again after operators restore the zone.
+   * A request is refused at once as not run while the only zone with upstreams is evacuated, and is
+   * served again after operators restore the zone.
    */
   @Test
   public void evacuatedZoneIsListedAndServesAgainOnceRestored() throws Exception {
