--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -35,7 +35,7 @@
 import org.skylarkfork.core.event.PeerEvent;
 import org.skylarkfork.core.event.RelayEvent;
 import org.skylarkfork.core.relay.EntryIdentity;
-import org.skylarkfork.core.relay.LoadSharePart;
+import org.skylarkfork.core.relay.LoadExchangePart;
 import org.skylarkfork.core.relay.RelayControlPart;
 import org.skylarkfork.core.relay.RelayEntryPart;
 import org.skylarkfork.core.relay.RelayMachine;
@@ -142,8 +142,8 @@
     packings.add(new PeerMessagePacking());
     packings.add(new CommandPacking());
     packings.add(new SnapshotPacking());
-    packings.add(PeerTransport.handshakes());
-    packings.addAll(DiskStorage.records());
+    packings.add(PeerTransport.handshakePacking());
+    packings.addAll(DiskStorage.recordPackings());
     return new PackedCodec(packings);
   }
 
@@ -284,7 +284,7 @@
             statistics,
             seed);
     parts.add(requests);
-    parts.add(new LoadSharePart(entryPart, requests));
+    parts.add(new LoadExchangePart(entryPart, requests));
     parts.add(new SchedulerPart(entryPart, settings.peerName(), seed));
     RelayCallerServer started =
         new RelayCallerServer(
@@ -360,7 +360,7 @@
       peers.execute(peer);
     } else if (effect instanceof StorageEffect write) {
       if (storage != null) {
-        storage.carryOut(write);
+        storage.execute(write);
       }
     } else if (effect instanceof TraceEffect.LogLine line) {
       log.add(line, loop.now().toEpochMilli());
