--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/BackupBillStore.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/BackupBillStore.java
@@ -20,40 +20,45 @@
 import org.skylarkfork.core.message.LedgerMessage.BackupBills;
 
 /**
- * Other entries' bills, which this entry submits if they are lost first.
+ * Stores the bills of other entries, and submits the bills of an owner that is lost.
  *
- * <p>An owner that is only slow may submit the same bills; their numbers make them count once.
+ * <p>An owner that is only slow may submit the same bills; by their sequence numbers each is
+ * counted once.
  */
 final class BackupBillStore {
 
-  private static final Duration BATCH_TRY = Duration.ofSeconds(5);
+  private static final Duration SUBMISSION_TIMEOUT = Duration.ofSeconds(5);
 
   private final LedgerSettings settings;
   private final Submitter submitter;
-  private final Map<HeldKey, Held> all = new LinkedHashMap<>();
-  private final Map<Long, Adopted> inFlight = new HashMap<>();
+  private final Map<OwnerKey, OwnerBills> billsByOwner = new LinkedHashMap<>();
+  private final Map<Long, Takeover> inFlight = new HashMap<>();
 
   BackupBillStore(LedgerSettings settings, Submitter submitter) {
     this.settings = settings;
     this.submitter = submitter;
   }
 
-  /** Keeps an owner's bills and says so. */
+  /**
+   * Stores an owner's bills and acknowledges them. Does neither if they come from an earlier run of
+   * the owner or would exceed the buffer.
+   */
   void onBackup(String owner, BackupBills message, Instant now, Output output) {
-    if (isOld(owner, message)) {
+    if (isSuperseded(owner, message)) {
       return;
     }
-    Held held =
-        all.computeIfAbsent(
-            new HeldKey(owner, message.incarnation(), message.group()), unused -> new Held());
-    held.settle(message.settledUpTo());
-    held.heardAt = now;
+    OwnerBills ownerBills =
+        billsByOwner.computeIfAbsent(
+            new OwnerKey(owner, message.incarnation(), message.group()),
+            unused -> new OwnerBills());
+    ownerBills.settle(message.settledUpTo());
+    ownerBills.lastReceivedAt = now;
     if (message.bills().isEmpty()
-        || held.bills.size() + message.bills().size() > settings.maxBufferedBills()) {
+        || ownerBills.bills.size() + message.bills().size() > settings.maxBufferedBills()) {
       return;
     }
     for (NumberedBill numbered : message.bills()) {
-      held.bills.put(numbered.number(), numbered.bill());
+      ownerBills.bills.put(numbered.number(), numbered.bill());
     }
     long upTo = message.bills().get(message.bills().size() - 1).number();
     output.effect(
@@ -62,46 +67,47 @@
             new BackupAcknowledged(message.group(), message.incarnation(), message.round(), upTo)));
   }
 
-  private boolean isOld(String owner, BackupBills message) {
-    boolean isOld = false;
-    for (Map.Entry<HeldKey, Held> entry : all.entrySet()) {
-      HeldKey key = entry.getKey();
+  private boolean isSuperseded(String owner, BackupBills message) {
+    boolean isSuperseded = false;
+    for (Map.Entry<OwnerKey, OwnerBills> entry : billsByOwner.entrySet()) {
+      OwnerKey key = entry.getKey();
       if (key.owner.equals(owner) && key.incarnation != message.incarnation()) {
-        isOld |= key.incarnation > message.incarnation();
+        isSuperseded |= key.incarnation > message.incarnation();
         entry.getValue().isOrphaned |= key.incarnation < message.incarnation();
       }
     }
-    return isOld;
+    return isSuperseded;
   }
 
   /**
-   * Submits the bills of owners that are gone, have restarted or say nothing of bills that are long
-   * due; the last also finds an owner that restarted before anyone held it to be gone.
+   * Submits the bills of owners that are gone, have restarted or have sent nothing for {@link
+   * LedgerSettings#takeoverTimeout}. The timeout also detects an owner that restarted before it was
+   * considered dead.
    */
   void onTick(LivePeers peers, Instant now, Output output) {
-    for (Map.Entry<HeldKey, Held> entry : new ArrayList<>(all.entrySet())) {
-      Held held = entry.getValue();
-      HeldKey key = entry.getKey();
-      boolean isSilent = !now.isBefore(held.heardAt.plus(settings.takeoverTimeout()));
-      boolean isLost = held.isOrphaned || isSilent || peers.isGone(key.owner, now);
-      if (isLost && held.bills.isEmpty()) {
-        all.remove(key);
-      } else if (isLost && !held.isSubmitted) {
-        submit(key, held, now, output);
+    for (Map.Entry<OwnerKey, OwnerBills> entry : new ArrayList<>(billsByOwner.entrySet())) {
+      OwnerBills ownerBills = entry.getValue();
+      OwnerKey key = entry.getKey();
+      boolean isSilent = !now.isBefore(ownerBills.lastReceivedAt.plus(settings.takeoverTimeout()));
+      boolean isLost = ownerBills.isOrphaned || isSilent || peers.isGone(key.owner, now);
+      if (isLost && ownerBills.bills.isEmpty()) {
+        billsByOwner.remove(key);
+      } else if (isLost && !ownerBills.isSubmitted) {
+        submit(key, ownerBills, now, output);
       }
     }
   }
 
-  private void submit(HeldKey key, Held held, Instant now, Output output) {
-    List<NumberedBill> batch = held.first(settings.maxBatchBills());
-    held.isSubmitted = true;
+  private void submit(OwnerKey key, OwnerBills ownerBills, Instant now, Output output) {
+    List<NumberedBill> batch = ownerBills.first(settings.maxBatchBills());
+    ownerBills.isSubmitted = true;
     long id = submitter.newSubmissionId();
-    inFlight.put(id, new Adopted(key, batch));
+    inFlight.put(id, new Takeover(key, batch));
     submitter.submit(
         key.group,
-        new RecordBills(key.owner, key.incarnation, held.settledUpTo, batch),
+        new RecordBills(key.owner, key.incarnation, ownerBills.settledUpTo, batch),
         id,
-        now.plus(BATCH_TRY),
+        now.plus(SUBMISSION_TIMEOUT),
         now,
         output);
     output.effect(
@@ -109,51 +115,57 @@
             true, "ledger", "submits " + batch.size() + " bills of lost entry " + key.owner));
   }
 
-  /** Takes the result of a batch and returns whether the submission was one of these. */
+  /**
+   * Handles the result of a submission.
+   *
+   * @return whether the submission is one of this store's batches
+   */
   boolean onAnswered(long submissionId, CommandResult result) {
     if (!(result instanceof BillsRecorded)) {
       return onFailed(submissionId);
     }
-    Adopted adopted = inFlight.remove(submissionId);
-    if (adopted == null) {
+    Takeover takeover = inFlight.remove(submissionId);
+    if (takeover == null) {
       return false;
     }
-    Held held = all.get(adopted.key);
-    if (held != null) {
-      held.isSubmitted = false;
-      adopted.batch.forEach(numbered -> held.bills.remove(numbered.number()));
+    OwnerBills ownerBills = billsByOwner.get(takeover.key);
+    if (ownerBills != null) {
+      ownerBills.isSubmitted = false;
+      takeover.batch.forEach(numbered -> ownerBills.bills.remove(numbered.number()));
     }
     return true;
   }
 
   /**
-   * Takes the failure of a batch, which goes out again, and returns whether it was one of these.
+   * Handles the failure of a submission; its bills are submitted again.
+   *
+   * @return whether the submission is one of this store's batches
    */
   boolean onFailed(long submissionId) {
-    Adopted adopted = inFlight.remove(submissionId);
-    if (adopted == null) {
+    Takeover takeover = inFlight.remove(submissionId);
+    if (takeover == null) {
       return false;
     }
-    Held held = all.get(adopted.key);
-    if (held != null) {
-      held.isSubmitted = false;
+    OwnerBills ownerBills = billsByOwner.get(takeover.key);
+    if (ownerBills != null) {
+      ownerBills.isSubmitted = false;
     }
     return true;
   }
 
-  /** Returns how many bills are kept. */
+  /** Returns the number of stored bills. */
   int size() {
-    return all.values().stream().mapToInt(held -> held.bills.size()).sum();
+    return billsByOwner.values().stream().mapToInt(ownerBills -> ownerBills.bills.size()).sum();
   }
 
-  private record HeldKey(String owner, long incarnation, GroupId group) {}
+  private record OwnerKey(String owner, long incarnation, GroupId group) {}
 
-  private record Adopted(HeldKey key, List<NumberedBill> batch) {}
+  private record Takeover(OwnerKey key, List<NumberedBill> batch) {}
 
-  private static final class Held {
+  private static final class OwnerBills {
     private final TreeMap<Long, Bill> bills = new TreeMap<>();
     private long settledUpTo;
-    private Instant heardAt = Instant.EPOCH;
+    private Instant lastReceivedAt = Instant.EPOCH;
     private boolean isOrphaned;
     private boolean isSubmitted;
 
@@ -162,10 +174,10 @@
       bills.headMap(settledUpTo, true).clear();
     }
 
-    private List<NumberedBill> first(int most) {
+    private List<NumberedBill> first(int maxBills) {
       List<NumberedBill> first = new ArrayList<>();
       for (Map.Entry<Long, Bill> entry : bills.entrySet()) {
-        if (first.size() == most) {
+        if (first.size() == maxBills) {
           break;
         }
         first.add(new NumberedBill(entry.getKey(), entry.getValue()));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/BackupSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/BackupSender.java
@@ -12,32 +12,33 @@
 import org.skylarkfork.core.message.LedgerMessage.BackupBills;
 
 /**
- * Gives copies of an entry's bills for one group to its backups.
+ * Replicates an entry's uncommitted bills for one ledger group to its backups.
  *
- * <p>Each backup has one message on its way at a time, and bills collect behind it. After a lost
- * connection everything unsettled is sent again, as the backup may have lost its memory.
+ * <p>Each backup has at most one message with bills in flight; further bills are queued until the
+ * backup acknowledges it. After a lost connection all unsettled bills are sent again, since the
+ * backup may have restarted and lost its state.
  */
 final class BackupSender {
 
-  private static final long NOTHING_TOLD = -1;
-  private static final Duration RESEND = Duration.ofMillis(100);
+  private static final long NOTHING_REPORTED = -1;
+  private static final Duration RESEND_INTERVAL = Duration.ofMillis(100);
 
   private final GroupId group;
   private final long incarnation;
-  private final int mostBills;
+  private final int maxBills;
   private final EntryBills bills;
   private final Map<String, Link> links = new HashMap<>();
   private long lastRound;
 
-  BackupSender(GroupId group, long incarnation, int mostBills, EntryBills bills) {
+  BackupSender(GroupId group, long incarnation, int maxBills, EntryBills bills) {
     this.group = group;
     this.incarnation = incarnation;
-    this.mostBills = mostBills;
+    this.maxBills = maxBills;
     this.bills = bills;
   }
 
-  /** Changes the backups. */
-  void useBackups(List<String> backups) {
+  /** Replaces the set of backups; a new backup receives all unsettled bills. */
+  void setBackups(List<String> backups) {
     links.keySet().retainAll(backups);
     for (String backup : backups) {
       links.computeIfAbsent(backup, unused -> newLink());
@@ -49,19 +50,20 @@
     return new Link(lastRound);
   }
 
-  /** Starts again with a backup after its connection was lost. */
+  /** Restarts the replication to a backup whose connection was lost. */
   void onConnectionLost(String node) {
     links.computeIfPresent(node, (unused, link) -> newLink());
   }
 
-  /** Sends what each backup doesn't have yet. */
+  /** Sends each backup the bills that it has not acknowledged, up to one batch each. */
   void drain(Instant now, Output output) {
     links.forEach(
         (node, link) -> {
-          if (link.sentUpTo > link.keptUpTo && now.isBefore(link.sentAt.plus(RESEND))) {
+          if (link.sentUpTo > link.acknowledgedUpTo
+              && now.isBefore(link.sentAt.plus(RESEND_INTERVAL))) {
             return;
           }
-          List<NumberedBill> next = bills.after(link.keptUpTo, mostBills);
+          List<NumberedBill> next = bills.after(link.acknowledgedUpTo, maxBills);
           if (!next.isEmpty()) {
             link.sentUpTo = next.get(next.size() - 1).number();
             send(node, link, next, now, output);
@@ -69,11 +71,11 @@
         });
   }
 
-  /** Tells the backups what is settled, if they weren't told with new bills. */
+  /** Reports up to which number all bills are settled, unless new bills carried it already. */
   void onTick(Instant now, Output output) {
     links.forEach(
         (node, link) -> {
-          if (link.toldSettledUpTo < bills.settledUpTo()) {
+          if (link.reportedSettledUpTo < bills.settledUpTo()) {
             send(node, link, List.of(), now, output);
           }
         });
@@ -83,13 +85,18 @@
     if (!next.isEmpty()) {
       link.sentAt = now;
     }
-    link.toldSettledUpTo = bills.settledUpTo();
+    link.reportedSettledUpTo = bills.settledUpTo();
     output.effect(
         new PeerEffect.SendToPeer(
-            node, new BackupBills(group, incarnation, link.round, link.toldSettledUpTo, next)));
+            node, new BackupBills(group, incarnation, link.round, link.reportedSettledUpTo, next)));
   }
 
-  /** Takes a backup's word, and returns the number up to which it keeps all bills. */
+  /**
+   * Handles an acknowledgement.
+   *
+   * @return the number up to which the backup stores all bills, or 0 if the acknowledgement is
+   *     outdated or comes from a node that is no backup
+   */
   long onAcknowledged(String node, BackupAcknowledged acknowledged) {
     Link link = links.get(node);
     if (link == null
@@ -97,8 +104,8 @@
         || acknowledged.incarnation() != incarnation) {
       return 0;
     }
-    link.keptUpTo = Math.max(link.keptUpTo, acknowledged.upTo());
-    return link.keptUpTo;
+    link.acknowledgedUpTo = Math.max(link.acknowledgedUpTo, acknowledged.upTo());
+    return link.acknowledgedUpTo;
   }
 
   /** Returns whether there is a backup. */
@@ -108,10 +115,10 @@
 
   private static final class Link {
     private final long round;
-    private long keptUpTo;
+    private long acknowledgedUpTo;
     private long sentUpTo;
-    // A backup hears of a new run even before its first bill, and so submits those of the last run.
-    private long toldSettledUpTo = NOTHING_TOLD;
+    // Reporting a new run before its first bill makes the backup submit the bills of the last run.
+    private long reportedSettledUpTo = NOTHING_REPORTED;
     private Instant sentAt = Instant.EPOCH;
 
     private Link(long round) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/BillAggregator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/BillAggregator.java
@@ -14,12 +14,11 @@
 import org.skylarkfork.core.command.LedgerResult.BillsRecorded;
 
 /**
- * The bills of a ledger group, as statements.
+ * Deduplicates the bills of a ledger group and adds them up to statements.
  *
- * <p>Two tables keep a request from being billed twice. The numbers of each entry's run make a
- * second delivery of a bill harmless, from the entry or from a backup that took over; they cost
- * next to nothing however many lookups there are. The keys that callers gave make a resend through
- * another entry harmless.
+ * <p>Two tables prevent double billing. The sequence numbers of each entry's run identify a second
+ * delivery of a bill, by the entry or by a backup that took over; they use almost no memory for any
+ * number of lookups. The callers' keys identify a resend through another entry.
  */
 final class BillAggregator {
 
@@ -38,7 +37,7 @@
     lookupKeys = new BilledKeys(bounds.maxBilledKeys(), bounds.lookupKeyRetention());
   }
 
-  /** Counts those bills that were not counted before. */
+  /** Counts the bills of a command that were not counted before. */
   BillsRecorded record(RecordBills command, Instant stampedAt, Instant time) {
     String month = stampedAt.toString().substring(0, MONTH_LENGTH);
     Run run = renew(new EntryRun(command.entry(), command.incarnation()), time);
@@ -74,7 +73,7 @@
     totals.computeIfAbsent(bill.team(), unused -> new Sum()).add(1, bill.costMicros());
   }
 
-  /** Forgets keys and runs whose time has come. */
+  /** Removes the keys and runs whose retention time has passed. */
   void expire(Instant time) {
     keys.expire(time);
     lookupKeys.expire(time);
@@ -85,7 +84,7 @@
     }
   }
 
-  /** Returns a team's statement, after checking that it adds up. */
+  /** Returns a team's statement, after a check that its lines add up to its total. */
   Statement statement(String team) {
     List<StatementLine> own = allLines().stream().filter(line -> line.team().equals(team)).toList();
     Sum total = totals.getOrDefault(team, new Sum());
@@ -98,7 +97,7 @@
     long costMicros = own.stream().mapToLong(StatementLine::costMicros).sum();
     Invariants.check(
         requests == total.requests && costMicros == total.costMicros,
-        "the statement of team " + team + " adds up to the bills that were counted");
+        "the statement of team " + team + " adds up to the counted bills");
   }
 
   /** Returns the lines of all teams. */
@@ -112,7 +111,7 @@
     return all;
   }
 
-  /** Returns which numbers of which runs were counted. */
+  /** Returns the counted sequence numbers of each run. */
   List<CountedNumbers> counted() {
     List<CountedNumbers> all = new ArrayList<>();
     runs.forEach(
@@ -127,7 +126,7 @@
     return all;
   }
 
-  /** Returns the billed keys of drafts and unsafe calls, oldest first. */
+  /** Returns the billed keys of drafts and non-idempotent calls, oldest first. */
   List<BilledKey> keys() {
     return keys.all();
   }
@@ -137,7 +136,7 @@
     return lookupKeys.all();
   }
 
-  /** Replaces everything. */
+  /** Replaces the whole state with that of a snapshot. */
   void restore(
       List<CountedNumbers> counted,
       List<BilledKey> newKeys,
@@ -183,35 +182,35 @@
     private long requests;
     private long costMicros;
 
-    void add(long moreRequests, long moreMicros) {
-      requests += moreRequests;
-      costMicros = Math.addExact(costMicros, moreMicros);
+    void add(long addedRequests, long addedMicros) {
+      requests += addedRequests;
+      costMicros = Math.addExact(costMicros, addedMicros);
     }
   }
 
-  /** Billed keys within a time and a number, oldest first. */
+  /** Billed keys, oldest first, limited by their age and number. */
   private static final class BilledKeys {
     private final LinkedHashMap<ClaimKey, Instant> billedAt = new LinkedHashMap<>();
-    private final int most;
-    private final Duration kept;
+    private final int maxKeys;
+    private final Duration retention;
 
-    BilledKeys(int most, Duration kept) {
-      this.most = most;
-      this.kept = kept;
+    BilledKeys(int maxKeys, Duration retention) {
+      this.maxKeys = maxKeys;
+      this.retention = retention;
     }
 
     boolean add(ClaimKey key, Instant time) {
       if (billedAt.putIfAbsent(key, time) != null) {
         return false;
       }
-      if (billedAt.size() > most) {
+      if (billedAt.size() > maxKeys) {
         billedAt.remove(billedAt.keySet().iterator().next());
       }
       return true;
     }
 
     void expire(Instant time) {
-      Instant oldest = time.minus(kept);
+      Instant oldest = time.minus(retention);
       var inOrder = billedAt.values().iterator();
       while (inOrder.hasNext() && inOrder.next().isBefore(oldest)) {
         inOrder.remove();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/BilledKey.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/BilledKey.java
@@ -3,10 +3,10 @@
 import java.time.Instant;
 
 /**
- * A caller's key that was billed.
+ * Idempotency key of a caller for which a request was billed.
  *
  * @param team name of the team
- * @param key the caller's key
- * @param billedAt when it was billed, by the ledger's time
+ * @param key the caller's idempotency key
+ * @param billedAt ledger time at which the request was billed
  */
 public record BilledKey(String team, String key, Instant billedAt) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/BoundedStepClock.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/BoundedStepClock.java
@@ -4,28 +4,34 @@
 import java.time.Instant;
 
 /**
- * The time by which a ledger forgets, which a jump of a leader's clock can't rush.
+ * Clock by which a ledger expires its records; a jump of a leader's clock advances it by one step
+ * at most.
  *
- * <p>A leader whose clock is a day ahead would else expire every claim at its first command, and a
- * resend of a request that ran would run again. Each command moves this time by at most {@link
- * #LONGEST_STEP}, so it runs with the leader's clock while there is work and lags when there is
- * none: claims are kept longer than the stated time, never shorter by more than one step a jump.
+ * <p>Without this limit, the first command of a leader whose clock is a day ahead would expire
+ * every claim, and a resend of a request that ran would run again. Each command advances this clock
+ * by at most {@link #MAX_STEP}, so it follows the leader's clock under load and lags when there are
+ * no commands. Claims are therefore kept for longer than the configured time, and each jump
+ * shortens that time by one step at most.
  */
 final class BoundedStepClock {
 
-  /** Most that one command moves the time. */
-  static final Duration LONGEST_STEP = Duration.ofMinutes(1);
+  /** Largest advance by one command. */
+  static final Duration MAX_STEP = Duration.ofMinutes(1);
 
   private Instant stampedAt = Instant.EPOCH;
   private Instant time = Instant.EPOCH;
 
-  /** Moves the time on to a command and returns it. */
+  /**
+   * Advances the clock to the time stamp of a command.
+   *
+   * @return the ledger time
+   */
   Instant advance(Instant commandStampedAt) {
     if (stampedAt.equals(Instant.EPOCH)) {
       time = commandStampedAt;
     } else if (commandStampedAt.isAfter(stampedAt)) {
       Duration step = Duration.between(stampedAt, commandStampedAt);
-      time = time.plus(step.compareTo(LONGEST_STEP) < 0 ? step : LONGEST_STEP);
+      time = time.plus(step.compareTo(MAX_STEP) < 0 ? step : MAX_STEP);
     }
     if (commandStampedAt.isAfter(stampedAt)) {
       stampedAt = commandStampedAt;
@@ -33,18 +39,18 @@
     return time;
   }
 
-  /** Goes to the state of a snapshot. */
+  /** Restores the state of a snapshot. */
   void restore(Instant newStampedAt, Instant newTime) {
     stampedAt = newStampedAt;
     time = newTime;
   }
 
-  /** Returns the newest leader's time seen. */
+  /** Returns the newest time stamp of a command, by the clock of its leader. */
   Instant stampedAt() {
     return stampedAt;
   }
 
-  /** Returns the present time. */
+  /** Returns the ledger time. */
   Instant time() {
     return time;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/ClaimKey.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/ClaimKey.java
@@ -1,9 +1,9 @@
 package org.skylarkfork.core.ledger;
 
 /**
- * What a claim or bill is known by.
+ * Identifies a claim or a bill.
  *
  * @param team name of the team
- * @param key key within the team
+ * @param key key, unique within the team
  */
 public record ClaimKey(String team, String key) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/ClaimOutcome.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/ClaimOutcome.java
@@ -9,12 +9,12 @@
 public sealed interface ClaimOutcome {
 
   /**
-   * It ran and this is its answer.
+   * The request ran and was answered.
    *
    * @param status HTTP status
-   * @param headers headers to pass on
-   * @param body whole body; empty if it was over the bound for recorded answers
-   * @param facts what the first answer's headers said
+   * @param headers headers to forward to the caller
+   * @param body whole body; empty if it exceeds the limit for recorded answers
+   * @param facts facts from the headers of the first answer
    */
   record Answered(int status, List<Header> headers, Bytes body, AnswerFacts facts)
       implements ClaimOutcome {
@@ -26,14 +26,14 @@
   }
 
   /**
-   * It is not known whether it ran, so it must not be sent again.
+   * It is unknown whether the request ran, so it must not be sent again.
    *
    * @param detail what went wrong
    */
   record Unknown(String detail) implements ClaimOutcome {}
 
   /**
-   * No upstream can have started it; a resend may run it.
+   * No upstream can have started the request; a resend may run it.
    *
    * @param detail what went wrong
    */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/ClaimRecord.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/ClaimRecord.java
@@ -5,17 +5,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One claim as the group remembers it.
+ * A claim as a ledger group stores it.
  *
- * @param claimKey what it is known by
- * @param requestId id of the request that holds it or held it last
- * @param bodyHash hash over what the request asks for; empty if the claim was given up before it
- *     arrived
- * @param entry node name of the entry that runs it
- * @param unknownFrom when a claim without outcome becomes unknown
- * @param outcome how it ended, or null if that is not recorded
- * @param expiresAt when the record is dropped
- * @param released ids of requests that gave the claim up as not run, newest last
+ * @param claimKey key that identifies the claim
+ * @param requestId id of the request that holds the claim or held it last
+ * @param bodyHash hash over the content of the request, see {@link RequestHash}; empty if the claim
+ *     was released before it arrived
+ * @param entry node name of the entry that runs the request; empty if the claim was released before
+ *     it arrived
+ * @param unknownFrom ledger time from which the outcome of a claim without a recorded outcome is
+ *     unknown
+ * @param outcome how the request ended, or null if no outcome is recorded
+ * @param expiresAt ledger time at which the record is removed
+ * @param released ids of the requests whose claims were released as not run, newest last
  */
 public record ClaimRecord(
     ClaimKey claimKey,
@@ -32,12 +34,12 @@
     released = List.copyOf(released);
   }
 
-  /** Returns whether a new request may take the claim. */
+  /** Returns whether a new request may claim the key. */
   boolean isFree() {
     return outcome instanceof ClaimOutcome.NotRun;
   }
 
-  /** Returns the size of the recorded body in bytes. */
+  /** Returns the size of the recorded body in bytes, or 0 if there is none. */
   int bodyBytes() {
     return outcome instanceof ClaimOutcome.Answered answered ? answered.body().value().length : 0;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/ClaimTable.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/ClaimTable.java
@@ -25,19 +25,19 @@
 /**
  * The claims of a ledger group.
  *
- * <p>A key is free until a request claims it, and again once that request recorded that it did not
- * run. In between, every other request is told to wait, then that the outcome is unknown, and once
- * there is an outcome, that one.
+ * <p>A key is free until a request claims it, and again once that request has recorded that it did
+ * not run. In between, the claim of every other request is answered {@code IN_PROGRESS} until the
+ * hold ends, then with an unknown outcome, and with the recorded outcome as soon as there is one.
  */
 final class ClaimTable {
 
-  private static final int RELEASED_KEPT = 8;
-  private static final Duration LONGEST_HOLD = Duration.ofHours(1);
+  private static final int MAX_RELEASED_IDS = 8;
+  private static final Duration MAX_HOLD = Duration.ofHours(1);
   private static final ClaimOutcome.Unknown NO_OUTCOME =
       new ClaimOutcome.Unknown(
-          "the entry that ran it recorded no outcome in time; don't resend, ask the service");
+          "the entry recorded no outcome in time; don't resend, ask the service");
   private static final String FULL_REMEDY =
-      "the ledger keeps as many claims as it may; resend later, the request was not run";
+      "the ledger's claim table is full; resend later, the request was not run";
 
   private final LedgerBounds bounds;
   private final Map<ClaimKey, ClaimRecord> records = new LinkedHashMap<>();
@@ -63,7 +63,7 @@
       return new ClaimDecided(ClaimState.MISMATCH, null);
     }
     if (known.isFree()) {
-      return claimFreed(known, claim, time);
+      return claimReleased(known, claim, time);
     }
     if (known.outcome() != null) {
       return new ClaimDecided(ClaimState.RECORDED, known.outcome());
@@ -76,9 +76,10 @@
         : new ClaimDecided(ClaimState.RECORDED, NO_OUTCOME);
   }
 
-  // A claim that its entry gave up may arrive after the word that it was given up. Granting it then
-  // would leave the key with a request that nobody runs, and its resends unknown for no reason.
-  private CommandResult claimFreed(ClaimRecord known, Claim claim, Instant time) {
+  // A claim that its entry abandoned may arrive after the command that releases it. Granting the
+  // claim then would assign the key to a request that no entry runs, and the outcome of each resend
+  // would be unknown.
+  private CommandResult claimReleased(ClaimRecord known, Claim claim, Instant time) {
     if (known.released().contains(claim.requestId())) {
       return new ClaimDecided(ClaimState.RECORDED, known.outcome());
     }
@@ -88,7 +89,7 @@
   private CommandResult grant(ClaimKey claimKey, Claim claim, List<String> released, Instant time) {
     ClaimRecord known = records.get(claimKey);
     Invariants.check(known == null || known.isFree(), "a key is granted to one request at a time");
-    long holdMillis = Math.max(0, Math.min(claim.holdMillis(), LONGEST_HOLD.toMillis()));
+    long holdMillis = Math.max(0, Math.min(claim.holdMillis(), MAX_HOLD.toMillis()));
     Instant unknownFrom = time.plusMillis(holdMillis);
     put(
         new ClaimRecord(
@@ -103,7 +104,9 @@
     return new ClaimDecided(ClaimState.GRANTED, null);
   }
 
-  /** Records an outcome; the first one stays, but for an unknown one that becomes known. */
+  /**
+   * Records an outcome. The first outcome is final, except that an answer replaces an unknown one.
+   */
   CommandResult recordOutcome(RecordOutcome command, Instant time) {
     ClaimKey claimKey = new ClaimKey(command.team(), command.key());
     ClaimRecord known = records.get(claimKey);
@@ -114,17 +117,18 @@
       return new CommandResult.Rejected(
           "the request does not hold the claim; record outcomes of granted claims only");
     }
-    if (known.outcome() == null || isSettled(known.outcome(), command.outcome())) {
+    if (known.outcome() == null || resolvesUnknown(known.outcome(), command.outcome())) {
       put(withOutcome(known, command.outcome(), time.plus(bounds.claimRetention())));
       limitBodies();
       return new CommandResult.Done();
     }
     return known.isFree()
-        ? new CommandResult.Rejected("the claim was given up as not run and must not have run")
+        ? new CommandResult.Rejected(
+            "the claim was released as not run, so the request must not have run")
         : new CommandResult.Done();
   }
 
-  private static boolean isSettled(ClaimOutcome known, ClaimOutcome next) {
+  private static boolean resolvesUnknown(ClaimOutcome known, ClaimOutcome next) {
     return known instanceof ClaimOutcome.Unknown && next instanceof ClaimOutcome.Answered;
   }
 
@@ -154,7 +158,7 @@
     }
     if (known.outcome() != null) {
       return new CommandResult.Rejected(
-          "an outcome is recorded already; a claim that may have run can't be given up");
+          "an outcome is recorded already; a claim that may have run can't be released");
     }
     put(withReleasedIds(withOutcome(known, command.outcome(), expiresAt), released));
     return new CommandResult.Done();
@@ -163,7 +167,7 @@
   private static List<String> withReleased(List<String> released, String requestId) {
     List<String> all = new ArrayList<>(released);
     all.add(requestId);
-    return all.subList(Math.max(0, all.size() - RELEASED_KEPT), all.size());
+    return all.subList(Math.max(0, all.size() - MAX_RELEASED_IDS), all.size());
   }
 
   private ClaimRecord withOutcome(ClaimRecord known, ClaimOutcome outcome, Instant expiresAt) {
@@ -197,7 +201,7 @@
         : outcome;
   }
 
-  /** Returns an answer whose body is dropped, marked so that nobody takes it for a whole one. */
+  /** Returns the answer without its body, with a header that marks it as incomplete. */
   static ClaimOutcome.Answered withoutBody(ClaimOutcome.Answered answered) {
     List<Header> headers = new ArrayList<>(answered.headers());
     headers.add(LedgerMachine.BODY_DROPPED);
@@ -231,7 +235,7 @@
     }
   }
 
-  /** Drops the records whose time has come. */
+  /** Removes the records that expire at or before the given time. */
   void expire(Instant time) {
     while (!expiries.isEmpty() && !expiries.peek().at().isAfter(time)) {
       Expiry due = expiries.remove();
@@ -247,7 +251,7 @@
     return records.values();
   }
 
-  /** Replaces all records. */
+  /** Replaces all records with those of a snapshot. */
   void restore(List<ClaimRecord> claims) {
     records.clear();
     withBody.clear();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/EntryBills.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/EntryBills.java
@@ -21,16 +21,17 @@
 import org.skylarkfork.core.event.LedgerEvent.Billed;
 
 /**
- * An entry's bills for one ledger group until they are committed.
+ * Buffers an entry's bills for one ledger group until they are committed.
  *
- * <p>Bills that a caller waits for go out at once while few batches are on their way, and collect
- * behind those otherwise, so batches grow with the load and the wait doesn't. Bills of lookups
- * collect for a while, since a backup keeps them.
+ * <p>Bills on which a caller waits are submitted at once while fewer batches than the limit are in
+ * flight; otherwise they are collected for the next batch, so the batches grow with the load and
+ * the wait does not. Bills of lookups are collected for {@link LedgerSettings#lookupBatchWindow},
+ * since a backup stores them.
  */
 final class EntryBills {
 
-  private static final Duration BATCH_TRY = Duration.ofSeconds(5);
-  private static final Duration LATE_KEPT = Duration.ofMinutes(10);
+  private static final Duration SUBMISSION_TIMEOUT = Duration.ofSeconds(5);
+  private static final Duration LATE_RETENTION = Duration.ofMinutes(10);
 
   private final LedgerSettings settings;
   private final String entry;
@@ -38,13 +39,13 @@
   private final GroupId group;
   private final Submitter submitter;
   private final TreeMap<Long, Bill> unsettled = new TreeMap<>();
-  private final Map<Long, Waiting> waiting = new LinkedHashMap<>();
+  private final Map<Long, WaitingAnswer> waitingAnswers = new LinkedHashMap<>();
   private final Map<Long, List<NumberedBill>> inFlight = new HashMap<>();
-  private final Map<String, Long> numbers = new HashMap<>();
-  private final Map<String, Instant> settledLate = new LinkedHashMap<>();
-  private final List<Billed> answered = new ArrayList<>();
-  private final List<List<NumberedBill>> failed = new ArrayList<>();
-  private final Deque<List<NumberedBill>> again = new ArrayDeque<>();
+  private final Map<String, Long> numberByRequest = new HashMap<>();
+  private final Map<String, Instant> settledAfterTimeout = new LinkedHashMap<>();
+  private final List<Billed> alreadySettled = new ArrayList<>();
+  private final List<List<NumberedBill>> failedBatches = new ArrayList<>();
+  private final Deque<List<NumberedBill>> retryBatches = new ArrayDeque<>();
   private final NumberSet settled = new NumberSet(0, List.of());
   private long lastNumber;
   private long submittedUpTo;
@@ -61,26 +62,26 @@
   }
 
   /**
-   * Numbers a bill, or goes on waiting for one that was handed in before.
+   * Assigns a sequence number to a bill, or waits again for a bill that was added before.
    *
-   * <p>A request whose answer waited too long hands its bill in again. Under a second number it
-   * would be counted twice, as a bill without a caller's key is known by its number only.
+   * <p>A request whose answer timed out adds its bill again. Under a second number the bill would
+   * be counted twice, since a bill without a caller's key is identified by its number only.
    *
-   * @param hasBackup whether a backup can keep it until it is committed
+   * @param hasBackup whether a backup can store the bill until it is committed
    */
   void add(Bill bill, boolean hasBackup, Instant now) {
-    Long known = numbers.get(bill.requestId());
+    Long known = numberByRequest.get(bill.requestId());
     if (known != null) {
       await(known, bill, hasBackup, now);
       return;
     }
-    if (settledLate.remove(bill.requestId()) != null) {
-      answered.add(new Billed(bill.requestId(), true));
+    if (settledAfterTimeout.remove(bill.requestId()) != null) {
+      alreadySettled.add(new Billed(bill.requestId(), true));
       return;
     }
     lastNumber++;
     unsettled.put(lastNumber, bill);
-    numbers.put(bill.requestId(), lastNumber);
+    numberByRequest.put(bill.requestId(), lastNumber);
     await(lastNumber, bill, hasBackup, now);
     isUrgent |= !bill.lookup();
     if (now.isBefore(oldestUnsubmitted)) {
@@ -89,36 +90,40 @@
   }
 
   /**
-   * Keeps an answer back until its bill is safe.
+   * Holds an answer until its bill is safe.
    *
-   * <p>A lookup's bill is safe as soon as one backup keeps it. An entry that is cut off from its
-   * backups would lose the bills of answers that it sent meanwhile if it crashed before the cut
-   * ends, and the statement would lack them. So where no backup answers, a lookup waits for the
-   * commit as a draft does; an entry that reaches neither soon loses its lease anyway.
+   * <p>A lookup's bill is safe as soon as one backup stores it. If an entry that is partitioned
+   * from its backups sent answers and crashed before the partition ends, the bills of these answers
+   * would be lost and missing from the statement. So if no backup acknowledges in time, a lookup
+   * waits for the commit as a draft does. An entry that reaches neither its backups nor the group
+   * soon loses its lease anyway.
    */
   private void await(long number, Bill bill, boolean hasBackup, Instant now) {
-    boolean first = bill.lookup() && hasBackup;
-    Duration patience = first ? settings.backupTimeout() : settings.billTimeout();
+    boolean awaitsBackup = bill.lookup() && hasBackup;
+    Duration timeout = awaitsBackup ? settings.backupTimeout() : settings.billTimeout();
     isUrgent |= bill.lookup() && !hasBackup;
-    waiting.put(number, new Waiting(bill.requestId(), now.plus(patience), bill.lookup(), first));
+    waitingAnswers.put(
+        number,
+        new WaitingAnswer(bill.requestId(), now.plus(timeout), bill.lookup(), awaitsBackup));
   }
 
   /**
-   * Submits what is due.
+   * Submits the batches that are due.
    *
-   * @param hasBackup whether a backup keeps the bills meanwhile, so that lookups may collect
+   * @param hasBackup whether a backup stores the bills meanwhile, so that bills of lookups may be
+   *     collected
    */
   void drain(boolean hasBackup, Instant now, Output output) {
-    answered.forEach(output::raise);
-    answered.clear();
+    alreadySettled.forEach(output::raise);
+    alreadySettled.clear();
     while (inFlight.size() < settings.maxBatchesInFlight() && isDue(hasBackup, now)) {
-      List<NumberedBill> batch = again.isEmpty() ? nextBatch() : again.removeFirst();
+      List<NumberedBill> batch = retryBatches.isEmpty() ? nextBatch() : retryBatches.removeFirst();
       submit(batch, now, output);
     }
   }
 
   private boolean isDue(boolean hasBackup, Instant now) {
-    if (!again.isEmpty()) {
+    if (!retryBatches.isEmpty()) {
       return true;
     }
     if (submittedUpTo == lastNumber) {
@@ -144,11 +149,15 @@
     long id = submitter.newSubmissionId();
     inFlight.put(id, batch);
     RecordBills command = new RecordBills(entry, incarnation, settled.upTo(), batch);
-    submitter.submit(group, command, id, now.plus(BATCH_TRY), now, output);
+    submitter.submit(group, command, id, now.plus(SUBMISSION_TIMEOUT), now, output);
     output.effect(new TraceEffect.Observe("ledger_batch_bills", "", batch.size()));
   }
 
-  /** Takes the result of a batch and returns whether the submission was one of these. */
+  /**
+   * Handles the result of a submission.
+   *
+   * @return whether the submission is one of this object's batches
+   */
   boolean onAnswered(long submissionId, CommandResult result, Instant now, Output output) {
     if (!(result instanceof BillsRecorded)) {
       return onFailed(submissionId);
@@ -166,35 +175,41 @@
   private void settle(NumberedBill numbered, Instant now, Output output) {
     String requestId = numbered.bill().requestId();
     unsettled.remove(numbered.number());
-    numbers.remove(requestId);
+    numberByRequest.remove(requestId);
     settled.add(numbered.number());
-    Waiting one = waiting.remove(numbered.number());
-    if (one != null) {
+    WaitingAnswer answer = waitingAnswers.remove(numbered.number());
+    if (answer != null) {
       output.raise(new Billed(requestId, true));
     } else if (!numbered.bill().lookup()) {
-      settledLate.put(requestId, now.plus(LATE_KEPT));
+      settledAfterTimeout.put(requestId, now.plus(LATE_RETENTION));
     }
   }
 
   /**
-   * Takes the failure of a batch and returns whether it was one of these.
+   * Handles the failure of a submission.
    *
-   * <p>It goes out again at the next tick and not before: a submission that fails at once would
-   * else keep the reducer busy with one event for ever.
+   * <p>Its batch is submitted again after the next tick, not before: a submission that fails at
+   * once would otherwise keep the reducer processing one event forever.
+   *
+   * @return whether the submission is one of this object's batches
    */
   boolean onFailed(long submissionId) {
     List<NumberedBill> batch = inFlight.remove(submissionId);
     if (batch != null) {
-      failed.add(batch);
+      failedBatches.add(batch);
     }
     return batch != null;
   }
 
-  /** Takes note that a backup keeps all bills up to a number, so lookups need not wait more. */
+  /**
+   * Releases the answers of lookups whose bills a backup stores.
+   *
+   * @param upTo number up to which the backup stores all bills
+   */
   void onBackedUp(long upTo, Output output) {
-    var inOrder = waiting.entrySet().iterator();
+    var inOrder = waitingAnswers.entrySet().iterator();
     while (inOrder.hasNext()) {
-      Map.Entry<Long, Waiting> next = inOrder.next();
+      Map.Entry<Long, WaitingAnswer> next = inOrder.next();
       if (next.getKey() > upTo) {
         return;
       }
@@ -205,32 +220,34 @@
     }
   }
 
-  /** Lets go of those that waited as long as they may, and of batches to be sent again. */
+  /**
+   * Handles the answers whose wait has timed out, and queues failed batches to be submitted again.
+   */
   void onTick(Instant now, Output output) {
-    again.addAll(failed);
-    failed.clear();
-    settledLate.values().removeIf(until -> !now.isBefore(until));
-    var inOrder = waiting.entrySet().iterator();
+    retryBatches.addAll(failedBatches);
+    failedBatches.clear();
+    settledAfterTimeout.values().removeIf(expiry -> !now.isBefore(expiry));
+    var inOrder = waitingAnswers.entrySet().iterator();
     while (inOrder.hasNext()) {
-      Map.Entry<Long, Waiting> next = inOrder.next();
-      Waiting one = next.getValue();
-      if (!now.isBefore(one.until) && one.isForBackup) {
-        next.setValue(one.forCommit(now.plus(settings.billTimeout())));
+      Map.Entry<Long, WaitingAnswer> next = inOrder.next();
+      WaitingAnswer answer = next.getValue();
+      if (!now.isBefore(answer.deadline) && answer.awaitsBackup) {
+        next.setValue(answer.forCommit(now.plus(settings.billTimeout())));
         isUrgent |= submittedUpTo < lastNumber;
-      } else if (!now.isBefore(one.until)) {
+      } else if (!now.isBefore(answer.deadline)) {
         inOrder.remove();
-        output.raise(new Billed(one.requestId, false));
+        output.raise(new Billed(answer.requestId, false));
         output.effect(new TraceEffect.Count("ledger_bills_late", "", 1));
       }
     }
   }
 
-  /** Returns unsettled bills behind a number, in order. */
-  List<NumberedBill> after(long number, int most) {
+  /** Returns up to {@code maxBills} unsettled bills above a number, in ascending order. */
+  List<NumberedBill> after(long number, int maxBills) {
     List<NumberedBill> bills = new ArrayList<>();
     Iterator<Map.Entry<Long, Bill>> inOrder =
         unsettled.tailMap(number, false).entrySet().iterator();
-    while (inOrder.hasNext() && bills.size() < most) {
+    while (inOrder.hasNext() && bills.size() < maxBills) {
       Map.Entry<Long, Bill> next = inOrder.next();
       bills.add(new NumberedBill(next.getKey(), next.getValue()));
     }
@@ -242,15 +259,16 @@
     return settled.upTo();
   }
 
-  /** Returns how many bills wait for their commit. */
+  /** Returns the number of uncommitted bills. */
   int size() {
     return unsettled.size();
   }
 
-  private record Waiting(String requestId, Instant until, boolean isLookup, boolean isForBackup) {
+  private record WaitingAnswer(
+      String requestId, Instant deadline, boolean isLookup, boolean awaitsBackup) {
 
-    Waiting forCommit(Instant newUntil) {
-      return new Waiting(requestId, newUntil, isLookup, false);
+    WaitingAnswer forCommit(Instant newDeadline) {
+      return new WaitingAnswer(requestId, newDeadline, isLookup, false);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/EntryClaims.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/EntryClaims.java
@@ -19,12 +19,12 @@
 import org.skylarkfork.core.event.LedgerEvent.ClaimState;
 import org.skylarkfork.core.event.LedgerEvent.OutcomeRecorded;
 
-/** An entry's claims and outcomes on their way to the ledger groups. */
+/** Submits an entry's claims and outcomes to the ledger groups, and retries failed outcomes. */
 final class EntryClaims {
 
-  private static final Duration OUTCOME_TRY = Duration.ofSeconds(10);
-  private static final ClaimOutcome.NotRun GIVEN_UP =
-      new ClaimOutcome.NotRun("the ledger was out of reach, so the request was refused unsent");
+  private static final Duration OUTCOME_RETRY_TIMEOUT = Duration.ofSeconds(10);
+  private static final ClaimOutcome.NotRun ABANDONED =
+      new ClaimOutcome.NotRun("the ledger was unreachable, so the request was refused unsent");
 
   private final LedgerSettings settings;
   private final LedgerShards shards;
@@ -32,7 +32,7 @@
   private final Deque<Claim> newClaims = new ArrayDeque<>();
   private final Map<String, Instant> claimDeadlines = new HashMap<>();
   private final Deque<PendingOutcome> newOutcomes = new ArrayDeque<>();
-  private final List<PendingOutcome> laterOutcomes = new ArrayList<>();
+  private final List<PendingOutcome> failedOutcomes = new ArrayList<>();
   private final Map<Long, Claim> claims = new HashMap<>();
   private final Map<Long, PendingOutcome> outcomes = new HashMap<>();
 
@@ -42,27 +42,27 @@
     this.submitter = submitter;
   }
 
-  /** Takes a claim, to be submitted by the next call of {@link #drain}. */
+  /** Queues a claim, which is submitted by the next call of {@link #drain}. */
   void claim(Claim claim, Instant deadline) {
     newClaims.add(claim);
     claimDeadlines.put(claim.requestId(), deadline);
   }
 
-  /** Takes an outcome, to be submitted by the next call of {@link #drain}. */
+  /** Queues an outcome, which is submitted by the next call of {@link #drain}. */
   void recordOutcome(RecordOutcome command, Instant now) {
     newOutcomes.add(new PendingOutcome(command, now.plus(settings.resubmitTimeout()), true));
   }
 
   /**
-   * Takes up outcomes whose submission failed; not before, since one that fails at once would else
-   * keep the reducer busy with one event for ever.
+   * Queues the outcomes whose submission failed. They wait for a tick, since a submission that
+   * fails at once would otherwise keep the reducer processing one event forever.
    */
   void onTick() {
-    newOutcomes.addAll(laterOutcomes);
-    laterOutcomes.clear();
+    newOutcomes.addAll(failedOutcomes);
+    failedOutcomes.clear();
   }
 
-  /** Submits what was taken. */
+  /** Submits the queued claims and outcomes. */
   void drain(Instant now, Output output) {
     for (Claim claim = newClaims.poll(); claim != null; claim = newClaims.poll()) {
       submit(claim, now, output);
@@ -92,19 +92,18 @@
 
   private void submit(PendingOutcome pending, Instant now, Output output) {
     RecordOutcome command = pending.command;
-    Duration patience = pending.isAwaited ? settings.outcomeTimeout() : OUTCOME_TRY;
+    Duration timeout = pending.isAwaited ? settings.outcomeTimeout() : OUTCOME_RETRY_TIMEOUT;
     long id = submitter.newSubmissionId();
     outcomes.put(id, pending);
     submitter.submit(
-        shards.shardOf(command.team(), command.key()),
-        command,
-        id,
-        now.plus(patience),
-        now,
-        output);
+        shards.shardOf(command.team(), command.key()), command, id, now.plus(timeout), now, output);
   }
 
-  /** Takes the result of a submission and returns whether it was one of these. */
+  /**
+   * Handles the result of a submission.
+   *
+   * @return whether the submission is one of this object's claims or outcomes
+   */
   boolean onAnswered(long submissionId, CommandResult result, Output output) {
     Claim claim = claims.remove(submissionId);
     if (claim != null) {
@@ -117,7 +116,7 @@
     }
     boolean done = result instanceof CommandResult.Done;
     if (!done) {
-      warn("an outcome was refused: " + result, output);
+      warn("the ledger rejected an outcome: " + result, output);
     }
     if (pending.isAwaited) {
       output.raise(new OutcomeRecorded(pending.command.requestId(), done));
@@ -136,13 +135,17 @@
     output.effect(new TraceEffect.Count("ledger_claims", decided.state().name(), 1));
   }
 
-  /** Takes the failure of a submission and returns whether it was one of these. */
+  /**
+   * Handles the failure of a submission.
+   *
+   * @return whether the submission is one of this object's claims or outcomes
+   */
   boolean onFailed(long submissionId, boolean mayHaveApplied, Instant now, Output output) {
     Claim claim = claims.remove(submissionId);
     if (claim != null) {
       answer(claim, new ClaimDecided(ClaimState.UNAVAILABLE, null), output);
       if (mayHaveApplied) {
-        giveUp(claim, now);
+        abandon(claim, now);
       }
       return true;
     }
@@ -153,28 +156,29 @@
     if (pending.isAwaited) {
       output.raise(new OutcomeRecorded(pending.command.requestId(), false));
     }
-    if (now.isBefore(pending.until)) {
-      laterOutcomes.add(new PendingOutcome(pending.command, pending.until, false));
+    if (now.isBefore(pending.retryUntil)) {
+      failedOutcomes.add(new PendingOutcome(pending.command, pending.retryUntil, false));
     } else {
-      warn("gave up recording the outcome of " + pending.command.requestId(), output);
+      warn("stops retrying to record the outcome of " + pending.command.requestId(), output);
     }
     return true;
   }
 
-  // The caller is told that the request was not run, so a resend must be able to run. The claim may
-  // stand, or still be on its way; unless it is given up, each resend would be told to wait and
-  // then never to resend. A claim that comes after this is not granted either.
-  private void giveUp(Claim claim, Instant now) {
+  // The caller receives an answer that the request was not run, so a resend must be able to run.
+  // The claim may have been granted or may still be in flight. Unless it is released, each resend
+  // would be answered "in progress" and later "outcome unknown". A claim that arrives after its
+  // release is not granted either.
+  private void abandon(Claim claim, Instant now) {
     RecordOutcome release =
-        new RecordOutcome(claim.team(), claim.key(), claim.requestId(), GIVEN_UP);
-    laterOutcomes.add(new PendingOutcome(release, now.plus(settings.resubmitTimeout()), false));
+        new RecordOutcome(claim.team(), claim.key(), claim.requestId(), ABANDONED);
+    failedOutcomes.add(new PendingOutcome(release, now.plus(settings.resubmitTimeout()), false));
   }
 
-  /** Returns whether nothing is on its way. */
+  /** Returns whether no claim or outcome is queued or in flight. */
   boolean isSettled() {
     return newClaims.isEmpty()
         && newOutcomes.isEmpty()
-        && laterOutcomes.isEmpty()
+        && failedOutcomes.isEmpty()
         && claims.isEmpty()
         && outcomes.isEmpty();
   }
@@ -183,5 +187,5 @@
     output.effect(new TraceEffect.LogLine(true, "ledger", sentence));
   }
 
-  private record PendingOutcome(RecordOutcome command, Instant until, boolean isAwaited) {}
+  private record PendingOutcome(RecordOutcome command, Instant retryUntil, boolean isAwaited) {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/EntryRun.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/EntryRun.java
@@ -1,9 +1,9 @@
 package org.skylarkfork.core.ledger;
 
 /**
- * One run of an entry's process.
+ * Identifies one run of an entry's process.
  *
  * @param entry node name of the entry
- * @param incarnation number of the process, never used twice by the entry
+ * @param incarnation incarnation number of the process, unique among the runs of the entry
  */
 record EntryRun(String entry, long incarnation) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/Ledger.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/Ledger.java
@@ -3,14 +3,14 @@
 import java.time.Instant;
 import org.skylarkfork.core.request.CallerRequest;
 
-/** Keeps claims and bills in the replicated group; answers come as {@code LedgerEvent}. */
+/** Records claims and bills in the replicated groups; results are raised as {@code LedgerEvent}. */
 public interface Ledger {
 
   /**
    * Claims the right to run a request that must run at most once.
    *
-   * <p>{@code LedgerEvent.ClaimAnswered} follows; until it says that the claim is granted, no byte
-   * of the request may go to an upstream.
+   * <p>{@code LedgerEvent.ClaimAnswered} follows. No byte of the request may be sent to an upstream
+   * before that event reports that the claim is granted.
    *
    * @param request the request
    * @param team name of the team
@@ -20,14 +20,14 @@
   void claim(CallerRequest request, String team, String key, Instant now);
 
   /**
-   * Records how a claimed request ended, so that a resend gets the same answer.
+   * Records how a claimed request ended, so that a resend receives the same answer.
    *
    * <p>{@code LedgerEvent.OutcomeRecorded} follows.
    *
    * @param requestId id of the request
    * @param team name of the team
    * @param key the claim's key
-   * @param outcome how it ended
+   * @param outcome how the request ended
    * @param now the present time
    */
   void recordOutcome(String requestId, String team, String key, ClaimOutcome outcome, Instant now);
@@ -43,16 +43,18 @@
   void bill(Bill bill, Instant now);
 
   /**
-   * Returns whether new work may start; if not, refuse it as not run.
+   * Returns whether new work may start; if false, the caller refuses new requests as not run.
    *
-   * <p>False while the group has been out of reach for so long that the bills that wait for it fill
-   * their bound.
+   * <p>False while the uncommitted bills fill their buffer, because a group has been unreachable
+   * for too long.
    */
   default boolean acceptsWork() {
     return true;
   }
 
-  /** Returns whether nothing of this entry waits for the ledger, so that it may stop. */
+  /**
+   * Returns whether no claim, outcome or bill of this entry is pending, so that the entry may stop.
+   */
   default boolean isSettled() {
     return true;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerBounds.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerBounds.java
@@ -3,18 +3,21 @@
 import java.time.Duration;
 
 /**
- * What a ledger group keeps and for how long; the same on every replica, or they would diverge.
+ * Size limits and retention times of a ledger group; replicas with different bounds would diverge.
  *
- * @param maxClaims most claims kept; further ones are refused before they run
+ * @param maxClaims largest number of stored claims; further ones are refused before they run
  * @param maxBodyBytes largest recorded answer body, in bytes
- * @param maxTotalBodyBytes most bytes of recorded bodies; beyond it the oldest bodies are dropped
- * @param claimRetention how long a claim is kept after its outcome, or after it became unknown
- * @param releasedClaimRetention how long a claim that was given up as not run is kept, which is
- *     longer than a message can be late
- * @param maxBilledKeys most billed keys kept for each of drafts and lookups; the oldest go first
- * @param keyRetention how long billed keys of drafts and unsafe calls, and numbers of bills, are
- *     kept
- * @param lookupKeyRetention how long billed keys of lookups are kept
+ * @param maxTotalBodyBytes largest total size of recorded bodies, in bytes; above it the oldest
+ *     bodies are dropped
+ * @param claimRetention time for which a claim is kept after its outcome was recorded or became
+ *     unknown
+ * @param releasedClaimRetention time for which a claim that was released as not run is kept; longer
+ *     than any message can be delayed
+ * @param maxBilledKeys largest number of billed keys kept, for drafts and for lookups each; the
+ *     oldest are removed first
+ * @param keyRetention time for which billed keys of drafts and non-idempotent calls, and the
+ *     sequence numbers of bills, are kept
+ * @param lookupKeyRetention time for which billed keys of lookups are kept
  */
 public record LedgerBounds(
     int maxClaims,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerMachine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerMachine.java
@@ -11,10 +11,10 @@
 import org.skylarkfork.core.command.StateMachine;
 import org.skylarkfork.core.request.Header;
 
-/** The state of one ledger group: claims, bills and statements. */
+/** State machine of one ledger group: claims, bills and statements. */
 public final class LedgerMachine implements StateMachine {
 
-  /** Header of a recorded answer whose body was dropped; such an answer is not whole. */
+  /** Header of a recorded answer whose body was dropped, which marks the answer as incomplete. */
   public static final Header BODY_DROPPED = new Header("skylarkfork-recorded-body", "dropped");
 
   private final BoundedStepClock time = new BoundedStepClock();
@@ -22,9 +22,9 @@
   private final BillAggregator bills;
 
   /**
-   * Makes an empty ledger.
+   * Creates an empty ledger.
    *
-   * @param bounds what is kept and for how long; the same on every replica
+   * @param bounds size limits and retention times; the same on every replica
    */
   public LedgerMachine(LedgerBounds bounds) {
     claims = new ClaimTable(bounds);
@@ -48,10 +48,10 @@
     if (command instanceof LedgerCommand.ReadStatement read) {
       return new LedgerResult.StatementRead(bills.statement(read.team()));
     }
-    return new CommandResult.Rejected("this group takes ledger commands only");
+    return new CommandResult.Rejected("this group accepts ledger commands only");
   }
 
-  /** Returns a team's statement as far as this replica knows; it adds up. */
+  /** Returns a team's statement from the commands that this replica has applied. */
   public Statement statement(String team) {
     return bills.statement(team);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerPart.java
@@ -21,33 +21,34 @@
 import org.skylarkfork.core.request.CallerRequest;
 
 /**
- * An entry's side of the ledger: has claims, outcomes and bills agreed on, and keeps other entries'
- * bills.
+ * An entry's client of the ledger: submits claims, outcomes and bills to the ledger groups, and
+ * stores the bills of other entries as their backup.
  *
- * <p>It stands behind the parts that call {@link Ledger} in the reducer's order, since calls go out
- * when it sees the same event.
+ * <p>In the reducer's order this part follows the parts that call {@link Ledger}, since it submits
+ * their calls when it processes the same event.
  */
 public final class LedgerPart implements Part, Ledger {
 
-  private static final Duration SHORTEST_HOLD = Duration.ofSeconds(1);
+  private static final Duration MIN_HOLD = Duration.ofSeconds(1);
 
   private final LedgerSettings settings;
   private final String node;
   private final LedgerShards shards;
   private final LivePeers peers;
   private final EntryClaims claims;
-  private final BackupBillStore held;
+  private final BackupBillStore backupStore;
   private final Map<GroupId, Shard> byGroup = new LinkedHashMap<>();
 
   /**
-   * Makes the part.
+   * Creates the part.
    *
-   * @param settings how it uses the ledger
+   * @param settings timeouts and limits
    * @param node node name of this entry
-   * @param incarnation number of this process, higher than that of any earlier one of the entry
+   * @param incarnation incarnation number of this process, higher than that of any earlier process
+   *     of the entry
    * @param shards the ledger groups
-   * @param submitter has commands agreed on
-   * @param peers what is known of the other entries
+   * @param submitter submits commands to the groups
+   * @param peers selects this entry's backups and reports which entries are gone
    */
   public LedgerPart(
       LedgerSettings settings,
@@ -61,7 +62,7 @@
     this.shards = shards;
     this.peers = peers;
     claims = new EntryClaims(settings, shards, submitter);
-    held = new BackupBillStore(settings, submitter);
+    backupStore = new BackupBillStore(settings, submitter);
     for (GroupId group : shards.all()) {
       EntryBills bills = new EntryBills(settings, node, incarnation, group, submitter);
       BackupSender backups = new BackupSender(group, incarnation, settings.maxBatchBills(), bills);
@@ -72,7 +73,7 @@
   @Override
   public void claim(CallerRequest request, String team, String key, Instant now) {
     Duration left = Duration.between(now, request.deadline()).plus(settings.holdGrace());
-    Duration hold = left.compareTo(SHORTEST_HOLD) < 0 ? SHORTEST_HOLD : left;
+    Duration hold = left.compareTo(MIN_HOLD) < 0 ? MIN_HOLD : left;
     claims.claim(
         new Claim(team, key, request.requestId(), RequestHash.of(request), node, hold.toMillis()),
         request.deadline());
@@ -105,9 +106,9 @@
     return unsettledBills() == 0 && claims.isSettled();
   }
 
-  /** Returns how many bills of other entries are kept here. */
+  /** Returns the number of bills of other entries that this entry stores as their backup. */
   public int backupBillCount() {
-    return held.size();
+    return backupStore.size();
   }
 
   private int unsettledBills() {
@@ -135,16 +136,16 @@
     var backups = peers.backups(now);
     for (Shard shard : byGroup.values()) {
       shard.bills.onTick(now, output);
-      shard.backups.useBackups(backups);
+      shard.backups.setBackups(backups);
       shard.backups.onTick(now, output);
     }
-    held.onTick(peers, now, output);
+    backupStore.onTick(peers, now, output);
   }
 
   private void onAnswered(SubmissionAnswered answered, Instant now, Output output) {
     long id = answered.submissionId();
     if (claims.onAnswered(id, answered.result(), output)
-        || held.onAnswered(id, answered.result())) {
+        || backupStore.onAnswered(id, answered.result())) {
       return;
     }
     Shard shard = byGroup.get(answered.group());
@@ -155,7 +156,7 @@
 
   private void onFailed(SubmissionFailed failed, Instant now, Output output) {
     long id = failed.submissionId();
-    if (claims.onFailed(id, failed.mayHaveApplied(), now, output) || held.onFailed(id)) {
+    if (claims.onFailed(id, failed.mayHaveApplied(), now, output) || backupStore.onFailed(id)) {
       return;
     }
     Shard shard = byGroup.get(failed.group());
@@ -166,7 +167,7 @@
 
   private void onMessage(MessageReceived received, Instant now, Output output) {
     if (received.message() instanceof BackupBills backup) {
-      held.onBackup(received.node(), backup, now, output);
+      backupStore.onBackup(received.node(), backup, now, output);
     } else if (received.message() instanceof BackupAcknowledged acknowledged) {
       Shard shard = byGroup.get(acknowledged.group());
       if (shard != null) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerSettings.java
@@ -3,21 +3,25 @@
 import java.time.Duration;
 
 /**
- * How an entry uses the ledger.
+ * Timeouts and limits of an entry's use of the ledger.
  *
- * @param claimTimeout how long a claim may take before it is given up and the request refused
- * @param holdGrace how long after the caller's deadline a claim may still get its outcome
- * @param outcomeTimeout how long an answer waits until its outcome is recorded
- * @param billTimeout how long the last frame of a draft waits until its bill is committed
- * @param backupTimeout how long a lookup waits for a backup before it waits for the commit
- * @param lookupBatchWindow how long bills of lookups are collected before they are submitted
- * @param resubmitTimeout how long outcomes are submitted again while the group is out of reach
- * @param takeoverTimeout silence of an entry after which its backups submit the bills that they
- *     keep
- * @param maxPendingClaims most claims that wait at the same time; further ones are refused
- * @param maxBufferedBills most bills that wait for a commit; beyond it no new work is taken
- * @param maxBatchBills most bills of one command
- * @param maxBatchesInFlight most commands with bills that wait for their commit
+ * @param claimTimeout time after which an undecided claim is abandoned and its request refused
+ * @param holdGrace time after the caller's deadline for which the outcome of a claim may still be
+ *     recorded
+ * @param outcomeTimeout longest time for which an answer waits until its outcome is recorded
+ * @param billTimeout longest time for which the last frame of a draft waits for the commit of its
+ *     bill
+ * @param backupTimeout longest time for which a lookup waits for the acknowledgement of a backup;
+ *     after it the lookup waits for the commit
+ * @param lookupBatchWindow time for which bills of lookups are collected before they are submitted
+ * @param resubmitTimeout time for which outcomes are submitted again while the group is unreachable
+ * @param takeoverTimeout time without a message from an entry after which its backups submit its
+ *     bills
+ * @param maxPendingClaims largest number of concurrent undecided claims; further ones are refused
+ * @param maxBufferedBills largest number of uncommitted bills; at this number no new work is
+ *     accepted
+ * @param maxBatchBills largest number of bills in one command
+ * @param maxBatchesInFlight largest number of uncommitted commands with bills, for each group
  */
 public record LedgerSettings(
     Duration claimTimeout,
@@ -33,7 +37,7 @@
     int maxBatchBills,
     int maxBatchesInFlight) {
 
-  /** The settings that daemons use unless told otherwise. */
+  /** The settings that daemons use by default. */
   public static final LedgerSettings DEFAULT =
       new LedgerSettings(
           Duration.ofSeconds(2),
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerShards.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerShards.java
@@ -5,16 +5,16 @@
 import org.skylarkfork.core.command.GroupId;
 
 /**
- * Which ledger group keeps a team's key; every daemon must be given the same number of shards.
+ * Maps a team's key to a ledger group. Every daemon must use the same number of shards.
  *
- * <p>A key's claim and bill live in the same group, so a resend finds both.
+ * <p>The claim and the bill of a key are stored in the same group, so a resend finds both.
  */
 public final class LedgerShards {
 
   private final List<GroupId> groups;
 
   /**
-   * Makes the mapping.
+   * Creates the mapping.
    *
    * @param shards number of groups, at least 1
    */
@@ -29,15 +29,15 @@
     groups = List.copyOf(all);
   }
 
-  /** Returns the group that keeps a key. */
+  /** Returns the group that stores the claim and the bill of a key. */
   public GroupId shardOf(String team, String key) {
-    // String.hashCode is fixed by the language, so all daemons agree; the mixing spreads keys that
-    // differ in their last characters only.
+    // The Java specification defines String.hashCode, so all daemons compute the same group. The
+    // multiplication spreads keys that differ in their last characters only.
     int hash = (31 * team.hashCode() + key.hashCode()) * 0x9E3779B9;
     return groups.get(Integer.remainderUnsigned(hash >>> 8, groups.size()));
   }
 
-  /** Returns all groups in the order of their numbers. */
+  /** Returns all groups in ascending order of their shard numbers. */
   public List<GroupId> all() {
     return groups;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/MemberPeers.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/MemberPeers.java
@@ -10,30 +10,31 @@
 import org.skylarkfork.core.membership.Members;
 
 /**
- * Picks backups among the members by rendezvous hashing, so that a change of one member moves few
- * backups.
+ * Selects backups among the members by rendezvous hashing, so that a change of one member reassigns
+ * few backups.
  */
 public final class MemberPeers implements LivePeers {
 
-  private static final int MIXER = 0x9E3779B9;
+  private static final int HASH_MULTIPLIER = 0x9E3779B9;
   private static final Comparator<Candidate> BY_RANK =
       Comparator.comparingInt(Candidate::rank).thenComparing(Candidate::name);
 
   private final Members members;
 
   /**
-   * Makes the view.
+   * Creates a selector.
    *
-   * @param members the daemons that are there
+   * @param members the members of the deployment
    */
   public MemberPeers(Members members) {
     this.members = members;
   }
 
   /**
-   * Picks the first by rank, and the next one that is in a third zone if there is any.
+   * Selects the candidate of lowest rank, and the next one in a third zone; if no other candidate
+   * is in a third zone, the next one by rank.
    *
-   * <p>Called at each tick, so it takes time linear in the number of members.
+   * <p>The method is called at each tick, so it takes time linear in the number of members.
    */
   @Override
   public List<String> backups(Instant now) {
@@ -54,21 +55,21 @@
   private List<Candidate> candidates() {
     List<Candidate> candidates = new ArrayList<>();
     for (Member member : members.live()) {
-      if (canBack(member)) {
+      if (isEligible(member)) {
         candidates.add(new Candidate(member.name(), member.zone(), rank(member)));
       }
     }
     return candidates;
   }
 
-  private boolean canBack(Member member) {
+  private boolean isEligible(Member member) {
     return member.hasRole(Member.ENTRY)
         && !member.zone().equals(members.self().zone())
         && !members.isSuspected(member.name());
   }
 
   private int rank(Member member) {
-    int hash = (members.self().name() + "/" + member.name()).hashCode() * MIXER;
+    int hash = (members.self().name() + "/" + member.name()).hashCode() * HASH_MULTIPLIER;
     return hash ^ (hash >>> 15);
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/NumberSet.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/NumberSet.java
@@ -3,19 +3,19 @@
 import java.util.List;
 import java.util.TreeSet;
 
-/** A set of numbers from 1 that costs little while it has few gaps. */
+/** A set of positive numbers that uses little memory while it has few gaps. */
 final class NumberSet {
 
   private final TreeSet<Long> above = new TreeSet<>();
   private long upTo;
 
-  /** Makes a set of all numbers up to one and some above it. */
+  /** Creates a set of all numbers up to {@code upTo} and the given numbers above it. */
   NumberSet(long upTo, List<Long> above) {
     this.upTo = upTo;
     this.above.addAll(above);
   }
 
-  /** Adds a number and returns whether it was not there before. */
+  /** Adds a number and returns whether the set did not contain it. */
   boolean add(long number) {
     if (number <= upTo || !above.add(number)) {
       return false;
@@ -24,7 +24,7 @@
     return true;
   }
 
-  /** Adds all numbers up to one. */
+  /** Adds all numbers up to and including the given one. */
   void addAllUpTo(long number) {
     if (number > upTo) {
       upTo = number;
@@ -39,12 +39,12 @@
     }
   }
 
-  /** Returns the last number before the first gap. */
+  /** Returns the last number before the first gap, or 0 if the set does not contain 1. */
   long upTo() {
     return upTo;
   }
 
-  /** Returns the numbers behind the first gap in rising order. */
+  /** Returns the numbers above the first gap in ascending order. */
   List<Long> above() {
     return List.copyOf(above);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/RequestHash.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/RequestHash.java
@@ -6,12 +6,12 @@
 import java.util.HexFormat;
 import org.skylarkfork.core.request.CallerRequest;
 
-/** The hash by which two requests with one key are told apart. */
+/** Hash that distinguishes requests with the same idempotency key. */
 final class RequestHash {
 
   private RequestHash() {}
 
-  /** Returns SHA-256 in hex over what the request asks for. */
+  /** Returns the SHA-256 in hex over kind, model, service, method, path and body of a request. */
   static String of(CallerRequest request) {
     MessageDigest digest = sha256();
     add(digest, request.kind().name());
@@ -32,7 +32,7 @@
     try {
       return MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("this Java lacks SHA-256; use a complete runtime", e);
+      throw new IllegalStateException("this Java runtime lacks SHA-256; use a complete runtime", e);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/Statement.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/Statement.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * What a team owes.
+ * Sum of a team's bills.
  *
  * @param team name of the team
- * @param lines its lines, sorted by month, model and version
- * @param requests how many requests were billed
- * @param costMicros total in millionths of the currency unit
+ * @param lines lines of the statement, sorted by month, model and version
+ * @param requests number of billed requests
+ * @param costMicros total cost in millionths of the currency unit
  */
 public record Statement(String team, List<StatementLine> lines, long requests, long costMicros) {
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/StatementLine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/StatementLine.java
@@ -3,14 +3,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The sum of a team's bills for one version in one month.
+ * Sum of a team's bills for one version of a model, or one service, in one calendar month.
  *
  * @param team name of the team
- * @param month year and month of the commit in UTC, such as {@code 2026-12}
- * @param model model or service
+ * @param month year and month in UTC in which the bills were committed, such as {@code 2026-12}
+ * @param model name of the model or service
  * @param version version, or null for a service
- * @param requests how many requests were billed
- * @param costMicros their sum in millionths of the currency unit
+ * @param requests number of billed requests
+ * @param costMicros total cost in millionths of the currency unit
  */
 public record StatementLine(
     String team,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/package-info.java
@@ -1,4 +1,6 @@
-/** Claims that let a request run at most once, and bills that count it once. */
+/**
+ * Replicated claims, by which a request runs at most once, and bills, which count it exactly once.
+ */
 @NullMarked
 package org.skylarkfork.core.ledger;
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/ledger/LedgerFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/ledger/LedgerFixture.java
@@ -28,10 +28,13 @@
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.RequestKind;
 
-/** Several entries over one ledger group, with seeded loss, doubling, delay and crashes. */
+/**
+ * Simulates several entries and one ledger group, with seeded loss, duplication, reordering and
+ * crashes.
+ */
 final class LedgerFixture {
 
-  private static final int RESEND_TICKS = 10;
+  private static final int MEAN_RESEND_TICKS = 10;
 
   final LedgerMachine machine = new LedgerMachine(LedgerBounds.DEFAULT);
   final Map<String, Entry> entries = new LinkedHashMap<>();
@@ -40,7 +43,7 @@
   Instant now = Instant.parse("2026-12-02T08:00:00Z");
   double loss;
   boolean hasLeader = true;
-  boolean arePeersCut;
+  boolean arePeersPartitioned;
   private final List<Delivery> deliveries = new ArrayList<>();
   private long index;
   private long incarnations;
@@ -56,13 +59,13 @@
     return entry;
   }
 
-  /** Ends an entry's process: its memory and what it has not sent yet are lost. */
+  /** Ends an entry's process; its state and its unsent messages are lost. */
   void crash(String node) {
     entries.remove(node);
     entries.values().forEach(entry -> entry.apply(new ConnectionLost(node)));
   }
 
-  /** Lets time pass tick by tick. */
+  /** Advances the time tick by tick, and delivers all messages after each tick. */
   void run(Duration duration) {
     Instant end = now.plus(duration);
     while (now.isBefore(end)) {
@@ -118,7 +121,7 @@
     void run();
   }
 
-  /** One entry's process. */
+  /** Simulates one entry's process. */
   final class Entry implements Submitter, LivePeers {
     final String node;
     final LedgerPart part;
@@ -132,11 +135,11 @@
       part =
           new LedgerPart(
               LedgerSettings.DEFAULT, node, incarnation, new LedgerShards(1), this, this);
-      reducer = new Reducer(List.of((event, at, output) -> note(event), part));
+      reducer = new Reducer(List.of((event, at, output) -> recordAnswer(event), part));
       apply(new Tick());
     }
 
-    private void note(Event event) {
+    private void recordAnswer(Event event) {
       if (event instanceof LedgerEvent answer) {
         answers.add(answer);
       }
@@ -144,7 +147,7 @@
 
     void apply(Event event) {
       for (Effect effect : reducer.apply(event, now)) {
-        if (effect instanceof SendToPeer send && !arePeersCut) {
+        if (effect instanceof SendToPeer send && !arePeersPartitioned) {
           deliveries.add(() -> receive(send));
         }
       }
@@ -173,8 +176,10 @@
     private void tick() {
       for (long id : new ArrayList<>(submissions.keySet())) {
         if (!now.isBefore(submissions.get(id).deadline)) {
-          answer(id, new ConsensusEvent.SubmissionFailed(GroupId.LEDGER, id, true, "too late"));
-        } else if (random.nextInt(RESEND_TICKS) == 0) {
+          answer(
+              id,
+              new ConsensusEvent.SubmissionFailed(GroupId.LEDGER, id, true, "deadline exceeded"));
+        } else if (random.nextInt(MEAN_RESEND_TICKS) == 0) {
           deliveries.add(() -> attempt(id));
         }
       }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/ledger/LedgerMachineTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/ledger/LedgerMachineTest.java
@@ -19,7 +19,7 @@
 import org.skylarkfork.core.request.Bytes;
 import org.testng.annotations.Test;
 
-/** What the replicated ledger decides. */
+/** Tests the decisions of the replicated ledger. */
 public class LedgerMachineTest {
 
   private static final Instant START = Instant.parse("2026-12-02T08:00:00Z");
@@ -67,13 +67,13 @@
   private void advanceBySteps(LedgerMachine machine, Duration duration) {
     Instant end = now.plus(duration);
     while (now.isBefore(end)) {
-      now = now.plus(BoundedStepClock.LONGEST_STEP);
+      now = now.plus(BoundedStepClock.MAX_STEP);
       apply(machine, new LedgerCommand.ReadStatement("club"));
     }
   }
 
   @Test
-  public void keyIsGrantedToOneRequestUntilItIsGivenUp() {
+  public void keyIsGrantedToOneRequestUntilItsRelease() {
     LedgerMachine machine = new LedgerMachine(LedgerBounds.DEFAULT);
     assertEquals(claim(machine, "k", "r1"), ClaimState.GRANTED);
     assertEquals(claim(machine, "k", "r1"), ClaimState.GRANTED);
@@ -93,9 +93,9 @@
     assertEquals(claim(machine, "k", "r5"), ClaimState.RECORDED);
   }
 
-  // The caller sees "unknown, do not resend" and never a second certificate. The entry claims,
-  // sends the call and is lost; the resend through another entry first waits. Once the time that
-  // the first entry may take is over, the outcome is unknown for good, unless it was only slow.
+  // Guards against a second run of a request whose entry is lost after it claimed the key and sent
+  // the call. A resend through another entry is in progress until the hold of the first entry ends.
+  // After that the outcome is unknown, unless the first entry was only slow and still records it.
   @Test
   public void claimOfLostEntryBecomesUnknownAndIsNeverGrantedAgain() {
     LedgerMachine machine = new LedgerMachine(LedgerBounds.DEFAULT);
@@ -109,11 +109,11 @@
     assertEquals(claim(machine, "k", "r4"), ClaimState.RECORDED);
   }
 
-  // The caller was told "not run" when the group had no leader, and its resend must run. The word
-  // that the claim is given up overtakes the claim itself; if the late claim were granted, nobody
-  // would run it and the resend would be unknown.
+  // Guards against a resend that can never run. The caller received "not run" while the group had
+  // no leader. The release of the claim overtakes the claim itself; if the late claim were granted,
+  // no entry would run it and the outcome of the resend would be unknown.
   @Test
-  public void claimThatArrivesAfterItWasGivenUpIsNotGranted() {
+  public void claimThatArrivesAfterItsReleaseIsNotGranted() {
     LedgerMachine machine = new LedgerMachine(LedgerBounds.DEFAULT);
     outcome(machine, "r1", new ClaimOutcome.NotRun("no leader"));
     assertEquals(claim(machine, "k", "r1"), ClaimState.RECORDED);
@@ -124,7 +124,7 @@
   }
 
   @Test
-  public void fullTableRefusesNewKeysAndDropsOldBodiesMarked() {
+  public void fullTableRefusesNewKeysAndMarksDroppedBodies() {
     LedgerMachine machine = new LedgerMachine(SMALL);
     claim(machine, "k", "r1");
     outcome(machine, "r1", answered("12345678"));
@@ -139,10 +139,10 @@
     assertEquals(claim(machine, "m", "r5"), ClaimState.GRANTED);
   }
 
-  // The caller's resend minutes after its certificate must not issue a second one. A new leader's
-  // clock is two days ahead; taken as it is, its first command would expire every claim.
+  // Guards against a second run of a request that is resent minutes after its answer. A new
+  // leader's clock is two days ahead; without a limit, its first command would expire every claim.
   @Test
-  public void jumpOfTheLeadersClockForgetsNoClaim() {
+  public void jumpOfLeaderClockExpiresNoClaim() {
     LedgerMachine machine = new LedgerMachine(LedgerBounds.DEFAULT);
     claim(machine, "k", "r1");
     outcome(machine, "r1", answered("yes"));
@@ -152,10 +152,10 @@
     assertEquals(claim(machine, "k", "r3"), ClaimState.RECORDED);
   }
 
-  // The team pays each request once. A batch is resubmitted after a lost answer, its backup submits
-  // it too and in other pieces, and a caller's resend is billed again by another entry.
+  // Guards against double billing. An entry resubmits a batch after a lost answer, its backup
+  // submits the bills too in other batches, and another entry bills a caller's resend.
   @Test
-  public void billsCountOnceHoweverOftenAndInWhateverPiecesTheyCome() {
+  public void billsCountOnceInRepeatedAndRegroupedBatches() {
     LedgerMachine machine = new LedgerMachine(LedgerBounds.DEFAULT);
     NumberedBill first = new NumberedBill(1, bill("r1", "r1", 10));
     NumberedBill second = new NumberedBill(2, bill("r2", "caller-key", 20));
@@ -174,10 +174,11 @@
     return new LedgerCommand.RecordBills(entry, 7, 0, List.of(bills));
   }
 
-  // The statement must add up to each billed request once, whatever the network did. Bills of three
-  // entries arrive in random pieces, doubled, out of order, and the state goes through snapshots.
+  // Guards against missing and double bills in the statement. Bills of three entries arrive in
+  // random batches, duplicated and out of order, and the state is restored from snapshots in
+  // between.
   @Test
-  public void theStatementAddsUpUnderRandomLossDuplicationAndRestarts() {
+  public void statementAddsUpUnderRandomDuplicationReorderingAndRestarts() {
     for (int seed = 0; seed < 20; seed++) {
       Random random = new Random(seed);
       List<LedgerCommand> deliveries = new ArrayList<>();
@@ -191,7 +192,7 @@
           String key = random.nextBoolean() ? requestId : "key-" + entry + "-" + number;
           bills.add(new NumberedBill(number, bill(requestId, key, cost)));
         }
-        deliveries.addAll(randomPieces("entry-" + entry, bills, random));
+        deliveries.addAll(randomBatches("entry-" + entry, bills, random));
       }
       Collections.shuffle(deliveries, random);
       LedgerMachine machine = new LedgerMachine(LedgerBounds.DEFAULT);
@@ -210,17 +211,17 @@
     }
   }
 
-  private static List<LedgerCommand> randomPieces(
+  private static List<LedgerCommand> randomBatches(
       String entry, List<NumberedBill> bills, Random random) {
-    List<LedgerCommand> pieces = new ArrayList<>();
+    List<LedgerCommand> batches = new ArrayList<>();
     for (int round = 0; round < 2; round++) {
       int from = 0;
       while (from < bills.size()) {
         int to = Math.min(bills.size(), from + 1 + random.nextInt(20));
-        pieces.add(new LedgerCommand.RecordBills(entry, 1, 0, bills.subList(from, to)));
+        batches.add(new LedgerCommand.RecordBills(entry, 1, 0, bills.subList(from, to)));
         from = to;
       }
     }
-    return pieces;
+    return batches;
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/ledger/LedgerPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/ledger/LedgerPartTest.java
@@ -17,7 +17,7 @@
 import org.skylarkfork.core.ledger.LedgerFixture.Entry;
 import org.testng.annotations.Test;
 
-/** An entry's side of the ledger under crashes, loss and a group out of reach. */
+/** Tests an entry's client of the ledger under crashes, message loss and an unreachable group. */
 public class LedgerPartTest {
 
   private static final Duration SHORT = Duration.ofMillis(100);
@@ -40,9 +40,9 @@
     return new Bill(requestId, "club", requestId, "chip-reads", null, 5, true);
   }
 
-  // The caller's certificate is issued once at most. Its entry is lost at each point: after the
-  // claim, after the dispatch, after the recorded outcome, after the bill. The resend through
-  // another entry is never granted; it waits, then gets the outcome if one was recorded.
+  // Guards against a second run of a request whose entry is lost after the claim, after the
+  // dispatch, after the recorded outcome or after the bill. A resend through another entry is never
+  // granted: it is in progress, then receives the outcome if one was recorded.
   @Test
   public void resendAfterCrashAtEachPointNeverRunsAgain() {
     for (int point = 0; point < 4; point++) {
@@ -71,10 +71,11 @@
     }
   }
 
-  // The caller sees a true "not run" within two seconds while the group has no leader, and its
-  // resend runs once there is one: the claim that may still stand is given up.
+  // Guards against a resend that can never run. While the group has no leader, the caller receives
+  // "not run" within two seconds. The claim may have been granted all the same, so the entry
+  // releases it, and the resend runs once there is a leader.
   @Test
-  public void claimGivenUpWithoutLeaderIsGrantedToTheResend() {
+  public void claimAbandonedWithoutLeaderIsGrantedToResend() {
     LedgerFixture fixture = new LedgerFixture(1);
     Entry entry = fixture.start("entry-1");
     fixture.loss = 1;
@@ -89,10 +90,10 @@
     assertEquals(claim(fixture, entry, "r2"), ClaimState.GRANTED);
   }
 
-  // The team pays each lookup once although its entry is lost before the bills are committed: the
-  // answers went out once a backup kept the bills, and the backups submit them, both of them.
+  // Guards against missing and double bills of lookups whose entry is lost before their commit. The
+  // answers were sent as soon as one backup stored the bills, and both backups submit them.
   @Test
-  public void backupsSubmitTheBillsOfLostEntryOnce() {
+  public void billsOfLostEntryCountOnceThroughItsBackups() {
     LedgerFixture fixture = new LedgerFixture(2);
     final Entry owner = fixture.start("entry-1");
     fixture.start("entry-2");
@@ -112,16 +113,16 @@
     assertEquals(fixture.entries.get("entry-2").part.backupBillCount(), 0);
   }
 
-  // Screens get their lookups a little later while no backup can be reached: the bill's commit
-  // stands in for it. Without a leader as well the entry gives up after the wait for bills, and the
-  // bill still counts once when it is back. An answer before either could go unbilled for good.
+  // Guards against answers whose bills are lost because no backup is reachable: lookups then wait
+  // for the commit of the bill. If the group has no leader either, the entry stops waiting after
+  // the timeout for bills, and the bill is counted once after a leader is elected.
   @Test
-  public void lookupsWaitForTheCommitWhereNoBackupAnswers() {
+  public void lookupsWaitForCommitWhenNoBackupIsReachable() {
     LedgerFixture fixture = new LedgerFixture(3);
     final Entry entry = fixture.start("entry-1");
     fixture.start("entry-2");
     fixture.run(SHORT);
-    fixture.arePeersCut = true;
+    fixture.arePeersPartitioned = true;
     entry.part.bill(lookup("r1"), fixture.now);
     fixture.run(SHORT);
     assertEquals(entry.answers, List.of(new Billed("r1", true)));
@@ -138,10 +139,10 @@
     assertEquals(fixture.machine.statement("club").requests(), 2);
   }
 
-  // The team pays a draft once although its answer hands the bill in again and again while the
-  // group has no leader, and once more after the commit; each time it carries no caller's key.
+  // Guards against double billing of a draft without a caller's key. Its answer adds the bill
+  // several times while the group has no leader, and once more after the commit.
   @Test
-  public void billHandedInAgainKeepsItsNumber() {
+  public void billAddedAgainKeepsItsNumber() {
     LedgerFixture fixture = new LedgerFixture(4);
     Entry entry = fixture.start("entry-1");
     fixture.hasLeader = false;
@@ -159,11 +160,12 @@
     assertEquals(fixture.machine.statement("club").requests(), 1);
   }
 
-  // The statement equals what was answered as billed, to the unit. Messages, submissions and their
-  // answers are lost and doubled, entries crash and restart under their old name, the group loses
-  // its leader; only a bill that no backup kept yet may die with its entry, before its answer.
+  // Guards against a statement that differs from the billed requests. Messages, submissions and
+  // their answers are lost and duplicated, entries crash and restart under the same name, and the
+  // group loses its leader. Only a bill that no backup stores yet may be lost with its entry,
+  // before its answer is sent.
   @Test
-  public void statementMatchesTheAnswersInRandomRuns() {
+  public void statementMatchesBilledRequestsInRandomRuns() {
     for (int seed = 0; seed < 40; seed++) {
       LedgerFixture fixture = new LedgerFixture(seed);
       Map<String, Long> costs = new HashMap<>();
@@ -180,8 +182,8 @@
         fixture.run(Duration.ofMillis(20 + fixture.random.nextInt(60)));
         fixture.hasLeader = fixture.random.nextInt(10) > 1;
         if (step % 40 == 39) {
-          // A restart loses bills that no backup has yet, so give the backups a little time; the
-          // loss stays on.
+          // A restart loses bills that no backup stores yet, so the backups need some time first;
+          // message loss continues meanwhile.
           fixture.run(Duration.ofMillis(600));
           fixture.crash(entry.node);
           fixture.start(entry.node);
@@ -197,7 +199,7 @@
     }
   }
 
-  // Each request that asks gets one answer and one grant at most, whatever is lost or doubled.
+  // Guards against a key that is granted twice when messages are lost or duplicated.
   @Test
   public void oneGrantPerKeyInRandomRuns() {
     for (int seed = 0; seed < 40; seed++) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/ledger/MemberPeersTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/ledger/MemberPeersTest.java
@@ -19,7 +19,7 @@
 import org.skylarkfork.core.membership.ServingState;
 import org.testng.annotations.Test;
 
-/** The choice of an entry's backups. */
+/** Tests the selection of an entry's backups. */
 public class MemberPeersTest {
 
   private final List<Member> live = new ArrayList<>();
@@ -100,7 +100,7 @@
     assertFalse(peers.isGone(backups.get(1), Instant.EPOCH));
   }
 
-  /** Whatever the members, the pick is the first two of all, one of each zone before others. */
+  /** For random members, the backups are the first two by rank, with distinct zones preferred. */
   @Test
   public void backupsAreTheFirstByRankOfDifferentZones() {
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(7);
