--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/BoundedElapsedTime.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/BoundedElapsedTime.java
@@ -4,22 +4,22 @@
 import java.time.Instant;
 
 /**
- * Counts time that has surely passed and notices a clock that was set back.
+ * Measures a lower bound of the elapsed time, and detects a clock that was set back.
  *
- * <p>A clock that is set forward must not end a wait early, and one that is set back must not make
- * a lease seem valid for longer. The time between two looks counts up to {@link #LONGEST_STEP}
- * only, so a jump shortens a wait by at most that.
+ * <p>A clock that is set forward must not end a wait early, and one that is set back must not
+ * extend the validity of a lease. The time between two updates counts up to {@link #MAX_STEP} only,
+ * so a jump shortens a wait by that at most.
  */
 final class BoundedElapsedTime {
 
-  /** Most that passes between two looks. */
-  static final Duration LONGEST_STEP = Duration.ofMillis(100);
+  /** Largest time that one update adds. */
+  static final Duration MAX_STEP = Duration.ofMillis(100);
 
   private Instant last = Instant.MIN;
-  private Duration passed = Duration.ZERO;
+  private Duration elapsed = Duration.ZERO;
 
-  /** Looks at the clock; returns false if it was set back since the last look. */
-  boolean look(Instant now) {
+  /** Adds the time since the last update; returns false if the clock was set back since then. */
+  boolean update(Instant now) {
     if (last.equals(Instant.MIN)) {
       last = now;
       return true;
@@ -29,12 +29,12 @@
     if (step.isNegative()) {
       return false;
     }
-    passed = passed.plus(step.compareTo(LONGEST_STEP) < 0 ? step : LONGEST_STEP);
+    elapsed = elapsed.plus(step.compareTo(MAX_STEP) < 0 ? step : MAX_STEP);
     return true;
   }
 
-  /** Returns how much time has surely passed since the first look. */
-  Duration passed() {
-    return passed;
+  /** Returns a lower bound of the time since the first update. */
+  Duration elapsed() {
+    return elapsed;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/EngineView.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/EngineView.java
@@ -11,30 +11,31 @@
 import org.skylarkfork.core.upstream.UpstreamKind;
 
 /**
- * The engines as they announce themselves, which is the truth about what is loaded.
+ * View of the engines from their announcements, which are authoritative for the loaded versions.
  *
  * @param engines engines that are neither leaving nor drained
  * @param busy ids of engines with an open order
- * @param isPassedOver tells which engines refused an order a short while ago
+ * @param hasRefusedRecently whether the engine with the given id refused an order recently
  */
-record EngineView(List<Announcement> engines, Set<String> busy, Predicate<String> isPassedOver) {
+record EngineView(
+    List<Announcement> engines, Set<String> busy, Predicate<String> hasRefusedRecently) {
 
-  /** Picks the engines that may be ordered something. */
+  /** Selects the engines that may receive orders. */
   static EngineView of(
       List<Announcement> all,
       List<String> drained,
       Set<String> busy,
-      Predicate<String> isPassedOver) {
+      Predicate<String> hasRefusedRecently) {
     return new EngineView(
         all.stream()
             .filter(one -> one.kind() == UpstreamKind.ENGINE)
             .filter(one -> !one.leaving() && !one.gone() && !drained.contains(one.id()))
             .toList(),
         busy,
-        isPassedOver);
+        hasRefusedRecently);
   }
 
-  /** Returns whether an engine announces a version. */
+  /** Returns whether an engine announces a version as loaded. */
   static boolean hasLoaded(Announcement engine, ModelVersion version) {
     return engine.models().stream()
         .anyMatch(
@@ -56,8 +57,8 @@
   }
 
   /**
-   * Returns engines without a version that may take it, those with an open order and then those of
-   * zones that have it least first.
+   * Returns those of the given engines that may load a version. Engines with an open order come
+   * first, then those in zones with the fewest engines that have the version.
    */
   List<Announcement> without(ModelVersion version, List<Announcement> among) {
     Map<String, Long> byZone =
@@ -65,7 +66,7 @@
             .collect(Collectors.groupingBy(Announcement::zone, Collectors.counting()));
     return among.stream()
         .filter(engine -> !hasLoaded(engine, version))
-        .filter(engine -> !isPassedOver.test(engine.id()))
+        .filter(engine -> !hasRefusedRecently.test(engine.id()))
         .sorted(
             Comparator.comparing((Announcement engine) -> !busy.contains(engine.id()))
                 .thenComparing(engine -> byZone.getOrDefault(engine.zone(), 0L))
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/LeaseHolder.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/LeaseHolder.java
@@ -12,10 +12,10 @@
 import org.skylarkfork.core.consensus.Submitter;
 import org.skylarkfork.core.effect.TraceEffect;
 
-/** This daemon's hold on the lease for orders. */
+/** Acquires, renews and releases this daemon's lease for orders. */
 final class LeaseHolder {
 
-  private static final Duration PAUSE = Duration.ofSeconds(1);
+  private static final Duration RETRY_BACKOFF = Duration.ofSeconds(1);
   private static final long NO_LEASE = 0;
   private static final long NO_SUBMISSION = -1;
 
@@ -24,15 +24,15 @@
   private final OrderMachine machine;
   private final Submitter submitter;
   private final BoundedElapsedTime clock = new BoundedElapsedTime();
-  private long number = NO_LEASE;
+  private long fencingNumber = NO_LEASE;
   private Instant validUntil = Instant.MIN;
-  private Duration safeAt = Duration.ZERO;
-  private long pending = NO_SUBMISSION;
-  private @Nullable Instant sentAt;
-  private Instant sendNextAt = Instant.MIN;
+  private Duration oldOrdersExpireAt = Duration.ZERO;
+  private long pendingSubmission = NO_SUBMISSION;
+  private @Nullable Instant submittedAt;
+  private Instant nextSubmissionAt = Instant.MIN;
   private boolean isReleasing;
-  private @Nullable OrderLease seen;
-  private Duration seenAt = Duration.ZERO;
+  private @Nullable OrderLease observedLease;
+  private Duration observedAt = Duration.ZERO;
 
   LeaseHolder(OrderSettings settings, String holder, OrderMachine machine, Submitter submitter) {
     this.settings = settings;
@@ -41,37 +41,40 @@
     this.submitter = submitter;
   }
 
-  /** Looks at the clock, which must happen before anything else at each event. */
-  void look(Instant now) {
-    if (!clock.look(now)) {
-      // Set back, this clock would show the lease as valid after another holder got it, and two
-      // would order at once. Only a renewal sent from now on can make it valid again.
+  /** Updates the elapsed time and the newest lease; must be called first at each event. */
+  void update(Instant now) {
+    if (!clock.update(now)) {
+      // After its clock was set back, this daemon would consider the lease valid after another
+      // holder acquired it, and both would send orders. Only a renewal sent from now on can make it
+      // valid again.
       validUntil = Instant.MIN;
-      sentAt = null;
-      sendNextAt = Instant.MIN;
+      submittedAt = null;
+      nextSubmissionAt = Instant.MIN;
     }
     OrderLease newest = machine.lease().orElse(null);
-    if (newest != null && !newest.equals(seen)) {
-      seen = newest;
-      seenAt = clock.passed();
+    if (newest != null && !newest.equals(observedLease)) {
+      observedLease = newest;
+      observedAt = clock.elapsed();
     }
-    if (seen != null && seen.fencingNumber() > number && number != NO_LEASE) {
-      drop();
+    if (observedLease != null
+        && observedLease.fencingNumber() > fencingNumber
+        && fencingNumber != NO_LEASE) {
+      clear();
     }
   }
 
   /**
    * Acquires, renews or releases.
    *
-   * @param isWanted whether there are orders to give
-   * @param isIdle whether none of this holder's orders is on its way
+   * @param isWanted whether there are orders to send
+   * @param isIdle whether none of this holder's orders is in flight
    */
   void onTick(boolean isWanted, boolean isIdle, Instant now, Output output) {
-    if (pending != NO_SUBMISSION || now.isBefore(sendNextAt)) {
+    if (pendingSubmission != NO_SUBMISSION || now.isBefore(nextSubmissionAt)) {
       return;
     }
-    if (number == NO_LEASE) {
-      if (isWanted && mayBeFree()) {
+    if (fencingNumber == NO_LEASE) {
+      if (isWanted && mayBeAvailable()) {
         submit(
             new OrderCommand.AcquireLease(
                 holder, settings.leaseDuration().toMillis(), settings.orderTimeout().toMillis()),
@@ -79,115 +82,136 @@
             output);
       }
     } else if (isWanted || !isIdle) {
-      submit(new OrderCommand.RenewLease(number), now, output);
+      submit(new OrderCommand.RenewLease(fencingNumber), now, output);
     } else {
       isReleasing = true;
       validUntil = Instant.MIN;
-      submit(new OrderCommand.ReleaseLease(number, isPastOldOrders()), now, output);
+      submit(new OrderCommand.ReleaseLease(fencingNumber, areOldOrdersExpired()), now, output);
     }
   }
 
-  private boolean mayBeFree() {
-    Duration silence = settings.leaseDuration().plus(PAUSE);
-    return seen == null || seen.isReleased() || clock.passed().compareTo(seenAt.plus(silence)) >= 0;
+  private boolean mayBeAvailable() {
+    Duration timeout = settings.leaseDuration().plus(RETRY_BACKOFF);
+    return observedLease == null
+        || observedLease.isReleased()
+        || clock.elapsed().compareTo(observedAt.plus(timeout)) >= 0;
   }
 
   private void submit(OrderCommand command, Instant now, Output output) {
-    pending = submitter.newSubmissionId();
-    sentAt = now;
+    pendingSubmission = submitter.newSubmissionId();
+    submittedAt = now;
     submitter.submit(
-        GroupId.CONFIGURATION, command, pending, now.plus(settings.leaseDuration()), now, output);
+        GroupId.CONFIGURATION,
+        command,
+        pendingSubmission,
+        now.plus(settings.leaseDuration()),
+        now,
+        output);
   }
 
-  /** Takes the result of a submission and returns whether it was one of these. */
+  /**
+   * Handles the result of a submission.
+   *
+   * @return whether the submission is one of this object's lease commands
+   */
   boolean onAnswered(long submissionId, CommandResult result, Instant now, Output output) {
-    if (submissionId != pending) {
+    if (submissionId != pendingSubmission) {
       return false;
     }
-    pending = NO_SUBMISSION;
-    sendNextAt = now.plus(settings.renewalInterval());
+    pendingSubmission = NO_SUBMISSION;
+    nextSubmissionAt = now.plus(settings.renewalInterval());
     if (result instanceof LeaseGranted granted) {
-      hold(granted, output);
+      onGranted(granted, output);
     } else if (result instanceof StaleLease) {
-      lose("the lease went to another holder", now, output);
+      relinquish("another holder acquired the lease", now, output);
     } else if (isReleasing) {
-      drop();
-    } else if (number != NO_LEASE && result instanceof CommandResult.Done) {
-      prolong();
+      clear();
+    } else if (fencingNumber != NO_LEASE && result instanceof CommandResult.Done) {
+      extendValidity();
     } else {
-      sendNextAt = now.plus(PAUSE);
+      nextSubmissionAt = now.plus(RETRY_BACKOFF);
     }
     return true;
   }
 
-  private void hold(LeaseGranted granted, Output output) {
-    number = granted.fencingNumber();
+  private void onGranted(LeaseGranted granted, Output output) {
+    fencingNumber = granted.fencingNumber();
     long unsafeMillis = (long) Math.ceil(granted.unsafeMillis() * (1 + settings.maxClockDrift()));
-    safeAt = clock.passed().plusMillis(unsafeMillis);
-    prolong();
-    output.effect(new TraceEffect.LogLine(false, "order", "holds the lease with number " + number));
+    oldOrdersExpireAt = clock.elapsed().plusMillis(unsafeMillis);
+    extendValidity();
+    output.effect(
+        new TraceEffect.LogLine(false, "order", "holds the lease with number " + fencingNumber));
   }
 
-  // Counted from when the request was sent: the group counts from a later moment, so the lease ends
-  // here first, by the margin even if this clock is the slower one.
-  private void prolong() {
-    if (sentAt != null) {
+  // The validity starts when the request is sent, and the group starts it later. The lease
+  // therefore ends here first, and because of the margin for clock drift even if this clock is
+  // slower.
+  private void extendValidity() {
+    if (submittedAt != null) {
       long millis = (long) (settings.leaseDuration().toMillis() * (1 - settings.maxClockDrift()));
-      validUntil = sentAt.plusMillis(millis);
+      validUntil = submittedAt.plusMillis(millis);
     }
   }
 
-  /** Takes the failure of a submission and returns whether it was one of these. */
+  /**
+   * Handles the failure of a submission.
+   *
+   * @return whether the submission is one of this object's lease commands
+   */
   boolean onFailed(long submissionId, Instant now) {
-    if (submissionId != pending) {
+    if (submissionId != pendingSubmission) {
       return false;
     }
-    pending = NO_SUBMISSION;
-    sendNextAt = now.plus(PAUSE);
+    pendingSubmission = NO_SUBMISSION;
+    nextSubmissionAt = now.plus(RETRY_BACKOFF);
     if (isReleasing) {
-      drop();
+      clear();
     }
     return true;
   }
 
-  /** Stops using the lease, since somebody else has a newer one. */
-  void lose(String why, Instant now, Output output) {
-    if (number != NO_LEASE) {
+  /**
+   * Stops using the lease because another holder has a newer one.
+   *
+   * @param why reason for the log
+   */
+  void relinquish(String why, Instant now, Output output) {
+    if (fencingNumber != NO_LEASE) {
       output.effect(new TraceEffect.LogLine(true, "order", why));
     }
-    drop();
-    sendNextAt = now.plus(PAUSE);
+    clear();
+    nextSubmissionAt = now.plus(RETRY_BACKOFF);
   }
 
-  private void drop() {
-    number = NO_LEASE;
+  private void clear() {
+    fencingNumber = NO_LEASE;
     validUntil = Instant.MIN;
     isReleasing = false;
   }
 
-  /** Returns whether orders may be given, at least to engines that check fencing numbers. */
+  /** Returns whether orders may be sent, at least to engines that check fencing numbers. */
   boolean isValid(Instant now) {
-    return number != NO_LEASE && now.isBefore(validUntil) && hasSeenOwn();
+    return fencingNumber != NO_LEASE && now.isBefore(validUntil) && hasAppliedOwnGrant();
   }
 
-  // The orders of earlier holders are in the log before the grant; until this replica has applied
-  // that far, an order could be given again under another id.
-  private boolean hasSeenOwn() {
-    return seen != null && seen.fencingNumber() == number;
+  // The orders of earlier holders precede the grant in the log. Until this replica has applied the
+  // log up to the grant, an order could be sent again under another id.
+  private boolean hasAppliedOwnGrant() {
+    return observedLease != null && observedLease.fencingNumber() == fencingNumber;
   }
 
-  /** Returns whether no order of an earlier holder can still be on its way. */
-  boolean isPastOldOrders() {
-    return clock.passed().compareTo(safeAt) >= 0;
+  /** Returns whether no order of an earlier holder can still be in flight. */
+  boolean areOldOrdersExpired() {
+    return clock.elapsed().compareTo(oldOrdersExpireAt) >= 0;
   }
 
-  /** Returns the fencing number. */
-  long number() {
-    return number;
+  /** Returns the fencing number, or 0 if this daemon does not hold the lease. */
+  long fencingNumber() {
+    return fencingNumber;
   }
 
-  /** Returns the time that has surely passed, for waits that a clock's jump must not end. */
-  Duration passed() {
-    return clock.passed();
+  /** Returns the bounded elapsed time, for waits that a clock jump must not end. */
+  Duration elapsed() {
+    return clock.elapsed();
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderDispatcher.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderDispatcher.java
@@ -15,75 +15,75 @@
 import org.skylarkfork.core.upstream.Announcement;
 
 /**
- * Sends recorded orders and finds out what came of them, for one hold of the lease.
+ * Sends recorded orders and determines their outcomes, during one tenure of the lease.
  *
- * <p>An order is done once its engine announces so. An order whose outcome is not known is sent
- * again under its old id, by this holder or the next one.
+ * <p>An order is done once its engine's announcement shows the result. An order whose outcome is
+ * unknown is sent again under the same id, by this holder or the next one.
  */
 final class OrderDispatcher {
 
   private final OrderSettings settings;
   private final Map<String, Sent> sent = new HashMap<>();
   private final Map<String, Duration> missingSince = new HashMap<>();
-  private final Map<String, Duration> passedOverUntil = new HashMap<>();
+  private final Map<String, Duration> refusalBackoffUntil = new HashMap<>();
 
   OrderDispatcher(OrderSettings settings) {
     this.settings = settings;
   }
 
-  /** What is known of an open order now. */
-  enum OrderState_ {
-    /** It has to be waited for. */
+  /** Present status of an open order. */
+  enum DispatchStatus {
+    /** The outcome is not known yet. */
     WAIT,
-    /** Its engine announces that it is carried out. */
+    /** The engine's announcement shows that the order is carried out. */
     DONE,
-    /** It will not be carried out. */
+    /** The order will not be carried out. */
     FAILED
   }
 
   /**
-   * Looks at an open order, and sends it if it is time to.
+   * Determines the status of an open order, and sends the order if it is due.
    *
    * @param order the order
-   * @param engine its engine's newest announcement, if the engine is known
-   * @param lease the lease, which is valid
+   * @param engine newest announcement of the order's engine, or empty if the engine is unknown
+   * @param lease the lease, which must be valid
    */
-  OrderState_ see(Order order, Optional<Announcement> engine, LeaseHolder lease, Output output) {
-    Duration passed = lease.passed();
+  DispatchStatus process(
+      Order order, Optional<Announcement> engine, LeaseHolder lease, Output output) {
+    Duration elapsed = lease.elapsed();
     if (engine.isEmpty()) {
-      Duration since = missingSince.computeIfAbsent(order.orderId(), unused -> passed);
-      return passed.compareTo(since.plus(settings.unknownEngineTimeout())) >= 0
-          ? OrderState_.FAILED
-          : OrderState_.WAIT;
+      Duration since = missingSince.computeIfAbsent(order.orderId(), unused -> elapsed);
+      return elapsed.compareTo(since.plus(settings.unknownEngineTimeout())) >= 0
+          ? DispatchStatus.FAILED
+          : DispatchStatus.WAIT;
     }
     missingSince.remove(order.orderId());
     if (isCarriedOut(order, engine.get())) {
-      return OrderState_.DONE;
+      return DispatchStatus.DONE;
     }
-    Sent before = sent.get(order.orderId());
-    if (before != null && before.isRefused) {
-      return OrderState_.FAILED;
+    Sent last = sent.get(order.orderId());
+    if (last != null && last.isRefused) {
+      return DispatchStatus.FAILED;
     }
-    boolean isDue =
-        before == null || passed.compareTo(before.at.plus(settings.resendInterval())) >= 0;
-    if (isDue && (engine.get().checksFencing() || lease.isPastOldOrders())) {
+    boolean isDue = last == null || elapsed.compareTo(last.at.plus(settings.resendInterval())) >= 0;
+    if (isDue && (engine.get().checksFencing() || lease.areOldOrdersExpired())) {
       send(order, engine.get(), lease, output);
     }
-    return OrderState_.WAIT;
+    return DispatchStatus.WAIT;
   }
 
   private void send(Order order, Announcement engine, LeaseHolder lease, Output output) {
     Invariants.check(
-        engine.checksFencing() || lease.isPastOldOrders(),
-        "an engine that ignores fencing numbers gets orders of one holder at a time");
-    sent.put(order.orderId(), new Sent(lease.passed(), false, true));
+        engine.checksFencing() || lease.areOldOrdersExpired(),
+        "an engine that ignores fencing numbers receives orders of one holder at a time");
+    sent.put(order.orderId(), new Sent(lease.elapsed(), false, true));
     output.effect(
         new SendOrder(
             order.orderId(),
             engine.id(),
             engine.host(),
             engine.port(),
-            lease.number(),
+            lease.fencingNumber(),
             order.kind().wireName(),
             order.version(),
             order.argument(),
@@ -107,42 +107,47 @@
         .anyMatch(loaded -> loaded.adapters().contains(order.argument()));
   }
 
-  /** Takes an engine's answer; returns whether it knows a newer holder of the lease. */
-  boolean onAnswered(OrderAnswered answered, String upstream, Duration passed) {
-    Sent before = sent.get(answered.orderId());
-    if (before == null) {
+  /**
+   * Handles an engine's answer; returns whether the engine has received orders of a newer holder.
+   */
+  boolean onAnswered(OrderAnswered answered, String upstream, Duration elapsed) {
+    Sent last = sent.get(answered.orderId());
+    if (last == null) {
       return false;
     }
     boolean isRefused = answered.outcome() == OrderOutcome.REFUSED;
-    sent.put(answered.orderId(), new Sent(before.at, isRefused, false));
+    sent.put(answered.orderId(), new Sent(last.at, isRefused, false));
     if (isRefused) {
-      passedOverUntil.put(upstream, passed.plus(settings.refusalBackoff()));
+      refusalBackoffUntil.put(upstream, elapsed.plus(settings.refusalBackoff()));
     }
     return answered.outcome() == OrderOutcome.STALE;
   }
 
-  /** Returns whether an engine refused an order a short while ago. */
-  boolean isPassedOver(String upstream, Duration passed) {
-    return passed.compareTo(passedOverUntil.getOrDefault(upstream, Duration.ZERO)) < 0;
+  /**
+   * Returns whether an engine refused an order within the last {@link
+   * OrderSettings#refusalBackoff}.
+   */
+  boolean hasRefusedRecently(String upstream, Duration elapsed) {
+    return elapsed.compareTo(refusalBackoffUntil.getOrDefault(upstream, Duration.ZERO)) < 0;
   }
 
-  /** Returns whether no order sent from here can still be carried out. */
-  boolean isIdle(Duration passed) {
-    return sent.values().stream().noneMatch(one -> isOnItsWay(one, passed));
+  /** Returns whether none of the orders sent here can still be carried out. */
+  boolean isIdle(Duration elapsed) {
+    return sent.values().stream().noneMatch(one -> isInFlight(one, elapsed));
   }
 
-  /** Forgets orders that are no longer open and not on their way. */
-  void keepOnly(Set<String> openOrderIds, Duration passed) {
-    Set<String> over = new HashSet<>(sent.keySet());
-    over.removeAll(openOrderIds);
-    over.removeIf(orderId -> isOnItsWay(sent.get(orderId), passed));
-    sent.keySet().removeAll(over);
+  /** Removes the orders that are neither open nor in flight. */
+  void retainOpen(Set<String> openOrderIds, Duration elapsed) {
+    Set<String> obsolete = new HashSet<>(sent.keySet());
+    obsolete.removeAll(openOrderIds);
+    obsolete.removeIf(orderId -> isInFlight(sent.get(orderId), elapsed));
+    sent.keySet().removeAll(obsolete);
     missingSince.keySet().retainAll(openOrderIds);
   }
 
-  private boolean isOnItsWay(Sent one, Duration passed) {
-    return one.isOnItsWay && passed.compareTo(one.at.plus(settings.orderTimeout())) < 0;
+  private boolean isInFlight(Sent one, Duration elapsed) {
+    return one.isInFlight && elapsed.compareTo(one.at.plus(settings.orderTimeout())) < 0;
   }
 
-  private record Sent(Duration at, boolean isRefused, boolean isOnItsWay) {}
+  private record Sent(Duration at, boolean isRefused, boolean isInFlight) {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderIntent.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderIntent.java
@@ -3,26 +3,26 @@
 import java.time.Instant;
 
 /**
- * An order as the group remembers it.
+ * An order as the group records it.
  *
  * @param order the order
- * @param status what is known of it
- * @param detail what showed that, or empty
- * @param changedAt when the status was recorded
+ * @param status status of the order
+ * @param detail what the status is based on, or empty
+ * @param changedAt leader's time at which the status was recorded
  */
 public record OrderIntent(Order order, Status status, String detail, Instant changedAt) {
 
-  /** What is known of an order. */
+  /** Status of an order. */
   public enum Status {
-    /** It may be carried out at any time, or not at all; the holder of the lease sees to it. */
+    /** The outcome is unknown; the holder of the lease sends the order until it is concluded. */
     OPEN,
-    /** It is carried out. */
+    /** The order was carried out. */
     DONE,
-    /** It was not carried out and won't be sent again. */
+    /** The order failed and will not be sent again. */
     FAILED
   }
 
-  /** Returns whether it still has to be seen to. */
+  /** Returns whether the order is not concluded yet. */
   public boolean isOpen() {
     return status == Status.OPEN;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderKind.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderKind.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** What an engine is ordered to do. */
+/** Kind of an order to an engine. */
 public enum OrderKind {
   /** Load a version, or an adapter for it. */
   LOAD,
@@ -11,7 +11,7 @@
   /** Change the engine's role. */
   ROLE;
 
-  /** Returns the form that engines take. */
+  /** Returns the name of the kind in the protocol of engines. */
   public String wireName() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderLease.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderLease.java
@@ -3,15 +3,16 @@
 import java.time.Instant;
 
 /**
- * The right to give orders.
+ * The lease whose holder may send orders.
  *
- * @param holder who has or had it
- * @param fencingNumber its number; rises with each holder
- * @param durationMillis how long it is valid after each renewal, in milliseconds
- * @param orderMillis how long an order sent under it may take, in milliseconds
- * @param endsAt when it may be given to another, by the leader's time
- * @param isReleased whether it was given back
- * @param unsafeMillis time after its end for which orders of earlier holders may be on their way
+ * @param holder process that holds or last held the lease
+ * @param fencingNumber fencing number; increases with each grant
+ * @param durationMillis time for which the lease is valid after each renewal, in milliseconds
+ * @param orderMillis longest time that an order sent under the lease may take, in milliseconds
+ * @param endsAt time, by the leader's clock, from which another holder may acquire the lease
+ * @param isReleased whether the holder released the lease
+ * @param unsafeMillis time for which orders of earlier holders may be in flight, in milliseconds
+ *     from the grant, or from the release if the lease is released
  */
 public record OrderLease(
     String holder,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderMachine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderMachine.java
@@ -23,11 +23,11 @@
 import org.skylarkfork.core.command.StateMachine;
 import org.skylarkfork.core.order.OrderIntent.Status;
 
-/** The replicated state of the lease for orders, of the orders and of the roll-outs' progress. */
+/** State machine of the lease for orders, the orders and the progress of roll-outs. */
 public final class OrderMachine implements StateMachine {
 
-  private static final int CONCLUDED_KEPT = 500;
-  private static final int OPEN_KEPT = 500;
+  private static final int MAX_CONCLUDED_ORDERS = 500;
+  private static final int MAX_OPEN_ORDERS = 500;
 
   private @Nullable OrderLease lease;
   private Instant budgetUsedUntil = Instant.EPOCH;
@@ -43,22 +43,22 @@
       return intend(request.order(), request.budget(), stampedAt);
     }
     if (command instanceof OrderCommand.RenewLease renew) {
-      return under(renew.fencingNumber(), held -> renew(held, stampedAt));
+      return withLease(renew.fencingNumber(), held -> renew(held, stampedAt));
     }
     if (command instanceof OrderCommand.ReleaseLease release) {
-      return under(release.fencingNumber(), held -> release(held, release.isSafe()));
+      return withLease(release.fencingNumber(), held -> release(held, release.isSafe()));
     }
     if (command instanceof OrderCommand.Intend intend) {
-      return under(
+      return withLease(
           intend.fencingNumber(), held -> intend(intend.order(), intend.budget(), stampedAt));
     }
     if (command instanceof OrderCommand.Conclude conclude) {
-      return under(conclude.fencingNumber(), held -> conclude(conclude, stampedAt));
+      return withLease(conclude.fencingNumber(), held -> conclude(conclude, stampedAt));
     }
     if (command instanceof OrderCommand.RecordProgress record) {
-      return under(record.fencingNumber(), held -> recordProgress(record.progress()));
+      return withLease(record.fencingNumber(), held -> recordProgress(record.progress()));
     }
-    return new CommandResult.Rejected("these machines take order commands only");
+    return new CommandResult.Rejected("this state machine accepts order commands only");
   }
 
   private CommandResult acquire(AcquireLease acquire, Instant stampedAt) {
@@ -86,11 +86,11 @@
     return new LeaseGranted(number, unsafeMillis);
   }
 
-  // A lease that was not given back may seem valid to its holder, which was cut off or slow, for
-  // its whole duration after the last renewal, and an order sent in its last moment takes a while
-  // more. Engines that ignore fencing numbers would carry such an order out after a newer one. The
-  // next holder waits that long on its own clock, so no jump of a leader's clock shortens it. A
-  // release only counts as safe if the holder had itself waited for those before it.
+  // A holder that is partitioned or slow may consider a lease that was not released valid for its
+  // whole duration after the last renewal, and an order sent at its end needs further time. Engines
+  // that ignore fencing numbers would carry out such an order after a newer one. The next holder
+  // waits for both times by its own clock, so no jump of a leader's clock shortens the wait. A
+  // release counts as safe only if the holder itself had waited for the orders of earlier holders.
   private static long unsafeAfter(OrderLease old) {
     return old.isReleased()
         ? old.unsafeMillis()
@@ -128,9 +128,9 @@
     if (known != null) {
       return known.order().equals(order)
           ? new CommandResult.Done()
-          : new CommandResult.Rejected("the order's id was used for another one; take a new id");
+          : new CommandResult.Rejected("the order's id was used for another order; use a new id");
     }
-    if (openIntents().size() >= OPEN_KEPT) {
+    if (openIntents().size() >= MAX_OPEN_ORDERS) {
       return new CommandResult.Rejected("too many orders are open; wait until some are concluded");
     }
     if (order.kind() == OrderKind.LOAD) {
@@ -141,14 +141,14 @@
       budgetUsedUntil = budget.usedUntilAfter(budgetUsedUntil, stampedAt);
     }
     intents.put(order.orderId(), new OrderIntent(order, Status.OPEN, "", stampedAt));
-    forgetOldest();
+    removeOldestConcluded();
     return new CommandResult.Done();
   }
 
-  private void forgetOldest() {
+  private void removeOldestConcluded() {
     long concluded = intents.size() - openIntents().size();
     var inOrder = intents.values().iterator();
-    while (concluded > CONCLUDED_KEPT && inOrder.hasNext()) {
+    while (concluded > MAX_CONCLUDED_ORDERS && inOrder.hasNext()) {
       if (!inOrder.next().isOpen()) {
         inOrder.remove();
         concluded--;
@@ -171,34 +171,34 @@
     return new CommandResult.Done();
   }
 
-  private CommandResult under(long fencingNumber, Step step) {
+  private CommandResult withLease(long fencingNumber, LeaseOperation operation) {
     OrderLease held = lease;
     if (held == null || held.fencingNumber() != fencingNumber || held.isReleased()) {
       return new StaleLease(held == null ? 0 : held.fencingNumber());
     }
-    return step.take(held);
+    return operation.perform(held);
   }
 
-  private interface Step {
-    CommandResult take(OrderLease held);
+  private interface LeaseOperation {
+    CommandResult perform(OrderLease held);
   }
 
-  /** Returns the newest lease that this replica knows. */
+  /** Returns the newest lease that this replica has applied, or empty if there was none. */
   public Optional<OrderLease> lease() {
     return Optional.ofNullable(lease);
   }
 
-  /** Returns the orders that have to be seen to, oldest first. */
+  /** Returns the open orders, oldest first. */
   public List<OrderIntent> openIntents() {
     return intents.values().stream().filter(OrderIntent::isOpen).toList();
   }
 
-  /** Returns all orders that are remembered, oldest first. */
+  /** Returns all recorded orders, oldest first. */
   public List<OrderIntent> intents() {
     return List.copyOf(intents.values());
   }
 
-  /** Returns the progress of a model's roll-out, which may be an earlier one. */
+  /** Returns the progress of a model's newest recorded roll-out, which may be an earlier one. */
   public Optional<RollOutProgress> progress(String model) {
     return Optional.ofNullable(progress.get(model));
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderPart.java
@@ -27,22 +27,22 @@
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.LifecycleEvent.Tick;
 import org.skylarkfork.core.event.UpstreamEvent.OrderAnswered;
-import org.skylarkfork.core.order.OrderDispatcher.OrderState_;
+import org.skylarkfork.core.order.OrderDispatcher.DispatchStatus;
 import org.skylarkfork.core.order.RollOutPlanner.PlannedOrder;
 import org.skylarkfork.core.order.RollOutPlanner.RequiredWork;
 import org.skylarkfork.core.upstream.UpstreamDirectory;
 
 /**
- * Gives orders to engines while this daemon holds the lease, and so prepares and ends roll-outs.
+ * Sends orders to engines while this daemon holds the lease, to prepare and to end roll-outs.
  *
- * <p>Each order is recorded before it is sent. Whoever holds the lease next finds the recorded
- * orders, asks the engines' announcements what became of them and goes on. It runs on daemons that
- * replicate the configuration group.
+ * <p>Each order is recorded before it is sent. The next holder of the lease reads the recorded
+ * orders, determines their outcomes from the engines' announcements and continues. The part runs on
+ * daemons that replicate the configuration group.
  */
 public final class OrderPart implements Part {
 
-  private static final Duration LOOK_EVERY = Duration.ofMillis(200);
-  private static final Duration SUBMISSION_TRY = Duration.ofSeconds(5);
+  private static final Duration CHECK_INTERVAL = Duration.ofMillis(200);
+  private static final Duration SUBMISSION_TIMEOUT = Duration.ofSeconds(5);
 
   private final OrderSettings settings;
   private final OrderMachine machine;
@@ -54,19 +54,19 @@
   private final OrderDispatcher dispatcher;
   private final Map<Long, OrderCommand> submitted = new HashMap<>();
   private final Map<RollOut, Duration> endedSince = new HashMap<>();
-  private Duration nextLookAt = Duration.ZERO;
+  private Duration nextCheckAt = Duration.ZERO;
   private Duration nextLoadAt = Duration.ZERO;
   private long orders;
 
   /**
-   * Makes the part.
+   * Creates the part.
    *
-   * @param settings how orders are given
-   * @param holder node name and incarnation of this process, which no other process ever has
+   * @param settings timeouts and limits of orders
+   * @param holder node name and incarnation of this process, unique over all processes
    * @param machine this daemon's replica of the orders
    * @param configuration the configuration in force
-   * @param directory the upstreams
-   * @param submitter has commands agreed on
+   * @param directory the upstreams and their announcements
+   * @param submitter submits commands to the group
    */
   public OrderPart(
       OrderSettings settings,
@@ -85,7 +85,7 @@
     dispatcher = new OrderDispatcher(settings);
   }
 
-  /** Returns whether enough engines announced the new version for a roll-out's next step. */
+  /** Returns whether enough engines have announced the new version for a roll-out's next step. */
   public boolean isPreparedForNextStep(RollOut rollOut) {
     return machine
         .progress(rollOut.model())
@@ -100,7 +100,7 @@
 
   @Override
   public void apply(Event event, Instant now, Output output) {
-    lease.look(now);
+    lease.update(now);
     if (event instanceof Tick) {
       onTick(now, output);
     } else if (event instanceof SubmissionAnswered answered) {
@@ -115,14 +115,14 @@
   }
 
   private void onTick(Instant now, Output output) {
-    if (lease.passed().compareTo(nextLookAt) < 0) {
+    if (lease.elapsed().compareTo(nextCheckAt) < 0) {
       return;
     }
-    nextLookAt = lease.passed().plus(LOOK_EVERY);
-    boolean isIdle = submitted.isEmpty() && dispatcher.isIdle(lease.passed());
+    nextCheckAt = lease.elapsed().plus(CHECK_INTERVAL);
+    boolean isIdle = submitted.isEmpty() && dispatcher.isIdle(lease.elapsed());
     lease.onTick(isWorkLeft(), isIdle, now, output);
     if (lease.isValid(now)) {
-      seeToOpenOrders(now, output);
+      processOpenOrders(now, output);
       planRollOuts(now, output);
     }
   }
@@ -134,59 +134,66 @@
                 rollOut -> !RollOutPlanner.isOver(rollOut, machine.progress(rollOut.model())));
   }
 
-  private void seeToOpenOrders(Instant now, Output output) {
+  private void processOpenOrders(Instant now, Output output) {
     Set<String> open = new HashSet<>();
     for (OrderIntent intent : machine.openIntents()) {
       Order order = intent.order();
       open.add(order.orderId());
-      OrderState_ verdict = dispatcher.see(order, directory.find(order.upstream()), lease, output);
-      if (verdict != OrderState_.WAIT) {
-        boolean isDone = verdict == OrderState_.DONE;
+      DispatchStatus status =
+          dispatcher.process(order, directory.find(order.upstream()), lease, output);
+      if (status != DispatchStatus.WAIT) {
+        boolean isDone = status == DispatchStatus.DONE;
         submitOnce(
             new OrderCommand.Conclude(
-                lease.number(), order.orderId(), isDone, isDone ? "announced" : "refused or gone"),
+                lease.fencingNumber(),
+                order.orderId(),
+                isDone,
+                isDone ? "announced" : "refused or gone"),
             now,
             output);
       }
     }
-    dispatcher.keepOnly(open, lease.passed());
+    dispatcher.retainOpen(open, lease.elapsed());
   }
 
   private void planRollOuts(Instant now, Output output) {
     Configuration current = configuration.current();
     endedSince.keySet().retainAll(current.rollOuts());
     EngineView view =
-        EngineView.of(directory.all(), current.drainedUpstreams(), busy(), this::isPassedOver);
+        EngineView.of(
+            directory.all(), current.drainedUpstreams(), busy(), this::hasRefusedRecently);
     for (RollOut rollOut : current.rollOuts()) {
       Optional<RollOutProgress> known = machine.progress(rollOut.model());
       if (!RollOutPlanner.isOver(rollOut, known)) {
-        RequiredWork need = planner.plan(rollOut, known, current, view, mayUnload(rollOut));
-        if (!known.equals(Optional.of(need.progress()))) {
-          submitOnce(new OrderCommand.RecordProgress(lease.number(), need.progress()), now, output);
+        RequiredWork work = planner.plan(rollOut, known, current, view, mayUnload(rollOut));
+        if (!known.equals(Optional.of(work.progress()))) {
+          submitOnce(
+              new OrderCommand.RecordProgress(lease.fencingNumber(), work.progress()), now, output);
         }
-        need.orders().forEach(wish -> intend(wish, now, output));
+        work.orders().forEach(planned -> intend(planned, now, output));
       }
     }
   }
 
-  // Counted anew by each holder, by time that has surely passed: a clock's jump must not take a
-  // version away from the sessions that still use it.
+  // Each holder measures the delay anew, by bounded elapsed time: a clock jump must not unload a
+  // version that sessions still use.
   private boolean mayUnload(RollOut rollOut) {
-    Duration since = endedSince.computeIfAbsent(rollOut, unused -> lease.passed());
-    return lease.passed().compareTo(since.plus(settings.unloadDelay())) >= 0;
+    Duration since = endedSince.computeIfAbsent(rollOut, unused -> lease.elapsed());
+    return lease.elapsed().compareTo(since.plus(settings.unloadDelay())) >= 0;
   }
 
-  private void intend(PlannedOrder wish, Instant now, Output output) {
-    boolean mustWait = wish.kind() == OrderKind.LOAD && lease.passed().compareTo(nextLoadAt) < 0;
-    if (mustWait
-        || busy().contains(wish.upstream())
+  private void intend(PlannedOrder planned, Instant now, Output output) {
+    boolean isOverBudget =
+        planned.kind() == OrderKind.LOAD && lease.elapsed().compareTo(nextLoadAt) < 0;
+    if (isOverBudget
+        || busy().contains(planned.upstream())
         || machine.openIntents().size() + openSubmissions() >= settings.maxOpenOrders()) {
       return;
     }
     orders++;
-    String orderId = wish.kind().wireName() + "-" + lease.number() + "-" + orders;
-    Order order = new Order(orderId, wish.kind(), wish.upstream(), wish.version(), "");
-    submit(new OrderCommand.Intend(lease.number(), order, settings.budget()), now, output);
+    String orderId = planned.kind().wireName() + "-" + lease.fencingNumber() + "-" + orders;
+    Order order = new Order(orderId, planned.kind(), planned.upstream(), planned.version(), "");
+    submit(new OrderCommand.Intend(lease.fencingNumber(), order, settings.budget()), now, output);
   }
 
   private Set<String> busy() {
@@ -199,8 +206,8 @@
     return busy;
   }
 
-  private boolean isPassedOver(String upstream) {
-    return dispatcher.isPassedOver(upstream, lease.passed());
+  private boolean hasRefusedRecently(String upstream) {
+    return dispatcher.hasRefusedRecently(upstream, lease.elapsed());
   }
 
   private static @Nullable String upstreamOf(OrderCommand command) {
@@ -220,7 +227,7 @@
   private void submit(OrderCommand command, Instant now, Output output) {
     long id = submitter.newSubmissionId();
     submitted.put(id, command);
-    submitter.submit(GroupId.CONFIGURATION, command, id, now.plus(SUBMISSION_TRY), now, output);
+    submitter.submit(GroupId.CONFIGURATION, command, id, now.plus(SUBMISSION_TIMEOUT), now, output);
   }
 
   private void onAnswered(SubmissionAnswered answered, Instant now, Output output) {
@@ -230,9 +237,9 @@
     OrderCommand command = submitted.remove(answered.submissionId());
     CommandResult result = answered.result();
     if (command != null && result instanceof StaleLease) {
-      lease.lose("an order command came too late for its lease", now, output);
+      lease.relinquish("an order command arrived after its lease had ended", now, output);
     } else if (command != null && result instanceof OverBudget over) {
-      nextLoadAt = lease.passed().plusMillis(over.waitMillis());
+      nextLoadAt = lease.elapsed().plusMillis(over.waitMillis());
     }
   }
 
@@ -243,12 +250,12 @@
                 Collectors.toMap(
                     intent -> intent.order().orderId(), intent -> intent.order().upstream()));
     String upstream = upstreams.getOrDefault(answered.orderId(), "");
-    if (dispatcher.onAnswered(answered, upstream, lease.passed())) {
-      lease.lose("an engine knows a newer holder of the lease", now, output);
+    if (dispatcher.onAnswered(answered, upstream, lease.elapsed())) {
+      lease.relinquish("an engine has received orders of a newer lease holder", now, output);
     }
   }
 
-  /** Returns the orders that are remembered, for operators to read. */
+  /** Returns the recorded orders, oldest first, for operators to read. */
   public List<OrderIntent> orders() {
     return machine.intents();
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderSettings.java
@@ -3,19 +3,20 @@
 import java.time.Duration;
 
 /**
- * How orders are given.
+ * Timeouts and limits of orders.
  *
- * @param leaseDuration how long the lease is valid after a renewal
- * @param renewalInterval how long after a renewal the next one is sent
- * @param maxClockDrift greatest difference of two clocks' speeds, as a share
- * @param orderTimeout how long an order may take
- * @param resendInterval when an order without a known outcome is sent again
- * @param refusalBackoff how long an engine that refused an order is passed over
- * @param unknownEngineTimeout how long an engine must be unknown until its orders are given up
- * @param unloadDelay how long sessions may still use a replaced version before it is unloaded
- * @param minEngines engines that load a version even for a small share of the work
- * @param maxOpenOrders most orders at the same time
- * @param budget how fast weights may be fetched
+ * @param leaseDuration time for which the lease is valid after a renewal
+ * @param renewalInterval time from a renewal to the next one
+ * @param maxClockDrift largest relative difference of two clocks' rates, as a fraction
+ * @param orderTimeout longest time that an order may take
+ * @param resendInterval time after which an order with an unknown outcome is sent again
+ * @param refusalBackoff time for which an engine that refused an order receives no load orders
+ * @param unknownEngineTimeout time for which an engine must be unknown before its orders fail
+ * @param unloadDelay time for which sessions may use a replaced version before it is unloaded
+ * @param minEngines smallest number of engines that load a version, even for a small percentage of
+ *     the traffic
+ * @param maxOpenOrders largest number of open orders
+ * @param budget rate limit for fetching weights
  */
 public record OrderSettings(
     Duration leaseDuration,
@@ -30,7 +31,7 @@
     int maxOpenOrders,
     WeightBudget budget) {
 
-  /** The settings that daemons use unless told otherwise. */
+  /** The settings that daemons use by default. */
   public static final OrderSettings DEFAULT =
       new OrderSettings(
           Duration.ofSeconds(10),
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/RollOutPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/RollOutPlanner.java
@@ -12,12 +12,12 @@
 import org.skylarkfork.core.upstream.Announcement;
 
 /**
- * Decides what a roll-out needs next, from what is agreed on and what engines announce alone, so
- * that any holder goes on where another was interrupted.
+ * Plans the next orders of a roll-out from committed state and the engines' announcements alone, so
+ * that any holder can continue where another was interrupted.
  */
 final class RollOutPlanner {
 
-  private static final int WHOLE = 100;
+  private static final int FULL_PERCENT = 100;
 
   private final OrderSettings settings;
 
@@ -26,17 +26,17 @@
   }
 
   /**
-   * What a roll-out needs next.
+   * Next work of a roll-out.
    *
-   * @param orders what engines are to do
-   * @param progress how far it has got
+   * @param orders orders for engines
+   * @param progress progress of the roll-out
    */
   record RequiredWork(List<PlannedOrder> orders, RollOutProgress progress) {}
 
-  /** Something to order, which has no id yet. */
+  /** An order to be recorded, without an id yet. */
   record PlannedOrder(OrderKind kind, String upstream, ModelVersion version) {}
 
-  /** Returns whether a roll-out has anything left to do. */
+  /** Returns whether a roll-out needs no orders at present: it is paused, or ended and cleared. */
   static boolean isOver(RollOut rollOut, Optional<RollOutProgress> progress) {
     return rollOut.state() == State.PAUSED
         || (isEnded(rollOut)
@@ -49,13 +49,13 @@
   }
 
   /**
-   * Decides what a roll-out needs.
+   * Plans the next work of a roll-out.
    *
-   * @param rollOut a roll-out that is not over
-   * @param known progress of the model's newest roll-out
+   * @param rollOut a roll-out that {@link #isOver} does not report as over
+   * @param known progress of the model's newest recorded roll-out, if any
    * @param configuration the configuration in force
-   * @param view the engines
-   * @param mayUnload whether sessions had their time on the version that is no longer needed
+   * @param view the engines that may receive orders
+   * @param mayUnload whether the time for which sessions may use the unneeded version has passed
    */
   RequiredWork plan(
       RollOut rollOut,
@@ -91,25 +91,25 @@
         && loaded >= engines(rollOut.steps().get(prepared).percent(), hosts.size())) {
       prepared++;
     }
-    // One step ahead of the work, so that an advance finds the engines ready; not further, since an
-    // aborted roll-out should have cost little.
-    int aim = Math.min(rollOut.step() + 1, rollOut.steps().size() - 1);
-    int wanted = engines(rollOut.steps().get(aim).percent(), hosts.size());
+    // Engines are prepared one step ahead, so that the roll-out can advance at once; not further,
+    // to limit the loads that an aborted roll-out wastes.
+    int targetStep = Math.min(rollOut.step() + 1, rollOut.steps().size() - 1);
+    int targetCount = engines(rollOut.steps().get(targetStep).percent(), hosts.size());
     RollOutProgress next =
         new RollOutProgress(
             progress.model(), progress.from(), progress.to(), prepared, progress.isCleared());
-    return new RequiredWork(loads(view, hosts, to, wanted - loaded), next);
+    return new RequiredWork(loads(view, hosts, to, targetCount - loaded), next);
   }
 
   private int engines(int percent, int hosts) {
-    int share = (hosts * percent + WHOLE - 1) / WHOLE;
+    int share = (hosts * percent + FULL_PERCENT - 1) / PERCENT;
     return Math.min(hosts, Math.max(settings.minEngines(), share));
   }
 
   private static List<PlannedOrder> loads(
-      EngineView view, List<Announcement> hosts, ModelVersion version, int most) {
+      EngineView view, List<Announcement> hosts, ModelVersion version, int maxLoads) {
     return view.without(version, hosts).stream()
-        .limit(Math.max(0, most))
+        .limit(Math.max(0, maxLoads))
         .map(engine -> new PlannedOrder(OrderKind.LOAD, engine.id(), version))
         .toList();
   }
@@ -127,16 +127,16 @@
     if (stillLoaded.isEmpty() || isStillUsed(configuration, kept, unneeded)) {
       return new RequiredWork(List.of(), cleared(progress));
     }
-    List<PlannedOrder> wishes = new ArrayList<>(loads(view, hosts, kept, hosts.size()));
+    List<PlannedOrder> planned = new ArrayList<>(loads(view, hosts, kept, hosts.size()));
     if (mayUnload) {
-      Predicate<Announcement> canUnload =
+      Predicate<Announcement> isUnloadable =
           isKeptEverywhere ? engine -> true : engine -> EngineView.hasLoaded(engine, kept);
       stillLoaded.stream()
-          .filter(canUnload)
+          .filter(isUnloadable)
           .map(engine -> new PlannedOrder(OrderKind.UNLOAD, engine.id(), unneeded))
-          .forEach(wishes::add);
+          .forEach(planned::add);
     }
-    return new RequiredWork(wishes, progress);
+    return new RequiredWork(planned, progress);
   }
 
   private static RollOutProgress cleared(RollOutProgress progress) {
@@ -144,8 +144,8 @@
         progress.model(), progress.from(), progress.to(), progress.preparedSteps(), true);
   }
 
-  // A team that allows only the replaced version would have no engine left, and all its requests
-  // would be refused.
+  // Without this check, a team that allows only the replaced version would have no engine left, and
+  // all its requests would be refused.
   private static boolean isStillUsed(
       Configuration configuration, ModelVersion kept, ModelVersion unneeded) {
     boolean isCurrent =
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/WeightBudget.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/WeightBudget.java
@@ -4,20 +4,20 @@
 import java.time.Instant;
 
 /**
- * How fast engines may fetch weights from the weight store, over all holders of the lease.
+ * Rate limit for fetching weights from the weight store, shared by all holders of the lease.
  *
- * @param burst loads that may start at once, at least 1
- * @param millisPerLoad time in which the store gives one further load, in milliseconds
+ * @param burst number of loads that may start at once, at least 1
+ * @param millisPerLoad time after which one further load may start, in milliseconds
  */
 public record WeightBudget(int burst, long millisPerLoad) {
 
-  /** Two loads at once and six a minute. */
+  /** The default budget: two loads at once and six per minute. */
   public static final WeightBudget DEFAULT = new WeightBudget(2, 10_000);
 
   /**
-   * Returns how long a load must wait.
+   * Returns the time for which a load must wait, or zero if it may start.
    *
-   * @param usedUntil until when the loads granted so far use the budget up
+   * @param usedUntil time until which the granted loads use up the budget
    * @param now the present time
    */
   Duration waitFor(Instant usedUntil, Instant now) {
@@ -25,7 +25,7 @@
     return earliest.isAfter(now) ? Duration.between(now, earliest) : Duration.ZERO;
   }
 
-  /** Returns until when the budget is used up after a further load. */
+  /** Returns the time until which the budget is used up after a further load. */
   Instant usedUntilAfter(Instant usedUntil, Instant now) {
     return (usedUntil.isAfter(now) ? usedUntil : now).plusMillis(millisPerLoad);
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/order/OrderFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/order/OrderFixture.java
@@ -34,7 +34,9 @@
 import org.skylarkfork.core.upstream.UpstreamDirectory;
 import org.skylarkfork.core.upstream.UpstreamKind;
 
-/** Some candidates for the lease, the group as one replica, and engines that take orders. */
+/**
+ * Simulates candidates for the lease, the group as one replica, and engines that execute orders.
+ */
 final class OrderFixture {
 
   static final ModelVersion OLD = new ModelVersion("ruling", "1");
@@ -59,12 +61,12 @@
   final List<Holder> holders = new ArrayList<>();
   final List<Received> received = new ArrayList<>();
   final List<Sent> sent = new ArrayList<>();
-  final List<Runnable> held = new ArrayList<>();
+  final List<Runnable> delayedOrders = new ArrayList<>();
   List<Team> teams = List.of();
   RollOut rollOut = rollOut(RollOut.State.RUNNING, 0);
   Duration elapsed = Duration.ZERO;
-  Duration leaderJump = Duration.ZERO;
-  boolean holdOrders;
+  Duration leaderClockOffset = Duration.ZERO;
+  boolean delayOrders;
   private long index;
 
   static RollOut rollOut(RollOut.State state, int step) {
@@ -117,7 +119,7 @@
       this.checksFencing = checksFencing;
     }
 
-    private OrderOutcome take(String holder, SendOrder order) {
+    private OrderOutcome execute(String holder, SendOrder order) {
       boolean isStale = checksFencing && order.fencingNumber() < newestNumber;
       newestNumber = Math.max(newestNumber, order.fencingNumber());
       received.add(new Received(elapsed, holder, order, !isStale));
@@ -157,26 +159,26 @@
     }
   }
 
-  /** One process that may hold the lease, with its own clock. */
+  /** Simulates a process that may hold the lease, with its own clock. */
   final class Holder implements Submitter, ConfigurationView, UpstreamDirectory {
     final String name;
     final OrderPart part;
     Duration clockOffset = Duration.ZERO;
-    boolean isCutOff;
+    boolean isPartitioned;
     private final Reducer reducer;
     private long lastId;
-    private long copied;
+    private long syncedIndex;
 
     Holder(String name) {
       this.name = name;
       OrderMachine replica = new OrderMachine();
       part = new OrderPart(SETTINGS, name, replica, this, this, this);
-      reducer = new Reducer(List.of((event, at, output) -> copy(replica), part));
+      reducer = new Reducer(List.of((event, at, output) -> syncReplica(replica), part));
     }
 
-    private void copy(OrderMachine replica) {
-      if (!isCutOff && copied != index) {
-        copied = index;
+    private void syncReplica(OrderMachine replica) {
+      if (!isPartitioned && syncedIndex != index) {
+        syncedIndex = index;
         replica.restore(machine.snapshot());
       }
     }
@@ -185,18 +187,18 @@
       for (Effect effect : reducer.apply(event, START.plus(elapsed).plus(clockOffset))) {
         if (effect instanceof SendOrder order) {
           sent.add(new Sent(elapsed, name));
-          held.add(() -> deliver(order));
+          delayedOrders.add(() -> deliver(order));
         }
       }
-      if (!holdOrders) {
-        List<Runnable> due = new ArrayList<>(held);
-        held.clear();
+      if (!delayOrders) {
+        List<Runnable> due = new ArrayList<>(delayedOrders);
+        delayedOrders.clear();
         due.forEach(Runnable::run);
       }
     }
 
     private void deliver(SendOrder order) {
-      OrderOutcome outcome = engines.get(order.upstream()).take(name, order);
+      OrderOutcome outcome = engines.get(order.upstream()).execute(name, order);
       if (holders.contains(this)) {
         apply(new OrderAnswered(order.orderId(), outcome, null, ""));
       }
@@ -211,12 +213,12 @@
     @Override
     public void submit(
         GroupId group, Command command, long id, Instant deadline, Instant at, Output output) {
-      if (isCutOff) {
-        output.raise(new ConsensusEvent.SubmissionFailed(group, id, true, "cut off"));
+      if (isPartitioned) {
+        output.raise(new ConsensusEvent.SubmissionFailed(group, id, true, "partitioned"));
         return;
       }
       index++;
-      Instant stampedAt = START.plus(elapsed).plus(leaderJump);
+      Instant stampedAt = START.plus(elapsed).plus(leaderClockOffset);
       CommandResult result = machine.apply(index, stampedAt, command);
       output.raise(new ConsensusEvent.SubmissionAnswered(group, id, result));
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/order/OrderMachineTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/order/OrderMachineTest.java
@@ -20,7 +20,7 @@
 import org.skylarkfork.core.ledger.LedgerMachine;
 import org.testng.annotations.Test;
 
-/** The replicated lease, orders and budget, beside another machine in one group. */
+/** Tests the replicated lease, orders and budget, with another state machine in the same group. */
 public class OrderMachineTest {
 
   private final OrderMachine orders = new OrderMachine();
@@ -48,11 +48,12 @@
     return apply(new OrderCommand.Intend(fencingNumber, order, new WeightBudget(2, 10_000)));
   }
 
-  // Two operators' daemons never both order: numbers rise with each holder, an old number changes
-  // nothing, and a holder that gave the lease back before it had waited for the one before it does
-  // not hide that one from the next. A restart from a snapshot forgets none of it.
+  // Guards against two daemons that send orders at the same time. Fencing numbers increase with
+  // each holder, commands with an old number change nothing, and a holder that releases the lease
+  // before it has waited for its predecessor passes that wait on to the next holder. A restart from
+  // a snapshot preserves this state.
   @Test
-  public void numbersRiseAndWaitsAreHandedOn() {
+  public void fencingNumbersIncreaseAndNextHolderInheritsWait() {
     assertEquals(acquire("a"), new LeaseGranted(1, 0));
     assertEquals(acquire("a"), new LeaseGranted(1, 0));
     assertEquals(acquire("b"), new LeaseHeld("a"));
@@ -70,10 +71,10 @@
     assertEquals(apply(new OrderCommand.RenewLease(3)), new StaleLease(4));
   }
 
-  // The weight store is not asked faster than it allows, also when the lease changes hands between
-  // two loads; a repeated record of the same order costs nothing.
+  // Guards against loads that exceed the rate limit of the weight store when the lease changes its
+  // holder between two loads. A repeated command for the same order uses no budget.
   @Test
-  public void budgetHoldsOverAllHolders() {
+  public void budgetIsSharedByAllHolders() {
     OrderMachineTest test = new OrderMachineTest();
     test.acquire("a");
     assertEquals(test.load(1, "l1"), new CommandResult.Done());
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/order/OrderPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/order/OrderPartTest.java
@@ -17,7 +17,7 @@
 import org.skylarkfork.core.order.OrderFixture.Sent;
 import org.testng.annotations.Test;
 
-/** Roll-outs under a lease that changes hands. */
+/** Tests roll-outs under a lease that changes its holder. */
 public class OrderPartTest {
 
   private static final Duration MINUTE = Duration.ofMinutes(1);
@@ -46,54 +46,56 @@
     assertTrue(fixture.machine.openIntents().isEmpty());
   }
 
-  // Operators find the roll-out prepared whoever was interrupted when. The holder is lost after
-  // each count of looks, also between the record of an order and its sending and between sending
-  // and outcome; the next one goes on. No engine loads twice and the weight store's limit holds.
+  // Guards against roll-outs that stop or load twice after the loss of a holder. The holder is lost
+  // after each number of ticks, also between the record of an order and its sending and between
+  // sending and outcome; the next holder continues. No engine loads twice, and the limit of the
+  // weight store is respected.
   @Test
-  public void rollOutInterruptedAtEachPointIsTakenUpByTheNextHolder() {
-    for (int looks = 1; looks < 120; looks++) {
+  public void nextHolderContinuesRollOutInterruptedAtAnyPoint() {
+    for (int ticks = 1; ticks < 120; ticks++) {
       OrderFixture fixture = new OrderFixture();
       fixture.addEngines(3, true);
       fixture.addEngines(3, false);
       fixture.start("a");
-      fixture.holdOrders = looks % 2 == 0;
-      fixture.run(Duration.ofMillis(100L * looks));
+      fixture.delayOrders = ticks % 2 == 0;
+      fixture.run(Duration.ofMillis(100L * ticks));
       fixture.holders.clear();
       fixture.start("b");
-      if (looks % 4 != 0) {
-        fixture.held.clear();
+      if (ticks % 4 != 0) {
+        fixture.delayedOrders.clear();
       }
-      fixture.holdOrders = false;
+      fixture.delayOrders = false;
       fixture.run(MINUTE.multipliedBy(2));
-      assertEquals(fixture.loaded(OrderFixture.NEW), 3, "interrupted after " + looks);
+      assertEquals(fixture.loaded(OrderFixture.NEW), 3, "interrupted after " + ticks);
       assertEquals(fixture.machine.progress("ruling").orElseThrow().preparedSteps(), 2);
       Set<String> orderIds = new HashSet<>();
       fixture.received.forEach(one -> orderIds.add(one.order().orderId()));
-      assertEquals(orderIds.size(), 3, "interrupted after " + looks);
+      assertEquals(orderIds.size(), 3, "interrupted after " + ticks);
     }
   }
 
-  // An old order must not undo a newer one. Holder "a" is cut off in silence with an order on its
-  // way; "b" takes over and the old order arrives. An engine that checks fencing numbers refuses
-  // it once it knows the newer one. An engine that doesn't gets no order of "b" until then.
+  // Guards against an old order that undoes a newer one. Holder "a" is partitioned without
+  // connection errors while its orders are in flight; "b" acquires the lease, and then the old
+  // orders arrive. An engine that checks fencing numbers refuses the old order after it received a
+  // newer number. An engine that doesn't receives no order of "b" until then.
   @Test
-  public void lateOrderOfOldHolderHarmsNeitherKindOfEngine() {
+  public void lateOrderOfOldHolderUndoesNoNewerOrder() {
     OrderFixture fixture = new OrderFixture();
     fixture.addEngines(1, true);
     fixture.addEngines(1, false);
-    fixture.holdOrders = true;
+    fixture.delayOrders = true;
     final Holder old = fixture.start("a");
     fixture.run(Duration.ofSeconds(2));
-    assertEquals(fixture.held.size(), 2);
-    final List<Runnable> late = new ArrayList<>(fixture.held);
-    fixture.held.clear();
-    old.isCutOff = true;
-    fixture.holdOrders = false;
+    assertEquals(fixture.delayedOrders.size(), 2);
+    final List<Runnable> lateOrders = new ArrayList<>(fixture.delayedOrders);
+    fixture.delayedOrders.clear();
+    old.isPartitioned = true;
+    fixture.delayOrders = false;
     fixture.start("b");
     fixture.run(Duration.ofSeconds(25));
     assertEquals(
         fixture.received.stream().map(one -> one.order().upstream()).toList(), List.of("engine-1"));
-    late.forEach(Runnable::run);
+    lateOrders.forEach(Runnable::run);
     assertFalse(fixture.received.get(1).isCarriedOut());
     assertTrue(fixture.received.get(2).isCarriedOut());
     assertEquals(fixture.received.get(2).holder(), "a");
@@ -101,24 +103,25 @@
     assertEquals(fixture.loaded(OrderFixture.NEW), 2);
   }
 
-  // Two holders must never order an engine that ignores fencing numbers in the same span of time.
-  // "a" is cut off and does not know it; its clock is set back, or that of "b" or of the group's
-  // leader jumps an hour ahead, so that the lease seems longer to "a" or shorter to "b".
+  // Guards against two holders that send orders at the same time to an engine that ignores fencing
+  // numbers. "a" is partitioned and does not detect it. The clock of "a" is set back, or the clock
+  // of "b" or of the group's leader jumps an hour ahead, so that the lease appears longer to "a" or
+  // shorter to "b".
   @Test
-  public void clockJumpsLetNoTwoHoldersOrderAtOnce() {
+  public void clockJumpsNeverLetTwoHoldersSendOrders() {
     for (int jump = 0; jump < 4; jump++) {
       OrderFixture fixture = new OrderFixture();
       fixture.addEngines(6, false);
-      fixture.holdOrders = true;
+      fixture.delayOrders = true;
       final Holder first = fixture.start("a");
       fixture.run(Duration.ofSeconds(5));
-      first.isCutOff = true;
+      first.isPartitioned = true;
       final Holder second = fixture.start("b");
       fixture.run(Duration.ofSeconds(1));
       if (jump == 1) {
         first.clockOffset = Duration.ofHours(-1);
       } else if (jump == 2) {
-        fixture.leaderJump = Duration.ofHours(1);
+        fixture.leaderClockOffset = Duration.ofHours(1);
       }
       fixture.run(Duration.ofSeconds(12));
       if (jump == 3) {
@@ -138,9 +141,10 @@
     }
   }
 
-  // A team that may use the replaced version only keeps it; unloading it would refuse its work.
+  // Guards against the unloading of a replaced version that is the only one allowed to some team;
+  // all requests of that team would be refused.
   @Test
-  public void versionThatSomeTeamStillNeedsStaysLoaded() {
+  public void onlyAllowedVersionOfTeamStaysLoaded() {
     OrderFixture fixture = new OrderFixture();
     fixture.addEngines(2, true);
     fixture.teams =
