--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/RollOutPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/RollOutPlanner.java
@@ -102,7 +102,7 @@
   }
 
   private int engines(int percent, int hosts) {
-    int share = (hosts * percent + FULL_PERCENT - 1) / PERCENT;
+    int share = (hosts * percent + FULL_PERCENT - 1) / FULL_PERCENT;
     return Math.min(hosts, Math.max(settings.minEngines(), share));
   }
 
