--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
@@ -23,20 +23,20 @@
 import org.skylarkfork.core.effect.Effect;
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.RelayEvent;
-import org.skylarkfork.core.testing.MiniNetwork;
+import org.skylarkfork.core.testing.SimulatedNetwork;
 
 /** Three control VMs and some entries in virtual time; what is around them is a subclass's. */
 abstract class EmulatedDeployment {
 
   /** Time in which each entry that is in touch can know what the others know. */
-  static final Duration CONTACT = Duration.ofSeconds(3);
+  static final Duration SETTLE_TIME = Duration.ofSeconds(3);
 
   static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
   private static final Duration HEARTBEAT = Duration.ofMillis(1200);
   private static final int CONTROLS = 3;
   private static final long CALL_MILLIS = 4000;
 
-  final MiniNetwork network;
+  final SimulatedNetwork network;
   final List<String> controls = new ArrayList<>();
   final List<String> entries = new ArrayList<>();
   final UniformRandomProvider random;
@@ -64,9 +64,9 @@
    * @param entryCount how many entries there are
    */
   EmulatedDeployment(long seed, int entryCount) {
-    this.network = new MiniNetwork(seed);
+    this.network = new SimulatedNetwork(seed);
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-    network.listen(this::onEffect);
+    network.setEffectListener(this::onEffect);
     for (int number = 1; number <= CONTROLS; number++) {
       controls.add("control-" + number);
     }
@@ -146,11 +146,11 @@
   }
 
   /** Lets something happen some time from now. */
-  void after(long millis, Runnable action) {
+  void schedule(long millis, Runnable action) {
     due.add(new Due(network.now().plusMillis(millis), order++, action));
   }
 
-  int upTo(int millis) {
+  int randomMillis(int millis) {
     return 1 + random.nextInt(millis);
   }
 
@@ -183,11 +183,11 @@
                   number,
                   told.bornMillis())));
     }
-    after(HEARTBEAT.toMillis(), () -> heartbeat(told, number + 1, isUp));
+    schedule(HEARTBEAT.toMillis(), () -> heartbeat(told, number + 1, isUp));
   }
 
   boolean isAwake(String name) {
-    return network.isUp(name) && !network.isFrozen(name);
+    return network.isUp(name) && !network.isSuspended(name);
   }
 
   /** Gives an entry an event, unless it is down or frozen. */
@@ -215,7 +215,7 @@
   }
 
   /** Takes note that a daemon is disturbed now; the core's disturbances count for all. */
-  void disturbed(String name) {
+  void markDisturbed(String name) {
     if (controls.contains(name)) {
       coreDisturbedAt = network.now();
     } else {
@@ -223,14 +223,14 @@
     }
   }
 
-  /** Returns whether neither an entry nor the core was disturbed for {@link #CONTACT}. */
-  boolean isInTouch(String entry) {
-    return isCalm(entry) && coreDisturbedAt.isBefore(network.now().minus(CONTACT));
+  /** Returns whether neither an entry nor the core was disturbed for {@link #SETTLE_TIME}. */
+  boolean isSettled(String entry) {
+    return isUndisturbed(entry) && coreDisturbedAt.isBefore(network.now().minus(SETTLE_TIME));
   }
 
-  /** Returns whether an entry itself was not disturbed for {@link #CONTACT}. */
-  boolean isCalm(String entry) {
-    Instant since = network.now().minus(CONTACT);
+  /** Returns whether an entry itself was not disturbed for {@link #SETTLE_TIME}. */
+  boolean isUndisturbed(String entry) {
+    Instant since = network.now().minus(SETTLE_TIME);
     return disturbedAt.getOrDefault(entry, START).isBefore(since);
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitTest.java
@@ -63,7 +63,7 @@
     run.run(Duration.ofSeconds(2));
     List<Upstream> limited = run.running().subList(0, (upstreamCount + 1) / 2);
     limited.forEach(upstream -> run.limit(upstream, perSecond));
-    run.run(EmulatedDeployment.CONTACT.plusSeconds(2));
+    run.run(EmulatedDeployment.SETTLE_TIME.plusSeconds(2));
     double rate = run.rate(limited, Duration.ofSeconds(20));
     assertTrue(rate >= 0.5 * perSecond, rate + " a second at a limit of " + perSecond);
     assertTrue(run.refused <= 0.03 * run.requests, run.refused + " refused of " + run.requests);
@@ -71,7 +71,7 @@
     run.run(Duration.ofSeconds(5));
     double free = run.rate(limited, Duration.ofSeconds(10));
     assertTrue(free > 1.5 * perSecond, free + " a second once lifted");
-    assertEquals(run.staleBeliefs(), List.of());
+    assertEquals(run.staleLimits(), List.of());
     assertEquals(run.worst, "");
   }
 
@@ -98,14 +98,14 @@
       randomRun(run);
       assertEquals(run.worst, "", "seed " + seed);
       run.run(Duration.ofSeconds(5));
-      assertEquals(run.staleBeliefs(), List.of(), "seed " + seed);
+      assertEquals(run.staleLimits(), List.of(), "seed " + seed);
       sends += run.limitedSends;
     }
     System.out.println(seeds + " seeds, " + sends + " sends to limited upstreams");
   }
 
   private static void randomRun(RateLimitSimulation run) {
-    run.network.weather(0.01, 0.01, 3);
+    run.network.setMessageFaults(0.01, 0.01, 3);
     for (int strike = 0; strike < STRIKES; strike++) {
       changeLimits(run);
       run.run(Duration.ofMillis(run.random.nextInt(4000)));
@@ -141,15 +141,15 @@
       case 1 -> struck.addAll(run.controls);
       case 2 -> struck.addAll(run.entries.subList(0, run.entries.size() / 2));
       case 3 -> struck.add(entry);
-      case 4 -> run.network.freeze(run.random.nextBoolean() ? entry : control);
+      case 4 -> run.network.suspend(run.random.nextBoolean() ? entry : control);
       case 5 -> run.network.isolate(entry);
       default -> run.network.isolate(leader == null ? control : leader);
     }
     for (String name : struck) {
       run.crash(name);
     }
-    everyStruck(run).forEach(run::disturbed);
-    run.disturbed(entry);
+    everyStruck(run).forEach(run::markDisturbed);
+    run.markDisturbed(entry);
     return struck;
   }
 
@@ -160,11 +160,11 @@
   }
 
   private static void recover(RateLimitSimulation run, List<String> struck) {
-    everyStruck(run).forEach(run::disturbed);
-    run.network.heal();
+    everyStruck(run).forEach(run::markDisturbed);
+    run.network.reconnectAll();
     for (String name : everyStruck(run)) {
-      if (run.network.isFrozen(name)) {
-        run.network.thaw(name);
+      if (run.network.isSuspended(name)) {
+        run.network.resume(name);
       }
     }
     struck.forEach(run.network::start);
