--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/AddressedPeers.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/AddressedPeers.java
@@ -20,8 +20,8 @@
       int colon = send.node().lastIndexOf(':');
       String host = send.node().substring(0, colon);
       int port = Integer.parseInt(send.node().substring(colon + 1));
-      transport.carryOut(new PeerEffect.LearnPeer(send.node(), host, port));
+      transport.execute(new PeerEffect.LearnPeer(send.node(), host, port));
     }
-    transport.carryOut(effect);
+    transport.execute(effect);
   }
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -352,7 +352,7 @@
       peers.carryOut(peer);
     } else if (effect instanceof StorageEffect write) {
       if (storage != null) {
-        storage.carryOut(write);
+        storage.execute(write);
       }
     } else if (effect instanceof TraceEffect.LogLine line) {
       log.add(line, loop.now().toEpochMilli());
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/PeerTransport.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/PeerTransport.java
@@ -150,7 +150,7 @@
   }
 
   /** Carries an effect out; never blocks. */
-  public void carryOut(PeerEffect effect) {
+  public void execute(PeerEffect effect) {
     if (effect instanceof PeerEffect.SendToPeer send) {
       send(send.node(), send.message());
     } else if (effect instanceof PeerEffect.LearnPeer learn) {
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/PeerTransportTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/PeerTransportTest.java
@@ -96,7 +96,7 @@
       a.learn(b, "127.0.0.1");
       a.send("b", message(1));
       b.take();
-      a.transport.carryOut(new PeerEffect.ForgetPeer("b"));
+      a.transport.execute(new PeerEffect.ForgetPeer("b"));
       a.send("b", message(2));
       assertEquals(b.take(), new PeerEvent.ConnectionLost("a"));
       assertEquals(a.transport.counts().dropped(), 1);
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/TestNode.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/TestNode.java
@@ -65,11 +65,11 @@
   }
 
   void learn(String node, String host, int port) {
-    transport.carryOut(new PeerEffect.LearnPeer(node, host, port));
+    transport.execute(new PeerEffect.LearnPeer(node, host, port));
   }
 
   void send(String node, PeerMessage message) {
-    transport.carryOut(new PeerEffect.SendToPeer(node, message));
+    transport.execute(new PeerEffect.SendToPeer(node, message));
   }
 
   void cut(boolean now) {
