--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -139,7 +139,7 @@
     packings.add(new PeerMessagePacking());
     packings.add(new CommandPacking());
     packings.add(new SnapshotPacking());
-    packings.add(PeerTransport.handshakes());
+    packings.add(PeerTransport.handshakePacking());
     packings.addAll(DiskStorage.records());
     return new PackedCodec(packings);
   }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/TestNode.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/TestNode.java
@@ -21,7 +21,7 @@
   static final TransportSettings.Limits LIMITS = limits(Duration.ofSeconds(60));
 
   /** Notices silence soon. */
-  static final TransportSettings.Limits SOON = limits(Duration.ofMillis(1500));
+  static final TransportSettings.Limits SHORT_SILENCE = limits(Duration.ofMillis(1500));
 
   final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
   final PeerTransport transport;
@@ -76,7 +76,7 @@
     cut = now;
   }
 
-  Event take() {
+  Event nextEvent() {
     try {
       Event event = events.poll(20, TimeUnit.SECONDS);
       assertNotNull(event, "no event at " + name);
