--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/DataFolder.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/DataFolder.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 
-/** The lock and the instance id of a data folder. */
+/** Holds the lock and the instance id of a data folder. */
 final class DataFolder implements Closeable {
 
   private static final String LOCK = "lock";
@@ -17,14 +17,14 @@
   private final boolean firstStart;
 
   /**
-   * Locks the folder and reads its instance id, or writes one if the folder is empty.
+   * Locks the folder and reads its instance id, or writes a new id if the folder is empty.
    *
-   * @throws StorageException if it is missing, locked, or holds data without an instance id
+   * @throws StorageException if the folder is missing, locked, or holds data without an instance id
    */
   DataFolder(StorageSettings settings, Disk disk) throws IOException {
     Path folder = settings.folder();
     if (!disk.exists(folder)) {
-      // Making it would hide a volume that isn't mounted: the node would start as if wiped.
+      // Creating the folder would hide a volume that isn't mounted, and the node would start empty.
       throw new StorageException(
           StorageException.Kind.FOLDER_UNUSABLE, folder + " doesn't exist", null);
     }
@@ -41,12 +41,12 @@
     }
   }
 
-  /** Returns the id that was given to this folder when it was empty. */
+  /** Returns the id that was written when the folder was empty. */
   String instanceId() {
     return instanceId;
   }
 
-  /** Returns whether the folder was empty. */
+  /** Returns whether the folder was empty when it was opened. */
   boolean firstStart() {
     return firstStart;
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/Disk.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/Disk.java
@@ -6,54 +6,55 @@
 import java.util.List;
 
 /**
- * The file operations that the storage needs, so that a test can tear, flip and fail them.
+ * File operations of the storage. Tests implement them to tear writes, flip bits and inject errors.
  *
- * <p>Bytes last only after {@link AppendFile#sync}; a new, renamed or deleted name only after
- * {@link #syncFolder}. Each method throws {@code IOException} with what the file system said.
+ * <p>Bytes are durable only after {@link AppendFile#sync}; a new, renamed or deleted name is
+ * durable only after {@link #syncFolder}. Each method throws the {@code IOException} of the file
+ * system.
  */
 public interface Disk {
 
   /** Returns whether the file or folder exists. */
   boolean exists(Path path);
 
-  /** Returns the names in a folder, in their natural order. */
+  /** Returns the names in a folder, in natural order. */
   List<String> names(Path folder) throws IOException;
 
   /** Returns the whole content of a file. */
   byte[] read(Path file) throws IOException;
 
-  /** Opens a file for appends and makes it if it is missing. */
+  /** Opens a file for appending and creates it if it is missing. */
   AppendFile append(Path file) throws IOException;
 
-  /** Cuts a file to a size in bytes and syncs it. */
+  /** Truncates a file to a size in bytes and syncs it. */
   void truncate(Path file, long size) throws IOException;
 
-  /** Renames a file in one step and replaces an older one of the new name. */
+  /** Renames a file atomically and replaces an existing file of the new name. */
   void rename(Path from, Path to) throws IOException;
 
   /** Deletes a file. */
   void delete(Path file) throws IOException;
 
-  /** Makes a folder unless it is there. */
+  /** Creates a folder unless it exists. */
   void createFolder(Path folder) throws IOException;
 
-  /** Makes the names in a folder last. */
+  /** Makes the names in a folder durable. */
   void syncFolder(Path folder) throws IOException;
 
   /**
-   * Locks a file against other processes until the result is closed.
+   * Locks a file against other processes until the returned lock is closed.
    *
-   * @throws StorageException of kind {@code LOCKED} if it is locked already
+   * @throws StorageException of kind {@code LOCKED} if the file is already locked
    */
   Closeable lock(Path file) throws IOException;
 
-  /** A file that is open for appends. */
+  /** A file that is open for appending. */
   interface AppendFile extends Closeable {
 
-    /** Writes all bytes at the end. */
+    /** Appends all bytes. */
     void write(byte[] bytes) throws IOException;
 
-    /** Makes everything written so far last. */
+    /** Makes all bytes written so far durable. */
     void sync() throws IOException;
   }
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/DiskFullException.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/DiskFullException.java
@@ -2,15 +2,15 @@
 
 import java.io.IOException;
 
-/** The disk takes no more bytes; the write may be tried again once there is room. */
+/** Reports that the disk is full; the write may be retried once space is free. */
 public final class DiskFullException extends IOException {
 
   private static final long serialVersionUID = 1L;
 
   /**
-   * Makes the exception.
+   * Creates the exception.
    *
-   * @param cause what the file system said
+   * @param cause the error of the file system
    */
   public DiskFullException(IOException cause) {
     super(cause.getMessage(), cause);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/DiskStorage.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/DiskStorage.java
@@ -25,19 +25,20 @@
 import org.tinylog.Logger;
 
 /**
- * The storage of a daemon with a data folder.
+ * Stores the logs and snapshots of the groups in a data folder.
  *
- * <p>One thread does all writes. It takes whatever waits, writes it as one record per group, syncs
- * once per group and then answers the last sequence number of each. A failed write or sync stops
- * the group for good: after a failed sync the system may have dropped the unwritten pages, so that
- * a second sync succeeds without the bytes being on the disk.
+ * <p>One thread does all writes. The thread takes all queued effects, writes those of each group as
+ * one record, syncs once per group and then acknowledges the group's last sequence number. A failed
+ * write or sync stops the group permanently: after a failed sync the operating system may have
+ * dropped the unwritten pages, so a second sync could succeed although the bytes aren't on the
+ * disk.
  */
 public final class DiskStorage implements Storage {
 
   private static final int MAX_EFFECTS_PER_BATCH = 512;
   private static final int MAX_ENTRIES_PER_RECORD = 4096;
 
-  /** Pause between two tries on a full disk: 0.1 s, short against an election. */
+  /** Time between two attempts on a full disk: 0.1 s, short compared with an election. */
   private static final long DISK_FULL_RETRY_NANOS = 100_000_000L;
 
   private final StorageSettings settings;
@@ -55,10 +56,10 @@
   /**
    * Locks the data folder and starts the thread.
    *
-   * @param settings where and how to write
-   * @param codec writes the records
-   * @param disk the machine's disk, or a fake
-   * @param events takes the answers, on the storage's thread
+   * @param settings data folder, segment size and instance id
+   * @param codec encodes and decodes the records
+   * @param disk file operations
+   * @param events receives the results, on the storage's thread
    * @throws StorageException if the folder is missing, locked or damaged
    */
   public DiskStorage(
@@ -76,27 +77,27 @@
     thread.start();
   }
 
-  /** Returns written-out code for the records of a log. */
+  /** Returns the hand-written codecs of the log records. */
   public static List<Packing<?>> records() {
     return List.of(new LogWritesPacking(), new SegmentStartPacking());
   }
 
-  /** Returns the id that the data folder got when it was empty; a wiped folder gets another. */
+  /** Returns the id of the data folder; a folder that was wiped has a new id. */
   public String instanceId() {
     return folder.instanceId();
   }
 
-  /** Returns whether the data folder was empty at this start. */
+  /** Returns whether the data folder was empty when the storage opened it. */
   public boolean firstStart() {
     return folder.firstStart();
   }
 
-  /** Returns the count of syncs of logs and snapshots so far. */
+  /** Returns the number of syncs of logs and snapshots so far. */
   public long syncs() {
     return syncs.sum();
   }
 
-  /** Returns how many effects wait to be written. */
+  /** Returns the number of jobs in the queue. */
   public int queuedEffects() {
     return queue.size();
   }
@@ -145,7 +146,7 @@
       try {
         jobs.add(queue.take());
       } catch (InterruptedException e) {
-        Logger.warn("storage: an interrupt was ignored; close() ends the thread");
+        Logger.warn("storage: ignored an interrupt; close() ends the thread");
         continue;
       }
       queue.drainTo(jobs, MAX_EFFECTS_PER_BATCH);
@@ -154,7 +155,7 @@
     closeFiles();
   }
 
-  /** Carries jobs out in their order and returns whether the last was a stop. */
+  /** Runs jobs in order and returns whether they contained a stop. */
   private boolean runJobs(List<Job> jobs) {
     Map<GroupId, List<StorageEffect.Persist>> batches = new LinkedHashMap<>();
     boolean stopped = false;
@@ -241,17 +242,18 @@
       syncs.increment();
     } catch (IOException | RuntimeException e) {
       failed.add(group);
-      Logger.error(e, "storage: {} stops after a failed write", group);
+      Logger.error(e, "storage: {} stopped after a failed write", group);
       result = new StorageEvent.Failed(group, String.valueOf(e.getMessage()));
     }
     events.accept(result);
   }
 
   /**
-   * Repeats work on a full disk until there is room.
+   * Retries an operation until the disk has space.
    *
-   * <p>Nothing is promised meanwhile, so that the replica looks like one with a stalled disk: it
-   * doesn't lead, and takes part again by itself once there is room.
+   * <p>The storage acknowledges nothing in the meantime, so the replica behaves like one with a
+   * stalled disk: it doesn't lead, and it participates again without intervention once space is
+   * free.
    */
   private StorageEvent retryWhileDiskFull(GroupId group, GroupLog log, LogOperation operation)
       throws IOException {
@@ -264,7 +266,8 @@
           throw full;
         }
         if (!logged) {
-          Logger.warn("storage: {} waits, since the disk is full", group);
+          Logger.warn(
+              "storage: the disk is full; writes of {} are retried until space is free", group);
           logged = true;
         }
         LockSupport.parkNanos(DISK_FULL_RETRY_NANOS);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/FileDisk.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/FileDisk.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 import org.jspecify.annotations.Nullable;
 
-/** The disk of the machine. */
+/** Implements {@link Disk} with the file system of the machine. */
 public final class FileDisk implements Disk {
 
   @Override
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/GroupLog.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/GroupLog.java
@@ -14,7 +14,7 @@
 import org.skylarkfork.runtime.codec.CodecException;
 import org.tinylog.Logger;
 
-/** The segments and snapshots of one group; used by the storage's thread only. */
+/** Reads and writes the segments and snapshots of one group; confined to the storage's thread. */
 final class GroupLog {
 
   private final GroupId group;
@@ -38,7 +38,7 @@
     this.snapshots = new SnapshotFiles(folder, codec, disk);
   }
 
-  /** Reads everything, repairs a torn end and opens the log for writes. */
+  /** Reads the stored state, truncates a torn last record and opens the log for writes. */
   StorageEvent.Recovered recover() throws IOException {
     disk.createFolder(folder);
     disk.syncFolder(folder.toAbsolutePath().getParent());
@@ -61,10 +61,9 @@
   }
 
   /**
-   * Appends writes as one record and syncs it.
+   * Appends the writes as one record and syncs the segment.
    *
-   * @throws DiskFullException if the disk is full; the log is as before and the call may be
-   *     repeated
+   * @throws DiskFullException if the disk is full; the log is unchanged and the call may be retried
    */
   void append(List<LogWrite> writes) throws IOException {
     final HardState stateBefore = hardState;
@@ -82,7 +81,7 @@
     }
   }
 
-  /** Cuts off what a failed write has left; nothing behind it was synced or promised. */
+  /** Truncates the bytes that a failed write left; they were never synced or acknowledged. */
   private void truncatePartialWrite() throws IOException {
     if (current == null) {
       current = disk.append(segments.getLast().file());
@@ -105,7 +104,7 @@
     writes.forEach(write -> segments.getLast().recordAppend(0, write));
   }
 
-  /** Saves a snapshot, then deletes the segments and snapshots that it makes needless. */
+  /** Saves a snapshot, then deletes the segments and older snapshots that it replaces. */
   void save(Snapshot snapshot) throws IOException {
     snapshots.save(snapshot);
     lastIndex = Math.max(lastIndex, snapshot.index());
@@ -143,8 +142,8 @@
     }
     long first = write.entries().get(0).index();
     if (first != lastIndex + 1) {
-      // A gap on the disk would be refused at the next start, when it is too late to mend it.
-      throw new IOException("entry " + first + " was given after entry " + lastIndex);
+      // The next start would reject a gap on the disk, and it could no longer be repaired then.
+      throw new IOException("entry " + first + " doesn't follow entry " + lastIndex);
     }
     lastIndex = write.entries().get(write.entries().size() - 1).index();
   }
@@ -183,10 +182,10 @@
   }
 
   /**
-   * Drops segments before a gap, which a snapshot has replaced.
+   * Deletes the segments before a gap, which a snapshot has replaced, and returns the others.
    *
-   * <p>Their deletion wasn't synced before a power failure, so that some came back and others not.
-   * The rest must still continue the snapshot, which the replay checks.
+   * <p>A power failure before the deletion of segments is synced can bring some of them back. The
+   * remaining segments must still continue the snapshot, which the replay checks.
    */
   private List<Long> newestContiguous(List<Long> numbers) throws IOException {
     int first = numbers.size() - 1;
@@ -201,7 +200,7 @@
 
   private void checkComplete(List<Long> numbers, @Nullable Snapshot snapshot) {
     if (numbers.isEmpty() && snapshot != null) {
-      throw corrupt("a snapshot but no log; a vote may be forgotten");
+      throw corrupt("a snapshot but no log; a vote may have been lost");
     }
     if (!numbers.isEmpty() && snapshot == null && numbers.get(0) != 1) {
       throw corrupt("log begins with segment " + numbers.get(0) + " and there is no snapshot");
@@ -251,9 +250,9 @@
       throws IOException {
     boolean first = segment.number() == 1 && snapshot == null;
     if (!last || (segments.isEmpty() && !first)) {
-      throw reader.corrupt("a segment without its first record");
+      throw reader.corrupt("a segment has no first record");
     }
-    Logger.warn("storage: dropped {}, which was torn while it was begun", segment.file());
+    Logger.warn("storage: deleted {}, which has an incomplete first record", segment.file());
     disk.delete(segment.file());
     disk.syncFolder(folder);
   }
@@ -261,9 +260,10 @@
   private void truncateTornRecord(Segment segment, RecordReader reader, boolean last)
       throws IOException {
     if (!last) {
-      throw reader.corrupt("a torn record, but later segments follow");
+      throw reader.corrupt("a torn record in a segment that isn't the last");
     }
-    Logger.warn("storage: cut a torn record off {} at {}", segment.file(), reader.offset());
+    Logger.warn(
+        "storage: truncated a torn record of {} at offset {}", segment.file(), reader.offset());
     disk.truncate(segment.file(), reader.offset());
   }
 
@@ -271,7 +271,7 @@
     try {
       return codec.fromBytes(payload, type);
     } catch (CodecException e) {
-      // The checksum was right, so the bytes are as written: a newer version wrote them.
+      // The checksum matches, so the bytes are intact: a newer version wrote them.
       throw new StorageException(
           StorageException.Kind.NEWER_FORMAT, reader.corrupt("unreadable").getMessage(), e);
     }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/LogWrite.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/LogWrite.java
@@ -7,10 +7,10 @@
 import org.skylarkfork.core.effect.StorageEffect;
 
 /**
- * One persisted change of a group's log, as stored.
+ * One change of a group's log, as stored.
  *
- * @param hardState new hard state, or null to leave it
- * @param truncateFrom first index to drop before the append, or 0 to drop none
+ * @param hardState new hard state, or null if it is unchanged
+ * @param truncateFrom first index to remove before the append, or 0 to remove none
  * @param entries entries to append
  */
 record LogWrite(@Nullable HardState hardState, long truncateFrom, List<LogEntry> entries) {
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/LogWritesPacking.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/LogWritesPacking.java
@@ -6,7 +6,7 @@
 import org.skylarkfork.runtime.packed.Packing;
 import org.skylarkfork.runtime.packed.RaftValues;
 
-/** The records of a log's segments, with written-out code. */
+/** Encodes and decodes the records of log segments; hand-written codec. */
 final class LogWritesPacking implements Packing<LogWrite[]> {
 
   @Override
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/MemoryStorage.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/MemoryStorage.java
@@ -8,11 +8,11 @@
 import org.skylarkfork.core.event.StorageEvent;
 
 /**
- * The storage of a daemon without a disk: each group starts empty and nothing lasts.
+ * Storage of a daemon without a data folder: each group starts empty and nothing is durable.
  *
- * <p>A voter that forgets its vote in a restart can vote twice in one term, so two leaders could
- * accept changes. Where writes aren't allowed they are answered by {@code Failed}, which stops the
- * group before it promises anything.
+ * <p>A voter that loses its vote in a restart can vote twice in one term, so two leaders could
+ * accept changes. Where writes aren't allowed, each write is reported as {@code Failed}, which
+ * stops the group before it acknowledges anything.
  */
 public final class MemoryStorage implements Storage {
 
@@ -22,8 +22,9 @@
   /**
    * Creates the storage.
    *
-   * @param writesAllowed whether writes are answered as if they were synced, for tests and learners
-   * @param events takes the answers, on the caller's thread
+   * @param writesAllowed whether writes are acknowledged although they aren't durable, for tests
+   *     and learners
+   * @param events receives the results, on the caller's thread
    */
   public MemoryStorage(boolean writesAllowed, Consumer<Event> events) {
     this.writesAllowed = writesAllowed;
@@ -51,7 +52,8 @@
     }
     events.accept(
         new StorageEvent.Failed(
-            group, "this daemon has no data folder; give it one or make it no voter"));
+            group,
+            "this daemon has no data folder; configure one or remove the daemon from the voters"));
   }
 
   @Override
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/RecordReader.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/RecordReader.java
@@ -6,19 +6,19 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Reads the records of one file and tells a torn end from corruption.
+ * Reads the records of one file and distinguishes a torn last record from corruption.
  *
- * <p>Each record is synced before the next is written, so a crash can only tear the last one. What
- * a crash leaves is a record that the file's end cuts off, or one with a disk sector that was never
- * written and reads as zeros. A record that is whole in length but has a wrong checksum without
- * such a sector was changed after it was written, perhaps after it was promised, and is refused.
+ * <p>Each record is synced before the next is written, so a crash can tear only the last one. A
+ * torn record is truncated by the end of the file, or contains a disk sector that was never written
+ * and reads as zeros. A record of full length with a wrong checksum and no such sector was changed
+ * after it was written, possibly after it was acknowledged, and is rejected.
  */
 final class RecordReader {
 
   private static final int SECTOR_BYTES = 512;
   private static final int VERSION_BITS = 16;
 
-  /** Shorter runs of zeros occur in sound records. */
+  /** Minimum run of zeros, in bytes; shorter runs occur in intact records. */
   private static final int MIN_UNWRITTEN_BYTES = 8;
 
   private final Path file;
@@ -26,7 +26,7 @@
   private int offset;
   private boolean torn;
 
-  /** Creates a reader of a file's whole content and checks the file header. */
+  /** Creates a reader of a file's entire content and checks the file header. */
   RecordReader(Path file, byte[] bytes, long header) {
     this.file = file;
     this.bytes = bytes;
@@ -75,17 +75,17 @@
     return Arrays.copyOfRange(bytes, start, offset);
   }
 
-  /** Returns whether {@link #next} stopped at a torn record, which begins at the offset. */
+  /** Returns whether {@link #next} stopped at a torn record, which begins at {@link #offset}. */
   boolean torn() {
     return torn;
   }
 
-  /** Returns the offset in bytes after the last sound record. */
+  /** Returns the offset in bytes after the last intact record. */
   int offset() {
     return offset;
   }
 
-  /** Returns the error that names this file and the present offset. */
+  /** Returns an exception with the file and the current offset in its message. */
   StorageException corrupt(String found) {
     return new StorageException(
         StorageException.Kind.CORRUPT, file + " at offset " + offset + ": " + found, null);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/ReplayedLog.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/ReplayedLog.java
@@ -6,24 +6,24 @@
 import org.skylarkfork.core.command.HardState;
 import org.skylarkfork.core.command.LogEntry;
 
-/** Rebuilds hard state and entries from the stored writes in their order. */
+/** Rebuilds the hard state and the entries by applying the stored writes in order. */
 final class ReplayedLog {
 
   private final long snapshotIndex;
   private final List<LogEntry> entries = new ArrayList<>();
   private @Nullable HardState hardState;
 
-  /** Creates an empty log that follows a snapshot; 0 for none. */
+  /** Creates an empty log after the snapshot of an index, or 0 if there is no snapshot. */
   ReplayedLog(long snapshotIndex) {
     this.snapshotIndex = snapshotIndex;
   }
 
-  /** Takes the hard state that a segment begins with. */
+  /** Sets the hard state from the first record of a segment. */
   void startSegment(SegmentStart start) {
     hardState = start.hardState();
   }
 
-  /** Applies a write; returns what is wrong with it, or null. */
+  /** Applies a write and returns a description of its error, or null if it is valid. */
   @Nullable String apply(LogWrite write) {
     if (write.hardState() != null) {
       hardState = write.hardState();
@@ -51,7 +51,7 @@
     entries.subList(kept, entries.size()).clear();
   }
 
-  /** Returns the index of the last entry, or of the snapshot if there is none after it. */
+  /** Returns the index of the last entry, or of the snapshot if no entry follows it. */
   long lastIndex() {
     return entries.isEmpty() ? snapshotIndex : entries.get(entries.size() - 1).index();
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/Segment.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/Segment.java
@@ -2,10 +2,10 @@
 
 import java.nio.file.Path;
 
-/** A log segment's file and the highest index that it has held. */
+/** The file of a log segment, its size, and the highest index written to it. */
 final class Segment {
 
-  /** Beginning of the name of each segment's file. */
+  /** Prefix of the file name of each segment. */
   static final String PREFIX = "log-";
 
   private final long number;
@@ -18,17 +18,17 @@
     this.file = folder.resolve(String.format("%s%019d", PREFIX, number));
   }
 
-  /** Returns the number in a file's name. */
+  /** Returns the segment number in a file name. */
   static long numberIn(String name) {
     try {
       return Long.parseLong(name.substring(PREFIX.length()));
     } catch (NumberFormatException e) {
       throw new StorageException(
-          StorageException.Kind.CORRUPT, "unknown file " + name + " in a log", e);
+          StorageException.Kind.CORRUPT, "unknown file " + name + " in a log folder", e);
     }
   }
 
-  /** Notes an append. */
+  /** Records an append of a number of bytes and the entries of a write. */
   void recordAppend(int bytes, LogWrite write) {
     size += bytes;
     if (!write.entries().isEmpty()) {
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Notes bytes without entries. */
+  /** Records an append of a number of bytes without entries. */
   void recordAppend(int bytes) {
     size += bytes;
   }
@@ -55,7 +55,7 @@
     return size;
   }
 
-  /** Returns the highest index that was ever written to it, or 0. */
+  /** Returns the highest index ever written to the segment, or 0 if none was. */
   long highestIndex() {
     return highestIndex;
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/SegmentStartPacking.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/SegmentStartPacking.java
@@ -5,7 +5,7 @@
 import org.skylarkfork.runtime.packed.Packing;
 import org.skylarkfork.runtime.packed.RaftValues;
 
-/** The first record of a segment, with written-out code. */
+/** Encodes and decodes the first record of a segment; hand-written codec. */
 final class SegmentStartPacking implements Packing<SegmentStart> {
 
   @Override
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/SnapshotFiles.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/SnapshotFiles.java
@@ -8,7 +8,7 @@
 import org.skylarkfork.runtime.codec.BinaryCodec;
 import org.skylarkfork.runtime.codec.CodecException;
 
-/** The snapshots of one group; the file with the highest index counts. */
+/** Reads and writes the snapshots of one group; the file with the highest index is valid. */
 final class SnapshotFiles {
 
   private static final String PREFIX = "snapshot-";
@@ -27,7 +27,8 @@
   /**
    * Returns the newest snapshot, or null if there is none.
    *
-   * <p>A damaged one is refused: the log before it is gone, so an older one would lose entries.
+   * <p>A damaged snapshot is rejected: the log before it is deleted, so an older snapshot would
+   * lose entries.
    */
   @Nullable Snapshot newest() throws IOException {
     if (disk.exists(folder.resolve(TEMPORARY))) {
@@ -41,7 +42,7 @@
     RecordReader reader = new RecordReader(file, disk.read(file), RecordFormat.SNAPSHOT_HEADER);
     byte[] payload = reader.next();
     if (payload == null || reader.next() != null || reader.torn()) {
-      throw reader.corrupt("a snapshot is incomplete");
+      throw reader.corrupt("the snapshot is incomplete");
     }
     try {
       return codec.fromBytes(payload, Snapshot.class);
@@ -50,7 +51,7 @@
     }
   }
 
-  /** Saves a snapshot so that a crash at any moment leaves the old or the new one. */
+  /** Saves a snapshot atomically: a crash leaves either the old or the new one. */
   void save(Snapshot snapshot) throws IOException {
     Path temporary = folder.resolve(TEMPORARY);
     if (disk.exists(temporary)) {
@@ -64,7 +65,7 @@
     disk.syncFolder(folder);
   }
 
-  /** Deletes the snapshots older than an index. */
+  /** Deletes the snapshots with a lower index. */
   void deleteBefore(long index) throws IOException {
     for (String name : names()) {
       if (name.compareTo(name(index)) < 0) {
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/StorageException.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/StorageException.java
@@ -2,12 +2,12 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** The data folder can't be used as it is. */
+/** Reports that the data folder can't be used in its current state. */
 public final class StorageException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
-  /** What is wrong with the data folder. */
+  /** Kinds of errors of a data folder. */
   public enum Kind {
     /** The folder doesn't exist or can't be read. */
     FOLDER_UNUSABLE("mount or create the folder and give this process the right to write it"),
@@ -20,7 +20,8 @@
     /** The data was written by a newer version. */
     NEWER_FORMAT("start the version that wrote the data folder, or a later one"),
     /** A write, a sync or a read failed. */
-    INPUT_OUTPUT("look at the system's log for the disk, mend it, then restart this process");
+    INPUT_OUTPUT(
+        "check the system log for disk errors, repair the disk, then restart this process");
 
     private final String remedy;
 
@@ -28,7 +29,7 @@
       this.remedy = remedy;
     }
 
-    /** Returns what the operator can do about it. */
+    /** Returns the action that the operator can take. */
     public String remedy() {
       return remedy;
     }
@@ -39,16 +40,16 @@
   /**
    * Creates an exception whose message ends in the remedy of its kind.
    *
-   * @param kind what is wrong
-   * @param detail the file, the offset and what was found there
-   * @param cause what the file system said, or null
+   * @param kind kind of the error
+   * @param detail the file, the offset and the problem found there
+   * @param cause the error of the file system, or null
    */
   public StorageException(Kind kind, String detail, @Nullable Throwable cause) {
     super(detail + "; " + kind.remedy(), cause);
     this.kind = kind;
   }
 
-  /** Returns what is wrong. */
+  /** Returns the kind of the error. */
   public Kind kind() {
     return kind;
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/package-info.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/package-info.java
@@ -1,4 +1,4 @@
-/** Keeps the logs and snapshots of the replicated groups in the data folder. */
+/** Stores the logs and snapshots of the replicated groups in the data folder. */
 @NullMarked
 package org.skylarkfork.runtime.storage;
 
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/storage/DiskStorageTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/storage/DiskStorageTest.java
@@ -32,7 +32,7 @@
   private static final Path LOG = FOLDER.resolve(StorageModel.GROUP.toString());
   private static final int SMALL_SEGMENT = 700;
 
-  /** Raised by hand for long runs: {@code -Dskylarkfork.fuzz.factor=10}. */
+  /** Multiplies the number of runs, for example {@code -Dskylarkfork.fuzz.factor=10}. */
   private static final int FACTOR = Integer.getInteger("skylarkfork.fuzz.factor", 1);
 
   private static final int CRASHES = 150 * FACTOR;
@@ -55,7 +55,7 @@
   private StorageEvent nextEvent() {
     try {
       Event event = events.poll(20, TimeUnit.SECONDS);
-      assertNotNull(event, "no answer from the storage");
+      assertNotNull(event, "no event from the storage");
       return (StorageEvent) event;
     } catch (InterruptedException e) {
       throw new IllegalStateException(e);
@@ -70,7 +70,7 @@
     }
   }
 
-  /** Fills a disk with so many random effects, each answered, and returns what it should hold. */
+  /** Executes a number of random effects, one at a time, and returns the expected state. */
   private StorageModel fill(Disk disk, Path folder, int effects, long seed) {
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     StorageModel model = new StorageModel();
@@ -106,8 +106,8 @@
   }
 
   /**
-   * Operators wait and lose nothing. The disk takes no more bytes for a moment, in the middle of a
-   * write, and then does again; the write is repeated behind what was whole before.
+   * The disk is full in the middle of a write and has space again later. The storage truncates the
+   * partial record and retries the write; no entry is lost and no write fails.
    */
   @Test
   public void testWriteIsRetriedWhileDiskIsFull() {
@@ -128,8 +128,8 @@
   }
 
   /**
-   * A restart loses nothing and finds nothing wrong. The deletion of the oldest segment wasn't
-   * synced before the power went, so that it is there again, with a gap behind it.
+   * A power failure before the deletion of the oldest segment is synced brings the segment back,
+   * with a gap after it. The next start must delete it and recover all entries.
    */
   @Test
   public void testSegmentWhoseDeletionWasLostIsDropped() throws IOException {
@@ -151,7 +151,7 @@
       }
     }
     assertNotNull(oldest);
-    assertFalse(disk.exists(oldest), "the test needs a segment that was deleted");
+    assertFalse(disk.exists(oldest), "the test needs a deleted segment");
     try (Disk.AppendFile file = disk.append(oldest)) {
       file.write(content);
       file.sync();
@@ -163,9 +163,9 @@
 
   @Test
   public void testPowerFailureKeepsAcknowledgedWrites() {
-    // The power goes at some write, sync, rename or deletion. Bytes and names that were not synced
-    // are lost, cut short or zeros. After the restart the log holds each answered write, and beyond
-    // those only whole later writes: a lost one would let a voter break a promise.
+    // The power fails at a random write, sync, rename or deletion. Bytes and names that were not
+    // synced are lost, truncated or zeros. After the restart the log must hold each acknowledged
+    // write and otherwise only complete later writes: a lost one could let a voter vote twice.
     int tornOrLost = 0;
     for (int run = 0; run < CRASHES; run++) {
       UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(1000L + run);
@@ -178,9 +178,10 @@
           model.states().subList(answered, model.states().size());
       assertTrue(allowed.contains(found), "run " + run + " found " + found + " of " + allowed);
       tornOrLost += found.equals(model.stateAfter(model.states().size() - 1)) ? 0 : 1;
-      assertEquals(recoverState(disk, FOLDER), found, "a second start differs");
+      assertEquals(recoverState(disk, FOLDER), found, "a second start recovers another state");
     }
-    System.out.println("storage: power cuts " + CRASHES + ", unanswered lost " + tornOrLost);
+    System.out.println(
+        "storage: power failures " + CRASHES + ", unacknowledged writes lost " + tornOrLost);
     assertTrue(tornOrLost > CRASHES / 10);
   }
 
@@ -217,8 +218,8 @@
 
   @Test
   public void testFlippedBitIsRejectedWithFileAndOffset() {
-    // A disk changes one bit of synced data. The operator sees a start that is refused and names
-    // file, offset and remedy; skipping the record would take back what this node promised.
+    // A disk flips one bit of synced data. The start must fail with the file, the offset and the
+    // remedy; skipping the record would lose acknowledged writes.
     FakeDisk disk = emptyDisk();
     fill(disk, FOLDER, 12, 22L);
     int flips = 0;
@@ -237,13 +238,13 @@
       }
       disk.replace(file, intact);
     }
-    System.out.println("storage: flipped bits refused " + flips);
+    System.out.println("storage: flipped bits rejected " + flips);
   }
 
   @Test
   public void testOnlyLastRecordMayBeTorn() {
-    // The last segment ends early: its whole records are read and the rest is cut off. The same in
-    // an earlier segment can't come from a crash, so it is refused.
+    // The last segment is truncated: its complete records are read and the rest is removed. A crash
+    // can't truncate an earlier segment, so that is rejected as corruption.
     FakeDisk disk = emptyDisk();
     StorageModel model = fill(disk, FOLDER, 60, 23L);
     Path last = segment(disk, 0);
@@ -263,9 +264,9 @@
 
   @Test
   public void testFailedSyncStopsGroup() {
-    // The disk fails one sync. The group gets Failed once; nothing of it is written or answered
+    // One sync fails. The group receives Failed once; nothing of it is written or acknowledged
     // afterwards, since the system may drop the pages and let a second sync succeed without them.
-    // Another group on the same disk goes on until its own write fails.
+    // Another group on the same disk continues until its own write fails.
     FakeDisk disk = emptyDisk();
     StorageModel model = new StorageModel();
     try (DiskStorage storage = open(disk, FOLDER)) {
@@ -361,7 +362,7 @@
         refused++;
       }
     }
-    System.out.println("storage: fuzzed files " + FUZZ_RUNS + ", refused " + refused);
+    System.out.println("storage: fuzzed files " + FUZZ_RUNS + ", rejected " + refused);
     assertTrue(refused > FUZZ_RUNS / 2);
   }
 
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/storage/FakeDisk.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/storage/FakeDisk.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** A disk in memory that forgets what was not synced, and fails when told to. */
+/** An in-memory disk that loses unsynced data in a crash and fails on request. */
 final class FakeDisk implements Disk {
 
   private static final int SECTOR_BYTES = 512;
@@ -22,7 +22,7 @@
   private long writes;
   private Runnable beforeSync = () -> {};
 
-  /** Lets this many changes succeed; each later one fails, as after a power cut. */
+  /** Lets a number of operations succeed; each later one fails, as after a power failure. */
   synchronized void failAfter(long operations) {
     operationsLeft = operations;
   }
@@ -39,7 +39,7 @@
     return writes;
   }
 
-  /** Loses what was not synced: names come back, unsynced bytes are cut or partly zeros. */
+  /** Loses unsynced data: old names may return, unsynced bytes are truncated or partly zeros. */
   synchronized void crash(UniformRandomProvider random) {
     if (random.nextBoolean()) {
       current = new HashMap<>(durable);
@@ -48,7 +48,7 @@
     operationsLeft = Long.MAX_VALUE;
   }
 
-  /** Returns the bytes of a file, for a test to change and put back. */
+  /** Returns the bytes of a file, for a test to modify and restore. */
   synchronized byte[] bytes(Path file) {
     return current.get(file).bytes.toByteArray();
   }
@@ -93,7 +93,7 @@
   @Override
   public synchronized void truncate(Path file, long size) throws IOException {
     countOperation();
-    // In place, as a file system does it: who has the file open goes on at its new end.
+    // In place, as in a file system: open handles continue at the new end of the file.
     Content content = current.get(file);
     byte[] kept = Arrays.copyOf(bytes(file), (int) size);
     content.bytes.reset();
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/storage/FullDisk.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/storage/FullDisk.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A disk that is full for some writes; each of these leaves a part of its bytes behind. */
+/** A disk that is full for a number of writes; each of them leaves half of its bytes. */
 final class FullDisk implements Disk {
 
   private final Disk disk;
@@ -17,7 +17,7 @@
     this.disk = disk;
   }
 
-  /** Makes the next writes find the disk full. */
+  /** Makes a number of next writes fail because the disk is full. */
   void failNextWrites(int writes) {
     failuresLeft.set(writes);
   }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/storage/StorageModel.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/storage/StorageModel.java
@@ -15,7 +15,7 @@
 import org.skylarkfork.core.effect.StorageEffect;
 import org.skylarkfork.core.event.StorageEvent;
 
-/** What a group should hold after each effect; also makes random effects that fit. */
+/** Generates random valid effects and tracks the expected state of a group after each. */
 final class StorageModel {
 
   static final GroupId GROUP = GroupId.CONFIGURATION;
@@ -31,22 +31,22 @@
     states.add(state());
   }
 
-  /** Returns the state after so many effects. */
+  /** Returns the state after a number of effects. */
   StorageEvent.Recovered stateAfter(int effects) {
     return states.get(effects);
   }
 
-  /** Returns all states, the first before any effect. */
+  /** Returns all states; the first is the state before any effect. */
   List<StorageEvent.Recovered> states() {
     return states;
   }
 
-  /** Returns the count of effects up to the write with a sequence number. */
+  /** Returns the number of effects up to the write with a sequence number. */
   int effectsUntil(long number) {
     return sequences.indexOf(number);
   }
 
-  /** Makes the next effect and follows it. */
+  /** Generates the next effect and updates the state. */
   StorageEffect next(UniformRandomProvider random) {
     if (random.nextInt(8) == 0 && lastIndex() > snapshotIndex()) {
       long index = snapshotIndex() + 1 + random.nextLong(lastIndex() - snapshotIndex());
