--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/CertificateKeyPair.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/CertificateKeyPair.java
@@ -16,10 +16,10 @@
 import java.util.regex.Pattern;
 
 /**
- * A certificate chain and the private key of its first certificate.
+ * A certificate chain and the private key of its first certificate, read from PEM files.
  *
  * @param key the private key
- * @param chain the chain, own certificate first
+ * @param chain the certificate chain, starting with the certificate of the key
  */
 record CertificateKeyPair(PrivateKey key, X509Certificate[] chain) {
 
@@ -30,12 +30,14 @@
   private static final byte[] PROBE = "probe".getBytes(StandardCharsets.US_ASCII);
 
   /**
-   * Reads PEM contents and checks that they belong together.
+   * Parses PEM contents and checks that the key matches the certificate.
    *
-   * <p>Files that are replaced one after the other are for a moment of two pairs. The library takes
-   * such a pair without a word and each handshake would fail until the next reload.
+   * <p>While two files are replaced one after the other, they temporarily belong to different
+   * pairs. The TLS library accepts such a pair without an error, and each handshake would fail
+   * until the next reload.
    *
-   * @throws GeneralSecurityException if one can't be read or the key isn't the certificate's
+   * @throws GeneralSecurityException if a file can't be parsed or the key doesn't match the
+   *     certificate
    */
   static CertificateKeyPair parse(byte[] certificate, byte[] key) throws GeneralSecurityException {
     X509Certificate[] chain =
@@ -54,7 +56,7 @@
     signature.initVerify(publicKey);
     signature.update(PROBE);
     if (!signature.verify(signed)) {
-      throw new GeneralSecurityException("the key isn't that of the certificate");
+      throw new GeneralSecurityException("the key doesn't match the certificate");
     }
     return new CertificateKeyPair(privateKey, chain);
   }
@@ -72,7 +74,7 @@
   private static String signatureFor(String algorithm) throws GeneralSecurityException {
     String signature = SIGNATURES.get(algorithm);
     if (signature == null) {
-      throw new GeneralSecurityException("no support for keys of type " + algorithm);
+      throw new GeneralSecurityException("unsupported key type " + algorithm);
     }
     return signature;
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/DecodeErrorHandler.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/DecodeErrorHandler.java
@@ -5,10 +5,10 @@
 import io.netty.handler.codec.DecoderException;
 
 /**
- * Counts what TLS and the frame decoder refuse, and closes the connection.
+ * Counts errors of TLS and the frame decoder, and closes the connection.
  *
- * <p>TLS closes the connection before it reports a failed handshake, so a reader of the stream may
- * see a plain end; here the error is seen in each case.
+ * <p>TLS closes the connection before it reports a failed handshake, so a later handler may see
+ * only the end of the stream; this handler receives the error in each case.
  */
 final class DecodeErrorHandler extends ChannelInboundHandlerAdapter {
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/Frame.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/Frame.java
@@ -4,29 +4,29 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * The layout of frames: four bytes of length, one byte of kind, then the payload in MessagePack.
+ * A frame: four bytes of length, one byte of kind, then the payload in MessagePack.
  *
- * @param kind what the payload is
- * @param payload MessagePack, or nothing
+ * @param kind kind of the payload
+ * @param payload MessagePack bytes, or an empty array
  */
 record Frame(Kind kind, byte[] payload) {
 
-  /** Size in bytes of the field that gives the length of kind and payload. */
+  /** Size in bytes of the length field; its value counts the kind and the payload. */
   static final int LENGTH_BYTES = Integer.BYTES;
 
-  /** What a payload is; the position is the byte on the wire. */
+  /** Kind of a payload; the ordinal is the byte on the wire. */
   enum Kind {
     /** A {@link Handshake}. */
     HANDSHAKE,
-    /** A message of the core. */
+    /** A {@code PeerMessage}. */
     MESSAGE,
-    /** Nothing; asks the acceptor for one back, or answers. */
+    /** No payload; requests a keep-alive frame from the acceptor, or responds to one. */
     KEEP_ALIVE,
-    /** Nothing; the sender closes in order and no connection is lost. */
+    /** No payload; the sender closes normally and the connection isn't reported as lost. */
     GOODBYE
   }
 
-  /** Returns the frame as it goes on the wire. */
+  /** Returns the frame as encoded on the wire. */
   byte[] toBytes() {
     byte[] bytes = new byte[LENGTH_BYTES + 1 + payload.length];
     ByteBuf buffer = Unpooled.wrappedBuffer(bytes).clear();
@@ -37,7 +37,7 @@
   }
 
   /**
-   * Reads a frame without its length field.
+   * Decodes a frame without its length field.
    *
    * @throws TransportException if the kind is unknown
    */
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/FrameDecoder.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/FrameDecoder.java
@@ -6,13 +6,14 @@
 import java.util.List;
 
 /**
- * Cuts the stream into frames and refuses a length beyond the limit before it is buffered.
+ * Splits the stream into frames and rejects a length above the limit before buffering the frame.
  *
- * <p>Until the first frame is taken the limit is small, so that strangers cost little memory.
+ * <p>The limit is small until the first frame is decoded, so that a connection without a handshake
+ * uses little memory.
  */
 final class FrameDecoder extends ByteToMessageDecoder {
 
-  /** Longest first frame in bytes. */
+  /** Maximum size in bytes of the first frame. */
   static final int FIRST_FRAME_BYTES = 4096;
 
   private final int frameBytes;
@@ -32,7 +33,7 @@
       in.skipBytes(in.readableBytes());
       throw new TransportException(
           TransportException.Kind.BAD_FRAME,
-          "a frame claims " + Integer.toUnsignedString(length) + " bytes, limit " + limit,
+          "a frame has a length of " + Integer.toUnsignedString(length) + " bytes, limit " + limit,
           null);
     }
     if (in.readableBytes() >= Frame.LENGTH_BYTES + length) {
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/Handshake.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/Handshake.java
@@ -1,22 +1,22 @@
 package org.skylarkfork.runtime.transport;
 
-/** First frames of a connection. */
+/** Payloads of the first frames of a connection. */
 sealed interface Handshake {
 
-  /** Newest version of the protocol that this program speaks. */
+  /** Newest protocol version that this program supports. */
   int VERSION = 1;
 
-  /** Oldest version of the protocol that this program understands. */
+  /** Oldest protocol version that this program supports. */
   int OLDEST_VERSION = 1;
 
   /**
-   * First frame, from the daemon that connected.
+   * First frame of a connection, sent by the connecting daemon.
    *
-   * @param version newest version that it speaks
-   * @param oldestVersion oldest version that it understands
-   * @param node its name
-   * @param cluster its cluster
-   * @param incarnation number of its process
+   * @param version newest protocol version that the daemon supports
+   * @param oldestVersion oldest protocol version that the daemon supports
+   * @param node name of the daemon
+   * @param cluster name of the daemon's cluster
+   * @param incarnation incarnation number of the daemon's process
    */
   record Greeting(int version, int oldestVersion, String node, String cluster, long incarnation)
       implements Handshake {}
@@ -24,27 +24,27 @@
   /**
    * Accepts a greeting.
    *
-   * @param version version that both speak from now on
+   * @param version protocol version of this connection
    * @param node name of the accepting daemon
-   * @param incarnation number of its process
+   * @param incarnation incarnation number of the accepting daemon's process
    */
   record Welcome(int version, String node, long incarnation) implements Handshake {}
 
   /**
-   * Refuses a greeting; the connection is closed after it.
+   * Refuses a greeting; the connection is closed after this frame.
    *
-   * @param reason what doesn't fit
-   * @param detail names both sides' values
+   * @param reason reason of the refusal
+   * @param detail the values of both sides, as text
    */
   record Refusal(Reason reason, String detail) implements Handshake {}
 
-  /** What doesn't fit in a greeting. */
+  /** Reason to refuse a greeting. */
   enum Reason {
-    /** No version is spoken by both. */
+    /** The two sides support no common protocol version. */
     VERSION,
     /** The clusters differ. */
     CLUSTER,
-    /** The name is missing or is the accepting daemon's own. */
+    /** The name is missing or equals the accepting daemon's name. */
     NAME,
     /** The certificate's common name isn't the node name. */
     CERTIFICATE
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/HandshakePacking.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/HandshakePacking.java
@@ -8,10 +8,10 @@
 import org.skylarkfork.runtime.transport.Handshake.Refusal;
 import org.skylarkfork.runtime.transport.Handshake.Welcome;
 
-/** The first frames of a connection, with written-out code. */
+/** Encodes and decodes handshakes; hand-written codec. */
 final class HandshakePacking implements Packing<Handshake> {
 
-  // Numbers on the wire; each is used once and never for another record.
+  // Type numbers on the wire; the number of a record is never reused for another.
   private static final int GREETING = 1;
   private static final int WELCOME = 2;
   private static final int REFUSAL = 3;
@@ -65,8 +65,7 @@
     try {
       return Handshake.Reason.valueOf(name);
     } catch (IllegalArgumentException unknown) {
-      throw new CodecException(
-          CodecException.Kind.UNKNOWN_TYPE, "no reason is called " + name, unknown);
+      throw new CodecException(CodecException.Kind.UNKNOWN_TYPE, "unknown reason " + name, unknown);
     }
   }
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/IncomingPeer.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/IncomingPeer.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 import org.jspecify.annotations.Nullable;
 
-/** One accepted connection: takes the greeting, then messages. */
+/** An accepted connection: receives the greeting, then messages. */
 final class IncomingPeer extends SimpleChannelInboundHandler<ByteBuf> {
 
   private final PeerContext context;
@@ -50,18 +50,18 @@
     channel.close();
   }
 
-  /** Returns the name given in the greeting, or null before it. */
+  /** Returns the peer's name from its greeting, or null before the greeting. */
   @Nullable String node() {
     return node;
   }
 
-  /** Ends the connection without reporting it as lost. */
+  /** Closes the connection without reporting it as lost. */
   void closeNormally() {
     closedNormally = true;
     channel.close();
   }
 
-  /** Ends a connection that was not greeted in time or has fallen silent. */
+  /** Closes the connection if no greeting or no frame arrived within the silence timeout. */
   void check(long now) {
     TransportSettings.Limits limits = context.settings.limits();
     if (node == null && now - openedAt > limits.silenceTimeout().toNanos()) {
@@ -72,7 +72,7 @@
     }
   }
 
-  /** Reports the end of the connection. */
+  /** Reports the connection as lost unless it was closed normally or never greeted. */
   void reportEnd() {
     String peer = node;
     if (peer != null && !closedNormally) {
@@ -104,7 +104,7 @@
   private void acceptGreeting(Handshake handshake) {
     if (!(handshake instanceof Handshake.Greeting greeting)) {
       throw new TransportException(
-          TransportException.Kind.BAD_FRAME, "an answer instead of a greeting", null);
+          TransportException.Kind.BAD_FRAME, "another handshake instead of a greeting", null);
     }
     if (!context.filter.receivesFrom(greeting.node())) {
       return;
@@ -130,7 +130,7 @@
         || greeting.oldestVersion() > Handshake.VERSION) {
       return new Handshake.Refusal(
           Handshake.Reason.VERSION,
-          "versions %d to %d offered, %d to %d understood"
+          "versions %d to %d offered, %d to %d supported"
               .formatted(
                   greeting.oldestVersion(),
                   greeting.version(),
@@ -163,8 +163,8 @@
   }
 
   private void reply(String peer, byte[] frame) {
-    // Answers are small and come one for each frame taken; a peer that sends without reading them
-    // would grow our memory, so a connection that takes no more bytes gets none.
+    // Each received frame can cause one small reply. A peer that sends without reading would make
+    // the replies accumulate in memory, so none is written to a connection that isn't writable.
     if (context.filter.sendsTo(peer) && channel.isWritable()) {
       channel.writeAndFlush(Unpooled.wrappedBuffer(frame));
     }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/OutgoingPeer.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/OutgoingPeer.java
@@ -19,10 +19,10 @@
 import org.tinylog.Logger;
 
 /**
- * The one outgoing connection to a peer, opened when there is something to send.
+ * The single outgoing connection to a peer, opened when there is a frame to send.
  *
- * <p>A lost connection drops what waits: it was addressed to a moment that has passed, and the
- * protocols above resend what still matters.
+ * <p>The loss of a connection drops the queued frames: they may be outdated, and the protocols
+ * above resend what is still needed.
  */
 final class OutgoingPeer {
 
@@ -75,12 +75,12 @@
     return address;
   }
 
-  /** Returns the bytes that wait for this peer. */
+  /** Returns the size in bytes of the frames queued for this peer. */
   int queuedBytes() {
     return queue.bytes();
   }
 
-  /** Queues a frame and connects if need be. */
+  /** Queues a frame and connects if there is no connection. */
   void send(byte[] frame) {
     queue.add(frame);
     synchronized (this) {
@@ -92,7 +92,7 @@
     scheduleDrain();
   }
 
-  /** Keeps the connection alive, or ends it if it is overdue, silent or idle. */
+  /** Sends a keep-alive frame if one is due; disconnects if a timeout has expired. */
   void check(long now) {
     String lost;
     synchronized (this) {
@@ -124,24 +124,25 @@
   }
 
   /**
-   * Returns how long the present step of connecting may take.
+   * Returns the timeout of the current step of connecting.
    *
-   * <p>A connection that is open but not welcomed belongs to a process that has much to do, as all
-   * have after a crash of everything. Closed and opened again, it cost both sides the work twice
-   * and lost the votes that waited: a leader was there 0.7 s later.
+   * <p>A connection that is open but not welcomed belongs to a busy process, as all are at a
+   * restart of the whole deployment after a crash of all daemons. Closing and reopening such a
+   * connection made both sides repeat the work and lost the queued votes, which delayed the
+   * election of a leader by 0.7 s.
    */
   private Duration stepTimeout(TransportSettings.Limits limits) {
     return connection == null ? limits.connectTimeout() : limits.silenceTimeout();
   }
 
-  /** Called without the lock: the reducer may wait for it while its mailbox is full. */
+  /** Must be called without the lock: the call may block while the reducer's mailbox is full. */
   private void reportLost(@Nullable String why) {
     if (why != null) {
       context.reportLost(node, why);
     }
   }
 
-  /** Sends what waits, as far as the connection takes it, and closes for good. */
+  /** Sends the queued frames that the connection accepts, then closes permanently. */
   CompletableFuture<Void> close() {
     Channel last;
     synchronized (this) {
@@ -230,7 +231,7 @@
       throw refused(refusal.reason() + ": " + refusal.detail());
     }
     if (!(handshake instanceof Handshake.Welcome welcome) || !node.equals(welcome.node())) {
-      throw refused("another daemon answers at " + address + ": " + handshake);
+      throw refused("another daemon responds at " + address + ": " + handshake);
     }
     if (!context.hasCertificateOf(from, node)) {
       throw refused("no certificate of " + node + " at " + address);
@@ -265,7 +266,7 @@
     reportLost(lost);
   }
 
-  /** Ends the present attempt or connection; returns why if a greeted connection was lost. */
+  /** Ends the current attempt or connection; returns the reason if it was lost, or null. */
   private @Nullable String disconnect(String why, boolean graceful) {
     final Channel last = connection;
     final boolean wasReady = state == State.READY;
@@ -282,7 +283,7 @@
     }
     queue.clear();
     if (!wasReady && failures == 1) {
-      Logger.info("peer: can't reach {} at {}: {}; trying again", node, address, why);
+      Logger.info("peer: can't reach {} at {}: {}; retrying", node, address, why);
     }
     return wasReady ? why : null;
   }
@@ -296,7 +297,7 @@
     long doubled = shortest.toNanos() << Math.min(failures, MAX_DOUBLINGS);
     failures++;
     long wait = Math.min(doubled, longest.toNanos());
-    // Without the random half all peers of a restarted daemon would come back in one moment.
+    // Without the random half all peers of a restarted daemon would reconnect at the same time.
     return wait / 2 + random.nextLong(wait / 2 + 1);
   }
 
@@ -326,7 +327,7 @@
     }
   }
 
-  /** Writes as long as the connection takes bytes; the rest stays in the bounded queue. */
+  /** Writes queued frames while the connection is writable; the rest stays in the queue. */
   private void drain() {
     drainScheduled.set(false);
     Channel channel;
@@ -350,7 +351,7 @@
     channel.flush();
   }
 
-  /** Sets up the handlers of one attempt to connect. */
+  /** Installs the handlers of one connection attempt. */
   private final class ConnectionInitializer extends ChannelInitializer<Channel> {
     private final long ofAttempt;
 
@@ -365,7 +366,7 @@
     }
   }
 
-  /** Takes what comes back on a connection, and its end. */
+  /** Handles the frames received on a connection, and its end. */
   private final class ResponseHandler extends SimpleChannelInboundHandler<ByteBuf> {
     private final long ofAttempt;
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/OutgoingQueue.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/OutgoingQueue.java
@@ -6,11 +6,11 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Frames that wait for one peer, bounded in bytes.
+ * Queue of frames for one peer, bounded in bytes.
  *
- * <p>When it is full the oldest frames go: the protocols above resend, and a newer message carries
- * the newer term, index or view, so the old one is the one that the peer can best do without. A
- * slow peer thus costs a fixed amount of memory and gets fresh news once it reads again.
+ * <p>A full queue drops the oldest frames: the protocols above resend, and a newer message carries
+ * the newer term, index or view, so the oldest message is the least useful to the peer. A slow peer
+ * thus uses a bounded amount of memory and receives current messages once it reads again.
  */
 final class OutgoingQueue {
 
@@ -19,13 +19,13 @@
   private final Deque<byte[]> frames = new ArrayDeque<>();
   private int bytes;
 
-  /** Creates a queue of so many bytes that counts what it drops. */
+  /** Creates a queue with a limit in bytes and a counter of dropped frames. */
   OutgoingQueue(int limit, LongAdder dropped) {
     this.limit = limit;
     this.dropped = dropped;
   }
 
-  /** Adds a frame and drops older ones as needed; a frame above the limit itself is dropped. */
+  /** Adds a frame and drops older ones as needed; drops the frame if it exceeds the limit. */
   synchronized void add(byte[] frame) {
     if (frame.length > limit) {
       dropped.increment();
@@ -39,7 +39,7 @@
     bytes += frame.length;
   }
 
-  /** Takes the oldest frame, or null if none waits. */
+  /** Removes and returns the oldest frame, or returns null if the queue is empty. */
   synchronized byte @Nullable [] poll() {
     byte[] frame = frames.pollFirst();
     if (frame != null) {
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/PeerContext.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/PeerContext.java
@@ -15,7 +15,7 @@
 import org.skylarkfork.runtime.codec.CodecException;
 import org.tinylog.Logger;
 
-/** What all connections of one transport share. */
+/** Settings, codec and counters shared by all connections of one transport. */
 final class PeerContext {
 
   private static final String TLS_HANDLER = "peer.tls";
@@ -39,7 +39,7 @@
     this.tls = settings.tls() == null ? null : new TlsContexts(settings.tls());
   }
 
-  /** Sets up the handlers of a new connection. */
+  /** Installs the TLS, frame and error handlers of a new connection. */
   void prepare(Channel channel, boolean accepted) {
     channel.pipeline().addFirst(ERROR_HANDLER, new DecodeErrorHandler(this));
     channel.pipeline().addFirst(FRAME_HANDLER, new FrameDecoder(settings.limits().maxFrameBytes()));
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Returns whether the certificate belongs to the node; without TLS each name is believed. */
+  /** Returns whether the peer's certificate has the node's name; always true without TLS. */
   boolean hasCertificateOf(Channel channel, String node) {
     if (tls == null) {
       return true;
@@ -72,9 +72,9 @@
   }
 
   /**
-   * Reads a handshake.
+   * Decodes a handshake.
    *
-   * @throws TransportException if the frame is none
+   * @throws TransportException if the frame isn't a valid handshake
    */
   Handshake readHandshake(Frame frame) {
     if (frame.kind() != Frame.Kind.HANDSHAKE) {
@@ -89,10 +89,10 @@
   }
 
   /**
-   * Gives a message to the reducer; one of an unknown type is skipped, since a newer version may
-   * have sent it.
+   * Passes a message to the reducer. A message of an unknown type is skipped, since a newer version
+   * may have sent it.
    *
-   * @throws TransportException if the payload is no message
+   * @throws TransportException if the payload isn't a message
    */
   void deliver(String node, Frame frame) {
     try {
@@ -104,18 +104,18 @@
         throw new TransportException(TransportException.Kind.BAD_FRAME, e.getMessage(), e);
       }
       counters.unknownMessages.increment();
-      warnRateLimited("peer: skipped a message of {}: {}", node, e.getMessage());
+      warnRateLimited("peer: skipped a message from {}: {}", node, e.getMessage());
     }
   }
 
-  /** Reports a greeted connection as lost. */
+  /** Counts, logs and reports the loss of a greeted connection. */
   void reportLost(String node, String detail) {
     counters.lost.increment();
     Logger.info("peer: lost {}: {}", node, detail);
     events.accept(new PeerEvent.ConnectionLost(node));
   }
 
-  /** Counts and logs why a connection was given up; a plain end of it is neither. */
+  /** Counts and logs a TLS or protocol error of a connection; ignores other errors. */
   void recordFailure(String peer, Throwable error) {
     Throwable cause = error;
     while (cause != null
@@ -130,10 +130,10 @@
         cause instanceof TransportException typed
             && typed.kind() == TransportException.Kind.REFUSED;
     (untrusted || rejected ? counters.refused : counters.malformed).increment();
-    warnRateLimited("peer: dropped {}: {}", peer, cause.getMessage());
+    warnRateLimited("peer: dropped the connection of {}: {}", peer, cause.getMessage());
   }
 
-  /** Logs at most once a second, so that a stranger can't fill the disk with our lines. */
+  /** Logs at most one warning per second, so that an untrusted peer can't fill the disk. */
   void warnRateLimited(String text, String peer, @Nullable String detail) {
     long now = System.nanoTime();
     long last = lastWarningAt.get();
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/PeerFilter.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/PeerFilter.java
@@ -1,14 +1,15 @@
 package org.skylarkfork.runtime.transport;
 
 /**
- * Drops frames without a trace, so that a test or a proof program can cut a node off in silence.
+ * Drops frames silently, so that a test or a proof program can isolate a node without connection
+ * errors.
  *
  * <p>Connections stay open; keep-alive frames are dropped as well. Called on the threads of the
  * transport.
  */
 public interface PeerFilter {
 
-  /** Lets everything pass. */
+  /** Passes all frames. */
   PeerFilter PASS_ALL =
       new PeerFilter() {
         @Override
@@ -22,9 +23,9 @@
         }
       };
 
-  /** Returns whether frames to the node leave. */
+  /** Returns whether frames to the node are sent. */
   boolean sendsTo(String node);
 
-  /** Returns whether frames from the node are taken. */
+  /** Returns whether frames from the node are processed. */
   boolean receivesFrom(String node);
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/PeerTransport.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/PeerTransport.java
@@ -30,11 +30,11 @@
 import org.tinylog.Logger;
 
 /**
- * Messages between the daemons over TCP.
+ * Sends and receives messages between the daemons over TCP.
  *
- * <p>Messages go over one outgoing connection for each peer and come in over the peer's own. A
- * message is delivered at most once; those of one connection keep their order. All methods may be
- * called by any thread.
+ * <p>Messages to a peer are sent over one outgoing connection; messages from the peer arrive over
+ * the connection that the peer opened. A message is delivered at most once; messages of one
+ * connection are delivered in order. All methods are thread-safe.
  */
 public final class PeerTransport implements AutoCloseable {
 
@@ -53,12 +53,12 @@
   private @Nullable Channel server;
 
   /**
-   * Creates a transport that is not started.
+   * Creates a transport that isn't started.
    *
-   * @param settings who this daemon is, and the limits
-   * @param codec writes the frames
-   * @param events takes what happens, on the transport's threads
-   * @param filter may drop frames in silence
+   * @param settings identity of this daemon, addresses and limits
+   * @param codec encodes and decodes the payloads
+   * @param events receives the events, on the transport's threads
+   * @param filter decides which frames are dropped silently
    * @throws TransportException if the certificate files can't be used
    */
   public PeerTransport(
@@ -67,13 +67,13 @@
   }
 
   /**
-   * Creates a transport that works on a thread of others, so that a message reaches them without a
-   * change of threads.
+   * Creates a transport on the event loop of the caller, so that a message is delivered without a
+   * thread switch.
    *
-   * @param settings who this daemon is, and the limits
-   * @param codec writes the frames
-   * @param events takes what happens, on that thread
-   * @param loop the thread; it is not closed with the transport
+   * @param settings identity of this daemon, addresses and limits
+   * @param codec encodes and decodes the payloads
+   * @param events receives the events, on the threads of the event loop
+   * @param loop the event loop; not closed with the transport
    */
   public PeerTransport(
       TransportSettings settings, BinaryCodec codec, Consumer<Event> events, EventLoopGroup loop) {
@@ -101,12 +101,12 @@
                 (int) settings.limits().connectTimeout().toMillis());
   }
 
-  /** Creates a transport that drops nothing in silence. */
+  /** Creates a transport without a filter. */
   public PeerTransport(TransportSettings settings, BinaryCodec codec, Consumer<Event> events) {
     this(settings, codec, events, PeerFilter.PASS_ALL);
   }
 
-  /** Returns written-out code for the first frames of a connection. */
+  /** Returns the hand-written codec of the handshakes. */
   public static Packing<?> handshakePacking() {
     return new HandshakePacking();
   }
@@ -142,15 +142,15 @@
     Logger.info("peer: listening on {}:{}", settings.host(), port());
   }
 
-  /** Returns the port of the listener; to be called after the start. */
+  /** Returns the port of the listener; must be called after {@link #start}. */
   public int port() {
     if (server == null) {
-      throw new IllegalStateException("the transport is not started; call start() first");
+      throw new IllegalStateException("the transport isn't started; call start() first");
     }
     return ((InetSocketAddress) server.localAddress()).getPort();
   }
 
-  /** Carries an effect out; never blocks. */
+  /** Executes an effect; never blocks. */
   public void execute(PeerEffect effect) {
     if (effect instanceof PeerEffect.SendToPeer send) {
       send(send.node(), send.message());
@@ -162,7 +162,7 @@
   }
 
   /**
-   * Reads the certificate files again; new connections use them if they changed.
+   * Reloads the certificate files; new connections use them if they changed.
    *
    * @return whether they had changed
    * @throws TransportException if the new files can't be used; the old ones stay in use
@@ -175,23 +175,23 @@
     return changed;
   }
 
-  /** Returns what was done so far. */
+  /** Returns the counts since the start. */
   public TransportCounts counts() {
     return context.counters.counts();
   }
 
-  /** Returns the bytes that wait for a peer, at most the limit of the settings. */
+  /** Returns the size in bytes of the frames queued for a peer, or 0 if it is unknown. */
   public int queuedBytes(String node) {
     OutgoingPeer peer = outgoing.get(node);
     return peer == null ? 0 : peer.queuedBytes();
   }
 
-  /** Returns how many connections from others are open. */
+  /** Returns the number of open incoming connections. */
   public int incomingConnections() {
     return incoming.size();
   }
 
-  /** Sends what waits, within two seconds, and closes everything. */
+  /** Sends the queued frames, waiting at most two seconds, and closes all connections. */
   @Override
   public void close() {
     CompletableFuture<?>[] sent =
@@ -218,10 +218,11 @@
     }
     byte[] frame = context.message(message);
     if (frame.length - Frame.LENGTH_BYTES > context.settings.limits().maxFrameBytes()) {
-      // The receiver would take it for rubbish and drop the connection with all that waits on it.
+      // The receiver would reject the frame and close the connection, which drops all queued
+      // frames.
       context.counters.dropped.increment();
       context.warnRateLimited(
-          "peer: a message to {} is too long: {}", node, frame.length + " bytes");
+          "peer: dropped a message to {} that is too long: {}", node, frame.length + " bytes");
       return;
     }
     peer.send(frame);
@@ -259,7 +260,7 @@
     }
   }
 
-  /** Sets up the handlers of a connection that another daemon opened. */
+  /** Installs the handlers of an incoming connection. */
   private final class IncomingInitializer extends ChannelInitializer<Channel> {
     @Override
     protected void initChannel(Channel channel) {
@@ -308,8 +309,8 @@
       outgoing.values().forEach(peer -> peer.check(now));
       incoming.forEach(peer -> peer.check(now));
     } catch (RuntimeException e) {
-      // An exception would end the schedule, and silent connections would stay open for ever.
-      Logger.error(e, "peer: a check of the connections failed");
+      // An exception would cancel the periodic check, and silent connections would never be closed.
+      Logger.error(e, "peer: the check of the connections failed");
     }
   }
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/TlsContexts.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/TlsContexts.java
@@ -21,9 +21,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Mutual TLS from PEM files that can be replaced while the daemon runs.
+ * Creates handlers for mutual TLS from PEM files that can be replaced while the daemon runs.
  *
- * <p>Each new connection takes the newest files; open connections keep what they began with.
+ * <p>Each new connection uses the files loaded last; open connections keep their certificates.
  */
 final class TlsContexts {
 
@@ -35,7 +35,7 @@
   /**
    * Reads the files.
    *
-   * @throws TransportException of kind {@code CERTIFICATE_UNUSABLE} if they don't fit
+   * @throws TransportException of kind {@code CERTIFICATE_UNUSABLE} if they can't be used
    */
   TlsContexts(TlsFiles files) {
     this.files = files;
@@ -43,9 +43,9 @@
   }
 
   /**
-   * Reads the files again and returns whether they had changed.
+   * Reloads the files and returns whether they had changed.
    *
-   * @throws TransportException if the new files don't fit; the old ones stay in use
+   * @throws TransportException if the new files can't be used; the old ones stay in use
    */
   boolean reload() {
     byte[][] before = loaded.contents();
@@ -57,7 +57,7 @@
     return true;
   }
 
-  /** Returns a handler for an accepted connection, which demands a certificate. */
+  /** Returns a handler for an accepted connection; the handler requires a client certificate. */
   SslHandler forServer(Channel channel) {
     return loaded.server().newHandler(channel.alloc());
   }
@@ -108,8 +108,8 @@
               .clientAuth(ClientAuth.REQUIRE)
               .protocols(PROTOCOLS)
               .build();
-      // The name in the certificate is the node's, not its IP number's: it is compared with the
-      // greeting, which a stranger with another node's signed certificate can't pass.
+      // The certificate contains the node name, not the IP address. The name is compared with the
+      // handshake instead, which rejects a peer that uses another node's signed certificate.
       SslContext client =
           SslContextBuilder.forClient()
               .sslProvider(SslProvider.JDK)
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/TlsFiles.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/TlsFiles.java
@@ -5,8 +5,8 @@
 /**
  * PEM files for mutual TLS.
  *
- * @param certificate this daemon's certificate chain; its common name is the node name
- * @param key its private key, PKCS 8 without a password
- * @param trusted certificates of the authorities that sign daemons' certificates
+ * @param certificate certificate chain of this daemon; the common name is the node name
+ * @param key private key of the certificate, PKCS 8 without a password
+ * @param trusted certificates of the authorities that sign the daemons' certificates
  */
 public record TlsFiles(Path certificate, Path key, Path trusted) {}
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/TransportCounters.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/TransportCounters.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts what the transport does, from any thread. */
+/** Counts messages, connections and errors of the transport; thread-safe. */
 final class TransportCounters {
 
   final LongAdder sent = new LongAdder();
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/TransportException.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/TransportException.java
@@ -2,20 +2,20 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** The transport can't start, or a frame or a peer isn't what it should be. */
+/** Reports that the transport can't start, or that a frame or a peer is invalid. */
 public final class TransportException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
-  /** What is wrong. */
+  /** Kinds of errors of the transport. */
   public enum Kind {
     /** The listener can't use its address. */
-    ADDRESS_UNUSABLE("set an IP number of this machine and a port that no other process uses"),
-    /** Certificate, key or authorities can't be read. */
-    CERTIFICATE_UNUSABLE("give PEM files that belong together and that this process may read"),
-    /** A frame breaks the layout or the limit. */
-    BAD_FRAME("let only daemons of this cluster connect to the peer port"),
-    /** The greeting doesn't fit. */
+    ADDRESS_UNUSABLE("set an IP address of this machine and a port that no other process uses"),
+    /** The certificate, the key or the trusted certificates can't be used. */
+    CERTIFICATE_UNUSABLE("set PEM files that match each other and that this process may read"),
+    /** A frame violates the layout or the size limit. */
+    BAD_FRAME("allow only daemons of this cluster to connect to the peer port"),
+    /** A greeting or the response to it was refused. */
     REFUSED("compare names, cluster, versions and certificates of both daemons");
 
     private final String remedy;
@@ -24,7 +24,7 @@
       this.remedy = remedy;
     }
 
-    /** Returns what the operator can do about it. */
+    /** Returns the action that the operator can take. */
     public String remedy() {
       return remedy;
     }
@@ -35,16 +35,16 @@
   /**
    * Creates an exception whose message ends in the remedy of its kind.
    *
-   * @param kind what is wrong
-   * @param detail where and how
-   * @param cause what lies below, or null
+   * @param kind kind of the error
+   * @param detail location and description of the error
+   * @param cause underlying error, or null
    */
   public TransportException(Kind kind, String detail, @Nullable Throwable cause) {
     super(detail + "; " + kind.remedy(), cause);
     this.kind = kind;
   }
 
-  /** Returns what is wrong. */
+  /** Returns the kind of the error. */
   public Kind kind() {
     return kind;
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/TransportSettings.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/TransportSettings.java
@@ -4,15 +4,15 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Who this daemon is towards others, and the limits it keeps.
+ * Identity of this daemon, its addresses and the limits of the transport.
  *
  * @param node name of this daemon
- * @param cluster name of the cluster; daemons of others are refused
- * @param incarnation number of this process, higher at each start
- * @param host IP number to listen on, also the local address of outgoing connections
- * @param port port to listen on; 0 for a free one
- * @param limits sizes and times
- * @param tls files for mutual TLS, or null for plain connections
+ * @param cluster name of the cluster; daemons of other clusters are refused
+ * @param incarnation incarnation number of this process, higher at each start
+ * @param host IP address to listen on, also the local address of outgoing connections
+ * @param port port to listen on; 0 selects a free port
+ * @param limits sizes and timeouts
+ * @param tls files for mutual TLS, or null for connections without TLS
  */
 public record TransportSettings(
     String node,
@@ -24,16 +24,16 @@
     @Nullable TlsFiles tls) {
 
   /**
-   * Sizes and times.
+   * Sizes and timeouts.
    *
-   * @param maxFrameBytes longest frame in bytes that is sent or taken
-   * @param maxQueueBytes bytes that may wait for one peer
-   * @param connectTimeout longest time until a connection is open
-   * @param keepAliveInterval time after which an open connection is checked by a frame
+   * @param maxFrameBytes maximum size in bytes of a sent or received frame
+   * @param maxQueueBytes maximum size in bytes of the frames queued for one peer
+   * @param connectTimeout maximum time to open a connection
+   * @param keepAliveInterval time without a frame after which a keep-alive frame is sent
    * @param silenceTimeout time without any frame after which a connection is lost, welcomed or not
-   * @param idleTimeout time without a message after which an outgoing connection is closed in order
-   * @param minBackoff wait after the first failed attempt to connect
-   * @param maxBackoff wait that repeated failures approach by doubling
+   * @param idleTimeout time without a message after which an outgoing connection is closed normally
+   * @param minBackoff backoff after the first failed connection attempt
+   * @param maxBackoff maximum backoff; it doubles with each failure up to this value
    */
   public record Limits(
       int maxFrameBytes,
@@ -45,7 +45,7 @@
       Duration minBackoff,
       Duration maxBackoff) {
 
-    /** Limits for daemons within a few milliseconds of each other. */
+    /** Limits for daemons whose latency to each other is a few milliseconds. */
     public static final Limits DEFAULT =
         new Limits(
             8 << 20,
@@ -57,13 +57,15 @@
             Duration.ofMillis(50),
             Duration.ofSeconds(2));
 
-    /** Checks that each limit is positive. */
+    /** Checks that the sizes are positive and the keep-alive interval is below the timeout. */
     public Limits {
       if (maxFrameBytes <= 0 || maxQueueBytes <= 0) {
-        throw new IllegalArgumentException("a size of the transport is not positive; raise it");
+        throw new IllegalArgumentException(
+            "maxFrameBytes and maxQueueBytes must be positive; raise them");
       }
       if (keepAliveInterval.compareTo(silenceTimeout) >= 0) {
-        throw new IllegalArgumentException("keepAlive must be shorter than silence; lower it");
+        throw new IllegalArgumentException(
+            "keepAliveInterval must be shorter than silenceTimeout; lower it");
       }
     }
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/package-info.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/package-info.java
@@ -1,4 +1,4 @@
-/** Carries messages between the daemons in frames over TCP. */
+/** Sends and receives messages between the daemons in frames over TCP. */
 @NullMarked
 package org.skylarkfork.runtime.transport;
 
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/FrameDecoderTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/FrameDecoderTest.java
@@ -63,7 +63,7 @@
       }
     }
     System.out.println(
-        "transport: fuzzed bytes " + FUZZ_RUNS + ", refused " + refused + ", frames " + frames);
+        "transport: fuzzed bytes " + FUZZ_RUNS + ", rejected " + refused + ", frames " + frames);
     assertTrue(refused > FUZZ_RUNS / 4 && frames > FUZZ_RUNS / 50);
   }
 
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/OutgoingPeerTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/OutgoingPeerTest.java
@@ -63,9 +63,9 @@
   }
 
   /**
-   * Callers wait a second less after all VMs have lost their power. Each daemon has much to do at
-   * its start and welcomes others late. A connection that is open is waited for; closed in the
-   * meantime, it would lose the vote that waits on it, and both sides would begin anew.
+   * After a power failure of all VMs, each daemon is busy at its start and welcomes others late.
+   * Closing an open connection in the meantime would lose the queued vote and make both sides start
+   * again, which delays callers by a second.
    */
   @Test
   public void openConnectionTimesOutLaterThanUnopenedOne() throws Exception {
@@ -75,24 +75,24 @@
       peer.send(context.message(new MembershipMessage.Nack(1, 7)));
       try (Socket accepted = busy.accept()) {
         int greeting = new DataInputStream(accepted.getInputStream()).readInt();
-        assertTrue(greeting > 0, "the greeting has come, so the connection is open");
+        assertTrue(greeting > 0, "the greeting was received, so the connection is open");
         peer.check(System.nanoTime() + LONGER_THAN_CONNECT);
-        assertTrue(peer.queuedBytes() > 0, "what waits is kept");
+        assertTrue(peer.queuedBytes() > 0, "the queued message is kept");
         peer.check(System.nanoTime() + LONGER_THAN_SILENCE);
-        assertEquals(peer.queuedBytes(), 0, "a connection that is silent for good is given up");
+        assertEquals(peer.queuedBytes(), 0, "a connection that stays silent is closed");
       }
     } finally {
       loops.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
   }
 
-  /** A VM without power answers nothing; its address is given up after the time to connect. */
+  /** A VM without power doesn't respond; the attempt must end after the connect timeout. */
   @Test
   public void unopenedConnectionTimesOut() throws InterruptedException {
     EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     CountDownLatch released = new CountDownLatch(1);
     try {
-      // Nothing opens on a loop that is kept busy.
+      // A blocked event loop opens no connection.
       loops.next().submit(() -> released.await(1, TimeUnit.MINUTES));
       OutgoingPeer peer = peer(new InetSocketAddress("127.0.0.1", 9), loops);
       peer.send(context.message(new MembershipMessage.Nack(1, 7)));
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/PeerTransportTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/PeerTransportTest.java
@@ -66,8 +66,8 @@
 
   @Test
   public void testReconnectsToRestartedPeer() {
-    // A peer's process dies: the others are told that its connection was lost. Under the same
-    // address a new process comes up; messages reach it without anybody's help.
+    // A peer's process ends and its connection is reported as lost. A new process starts at the
+    // same address; messages must reach it without intervention.
     try (TestNode a = new TestNode("a")) {
       int port;
       try (TestNode b = new TestNode("b")) {
@@ -105,20 +105,20 @@
 
   @Test
   public void testBothSidesDetectPartitionWithoutConnectionErrors() {
-    // A switch drops all frames of one node; no connection is closed. Both sides notice by the
-    // missing keep-alive frames within the silence limit. Once frames pass again, so do messages.
+    // A switch drops all frames of one node without closing connections. Both sides must detect the
+    // missing keep-alive frames within the silence timeout, and reconnect once frames pass again.
     try (TestNode a = new TestNode("a", "127.0.0.1", 0, TestNode.SHORT_SILENCE, null);
         TestNode b = new TestNode("b", "127.0.0.1", 0, TestNode.SHORT_SILENCE, null)) {
       a.learn(b, "127.0.0.1");
       a.send("b", message(1));
       b.nextEvent();
-      b.cut(true);
+      b.setPartitioned(true);
       a.send("b", message(2));
       assertEquals(a.nextEvent(), new PeerEvent.ConnectionLost("b"));
       assertEquals(b.nextEvent(), new PeerEvent.ConnectionLost("a"));
-      b.cut(false);
+      b.setPartitioned(false);
       TestNode.await(
-          "a message after the cut",
+          "a message after the partition",
           () -> {
             a.send("b", message(3));
             return !b.events.isEmpty();
@@ -129,8 +129,8 @@
 
   @Test
   public void testQueueOfSlowPeerIsBounded() throws IOException {
-    // A peer accepts the greeting and then reads nothing. The sender keeps at most the bytes of its
-    // queue, drops the oldest and counts them; it neither blocks nor grows.
+    // A peer accepts the greeting and then reads nothing. The sender must keep its queue within the
+    // limit, drop and count the oldest messages, and never block.
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         TestNode a = new TestNode("a")) {
       a.learn("slow", "127.0.0.1", server.getLocalPort());
@@ -146,15 +146,15 @@
         }
         assertTrue(most <= TestNode.LIMITS.maxQueueBytes(), "queued " + most);
         assertTrue(a.transport.counts().dropped() > 500, a.transport.counts().toString());
-        System.out.println("transport: slow peer, most bytes queued " + most);
+        System.out.println("transport: slow peer, maximum bytes queued " + most);
       }
     }
   }
 
   @Test
   public void testMalformedBytesCloseConnectionAndAreCounted() throws IOException {
-    // A stranger sends bytes that are no frames, or claims a frame of gigabytes before or after
-    // its greeting. Its connection ends, nothing is delivered, and other peers aren't disturbed.
+    // A peer sends bytes that aren't frames, or a frame length of gigabytes before or after its
+    // greeting. Its connection must be closed, nothing delivered, and other peers unaffected.
     byte[] huge = ByteBuffer.allocate(4).putInt(Integer.MAX_VALUE).array();
     try (TestNode b = new TestNode("b");
         TestNode a = new TestNode("a")) {
@@ -267,7 +267,7 @@
       try (RawPeer peer = new RawPeer(b.transport.port())) {
         peer.write(sound);
         TestNode.await(
-            "a sound message",
+            "an intact message",
             () -> b.events.contains(new PeerEvent.MessageReceived("x", message(7))));
       }
     }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/RawPeer.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/RawPeer.java
@@ -8,7 +8,7 @@
 import java.net.Socket;
 import org.skylarkfork.runtime.codec.Codec;
 
-/** A hand-driven peer over a plain socket. */
+/** A peer on a plain socket whose frames are written and read by the test. */
 final class RawPeer implements Closeable {
 
   private static final int READ_TIMEOUT_MILLIS = 20_000;
@@ -55,7 +55,7 @@
     }
   }
 
-  /** Closes the sending half, so that the other side sees the end of what was written. */
+  /** Closes the output, so that the other side reaches the end of the stream. */
   void endWrites() throws IOException {
     socket.shutdownOutput();
   }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/TestNode.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/TestNode.java
@@ -14,19 +14,19 @@
 import org.skylarkfork.core.message.PeerMessage;
 import org.skylarkfork.runtime.codec.Codec;
 
-/** A started transport with the events it gave; its filter cuts it off from everyone. */
+/** A started transport that records its events and can be partitioned from all peers. */
 final class TestNode implements AutoCloseable, PeerFilter {
 
-  /** Times that a busy machine doesn't reach. */
+  /** Limits with timeouts that don't expire on a busy machine. */
   static final TransportSettings.Limits LIMITS = limits(Duration.ofSeconds(60));
 
-  /** Notices silence soon. */
+  /** Limits with a short silence timeout. */
   static final TransportSettings.Limits SHORT_SILENCE = limits(Duration.ofMillis(1500));
 
   final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
   final PeerTransport transport;
   private final String name;
-  private volatile boolean cut;
+  private volatile boolean partitioned;
 
   TestNode(
       String name, String host, int port, TransportSettings.Limits limits, @Nullable TlsFiles tls) {
@@ -72,8 +72,8 @@
     transport.execute(new PeerEffect.SendToPeer(node, message));
   }
 
-  void cut(boolean now) {
-    cut = now;
+  void setPartitioned(boolean value) {
+    partitioned = value;
   }
 
   Event nextEvent() {
@@ -86,23 +86,23 @@
     }
   }
 
-  /** Waits until a condition holds that has no event. */
+  /** Waits until a condition holds, for conditions without an event. */
   static void await(String what, BooleanSupplier condition) {
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < deadline, "waited in vain: " + what);
+      assertTrue(System.nanoTime() < deadline, "timed out waiting for " + what);
       Thread.yield();
     }
   }
 
   @Override
   public boolean sendsTo(String node) {
-    return !cut;
+    return !partitioned;
   }
 
   @Override
   public boolean receivesFrom(String node) {
-    return !cut;
+    return !partitioned;
   }
 
   @Override
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/TlsTransportTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/TlsTransportTest.java
@@ -48,8 +48,8 @@
 
   @Test
   public void testUntrustedPeersAreRefusedAndCounted() throws IOException {
-    // Three strangers: one signed by another authority, one that uses a signed certificate under
-    // another node's name, one without TLS. None gets a message through; each is counted.
+    // Three untrusted peers: one signed by another authority, one that uses a signed certificate
+    // under another node's name, one without TLS. No message may be delivered; each is counted.
     try (TestNode b = node("node-b", files("node-b"));
         TestNode foreign = node("node-c", files("stranger"));
         TestNode impostor = node("node-c", files("node-a"))) {
@@ -64,7 +64,7 @@
       try (RawPeer plain = new RawPeer(b.transport.port())) {
         plain.write("no TLS at all, just text".getBytes());
         plain.awaitEnd();
-        TestNode.await("the plain one", () -> b.transport.counts().malformed() == 1);
+        TestNode.await("the peer without TLS", () -> b.transport.counts().malformed() == 1);
       }
       assertEquals(b.transport.counts().received(), 0);
       assertTrue(b.events.isEmpty());
