--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/GroupLog.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/GroupLog.java
@@ -24,7 +24,7 @@
   private final Disk disk;
   private final SnapshotFiles snapshots;
   private final Deque<Segment> segments = new ArrayDeque<>();
-  private Disk.@Nullable AppendFile current;
+  private Disk.@Nullable AppendFile currentFile;
   private @Nullable HardState hardState;
   private long lastIndex;
   private boolean partialWrite;
@@ -55,7 +55,7 @@
     if (segments.isEmpty()) {
       openSegment(1);
     } else {
-      current = disk.append(segments.getLast().file());
+      currentFile = disk.append(segments.getLast().file());
     }
     return new StorageEvent.Recovered(group, hardState, snapshot, log.entries());
   }
@@ -83,8 +83,8 @@
 
   /** Truncates the bytes that a failed write left; they were never synced or acknowledged. */
   private void truncatePartialWrite() throws IOException {
-    if (current == null) {
-      current = disk.append(segments.getLast().file());
+    if (currentFile == null) {
+      currentFile = disk.append(segments.getLast().file());
     }
     disk.truncate(segments.getLast().file(), segments.getLast().size());
     partialWrite = false;
@@ -117,17 +117,17 @@
   }
 
   void close() throws IOException {
-    if (current != null) {
-      current.close();
-      current = null;
+    if (currentFile != null) {
+      currentFile.close();
+      currentFile = null;
     }
   }
 
   private Disk.AppendFile openFile() throws IOException {
-    if (current == null) {
+    if (currentFile == null) {
       throw new IOException("the log of " + group + " is closed");
     }
-    return current;
+    return currentFile;
   }
 
   private void advance(LogWrite write) throws IOException {
@@ -150,13 +150,13 @@
 
   private void roll() throws IOException {
     openFile().close();
-    current = null;
+    currentFile = null;
     long next = segments.getLast().number() + 1;
     try {
       openSegment(next);
     } catch (DiskFullException full) {
       openFile().close();
-      current = null;
+      currentFile = null;
       disk.delete(new Segment(folder, next).file());
       throw full;
     }
@@ -166,9 +166,9 @@
     Segment segment = new Segment(folder, number);
     byte[] start = codec.toBytes(new SegmentStart(group, number, hardState));
     byte[] bytes = RecordFormat.fileStart(RecordFormat.SEGMENT_HEADER, start);
-    current = disk.append(segment.file());
-    current.write(bytes);
-    current.sync();
+    currentFile = disk.append(segment.file());
+    currentFile.write(bytes);
+    currentFile.sync();
     disk.syncFolder(folder);
     segment.recordAppend(bytes.length);
     segments.addLast(segment);
@@ -277,7 +277,7 @@
     }
   }
 
-  private StorageException corrupt(String found) {
-    return new StorageException(StorageException.Kind.CORRUPT, folder + ": " + found, null);
+  private StorageException corrupt(String problem) {
+    return new StorageException(StorageException.Kind.CORRUPT, folder + ": " + problem, null);
   }
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/RecordReader.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/RecordReader.java
@@ -34,13 +34,15 @@
       torn = true;
       return;
     }
-    long found = ByteBuffer.wrap(bytes).getLong();
-    if (found == 0 && hasUnwrittenSector(0, bytes.length)) {
+    long actualHeader = ByteBuffer.wrap(bytes).getLong();
+    if (actualHeader == 0 && hasUnwrittenSector(0, bytes.length)) {
       torn = true;
-    } else if (found >> VERSION_BITS == header >> VERSION_BITS && found > header) {
+    } else if (actualHeader >> VERSION_BITS == header >> VERSION_BITS && actualHeader > header) {
       throw new StorageException(
-          StorageException.Kind.NEWER_FORMAT, file + " has layout " + (found & 0xffff), null);
-    } else if (found != header) {
+          StorageException.Kind.NEWER_FORMAT,
+          file + " has layout " + (actualHeader & 0xffff),
+          null);
+    } else if (actualHeader != header) {
       throw corrupt("no file header");
     } else {
       offset = RecordFormat.FILE_HEADER_BYTES;
@@ -86,14 +88,14 @@
   }
 
   /** Returns an exception with the file and the current offset in its message. */
-  StorageException corrupt(String found) {
+  StorageException corrupt(String problem) {
     return new StorageException(
-        StorageException.Kind.CORRUPT, file + " at offset " + offset + ": " + found, null);
+        StorageException.Kind.CORRUPT, file + " at offset " + offset + ": " + problem, null);
   }
 
-  private byte @Nullable [] tornOrCorrupt(int end, String found) {
+  private byte @Nullable [] tornOrCorrupt(int end, String problem) {
     if (!hasUnwrittenSector(offset, end)) {
-      throw corrupt(found);
+      throw corrupt(problem);
     }
     torn = true;
     return null;
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/StorageException.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/StorageException.java
@@ -10,9 +10,9 @@
   /** Kinds of errors of a data folder. */
   public enum Kind {
     /** The folder doesn't exist or can't be read. */
-    FOLDER_UNUSABLE("mount or create the folder and give this process the right to write it"),
+    FOLDER_UNUSABLE("mount or create the folder and grant this process write permission"),
     /** Another process uses the folder. */
-    LOCKED("stop the other process, or give this one its own data folder"),
+    LOCKED("stop the other process, or configure another data folder for this one"),
     /** Stored bytes were changed after they were synced. */
     CORRUPT(
         "don't delete single files: move the whole data folder away, start with an empty one and"
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/IncomingPeer.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/IncomingPeer.java
@@ -97,7 +97,7 @@
       case GOODBYE -> closeNormally();
       default ->
           throw new TransportException(
-              TransportException.Kind.BAD_FRAME, "a second greeting of " + peer, null);
+              TransportException.Kind.BAD_FRAME, "a second greeting from " + peer, null);
     }
   }
 
@@ -117,15 +117,15 @@
     node = greeting.node();
     lastReadAt = System.nanoTime();
     onGreeted.accept(this);
-    TransportSettings own = context.settings;
+    TransportSettings settings = context.settings;
     int version = Math.min(greeting.version(), Handshake.VERSION);
     reply(
         greeting.node(),
-        context.handshake(new Handshake.Welcome(version, own.node(), own.incarnation())));
+        context.handshake(new Handshake.Welcome(version, settings.node(), settings.incarnation())));
   }
 
   private Handshake.@Nullable Refusal checkGreeting(Handshake.Greeting greeting) {
-    TransportSettings own = context.settings;
+    TransportSettings settings = context.settings;
     if (greeting.version() < Handshake.OLDEST_VERSION
         || greeting.oldestVersion() > Handshake.VERSION) {
       return new Handshake.Refusal(
@@ -137,11 +137,11 @@
                   Handshake.OLDEST_VERSION,
                   Handshake.VERSION));
     }
-    if (!own.cluster().equals(greeting.cluster())) {
+    if (!settings.cluster().equals(greeting.cluster())) {
       return new Handshake.Refusal(
-          Handshake.Reason.CLUSTER, greeting.cluster() + " instead of " + own.cluster());
+          Handshake.Reason.CLUSTER, greeting.cluster() + " instead of " + settings.cluster());
     }
-    if (greeting.node() == null || greeting.node().equals(own.node())) {
+    if (greeting.node() == null || greeting.node().equals(settings.node())) {
       return new Handshake.Refusal(
           Handshake.Reason.NAME, greeting.node() + " isn't another daemon's name");
     }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/OutgoingPeer.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/OutgoingPeer.java
@@ -49,7 +49,7 @@
   private @Nullable Channel connection;
   private int failures;
   private long attempt;
-  private long startedAt;
+  private long stepStartedAt;
   private volatile long lastReadAt;
   private volatile long keepAliveSentAt;
   private volatile long lastSentAt;
@@ -103,7 +103,7 @@
 
   private @Nullable String checkConnection(long now) {
     TransportSettings.Limits limits = context.settings.limits();
-    if (state == State.CONNECTING && now - startedAt > stepTimeout(limits).toNanos()) {
+    if (state == State.CONNECTING && now - stepStartedAt > stepTimeout(limits).toNanos()) {
       return disconnect("no " + (connection == null ? "connection" : "welcome"), false);
     }
     if (state != State.READY) {
@@ -144,20 +144,21 @@
 
   /** Sends the queued frames that the connection accepts, then closes permanently. */
   CompletableFuture<Void> close() {
-    Channel last;
+    Channel channel;
     synchronized (this) {
-      last = state == State.READY ? connection : null;
+      channel = state == State.READY ? connection : null;
     }
-    if (last == null) {
+    if (channel == null) {
       closeNow();
       return CompletableFuture.completedFuture(null);
     }
     CompletableFuture<Void> sent = new CompletableFuture<>();
-    last.eventLoop()
+    channel
+        .eventLoop()
         .execute(
             () -> {
               drain();
-              last.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> sent.complete(null));
+              channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> sent.complete(null));
             });
     return sent.whenComplete((done, failure) -> closeNow());
   }
@@ -170,40 +171,40 @@
 
   private void connect() {
     state = State.CONNECTING;
-    startedAt = System.nanoTime();
+    stepStartedAt = System.nanoTime();
     attempt++;
-    long thisAttempt = attempt;
+    long currentAttempt = attempt;
     client
         .clone()
-        .handler(new ConnectionInitializer(thisAttempt))
+        .handler(new ConnectionInitializer(currentAttempt))
         .connect(address)
         .addListener(
             (ChannelFutureListener)
                 done -> {
                   if (done.isSuccess()) {
-                    onConnected(thisAttempt, done.channel());
+                    onConnected(currentAttempt, done.channel());
                   } else {
-                    onFailure(thisAttempt, done.cause());
+                    onFailure(currentAttempt, done.cause());
                   }
                 });
   }
 
-  private synchronized void onConnected(long ofAttempt, Channel opened) {
-    if (ofAttempt != attempt || state != State.CONNECTING) {
+  private synchronized void onConnected(long attemptNumber, Channel opened) {
+    if (attemptNumber != attempt || state != State.CONNECTING) {
       opened.close();
       return;
     }
     connection = opened;
-    startedAt = System.nanoTime();
-    TransportSettings own = context.settings;
+    stepStartedAt = System.nanoTime();
+    TransportSettings settings = context.settings;
     write(
         context.handshake(
             new Handshake.Greeting(
                 Handshake.VERSION,
                 Handshake.OLDEST_VERSION,
-                own.node(),
-                own.cluster(),
-                own.incarnation())));
+                settings.node(),
+                settings.cluster(),
+                settings.incarnation())));
   }
 
   private void receive(Channel from, ByteBuf buffer) {
@@ -220,7 +221,9 @@
         completeHandshake(from, context.readHandshake(frame));
       } else if (frame.kind() != Frame.Kind.KEEP_ALIVE) {
         throw new TransportException(
-            TransportException.Kind.BAD_FRAME, "a " + frame.kind() + " as an answer", null);
+            TransportException.Kind.BAD_FRAME,
+            "a " + frame.kind() + " frame where only a keep-alive is allowed",
+            null);
       }
     }
     scheduleDrain();
@@ -247,10 +250,10 @@
     return new TransportException(TransportException.Kind.REFUSED, detail, null);
   }
 
-  private void onFailure(long ofAttempt, @Nullable Throwable error) {
+  private void onFailure(long attemptNumber, @Nullable Throwable error) {
     String lost;
     synchronized (this) {
-      if (ofAttempt != attempt || (state != State.CONNECTING && state != State.READY)) {
+      if (attemptNumber != attempt || (state != State.CONNECTING && state != State.READY)) {
         return;
       }
       if (error != null) {
@@ -268,15 +271,15 @@
 
   /** Ends the current attempt or connection; returns the reason if it was lost, or null. */
   private @Nullable String disconnect(String why, boolean graceful) {
-    final Channel last = connection;
+    final Channel channel = connection;
     final boolean wasReady = state == State.READY;
     connection = null;
     if (state == State.READY || state == State.CONNECTING) {
       state = State.WAITING;
       scheduler.schedule(this::retry, backoff(graceful), TimeUnit.NANOSECONDS);
     }
-    if (last != null) {
-      last.close();
+    if (channel != null) {
+      channel.close();
     }
     if (graceful) {
       return null;
@@ -353,25 +356,25 @@
 
   /** Installs the handlers of one connection attempt. */
   private final class ConnectionInitializer extends ChannelInitializer<Channel> {
-    private final long ofAttempt;
+    private final long attemptNumber;
 
-    private ConnectionInitializer(long ofAttempt) {
-      this.ofAttempt = ofAttempt;
+    private ConnectionInitializer(long attemptNumber) {
+      this.attemptNumber = attemptNumber;
     }
 
     @Override
     protected void initChannel(Channel channel) {
       context.prepare(channel, false);
-      channel.pipeline().addLast(new ResponseHandler(ofAttempt));
+      channel.pipeline().addLast(new ResponseHandler(attemptNumber));
     }
   }
 
   /** Handles the frames received on a connection, and its end. */
   private final class ResponseHandler extends SimpleChannelInboundHandler<ByteBuf> {
-    private final long ofAttempt;
+    private final long attemptNumber;
 
-    private ResponseHandler(long ofAttempt) {
-      this.ofAttempt = ofAttempt;
+    private ResponseHandler(long attemptNumber) {
+      this.attemptNumber = attemptNumber;
     }
 
     @Override
@@ -387,12 +390,12 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext handlerContext) {
-      onFailure(ofAttempt, null);
+      onFailure(attemptNumber, null);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable error) {
-      onFailure(ofAttempt, error);
+      onFailure(attemptNumber, error);
       handlerContext.close();
     }
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/PeerTransport.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/PeerTransport.java
@@ -45,9 +45,9 @@
 
   private final PeerContext context;
   private final EventLoopGroup loops;
-  private final boolean ownLoops;
+  private final boolean ownsLoops;
   private final Map<String, OutgoingPeer> outgoing = new ConcurrentHashMap<>();
-  private final Map<String, IncomingPeer> greeted = new ConcurrentHashMap<>();
+  private final Map<String, IncomingPeer> greetedPeers = new ConcurrentHashMap<>();
   private final Set<IncomingPeer> incoming = ConcurrentHashMap.newKeySet();
   private final Bootstrap client;
   private @Nullable Channel server;
@@ -63,7 +63,7 @@
    */
   public PeerTransport(
       TransportSettings settings, BinaryCodec codec, Consumer<Event> events, PeerFilter filter) {
-    this(settings, codec, events, filter, ownLoops(), true);
+    this(settings, codec, events, filter, newEventLoops(), true);
   }
 
   /**
@@ -86,10 +86,10 @@
       Consumer<Event> events,
       PeerFilter filter,
       EventLoopGroup loops,
-      boolean ownLoops) {
+      boolean ownsLoops) {
     this.context = new PeerContext(settings, codec, events, filter);
     this.loops = loops;
-    this.ownLoops = ownLoops;
+    this.ownsLoops = ownsLoops;
     this.client =
         new Bootstrap()
             .group(loops)
@@ -203,7 +203,7 @@
     if (server != null) {
       server.close().awaitUninterruptibly(CLOSE_TIMEOUT.toMillis());
     }
-    if (ownLoops) {
+    if (ownsLoops) {
       loops
           .shutdownGracefully(0, CLOSE_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
           .awaitUninterruptibly();
@@ -254,7 +254,7 @@
     if (known != null) {
       known.close();
     }
-    IncomingPeer open = greeted.remove(node);
+    IncomingPeer open = greetedPeers.remove(node);
     if (open != null) {
       open.closeNormally();
     }
@@ -271,19 +271,19 @@
       }
       IncomingPeer peer =
           new IncomingPeer(
-              context, channel, PeerTransport.this::greeted, PeerTransport.this::onEnded);
+              context, channel, PeerTransport.this::onGreeted, PeerTransport.this::onEnded);
       incoming.add(peer);
       context.prepare(channel, true);
       channel.pipeline().addLast(peer);
     }
   }
 
-  private void greeted(IncomingPeer peer) {
+  private void onGreeted(IncomingPeer peer) {
     String node = peer.node();
     if (node == null) {
       return;
     }
-    IncomingPeer older = greeted.put(node, peer);
+    IncomingPeer older = greetedPeers.put(node, peer);
     if (older != null && older != peer) {
       older.closeNormally();
     }
@@ -293,12 +293,12 @@
     incoming.remove(peer);
     String node = peer.node();
     if (node != null) {
-      greeted.remove(node, peer);
+      greetedPeers.remove(node, peer);
     }
     peer.reportEnd();
   }
 
-  private static EventLoopGroup ownLoops() {
+  private static EventLoopGroup newEventLoops() {
     return new MultiThreadIoEventLoopGroup(
         THREADS, new DefaultThreadFactory("peer", true), NioIoHandler.newFactory());
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/TlsContexts.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/TlsContexts.java
@@ -100,9 +100,9 @@
 
   private static Loaded build(TlsFiles files, byte[][] contents) {
     try {
-      CertificateKeyPair own = CertificateKeyPair.parse(contents[0], contents[1]);
+      CertificateKeyPair keyPair = CertificateKeyPair.parse(contents[0], contents[1]);
       SslContext server =
-          SslContextBuilder.forServer(own.key(), own.chain())
+          SslContextBuilder.forServer(keyPair.key(), keyPair.chain())
               .sslProvider(SslProvider.JDK)
               .trustManager(new ByteArrayInputStream(contents[2]))
               .clientAuth(ClientAuth.REQUIRE)
@@ -113,7 +113,7 @@
       SslContext client =
           SslContextBuilder.forClient()
               .sslProvider(SslProvider.JDK)
-              .keyManager(own.key(), own.chain())
+              .keyManager(keyPair.key(), keyPair.chain())
               .trustManager(new ByteArrayInputStream(contents[2]))
               .endpointIdentificationAlgorithm(null)
               .protocols(PROTOCOLS)
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/storage/DiskStorageTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/storage/DiskStorageTest.java
@@ -194,8 +194,8 @@
       disk.failAfter(random.nextInt(120));
       boolean failed = false;
       while (!failed) {
-        int together = 1 + random.nextInt(3);
-        for (int i = 0; i < together; i++) {
+        int batchSize = 1 + random.nextInt(3);
+        for (int i = 0; i < batchSize; i++) {
           storage.execute(model.next(random));
         }
         while (!failed && answered < model.states().size() - 1) {
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/PeerTransportTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/PeerTransportTest.java
@@ -139,14 +139,14 @@
       try (RawPeer slow = new RawPeer(server.accept())) {
         assertEquals(((Handshake.Greeting) slow.readHandshake()).node(), "a");
         slow.write(new Handshake.Welcome(1, "slow", 1));
-        int most = 0;
+        int maxQueued = 0;
         for (int i = 0; i < 2_000; i++) {
           a.send("slow", big);
-          most = Math.max(most, a.transport.queuedBytes("slow"));
+          maxQueued = Math.max(maxQueued, a.transport.queuedBytes("slow"));
         }
-        assertTrue(most <= TestNode.LIMITS.maxQueueBytes(), "queued " + most);
+        assertTrue(maxQueued <= TestNode.LIMITS.maxQueueBytes(), "queued " + maxQueued);
         assertTrue(a.transport.counts().dropped() > 500, a.transport.counts().toString());
-        System.out.println("transport: slow peer, maximum bytes queued " + most);
+        System.out.println("transport: slow peer, maximum bytes queued " + maxQueued);
       }
     }
   }
@@ -159,10 +159,10 @@
     try (TestNode b = new TestNode("b");
         TestNode a = new TestNode("a")) {
       a.learn(b, "127.0.0.1");
-      for (byte[] rubbish :
+      for (byte[] malformed :
           new byte[][] {"GET / HTTP/1.1\r\n\r\n".getBytes(), huge, {0, 0, 0, 2, 0, 1}}) {
         try (RawPeer stranger = new RawPeer(b.transport.port())) {
-          stranger.write(rubbish);
+          stranger.write(malformed);
           stranger.awaitEnd();
         }
       }
@@ -248,12 +248,12 @@
     Codec codec = new Codec();
     byte[] first = new Frame(Frame.Kind.HANDSHAKE, codec.toBytes(greeting("x"))).toBytes();
     byte[] second = new Frame(Frame.Kind.MESSAGE, codec.toBytes(message(7))).toBytes();
-    byte[] sound = Arrays.copyOf(first, first.length + second.length);
-    System.arraycopy(second, 0, sound, first.length, second.length);
+    byte[] intact = Arrays.copyOf(first, first.length + second.length);
+    System.arraycopy(second, 0, intact, first.length, second.length);
     try (TestNode b = new TestNode("b")) {
       for (int i = 0; i < FUZZ_RUNS; i++) {
         boolean cut = random.nextBoolean();
-        byte[] bytes = Arrays.copyOf(sound, cut ? random.nextInt(sound.length) : sound.length);
+        byte[] bytes = Arrays.copyOf(intact, cut ? random.nextInt(intact.length) : intact.length);
         for (int flips = random.nextInt(4); flips > 0 && bytes.length > 0; flips--) {
           bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
         }
@@ -265,7 +265,7 @@
       }
       System.out.println("transport: fuzzed streams " + FUZZ_RUNS + ", " + b.transport.counts());
       try (RawPeer peer = new RawPeer(b.transport.port())) {
-        peer.write(sound);
+        peer.write(intact);
         TestNode.await(
             "an intact message",
             () -> b.events.contains(new PeerEvent.MessageReceived("x", message(7))));
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/TlsTransportTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/TlsTransportTest.java
@@ -86,8 +86,9 @@
       TestNode.await("the refusal", () -> b.transport.counts().refused() > 0);
       assertFalse(a.transport.reload());
       replace(copies.certificate(), "node-a-renewed.pem");
-      TransportException unfit = expectThrows(TransportException.class, () -> a.transport.reload());
-      assertEquals(unfit.kind(), TransportException.Kind.CERTIFICATE_UNUSABLE);
+      TransportException mismatch =
+          expectThrows(TransportException.class, () -> a.transport.reload());
+      assertEquals(mismatch.kind(), TransportException.Kind.CERTIFICATE_UNUSABLE);
       replace(copies.key(), "node-a-renewed.key");
       assertTrue(a.transport.reload());
       TestNode.await(
