--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -140,7 +140,7 @@
     packings.add(new CommandPacking());
     packings.add(new SnapshotPacking());
     packings.add(PeerTransport.handshakePacking());
-    packings.addAll(DiskStorage.records());
+    packings.addAll(DiskStorage.recordPackings());
     return new PackedCodec(packings);
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/DiskStorage.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/storage/DiskStorage.java
@@ -78,7 +78,7 @@
   }
 
   /** Returns the hand-written codecs of the log records. */
-  public static List<Packing<?>> records() {
+  public static List<Packing<?>> recordPackings() {
     return List.of(new LogWritesPacking(), new SegmentStartPacking());
   }
 
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/storage/DiskStorageTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/storage/DiskStorageTest.java
@@ -92,7 +92,7 @@
   }
 
   @Test
-  public void testRestartOnRealDiskKeepsEverything() throws IOException {
+  public void testRestartOnRealDiskRecoversState() throws IOException {
     Path folder = Files.createTempDirectory("storage");
     StorageModel model = fill(new FileDisk(), folder, 200, 21L);
     assertEquals(recoverState(new FileDisk(), folder), model.stateAfter(200));
@@ -132,7 +132,7 @@
    * with a gap after it. The next start must delete it and recover all entries.
    */
   @Test
-  public void testSegmentWhoseDeletionWasLostIsDropped() throws IOException {
+  public void testSegmentWithLostDeletionIsDeleted() throws IOException {
     FakeDisk disk = emptyDisk();
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(33);
     StorageModel model = new StorageModel();
@@ -171,11 +171,11 @@
       UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(1000L + run);
       FakeDisk disk = emptyDisk();
       StorageModel model = new StorageModel();
-      int answered = crash(disk, model, random);
+      int acknowledged = crash(disk, model, random);
       disk.crash(random);
       StorageEvent.Recovered found = recoverState(disk, FOLDER);
       List<StorageEvent.Recovered> allowed =
-          model.states().subList(answered, model.states().size());
+          model.states().subList(acknowledged, model.states().size());
       assertTrue(allowed.contains(found), "run " + run + " found " + found + " of " + allowed);
       tornOrLost += found.equals(model.stateAfter(model.states().size() - 1)) ? 0 : 1;
       assertEquals(recoverState(disk, FOLDER), found, "a second start recovers another state");
@@ -187,7 +187,7 @@
 
   private int crash(FakeDisk disk, StorageModel model, UniformRandomProvider random) {
     events.clear();
-    int answered = 0;
+    int acknowledged = 0;
     try (DiskStorage storage = open(disk, FOLDER)) {
       storage.recover(StorageModel.GROUP);
       nextEvent();
@@ -198,21 +198,21 @@
         for (int i = 0; i < batchSize; i++) {
           storage.execute(model.next(random));
         }
-        while (!failed && answered < model.states().size() - 1) {
-          StorageEvent answer = nextEvent();
-          failed = answer instanceof StorageEvent.Failed;
-          answered = failed ? answered : acknowledgedAfter(answer, model, answered);
+        while (!failed && acknowledged < model.states().size() - 1) {
+          StorageEvent event = nextEvent();
+          failed = event instanceof StorageEvent.Failed;
+          acknowledged = failed ? acknowledged : acknowledgedAfter(event, model, acknowledged);
         }
       }
     }
-    return answered;
+    return acknowledged;
   }
 
-  private static int acknowledgedAfter(StorageEvent answer, StorageModel model, int before) {
-    if (answer instanceof StorageEvent.SnapshotSaved) {
+  private static int acknowledgedAfter(StorageEvent event, StorageModel model, int before) {
+    if (event instanceof StorageEvent.SnapshotSaved) {
       return before + 1;
     }
-    long sequence = ((StorageEvent.Persisted) answer).sequence();
+    long sequence = ((StorageEvent.Persisted) event).sequence();
     return model.effectsUntil(sequence);
   }
 
@@ -290,7 +290,7 @@
   }
 
   @Test
-  public void testGroupCommitAnswersLastSequenceOnly() throws InterruptedException {
+  public void testGroupCommitAcknowledgesLastSequenceOnly() throws InterruptedException {
     FakeDisk disk = emptyDisk();
     StorageModel model = new StorageModel();
     CountDownLatch queued = new CountDownLatch(1);
@@ -302,9 +302,9 @@
         storage.execute(model.persist(null, 0, 1));
       }
       queued.countDown();
-      long answered = 0;
-      while (answered < 100) {
-        answered = ((StorageEvent.Persisted) nextEvent()).sequence();
+      long acknowledged = 0;
+      while (acknowledged < 100) {
+        acknowledged = ((StorageEvent.Persisted) nextEvent()).sequence();
       }
       assertTrue(storage.syncs() <= 3, "syncs " + storage.syncs());
     }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/PeerTransportTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/PeerTransportTest.java
@@ -204,7 +204,7 @@
   }
 
   @Test
-  public void testWrongDaemonAtAddressGetsNoMessage() {
+  public void testWrongDaemonAtAddressReceivesNoMessage() {
     try (TestNode a = new TestNode("a");
         TestNode c = new TestNode("c")) {
       a.learn("b", "127.0.0.1", c.transport.port());
@@ -233,7 +233,7 @@
   }
 
   @Test
-  public void testPortInUseNamesRemedy() {
+  public void testPortInUseIsReportedAsUnusableAddress() {
     try (TestNode a = new TestNode("a")) {
       TransportException refused =
           expectThrows(
