--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/OutgoingPeer.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/OutgoingPeer.java
@@ -135,7 +135,11 @@
     return connection == null ? limits.connectTimeout() : limits.silenceTimeout();
   }
 
-  /** Must be called without the lock: the call may block while the reducer's mailbox is full. */
+  /**
+   * Reports a lost connection.
+   *
+   * <p>Must be called without the lock: the call may block while the reducer's mailbox is full.
+   */
   private void reportLost(@Nullable String why) {
     if (why != null) {
       context.reportLost(node, why);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/PeerTransport.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/PeerTransport.java
@@ -180,7 +180,10 @@
     return context.counters.counts();
   }
 
-  /** Returns the size in bytes of the frames queued for a peer, or 0 if it is unknown. */
+  /**
+   * Returns the size in bytes of the frames queued for a peer, at most the limit of the settings; 0
+   * if the peer is unknown.
+   */
   public int queuedBytes(String node) {
     OutgoingPeer peer = outgoing.get(node);
     return peer == null ? 0 : peer.queuedBytes();
