--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
@@ -35,7 +35,7 @@
       return true;
     }
     TokenBucket bucket = bucket(service, upstream, now);
-    return bucket != null && bucket.has(1, now);
+    return bucket != null && bucket.isAvailable(1, now);
   }
 
   /** Records a request that this daemon sends to an upstream of its own choice. */
@@ -43,7 +43,7 @@
     if (upstream.rateLimit().isBounded()) {
       TokenBucket bucket = bucket(service, upstream, now);
       if (bucket != null) {
-        bucket.take(1, now);
+        bucket.consume(1, now);
       }
     }
   }
@@ -73,12 +73,12 @@
     if (share.isNone()) {
       bucket = null;
     } else if (bucket != null && account.since.equals(share.since())) {
-      bucket.change(share.perSecond(), share.burst(), now);
+      bucket.reconfigure(share.perSecond(), share.burst(), now);
     } else {
       bucket = new TokenBucket(share.perSecond(), share.burst(), now);
       // A part that is assigned later, after other entries' restarts, begins empty: another entry
       // may have just used it up.
-      bucket.take(share.burst() - (account.settled ? 0 : share.initialTokens()), now);
+      bucket.consume(share.burst() - (account.settled ? 0 : share.initialTokens()), now);
       account.since = share.since();
     }
     account.bucket = bucket;
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RequestFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RequestFixture.java
@@ -38,7 +38,7 @@
 import org.skylarkfork.core.event.UpstreamEvent;
 import org.skylarkfork.core.membership.EntryListing;
 import org.skylarkfork.core.quality.AttemptOutcome;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 import org.skylarkfork.core.request.Bytes;
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.RequestKind;
@@ -58,7 +58,7 @@
         RuleBook,
         UpstreamDirectory,
         UpstreamChooser,
-        QualityBook,
+        VersionQuality,
         EntryListing {
 
   static final ModelVersion SMALL = new ModelVersion("small", "1");
@@ -328,7 +328,7 @@
         new UpstreamEvent.DraftFinished(attempt, id, "stop", new Usage(10, completionTokens, 0)));
   }
 
-  List<Effect> fail(String attempt, UpstreamEvent.Moment moment) {
+  List<Effect> fail(String attempt, UpstreamEvent.AttemptStage moment) {
     return apply(new UpstreamEvent.AttemptFailed(attempt, moment, "broken"));
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/AddressedPeers.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/AddressedPeers.java
@@ -15,7 +15,7 @@
     this.transport = transport;
   }
 
-  void carryOut(PeerEffect effect) {
+  void execute(PeerEffect effect) {
     if (effect instanceof PeerEffect.SendToPeer send && known.add(send.node())) {
       int colon = send.node().lastIndexOf(':');
       String host = send.node().substring(0, colon);
