--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCompleter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCompleter.java
@@ -214,7 +214,7 @@
       return;
     }
     String what = active.streamStarted ? "request.broken" : "request.refused";
-    context.timeline(what, active, null, error.runState().header() + ": " + error.message());
+    context.timeline(what, active, null, error.runState().headerValue() + ": " + error.message());
     context.count("requests_refused", error.kind().name());
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/LeasedSharesTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/LeasedSharesTest.java
@@ -39,8 +39,8 @@
     int granted = 0;
     for (long seed = 0; seed < 20; seed++) {
       ShareBench bench = new ShareBench(seed, 5, limits);
-      bench.network.weather(0.1, 0.1, 800);
-      bench.network.check(() -> limits.forEach((team, whole) -> within(bench.sum(team), whole)));
+      bench.network.setMessageFaults(0.1, 0.1, 800);
+      bench.network.setCheck(() -> limits.forEach((team, whole) -> within(bench.sum(team), whole)));
       for (int round = 0; round < 12; round++) {
         fault(bench, bench.network.random());
         for (int second = 0; second < 8; second++) {
@@ -65,7 +65,7 @@
   private static void fault(ShareBench bench, UniformRandomProvider random) {
     List<String> names = new ArrayList<>(bench.entries.keySet());
     names.stream().filter(name -> !bench.network.isUp(name)).forEach(bench::restart);
-    bench.network.heal();
+    bench.network.reconnectAll();
     List<String> one = List.copyOf(names);
     List<String> other = List.of();
     int kind = random.nextInt(4);
@@ -79,7 +79,7 @@
       one = side;
     }
     for (String here : one) {
-      other.forEach(there -> bench.network.cut(here, there));
+      other.forEach(there -> bench.network.disconnect(here, there));
     }
     for (List<String> side : List.of(one, other)) {
       for (String entry : side) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftSimulation.java
@@ -112,7 +112,7 @@
   CrashingDraftSimulation(long seed, int engineCount) {
     network = new MiniNetwork(seed);
     random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-    network.listen(this::handleEffect);
+    network.setEffectListener(this::handleEffect);
     for (int engine = 0; engine < engineCount; engine++) {
       startEngine();
     }
@@ -250,7 +250,7 @@
     String id = "r" + ++lastRequest;
     String entry = entries.get(random.nextInt(entries.size()));
     prompts.put(id, prompt);
-    if (!network.isUp(entry) || network.isFrozen(entry)) {
+    if (!network.isUp(entry) || network.isSuspended(entry)) {
       return;
     }
     CallerRequest request =
@@ -385,7 +385,7 @@
   }
 
   private void inject(String entry, Event event) {
-    if (network.isUp(entry) && !network.isFrozen(entry)) {
+    if (network.isUp(entry) && !network.isSuspended(entry)) {
       network.inject(entry, event);
     }
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationOverLogTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationOverLogTest.java
@@ -49,7 +49,7 @@
     answers.clear();
     snapshots.clear();
     network = new MiniNetwork(5);
-    network.listen(
+    network.setEffectListener(
         (node, effect) -> {
           if (effect instanceof OperatorEffect answer) {
             answers.put(answer.callId(), answer);
@@ -210,8 +210,8 @@
     String old = leader();
     for (String name : ALL) {
       if (!name.equals(old) && !name.equals("e1")) {
-        network.cut(name, old);
-        network.cut(name, "e1");
+        network.disconnect(name, old);
+        network.disconnect(name, "e1");
       }
     }
     ConfigurationChange drain = new ConfigurationChange.DrainUpstream("gpu-1");
@@ -230,7 +230,7 @@
     assertTrue(parts.get("e2").mayServe(network.now()));
     RefuseOperator lost = (RefuseOperator) await(cutOff);
     assertEquals(lost.error().runState(), RunState.UNKNOWN);
-    network.heal();
+    network.reconnectAll();
     assertEquals(accept("e1", "cut-off", drain).revision(), 3);
     assertTrue(network.runUntil(Duration.ofSeconds(10), () -> allServeAt(3)));
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/TestCluster.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/TestCluster.java
@@ -71,7 +71,7 @@
       add(name, true);
     }
     if (settings.maxRestartWait().isZero()) {
-      network.check(this::checkLeases);
+      network.setCheck(this::checkLeases);
     }
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
@@ -66,7 +66,7 @@
   EmulatedDeployment(long seed, int entryCount) {
     this.network = new MiniNetwork(seed);
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-    network.listen(this::onEffect);
+    network.setEffectListener(this::onEffect);
     for (int number = 1; number <= CONTROLS; number++) {
       controls.add("control-" + number);
     }
@@ -187,7 +187,7 @@
   }
 
   boolean isAwake(String name) {
-    return network.isUp(name) && !network.isFrozen(name);
+    return network.isUp(name) && !network.isSuspended(name);
   }
 
   /** Gives an entry an event, unless it is down or frozen. */
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitTest.java
@@ -105,7 +105,7 @@
   }
 
   private static void randomRun(RateLimitSimulation run) {
-    run.network.weather(0.01, 0.01, 3);
+    run.network.setMessageFaults(0.01, 0.01, 3);
     for (int strike = 0; strike < STRIKES; strike++) {
       changeLimits(run);
       run.run(Duration.ofMillis(run.random.nextInt(4000)));
@@ -141,7 +141,7 @@
       case 1 -> struck.addAll(run.controls);
       case 2 -> struck.addAll(run.entries.subList(0, run.entries.size() / 2));
       case 3 -> struck.add(entry);
-      case 4 -> run.network.freeze(run.random.nextBoolean() ? entry : control);
+      case 4 -> run.network.suspend(run.random.nextBoolean() ? entry : control);
       case 5 -> run.network.isolate(entry);
       default -> run.network.isolate(leader == null ? control : leader);
     }
@@ -161,10 +161,10 @@
 
   private static void recover(RateLimitSimulation run, List<String> struck) {
     everyStruck(run).forEach(run::disturbed);
-    run.network.heal();
+    run.network.reconnectAll();
     for (String name : everyStruck(run)) {
-      if (run.network.isFrozen(name)) {
-        run.network.thaw(name);
+      if (run.network.isSuspended(name)) {
+        run.network.resume(name);
       }
     }
     struck.forEach(run.network::start);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/AnswerFormat.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/AnswerFormat.java
@@ -121,7 +121,7 @@
     node.put("type", error.kind().type());
     node.putNull("param");
     node.put("code", error.kind().name().toLowerCase(java.util.Locale.ROOT));
-    node.put("run_state", error.runState().header());
+    node.put("run_state", error.runState().headerValue());
     return node;
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/CommandPacking.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/CommandPacking.java
@@ -167,7 +167,7 @@
         components.take(1);
         String id = in.text();
         return new RelayCommand.UpstreamLeaves(
-            components.next() ? new UpstreamRun(id, in.number()) : UpstreamRun.everyStartOf(id));
+            components.next() ? new UpstreamRun(id, in.number()) : UpstreamRun.allRunsOf(id));
       case EVACUATE_ZONE:
         components.take(1);
         return new RelayCommand.EvacuateZone(in.text());
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayValues.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayValues.java
@@ -332,7 +332,7 @@
       runs.add(
           place < starts.size()
               ? new UpstreamRun(id, starts.get(place))
-              : UpstreamRun.everyStartOf(id));
+              : UpstreamRun.allRunsOf(id));
     }
     return runs;
   }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/packed/PackedCodecTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/packed/PackedCodecTest.java
@@ -128,7 +128,7 @@
     command.tagged(21, 1).text("up-1");
     assertEquals(
         codec.fromBytes(command.toBytes(), Command.class),
-        new RelayCommand.UpstreamLeaves(UpstreamRun.everyStartOf("up-1")));
+        new RelayCommand.UpstreamLeaves(UpstreamRun.allRunsOf("up-1")));
     PackedWriter heard = new PackedWriter();
     heard.tagged(34, 1).record(7).text("up-1").text("s").text("10.0.0.1:80").text("a").text("v1");
     heard.number(6).number(4);
