--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
@@ -13,7 +13,7 @@
 import org.skylarkfork.core.error.RoutingError;
 import org.skylarkfork.core.event.LedgerEvent;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.ledger.ClaimOutcome;
 import org.skylarkfork.core.ledger.LedgerMachine;
 import org.skylarkfork.core.request.AnswerFacts;
@@ -295,7 +295,8 @@
   }
 
   /** Retries a call after a failed attempt, backs off, or fails the call. */
-  void attemptFailed(ActiveRequest active, Moment moment, String detail, EventContext context) {
+  void attemptFailed(
+      ActiveRequest active, AttemptStage moment, String detail, EventContext context) {
     if (RunStates.after(moment) != RunState.NOT_RUN) {
       active.mayHaveStarted = true;
       active.retryForbidden = !active.idempotent;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadSharePart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadSharePart.java
@@ -12,8 +12,8 @@
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.LifecycleEvent;
 import org.skylarkfork.core.event.PeerEvent;
+import org.skylarkfork.core.message.RelayMessage.CachedPrefix;
 import org.skylarkfork.core.message.RelayMessage.EntryLoads;
-import org.skylarkfork.core.message.RelayMessage.KeptPrompt;
 import org.skylarkfork.core.message.RelayMessage.UpstreamLoad;
 
 /**
@@ -66,7 +66,7 @@
       return;
     }
     List<UpstreamLoad> loads = loads();
-    List<KeptPrompt> sent = prompts.take(MOST_PROMPTS);
+    List<CachedPrefix> sent = prompts.take(MOST_PROMPTS);
     boolean again = !loads.isEmpty() && !now.isBefore(toldAt.plus(AGAIN));
     if (again || !sent.isEmpty() || !loads.equals(told)) {
       told = loads;
@@ -95,7 +95,7 @@
       int running = load == null ? 0 : load.running();
       track.peers().told(peer, running, load == null ? 0 : load.waitingMillis(), now);
     }
-    for (KeptPrompt prompt : message.prompts()) {
+    for (CachedPrefix prompt : message.prompts()) {
       UpstreamTrack track = entry.track(prompt.upstream());
       if (track != null) {
         track.kept().used(prompt.key());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
@@ -17,7 +17,7 @@
 import org.skylarkfork.core.message.RelayMessage.PlacementAnswer;
 import org.skylarkfork.core.message.RelayMessage.PlacementAsk;
 import org.skylarkfork.core.message.RelayMessage.PlacementNews;
-import org.skylarkfork.core.message.RelayMessage.PromptBeginning;
+import org.skylarkfork.core.message.RelayMessage.PromptPrefix;
 import org.skylarkfork.core.placement.EngineGroups;
 import org.skylarkfork.core.placement.PromptChain;
 
@@ -121,9 +121,9 @@
 
   private PlacementAsk message(
       ActiveRelay relay, PlacementQuery query, PromptChain chain, int group, Instant now) {
-    List<PromptBeginning> beginnings = new ArrayList<>();
+    List<PromptPrefix> beginnings = new ArrayList<>();
     for (int place = 0; place < chain.size(); place++) {
-      beginnings.add(new PromptBeginning(chain.key(place), chain.tokens(place)));
+      beginnings.add(new PromptPrefix(chain.key(place), chain.tokens(place)));
     }
     Set<String> versions = versions(query);
     return new PlacementAsk(
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SentPrompts.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SentPrompts.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.skylarkfork.core.message.RelayMessage.KeptPrompt;
+import org.skylarkfork.core.message.RelayMessage.CachedPrefix;
 import org.skylarkfork.core.placement.PromptChain;
 
 /** Shared beginnings of prompts that this entry sent to engines and other entries don't know of. */
@@ -21,13 +21,13 @@
   /** Beginnings whose last telling is remembered. */
   private static final int MOST_TOLD = 4096;
 
-  private final Map<KeptPrompt, Instant> toldAt = new LinkedHashMap<>();
-  private final List<KeptPrompt> untold = new ArrayList<>();
+  private final Map<CachedPrefix, Instant> toldAt = new LinkedHashMap<>();
+  private final List<CachedPrefix> untold = new ArrayList<>();
 
   /** Takes note of a prompt that was sent to an engine. */
   void sent(String upstream, PromptChain chain, Instant now) {
     for (int place = 0; place < chain.sharedSize(); place++) {
-      KeptPrompt prompt = new KeptPrompt(upstream, chain.key(place));
+      CachedPrefix prompt = new CachedPrefix(upstream, chain.key(place));
       Instant told = toldAt.get(prompt);
       boolean due = told == null || !now.isBefore(told.plus(AGAIN));
       if (due && untold.size() < MOST_UNTOLD) {
@@ -37,7 +37,7 @@
     }
   }
 
-  private void remember(KeptPrompt prompt, Instant now) {
+  private void remember(CachedPrefix prompt, Instant now) {
     toldAt.remove(prompt);
     toldAt.put(prompt, now);
     if (toldAt.size() > MOST_TOLD) {
@@ -46,9 +46,9 @@
   }
 
   /** Hands out the oldest of what is to be told. */
-  List<KeptPrompt> take(int most) {
-    List<KeptPrompt> taken = untold.subList(0, Math.min(most, untold.size()));
-    List<KeptPrompt> copy = List.copyOf(taken);
+  List<CachedPrefix> take(int most) {
+    List<CachedPrefix> taken = untold.subList(0, Math.min(most, untold.size()));
+    List<CachedPrefix> copy = List.copyOf(taken);
     taken.clear();
     return copy;
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftSimulation.java
@@ -45,7 +45,7 @@
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.OperatorEvent;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.request.Bytes;
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.RequestKind;
@@ -313,7 +313,7 @@
     String prompt = draft.request().prompt();
     String attempt = draft.attemptId();
     if (!engines.contains(draft.upstream())) {
-      schedule(1, () -> inject(entry, failed(attempt, Moment.BEFORE_CONNECT)));
+      schedule(1, () -> inject(entry, failed(attempt, AttemptStage.BEFORE_CONNECT)));
       return;
     }
     startedRequests.add(draft.request().requestId());
@@ -356,7 +356,7 @@
         enginesLost.merge(lost.getValue().prompt, 1, Integer::sum);
         String entry = lost.getValue().entry;
         String attempt = lost.getKey().substring(entry.length());
-        inject(entry, failed(attempt, Moment.ANSWER_BEGUN));
+        inject(entry, failed(attempt, AttemptStage.ANSWER_BEGUN));
       }
     }
     schedule(1000 + random.nextInt(2000), this::startEngine);
@@ -371,7 +371,7 @@
     }
   }
 
-  private static Event failed(String attempt, Moment moment) {
+  private static Event failed(String attempt, AttemptStage moment) {
     return new UpstreamEvent.AttemptFailed(attempt, moment, "the connection was cut");
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadSharePartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadSharePartTest.java
@@ -14,8 +14,8 @@
 import org.skylarkfork.core.event.LifecycleEvent;
 import org.skylarkfork.core.event.PeerEvent;
 import org.skylarkfork.core.message.RelayMessage;
+import org.skylarkfork.core.message.RelayMessage.CachedPrefix;
 import org.skylarkfork.core.message.RelayMessage.EntryLoads;
-import org.skylarkfork.core.message.RelayMessage.KeptPrompt;
 import org.skylarkfork.core.message.RelayMessage.Neighbourhood;
 import org.skylarkfork.core.message.RelayMessage.UpstreamLoad;
 import org.skylarkfork.core.placement.PromptChain;
@@ -102,7 +102,7 @@
     List<SendToPeer> told = tick(100);
     EntryLoads expected =
         new EntryLoads(
-            List.of(new UpstreamLoad("up", 1, 250)), List.of(new KeptPrompt("up", CHAIN.key(0))));
+            List.of(new UpstreamLoad("up", 1, 250)), List.of(new CachedPrefix("up", CHAIN.key(0))));
     assertEquals(
         told, List.of(new SendToPeer("entry-2", expected), new SendToPeer("entry-3", expected)));
     assertTrue(tick(100).isEmpty(), "nothing is new");
@@ -125,7 +125,7 @@
 
   @Test
   public void whatPeerToldCountsUntilItExpires() {
-    KeptPrompt kept = new KeptPrompt("up", CHAIN.key(0));
+    CachedPrefix kept = new CachedPrefix("up", CHAIN.key(0));
     receive("entry-2", new EntryLoads(List.of(new UpstreamLoad("up", 2, 700)), List.of(kept)));
     receive("entry-3", new EntryLoads(List.of(new UpstreamLoad("gone", 9, 9)), List.of()));
     assertEquals(track().waitingMillis(now), 700.0);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/testing/MiniNetwork.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/testing/MiniNetwork.java
@@ -35,7 +35,7 @@
 
   /** Makes a daemon's reducer at each of its starts. */
   @FunctionalInterface
-  public interface Boot {
+  public interface ReducerFactory {
 
     /** Returns a new reducer; the seed differs at each start. */
     Reducer start(long seed);
@@ -64,7 +64,7 @@
   }
 
   /** Adds a daemon, not started yet, with an empty disk for the groups that it hosts. */
-  public void add(String name, List<GroupId> groups, Boot boot) {
+  public void add(String name, List<GroupId> groups, ReducerFactory boot) {
     nodes.put(name, new Node(name, groups, boot));
   }
 
@@ -293,7 +293,7 @@
   private static final class Node {
     private final String name;
     private final List<GroupId> groups;
-    private final Boot boot;
+    private final ReducerFactory boot;
     private final Map<GroupId, MiniDisk> disks = new LinkedHashMap<>();
     private @Nullable Reducer reducer;
     private Instant lastSync = Instant.EPOCH;
@@ -303,7 +303,7 @@
     private Duration clockOffset = Duration.ZERO;
     private final List<Delivery> deferred = new ArrayList<>();
 
-    private Node(String name, List<GroupId> groups, Boot boot) {
+    private Node(String name, List<GroupId> groups, ReducerFactory boot) {
       this.name = name;
       this.groups = groups;
       this.boot = boot;
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayMessages.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayMessages.java
@@ -9,20 +9,20 @@
 import org.skylarkfork.core.message.PeerMessage;
 import org.skylarkfork.core.message.RelayMessage;
 import org.skylarkfork.core.message.RelayMessage.AttemptProgress;
+import org.skylarkfork.core.message.RelayMessage.CachedPrefix;
 import org.skylarkfork.core.message.RelayMessage.DirectoryChanges;
 import org.skylarkfork.core.message.RelayMessage.EntryLoads;
 import org.skylarkfork.core.message.RelayMessage.EntryPoll;
 import org.skylarkfork.core.message.RelayMessage.EntryUpdate;
-import org.skylarkfork.core.message.RelayMessage.HeardLimit;
-import org.skylarkfork.core.message.RelayMessage.KeptPrompt;
 import org.skylarkfork.core.message.RelayMessage.Neighbourhood;
 import org.skylarkfork.core.message.RelayMessage.PlacementAnswer;
 import org.skylarkfork.core.message.RelayMessage.PlacementAsk;
 import org.skylarkfork.core.message.RelayMessage.PlacementNews;
-import org.skylarkfork.core.message.RelayMessage.PromptBeginning;
+import org.skylarkfork.core.message.RelayMessage.PromptPrefix;
 import org.skylarkfork.core.message.RelayMessage.SharedState;
 import org.skylarkfork.core.message.RelayMessage.UpstreamHeard;
 import org.skylarkfork.core.message.RelayMessage.UpstreamLoad;
+import org.skylarkfork.core.message.RelayMessage.UpstreamRateLimit;
 import org.skylarkfork.core.relay.EntryPlace;
 import org.skylarkfork.core.relay.VersionCounts;
 
@@ -154,8 +154,7 @@
         in.text(),
         in.text(),
         in.text(),
-        in.list(
-            one -> one.record(2, from -> new PromptBeginning(from.number(), from.smallNumber()))),
+        in.list(one -> one.record(2, from -> new PromptPrefix(from.number(), from.smallNumber()))),
         in.smallNumber(),
         in.smallNumber(),
         in.list(PackedReader::text),
@@ -221,14 +220,14 @@
         more.next() ? in.list(RelayMessages::readHeard) : List.of());
   }
 
-  private static void writeHeard(HeardLimit heard, PackedWriter out) {
+  private static void writeHeard(UpstreamRateLimit heard, PackedWriter out) {
     RelayValues.writeRun(heard.upstream(), out.record(2));
     RelayValues.writeNamed(heard.named(), out);
   }
 
-  private static HeardLimit readHeard(PackedReader in) {
+  private static UpstreamRateLimit readHeard(PackedReader in) {
     return in.record(
-        2, from -> new HeardLimit(RelayValues.readRun(from), RelayValues.readNamed(from)));
+        2, from -> new UpstreamRateLimit(RelayValues.readRun(from), RelayValues.readNamed(from)));
   }
 
   private static void writeLoad(UpstreamLoad load, PackedWriter out) {
@@ -240,12 +239,12 @@
         3, from -> new UpstreamLoad(from.text(), from.smallNumber(), from.smallNumber()));
   }
 
-  private static void writePrompt(KeptPrompt prompt, PackedWriter out) {
+  private static void writePrompt(CachedPrefix prompt, PackedWriter out) {
     out.record(2).text(prompt.upstream()).number(prompt.key());
   }
 
-  private static KeptPrompt readPrompt(PackedReader in) {
-    return in.record(2, from -> new KeptPrompt(from.text(), from.number()));
+  private static CachedPrefix readPrompt(PackedReader in) {
+    return in.record(2, from -> new CachedPrefix(from.text(), from.number()));
   }
 
   private static void writeLost(LostRequest lost, PackedWriter out) {
