--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftSimulation.java
@@ -53,7 +53,7 @@
 import org.skylarkfork.core.request.Usage;
 import org.skylarkfork.core.routing.Plan;
 import org.skylarkfork.core.routing.UpstreamChooser;
-import org.skylarkfork.core.testing.MiniNetwork;
+import org.skylarkfork.core.testing.SimulatedNetwork;
 import org.skylarkfork.core.upstream.Announcement;
 
 /** Simulates three voters, four entries and engines in virtual time, with crashing drafts. */
@@ -73,7 +73,7 @@
 
   final List<String> voters = List.of("v1", "v2", "v3");
   final List<String> entries = List.of("e1", "e2", "e3", "e4");
-  final MiniNetwork network;
+  final SimulatedNetwork network;
   final UniformRandomProvider random;
 
   /** Times at which engines crashed, by crashing prompt. */
@@ -110,7 +110,7 @@
   private record Attempt(String entry, String engine, String prompt) {}
 
   CrashingDraftSimulation(long seed, int engineCount) {
-    network = new MiniNetwork(seed);
+    network = new SimulatedNetwork(seed);
     random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     network.setEffectListener(this::handleEffect);
     for (int engine = 0; engine < engineCount; engine++) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationOverLogTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationOverLogTest.java
@@ -26,7 +26,7 @@
 import org.skylarkfork.core.effect.OperatorEffect.RefuseOperator;
 import org.skylarkfork.core.event.OperatorEvent;
 import org.skylarkfork.core.request.RunState;
-import org.skylarkfork.core.testing.MiniNetwork;
+import org.skylarkfork.core.testing.SimulatedNetwork;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -41,14 +41,14 @@
   private final Map<String, ConsensusPart> groups = new HashMap<>();
   private final Map<String, OperatorEffect> answers = new HashMap<>();
   private final List<Snapshot> snapshots = new ArrayList<>();
-  private MiniNetwork network;
+  private SimulatedNetwork network;
   private int calls;
 
   private void start(int snapshotEntries) {
     parts.clear();
     answers.clear();
     snapshots.clear();
-    network = new MiniNetwork(5);
+    network = new SimulatedNetwork(5);
     network.setEffectListener(
         (node, effect) -> {
           if (effect instanceof OperatorEffect answer) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
@@ -23,7 +23,7 @@
 import org.skylarkfork.core.effect.Effect;
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.RelayEvent;
-import org.skylarkfork.core.testing.MiniNetwork;
+import org.skylarkfork.core.testing.SimulatedNetwork;
 
 /** Three control VMs and some entries in virtual time; what is around them is a subclass's. */
 abstract class EmulatedDeployment {
@@ -36,7 +36,7 @@
   private static final int CONTROLS = 3;
   private static final long CALL_MILLIS = 4000;
 
-  final MiniNetwork network;
+  final SimulatedNetwork network;
   final List<String> controls = new ArrayList<>();
   final List<String> entries = new ArrayList<>();
   final UniformRandomProvider random;
@@ -64,7 +64,7 @@
    * @param entryCount how many entries there are
    */
   EmulatedDeployment(long seed, int entryCount) {
-    this.network = new MiniNetwork(seed);
+    this.network = new SimulatedNetwork(seed);
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     network.setEffectListener(this::onEffect);
     for (int number = 1; number <= CONTROLS; number++) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
@@ -32,7 +32,7 @@
 import org.skylarkfork.core.event.ConsensusEvent;
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.RelayEvent;
-import org.skylarkfork.core.testing.MiniNetwork;
+import org.skylarkfork.core.testing.SimulatedNetwork;
 
 /**
  * Simulates control VMs and entries of the relay in virtual time and checks their invariants after
@@ -52,7 +52,7 @@
   private static final int MAX_OFFSET_SECONDS = 3600;
   private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
-  final MiniNetwork network;
+  final SimulatedNetwork network;
   final List<String> controls = new ArrayList<>();
   final List<String> entries = new ArrayList<>();
   long events;
@@ -107,7 +107,7 @@
    * @param entryCount number of entries
    */
   RelaySimulation(long seed, int voters, int spares, int entryCount) {
-    this.network = new MiniNetwork(seed);
+    this.network = new SimulatedNetwork(seed);
     this.voters = voters;
     this.firstSeeds = List.of("control-1", "control-2", "control-3");
     network.setEffectListener(this::onEffect);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/testing/MiniNetwork.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/testing/SimulatedNetwork.java
@@ -31,7 +31,7 @@
  *
  * <p>Carries out peer and storage effects; hands all others to a listener.
  */
-public final class MiniNetwork {
+public final class SimulatedNetwork {
 
   /** Makes a daemon's reducer at each of its starts. */
   @FunctionalInterface
@@ -59,7 +59,7 @@
   private int maxSyncMillis = 3;
 
   /** Makes a network without nodes; the same seed gives the same run. */
-  public MiniNetwork(long seed) {
+  public SimulatedNetwork(long seed) {
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
   }
 
@@ -110,7 +110,7 @@
     Node node = nodes.get(name);
     node.starts++;
     node.reducer = node.boot.start(random.nextLong());
-    for (MiniDisk disk : node.disks.values()) {
+    for (SimulatedDisk disk : node.disks.values()) {
       apply(node, disk.recover());
     }
     apply(node, new LifecycleEvent.Started());
@@ -123,7 +123,7 @@
     node.reducer = null;
     node.suspended = false;
     node.deferred.clear();
-    for (MiniDisk disk : node.disks.values()) {
+    for (SimulatedDisk disk : node.disks.values()) {
       disk.crash(random.nextInt(disk.unsynced() + 1));
     }
   }
@@ -234,7 +234,7 @@
     apply(node, new LifecycleEvent.Tick());
   }
 
-  private StorageEvent sync(Node node, MiniDisk disk) {
+  private StorageEvent sync(Node node, SimulatedDisk disk) {
     if (node.writesFail) {
       return new StorageEvent.Failed(disk.recover().group(), "no space left on device");
     }
@@ -278,7 +278,7 @@
   }
 
   private void write(Node node, GroupId group, StorageEffect effect) {
-    MiniDisk disk = node.disks.get(group);
+    SimulatedDisk disk = node.disks.get(group);
     disk.write(effect);
     Instant synced = now.plusMillis(1 + random.nextInt(maxSyncMillis));
     node.lastSync = node.lastSync.isAfter(synced) ? node.lastSync : synced;
@@ -294,7 +294,7 @@
     private final String name;
     private final List<GroupId> groups;
     private final ReducerFactory boot;
-    private final Map<GroupId, MiniDisk> disks = new LinkedHashMap<>();
+    private final Map<GroupId, SimulatedDisk> disks = new LinkedHashMap<>();
     private @Nullable Reducer reducer;
     private Instant lastSync = Instant.EPOCH;
     private int starts;
@@ -313,7 +313,7 @@
     private void format() {
       writesFail = false;
       for (GroupId group : groups) {
-        disks.put(group, new MiniDisk(group));
+        disks.put(group, new SimulatedDisk(group));
       }
     }
   }
