--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/CallerEffect.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/CallerEffect.java
@@ -7,22 +7,25 @@
 import org.skylarkfork.core.request.Header;
 import org.skylarkfork.core.request.Usage;
 
-/** Answers to callers. For one request either one refusal or one answer is sent. */
+/**
+ * Answers to callers, carried out by the caller-facing HTTP server. Each request receives either
+ * one refusal or one answer.
+ */
 public sealed interface CallerEffect extends Effect {
 
   /** Returns the id of the request that is answered. */
   String requestId();
 
   /**
-   * Begins a streamed draft answer; the status line and headers go out.
+   * Begins a streamed draft answer: sends the status line and the headers.
    *
    * @param requestId id of the request
-   * @param facts what the headers say
+   * @param facts values of the answer's headers
    */
   record BeginStream(String requestId, AnswerFacts facts) implements CallerEffect {}
 
   /**
-   * Sends tokens of a streamed answer.
+   * Sends further tokens of a streamed answer.
    *
    * @param requestId id of the request
    * @param text text of the tokens
@@ -33,44 +36,44 @@
    * Ends a streamed answer with its final frame.
    *
    * @param requestId id of the request
-   * @param finishReason why it ended
-   * @param usage tokens that the caller is told
-   * @param facts final facts, sent as a last comment of the stream
+   * @param finishReason why the answer ended
+   * @param usage token counts reported to the caller
+   * @param facts final values of the answer's headers, sent as the last comment of the stream
    */
   record EndStream(String requestId, String finishReason, Usage usage, AnswerFacts facts)
       implements CallerEffect {}
 
   /**
-   * Breaks off a streamed answer with an explicit error in place of the final frame.
+   * Aborts a streamed answer with an explicit error instead of the final frame.
    *
    * @param requestId id of the request
-   * @param error what the caller is told
-   * @param facts final facts
+   * @param error error reported to the caller
+   * @param facts final values of the answer's headers
    */
   record BreakStream(String requestId, RoutingError error, AnswerFacts facts)
       implements CallerEffect {}
 
   /**
-   * Sends a whole draft answer.
+   * Sends a complete, unstreamed draft answer.
    *
    * @param requestId id of the request
    * @param text text of the answer
-   * @param finishReason why it ended
-   * @param usage tokens that the caller is told
-   * @param facts what the headers say
+   * @param finishReason why the answer ended
+   * @param usage token counts reported to the caller
+   * @param facts values of the answer's headers
    */
   record SendDraft(
       String requestId, String text, String finishReason, Usage usage, AnswerFacts facts)
       implements CallerEffect {}
 
   /**
-   * Sends a plain service's whole answer.
+   * Sends the complete answer of a plain service.
    *
    * @param requestId id of the request
    * @param status HTTP status
-   * @param headers headers to pass on
-   * @param body whole body
-   * @param facts what the headers say
+   * @param headers headers to forward to the caller
+   * @param body complete body
+   * @param facts values of the answer's headers
    */
   record SendServiceAnswer(
       String requestId, int status, List<Header> headers, Bytes body, AnswerFacts facts)
@@ -83,11 +86,11 @@
   }
 
   /**
-   * Refuses a request before any of an answer was sent.
+   * Refuses a request of whose answer nothing has been sent.
    *
    * @param requestId id of the request
-   * @param error what the caller is told
-   * @param facts what the headers say
+   * @param error error reported to the caller
+   * @param facts values of the answer's headers
    */
   record Refuse(String requestId, RoutingError error, AnswerFacts facts) implements CallerEffect {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/Effect.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/Effect.java
@@ -1,6 +1,9 @@
 package org.skylarkfork.core.effect;
 
-/** Something that the runtime is to do, in the order in which the reducer asked for it. */
+/**
+ * An output of the reducer, which the runtime carries out. Effects are carried out in the order in
+ * which the reducer added them.
+ */
 public sealed interface Effect
     permits StorageEffect,
         PeerEffect,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/LifecycleEffect.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/LifecycleEffect.java
@@ -1,8 +1,8 @@
 package org.skylarkfork.core.effect;
 
-/** What a daemon does with itself. */
+/** Effects on the life cycle of the daemon. */
 public sealed interface LifecycleEffect extends Effect {
 
-  /** Ends the process: nothing runs any more and no caller is still served. */
+  /** Ends the process; added once no request is running and no caller is being served. */
   record EndProcess() implements LifecycleEffect {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/StorageEffect.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/StorageEffect.java
@@ -7,17 +7,21 @@
 import org.skylarkfork.core.command.LogEntry;
 import org.skylarkfork.core.command.Snapshot;
 
-/** Writes to the data folder. Each is answered by an event only once it is synced to the disk. */
+/**
+ * Writes to the data folder. Each write is answered by a {@code StorageEvent} only after it is
+ * synced to the disk.
+ */
 public sealed interface StorageEffect extends Effect {
 
   /**
-   * Writes hard state and log entries, in this order, and syncs them together.
+   * Writes the hard state and log entries, in this order, and syncs them together.
    *
-   * @param group whose log is written
-   * @param sequence number that {@code StorageEvent.Persisted} repeats; rises by one a write
-   * @param hardState new hard state, or null to leave it
-   * @param truncateFrom first index to drop before the append, or 0 to drop none
-   * @param entries entries to append, without gaps behind the newest snapshot or entry
+   * @param group group whose log is written
+   * @param sequence number that {@code StorageEvent.Persisted} echoes; rises by one per write
+   * @param hardState new hard state, or null to leave it unchanged
+   * @param truncateFrom index from which existing entries are dropped before the append, or 0 to
+   *     drop none
+   * @param entries entries to append, without a gap after the newest snapshot or entry
    */
   record Persist(
       GroupId group,
@@ -36,8 +40,8 @@
   /**
    * Saves a snapshot and then drops the log entries that it covers.
    *
-   * @param group whose snapshot it is
-   * @param snapshot the state to keep
+   * @param group group that the snapshot belongs to
+   * @param snapshot the snapshot to save
    */
   record SaveSnapshot(GroupId group, Snapshot snapshot) implements StorageEffect {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/TraceEffect.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/TraceEffect.java
@@ -3,15 +3,15 @@
 import java.time.Instant;
 import org.jspecify.annotations.Nullable;
 
-/** What is told about a decision: entries of the time line, counts and log lines. */
+/** Records of decisions for observers: timeline entries, metrics and log lines. */
 public sealed interface TraceEffect extends Effect {
 
   /**
-   * An entry of the time line.
+   * Adds an entry to the timeline.
    *
-   * @param at when it happened
-   * @param what name of the happening, such as {@code request.dispatched}
-   * @param requestId request concerned, or null
+   * @param at time of the event
+   * @param what name of the event, such as {@code request.dispatched}
+   * @param requestId id of the request concerned, or null
    * @param session session concerned, or null
    * @param version model and version concerned, or null
    * @param upstream upstream concerned, or null
@@ -30,9 +30,9 @@
   /**
    * Adds to a counter.
    *
-   * @param name name of the metric without prefix and unit, such as {@code requests_refused}
-   * @param label value of its one label, or empty
-   * @param amount how much is added
+   * @param name name of the metric without its prefix and unit, such as {@code requests_refused}
+   * @param label value of the metric's only label, or empty
+   * @param amount amount to add
    */
   record Count(String name, String label, double amount) implements TraceEffect {}
 
@@ -40,7 +40,7 @@
    * Records a duration or size in a histogram.
    *
    * @param name name of the metric with its unit, such as {@code first_token_seconds}
-   * @param label value of its one label, or empty
+   * @param label value of the metric's only label, or empty
    * @param value the measured value
    */
   record Observe(String name, String label, double value) implements TraceEffect {}
@@ -48,8 +48,8 @@
   /**
    * Writes a log line.
    *
-   * @param warning whether an operator should look at it
-   * @param part prefix of the part, such as {@code raft}
+   * @param warning whether to log at warning level, for an operator's attention
+   * @param part log prefix of the part, such as {@code raft}
    * @param sentence one short sentence
    */
   record LogLine(boolean warning, String part, String sentence) implements TraceEffect {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/UpstreamEffect.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/UpstreamEffect.java
@@ -4,21 +4,22 @@
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.upstream.UpstreamRun;
 
-/** Calls to upstreams and supporting services. */
+/** Calls to upstreams and supporting services, carried out by the HTTP clients. */
 public sealed interface UpstreamEffect extends Effect {
 
   /**
-   * Sends a draft to an engine.
+   * Sends an attempt of a draft request to an engine.
    *
    * @param attemptId id of the attempt
    * @param upstream id of the upstream
-   * @param host IP number of the upstream
+   * @param host IP address of the upstream
    * @param port port of the upstream
    * @param request the caller's request
    * @param version model and version to run
-   * @param resumeOffset tokens of the answer that are already there
-   * @param priority priority for the engine, 0 to 9
-   * @param timeoutMillis longest silence before the attempt fails, in milliseconds
+   * @param resumeOffset number of tokens of the answer that have already been received
+   * @param priority priority at the engine, from 0 (most urgent) to 9
+   * @param timeoutMillis maximum time without a received byte before the attempt fails, in
+   *     milliseconds
    */
   record DispatchDraft(
       String attemptId,
@@ -33,14 +34,14 @@
       implements UpstreamEffect {}
 
   /**
-   * Sends a call to a plain service.
+   * Sends an attempt of a call to a plain service.
    *
    * @param attemptId id of the attempt
    * @param upstream id of the upstream
-   * @param host IP number of the upstream
+   * @param host IP address of the upstream
    * @param port port of the upstream
    * @param request the caller's request
-   * @param timeoutMillis time for the whole call, in milliseconds
+   * @param timeoutMillis timeout of the complete call, in milliseconds
    */
   record DispatchCall(
       String attemptId,
@@ -52,31 +53,32 @@
       implements UpstreamEffect {}
 
   /**
-   * Gives up an attempt: closes its connection and tells an engine to cancel. No event follows.
+   * Cancels an attempt: closes its connection and sends a cancellation to an engine. No event of
+   * the attempt follows.
    *
    * @param attemptId id of the attempt
    */
   record CancelAttempt(String attemptId) implements UpstreamEffect {}
 
   /**
-   * Opens a connection to an upstream and closes it again; {@link
-   * org.skylarkfork.core.event.UpstreamEvent.UpstreamProbed} tells whether it could be opened.
+   * Probes an upstream by opening and closing a connection; {@link
+   * org.skylarkfork.core.event.UpstreamEvent.UpstreamProbed} reports whether it could be opened.
    *
-   * @param upstream the start of the upstream that is meant
-   * @param host IP number of the upstream
+   * @param upstream the run of the upstream to probe
+   * @param host IP address of the upstream
    * @param port port of the upstream
    */
   record ProbeUpstream(UpstreamRun upstream, String host, int port) implements UpstreamEffect {}
 
   /**
-   * Asks the rating service for a rating.
+   * Requests a rating of an answer from the rating service.
    *
    * @param requestId id of the request
    * @param attemptId id of the attempt that gave the answer
-   * @param version model and version that gave it
+   * @param version model and version that gave the answer
    * @param prompt prompt of the request
-   * @param answer text to rate
-   * @param timeoutMillis how long to wait, in milliseconds
+   * @param answer text of the answer to rate
+   * @param timeoutMillis timeout of the call, in milliseconds
    */
   record RequestRating(
       String requestId,
@@ -88,17 +90,17 @@
       implements UpstreamEffect {}
 
   /**
-   * Orders an engine to load or unload something or to change its role.
+   * Sends an order to an engine to load or unload a model or adapter, or to change its role.
    *
-   * @param orderId id of the order; a repeat has the same
+   * @param orderId id of the order; a resend has the same id
    * @param upstream id of the upstream
-   * @param host IP number of the upstream
+   * @param host IP address of the upstream
    * @param port port of the upstream
-   * @param fencingNumber number of the lease under which the order is given
+   * @param fencingNumber fencing number of the lease under which the order is sent
    * @param kind {@code load}, {@code unload} or {@code role}
-   * @param version model and version; for a change of role those that it runs
-   * @param argument adapter or role, or empty
-   * @param timeoutMillis how long to wait, in milliseconds
+   * @param version model and version; for a change of role, those that the engine runs
+   * @param argument adapter to load or unload, or new role, or empty
+   * @param timeoutMillis timeout of the call, in milliseconds
    */
   record SendOrder(
       String orderId,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/package-info.java
@@ -1,4 +1,4 @@
-/** Everything a daemon can do, as data. */
+/** Effects: all outputs of a daemon's reducer, as immutable data. */
 @NullMarked
 package org.skylarkfork.core.effect;
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/event/AdmissionEvent.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/event/AdmissionEvent.java
@@ -2,21 +2,23 @@
 
 import org.skylarkfork.core.error.RoutingError;
 
-/** What becomes of requests that had to wait; raised within the reducer. */
+/**
+ * Outcomes of requests that waited for admission; raised within the reducer by the admission part.
+ */
 public sealed interface AdmissionEvent extends Event {
 
   /**
-   * A waiting request may start now.
+   * Admits a waiting request, which may start now.
    *
    * @param requestId id of the request
    */
   record Admitted(String requestId) implements AdmissionEvent {}
 
   /**
-   * A waiting request is refused; it was not run.
+   * Refuses a waiting request, which has not been run.
    *
    * @param requestId id of the request
-   * @param error why, and when to come back
+   * @param error reason of the refusal, and when to retry
    */
   record WaitRefused(String requestId, RoutingError error) implements AdmissionEvent {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/event/Event.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/event/Event.java
@@ -1,6 +1,6 @@
 package org.skylarkfork.core.event;
 
-/** Something that happened, given to the reducer together with the present time. */
+/** An input of the reducer, passed to it together with the current time. */
 public sealed interface Event
     permits StorageEvent,
         PeerEvent,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/event/LifecycleEvent.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/event/LifecycleEvent.java
@@ -1,17 +1,23 @@
 package org.skylarkfork.core.event;
 
-/** The daemon's own start, passing of time and stop. */
+/** Events of the daemon's life cycle: its start, timer ticks and its stop. */
 public sealed interface LifecycleEvent extends Event {
 
-  /** The daemon's listeners are open and its stored state is recovered. */
+  /** The daemon has opened its listeners and recovered its stored state. */
   record Started() implements LifecycleEvent {}
 
-  /** Time passed; comes every {@code Reducer.TICK} so that deadlines are looked at. */
+  /**
+   * Periodic timer tick, submitted every {@code Reducer.TICK}, at which parts check their
+   * deadlines.
+   */
   record Tick() implements LifecycleEvent {}
 
-  /** The operator or the system asked the daemon to stop gracefully. */
+  /** The operator or the operating system requested a graceful shutdown. */
   record StopRequested() implements LifecycleEvent {}
 
-  /** All requests are done and the daemon ends; what parts send now is sent before it does. */
+  /**
+   * All requests have ended and the daemon is about to exit. Messages that parts send in response
+   * are sent before the exit.
+   */
   record Ending() implements LifecycleEvent {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/event/OperatorEvent.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/event/OperatorEvent.java
@@ -4,28 +4,29 @@
 import org.skylarkfork.core.configuration.ConfigurationChange;
 import org.skylarkfork.core.request.CallerRequest;
 
-/** What operators ask for. */
+/** Queries and commands of operators, submitted by the operators' HTTP interface. */
 public sealed interface OperatorEvent extends Event {
 
-  /** Returns the id by which the answer finds its way back. */
+  /** Returns the id that matches the answer with the call. */
   String callId();
 
   /**
-   * An operator asks which rule a request would match.
+   * Queries which rule a request would match.
    *
    * @param callId id of the call
    * @param team name of the team that would send it
-   * @param request the request; it is not run
+   * @param request the request, which is not run
    */
   record DryRun(String callId, String team, CallerRequest request) implements OperatorEvent {}
 
   /**
-   * An operator asks for a change.
+   * Requests a change of the configuration.
    *
    * @param callId id of the call
    * @param operatorKeyHash SHA-256 in lower-case hex of the operator's key
-   * @param changeId the operator's id for the change; a resend has the same
-   * @param expectedRevision revision that the operator saw, or null to apply to whichever it is
+   * @param changeId the operator's id for the change; a resend has the same id
+   * @param expectedRevision revision that the change is based on, or null to apply the change to
+   *     any revision
    * @param change the change
    */
   record ChangeRequested(
@@ -37,7 +38,7 @@
       implements OperatorEvent {}
 
   /**
-   * An operator asks for the configuration applied on this daemon.
+   * Queries the configuration that is applied on this daemon.
    *
    * @param callId id of the call
    * @param operatorKeyHash SHA-256 in lower-case hex of the operator's key
@@ -45,7 +46,7 @@
   record ConfigurationRequested(String callId, String operatorKeyHash) implements OperatorEvent {}
 
   /**
-   * An operator asks for an old revision.
+   * Queries the configuration of an old revision.
    *
    * @param callId id of the call
    * @param operatorKeyHash SHA-256 in lower-case hex of the operator's key
@@ -55,29 +56,29 @@
       implements OperatorEvent {}
 
   /**
-   * An operator asks which changes were accepted.
+   * Queries the accepted changes, newest first.
    *
    * @param callId id of the call
    * @param operatorKeyHash SHA-256 in lower-case hex of the operator's key
-   * @param before only revisions below this one, or 0 for the newest
-   * @param most how many at most; bounded to 200
+   * @param before exclusive upper bound of the returned revisions, or 0 to begin at the newest
+   * @param most maximum number of changes; at most 200 are returned
    */
   record HistoryRequested(String callId, String operatorKeyHash, long before, int most)
       implements OperatorEvent {}
 
   /**
-   * An operator asks what differs between two revisions.
+   * Queries the differences between two revisions.
    *
    * @param callId id of the call
    * @param operatorKeyHash SHA-256 in lower-case hex of the operator's key
-   * @param from the one revision
-   * @param to the other revision, older or newer
+   * @param from revision to compare from
+   * @param to revision to compare to, older or newer
    */
   record DifferenceRequested(String callId, String operatorKeyHash, long from, long to)
       implements OperatorEvent {}
 
   /**
-   * An operator asks whether a revision is in force everywhere.
+   * Queries whether a revision is in force on all daemons.
    *
    * @param callId id of the call
    * @param operatorKeyHash SHA-256 in lower-case hex of the operator's key
@@ -87,11 +88,12 @@
       implements OperatorEvent {}
 
   /**
-   * An operator takes a control VM into all replicated groups or out of them; the key was checked.
+   * Requests that a control VM be added to or removed from all replicated groups. The operator's
+   * key has already been checked.
    *
    * @param callId id of the call
    * @param node node name of the control VM
-   * @param admit whether it is taken in, else it is taken out
+   * @param admit true to add the control VM, false to remove it
    */
   record ControlVmRequested(String callId, String node, boolean admit) implements OperatorEvent {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/event/PeerEvent.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/event/PeerEvent.java
@@ -2,21 +2,21 @@
 
 import org.skylarkfork.core.message.PeerMessage;
 
-/** What comes from other daemons. */
+/** Events of the connections to other daemons, submitted by the peer transport. */
 public sealed interface PeerEvent extends Event {
 
   /**
-   * A message arrived on a connection that was greeted.
+   * A message was received on a connection whose handshake is complete.
    *
-   * @param node name that the sender gave in its greeting
-   * @param message what it sent
+   * @param node node name that the sender gave in its handshake
+   * @param message the received message
    */
   record MessageReceived(String node, PeerMessage message) implements PeerEvent {}
 
   /**
    * A connection to or from a daemon was lost.
    *
-   * @param node name of the daemon
+   * @param node node name of the daemon
    */
   record ConnectionLost(String node) implements PeerEvent {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/event/RelayEvent.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/event/RelayEvent.java
@@ -9,54 +9,56 @@
 import org.skylarkfork.core.relay.UpstreamInstance;
 import org.skylarkfork.core.upstream.UpstreamRun;
 
-/** What happens at the relay. */
+/** Events of the relay, submitted by its network front end. */
 public sealed interface RelayEvent extends Event {
 
   /**
-   * An operator or an upstream asks for something that the control VMs agree on.
+   * An operator or an upstream submitted a command, which the control VMs replicate and commit.
    *
-   * @param callId id of the call, repeated in the answer
-   * @param command what is asked for
-   * @param limitMillis longest time until the answer, in milliseconds
+   * @param callId id of the call, echoed in the answer
+   * @param command the submitted command
+   * @param limitMillis maximum time until the answer, in milliseconds
    */
   record CommandAsked(long callId, RelayCommand command, long limitMillis) implements RelayEvent {}
 
   /**
-   * An upstream announced itself to this daemon.
+   * A heartbeat of an upstream was received by this daemon.
    *
-   * @param instance what it told
+   * @param instance the content of the heartbeat
    */
   record HeartbeatReceived(UpstreamInstance instance) implements RelayEvent {}
 
   /**
-   * The settings name other control VMs than before.
+   * The control VMs in the settings have changed.
    *
-   * @param nodes peer names of control VMs to ask
+   * @param nodes node names of the control VMs to poll
    */
   record SeedsChanged(List<String> nodes) implements RelayEvent {
 
-    /** Copies the list. */
+    /** Copies the list of nodes. */
     public SeedsChanged {
       nodes = List.copyOf(nodes);
     }
   }
 
   /**
-   * A whole request was read from a caller.
+   * A complete request was read from a caller.
    *
-   * @param request its head
+   * @param request the head of the request
    */
   record RequestArrived(RelayRequest request) implements RelayEvent {}
 
   /**
-   * An upstream's answer to an attempt can be given to the caller.
+   * An upstream's answer to an attempt began and can be forwarded to the caller.
    *
    * @param request number of the request
    * @param attempt number of the attempt
-   * @param status status of the answer
-   * @param notRun whether the upstream states that it did not run the request
-   * @param confidence the model's opinion of its answer from 0 to 100, or null if it gave none
-   * @param rateLimit limit that the upstream names, or null if what it says can't be read
+   * @param status HTTP status of the answer
+   * @param notRun whether the upstream reports that it did not run the request
+   * @param confidence the model's confidence in its answer, from 0 to 100, or null if it reported
+   *     none
+   * @param rateLimit rate limit that the upstream reports, or null if the reported value can't be
+   *     parsed
    */
   record AnswerBegan(
       long request,
@@ -67,7 +69,7 @@
       @Nullable RateLimit rateLimit)
       implements RelayEvent {
 
-    /** Makes the beginning of an answer that names no rate limit. */
+    /** Creates the event for an answer that reports no rate limit. */
     public AnswerBegan(
         long request, int attempt, int status, boolean notRun, @Nullable Integer confidence) {
       this(request, attempt, status, notRun, confidence, RateLimit.NONE);
@@ -75,34 +77,36 @@
   }
 
   /**
-   * An attempt failed, or its stream broke off.
+   * An attempt failed, or the stream of its answer was cut off.
    *
    * @param request number of the request
    * @param attempt number of the attempt
-   * @param failure how
-   * @param lastEventId newest event that the caller was given, or null if none
+   * @param failure kind of the failure
+   * @param lastEventId id of the last stream event that was forwarded to the caller, or null if
+   *     none
    */
   record AttemptFailed(
       long request, int attempt, AttemptFailure failure, @Nullable String lastEventId)
       implements RelayEvent {}
 
   /**
-   * A stream that has begun has been silent for the time that its attempt names, or for one more
-   * such time.
+   * A stream that has begun has been silent for the silence timeout of its attempt, or for another
+   * multiple of it.
    *
    * @param request number of the request
    * @param attempt number of the attempt
-   * @param lastEventId newest event that the caller was given, or null if none
-   * @param silentMillis time since its newest byte, in milliseconds
+   * @param lastEventId id of the last stream event that was forwarded to the caller, or null if
+   *     none
+   * @param silentMillis time since the last received byte, in milliseconds
    */
   record AnswerSilent(long request, int attempt, @Nullable String lastEventId, long silentMillis)
       implements RelayEvent {}
 
   /**
-   * It is known whether an upstream still takes connections.
+   * A probe determined whether an upstream still accepts connections.
    *
-   * @param upstream the start of it that was meant
-   * @param reachable whether it takes connections
+   * @param upstream the run of the upstream that was probed
+   * @param reachable whether the upstream accepts connections
    */
   record UpstreamProbed(UpstreamRun upstream, boolean reachable) implements RelayEvent {}
 
@@ -115,7 +119,7 @@
   record AnswerEnded(long request, int attempt) implements RelayEvent {}
 
   /**
-   * The caller's connection was closed before its answer was complete.
+   * The caller closed its connection before its answer was complete.
    *
    * @param request number of the request
    */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/event/SessionEvent.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/event/SessionEvent.java
@@ -1,12 +1,12 @@
 package org.skylarkfork.core.event;
 
-/** Answers of the owners of sessions; raised within the reducer. */
+/** Results of the session part; raised within the reducer. */
 public sealed interface SessionEvent extends Event {
 
   /**
-   * The pins of a request's session are known now, as far as any owner answered in time.
+   * The lookup of a session's pins has ended: an owner answered, or none did in time.
    *
-   * @param requestId id of the request that asked
+   * @param requestId id of the request that waits for the pins
    */
   record PinsResolved(String requestId) implements SessionEvent {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/event/StorageEvent.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/event/StorageEvent.java
@@ -7,18 +7,19 @@
 import org.skylarkfork.core.command.LogEntry;
 import org.skylarkfork.core.command.Snapshot;
 
-/** What the data folder answers. */
+/** Results of reads and writes of the data folder, submitted by the storage. */
 public sealed interface StorageEvent extends Event {
 
-  /** Returns the group that the data is of. */
+  /** Returns the group that the data belongs to. */
   GroupId group();
 
   /**
-   * What the data folder held at the start; comes once for each group before any other event of it.
+   * The content of the data folder at the start; submitted once for each group, before any other
+   * storage event of that group.
    *
-   * @param group whose state it is
-   * @param hardState newest hard state, or null on an empty disk
-   * @param snapshot newest snapshot, or null if none was saved
+   * @param group group that the state belongs to
+   * @param hardState newest hard state, or null if the disk is empty
+   * @param snapshot newest snapshot, or null if none has been saved
    * @param entries log entries after the snapshot
    */
   record Recovered(
@@ -35,26 +36,26 @@
   }
 
   /**
-   * A write is synced, and with it each earlier write of the group.
+   * A write of a group and all earlier writes of that group are synced to the disk.
    *
-   * @param group whose write it is
-   * @param sequence the number given in {@code StorageEffect.Persist}
+   * @param group group that the write belongs to
+   * @param sequence sequence number of the write, as in {@code StorageEffect.Persist}
    */
   record Persisted(GroupId group, long sequence) implements StorageEvent {}
 
   /**
-   * A snapshot is synced.
+   * A snapshot is synced to the disk.
    *
-   * @param group whose snapshot it is
+   * @param group group that the snapshot belongs to
    * @param index last index that the snapshot covers
    */
   record SnapshotSaved(GroupId group, long index) implements StorageEvent {}
 
   /**
-   * A write or sync failed; nothing later is written for the group in this process.
+   * A write or sync failed; this process writes nothing more for the group.
    *
-   * @param group whose write failed
-   * @param detail what the file system said
+   * @param group group that the write belongs to
+   * @param detail error of the file system
    */
   record Failed(GroupId group, String detail) implements StorageEvent {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/event/UpstreamEvent.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/event/UpstreamEvent.java
@@ -8,24 +8,27 @@
 import org.skylarkfork.core.upstream.Announcement;
 import org.skylarkfork.core.upstream.UpstreamRun;
 
-/** What upstreams and supporting services do. */
+/**
+ * Events of upstreams and supporting services, submitted by the HTTP clients and, for
+ * announcements, by the HTTP server.
+ */
 public sealed interface UpstreamEvent extends Event {
 
   /**
-   * An upstream announced itself to this daemon.
+   * An announcement of an upstream was received by this daemon.
    *
-   * @param announcement what it said
+   * @param announcement the announcement
    */
   record Announced(Announcement announcement) implements UpstreamEvent {}
 
   /**
-   * An engine sent further tokens of an answer.
+   * An engine sent more tokens of an answer.
    *
-   * @param attemptId id of the attempt whose connection they came on
-   * @param echoedRequestId request id that the upstream gave, or null if it gave none
-   * @param offset number of tokens of the answer before these, resume offset included
-   * @param tokens how many tokens
-   * @param text their text
+   * @param attemptId id of the attempt on whose connection the tokens were received
+   * @param echoedRequestId request id that the upstream echoed, or null if it echoed none
+   * @param offset number of tokens of the answer before these, including the resume offset
+   * @param tokens number of tokens
+   * @param text text of the tokens
    */
   record TokensArrived(
       String attemptId, @Nullable String echoedRequestId, long offset, int tokens, String text)
@@ -35,22 +38,22 @@
    * An engine ended its answer with its final frame.
    *
    * @param attemptId id of the attempt
-   * @param echoedRequestId request id that the upstream gave, or null if it gave none
-   * @param finishReason why it ended, such as {@code stop} or {@code length}
-   * @param usage tokens counted for this attempt
+   * @param echoedRequestId request id that the upstream echoed, or null if it echoed none
+   * @param finishReason why the answer ended, such as {@code stop} or {@code length}
+   * @param usage tokens that the engine counted for this attempt
    */
   record DraftFinished(
       String attemptId, @Nullable String echoedRequestId, String finishReason, Usage usage)
       implements UpstreamEvent {}
 
   /**
-   * A plain service sent its whole answer.
+   * A plain service sent its complete answer.
    *
    * @param attemptId id of the attempt
-   * @param echoedRequestId request id that the upstream gave, or null if it gave none
+   * @param echoedRequestId request id that the upstream echoed, or null if it echoed none
    * @param status HTTP status
-   * @param headers headers to pass on
-   * @param body whole body
+   * @param headers headers to forward to the caller
+   * @param body complete body
    */
   record ServiceAnswered(
       String attemptId,
@@ -67,38 +70,39 @@
   }
 
   /**
-   * An attempt ended without its whole answer; nothing more comes of it.
+   * An attempt ended without a complete answer; no further event of the attempt follows.
    *
    * @param attemptId id of the attempt
-   * @param moment how far it had got
-   * @param detail what the connection or the upstream said
+   * @param moment stage that the attempt had reached
+   * @param detail error of the connection or of the upstream
    */
   record AttemptFailed(String attemptId, AttemptStage moment, String detail)
       implements UpstreamEvent {}
 
-  /** How far an attempt had got when it failed, as the sender knows for certain. */
+  /** The stage that an attempt had certainly reached when it failed. */
   enum AttemptStage {
-    /** No connection stood, so no byte was sent. */
+    /** No connection was established, so no byte was sent. */
     BEFORE_CONNECT,
-    /** A connection stood and no byte of the request was handed to it. */
+    /** A connection was established and no byte of the request was written to it. */
     CONNECTED,
     /** Part of the request may have been sent. */
     PARTLY_WRITTEN,
-    /** The whole request was sent and nothing came back. */
+    /** The complete request was sent and no byte of an answer was received. */
     WRITTEN,
     /** The answer had begun. */
     ANSWER_BEGUN,
-    /** The upstream said in its protocol that it did not start the request. */
+    /** The upstream reported by its protocol that it did not start the request. */
     REFUSED_NOT_STARTED,
-    /** The upstream answered with an error and so may have run the request. */
+    /** The upstream answered with an error, so it may have run the request. */
     REFUSED_STARTED
   }
 
   /**
-   * A connection was opened to an upstream to learn whether it still runs, or could not be.
+   * A connection attempt to an upstream, made to determine whether it still runs, succeeded or
+   * failed.
    *
-   * @param upstream the start of the upstream that was meant
-   * @param reachable whether it takes connections
+   * @param upstream the run of the upstream that was probed
+   * @param reachable whether the upstream accepts connections
    */
   record UpstreamProbed(UpstreamRun upstream, boolean reachable) implements UpstreamEvent {}
 
@@ -107,41 +111,42 @@
    *
    * @param requestId id of the request
    * @param attemptId id of the attempt that gave the answer
-   * @param score from 0, useless, to 1, perfect
+   * @param score rating from 0 (useless) to 1 (perfect)
    */
   record Rated(String requestId, String attemptId, double score) implements UpstreamEvent {}
 
   /**
-   * The rating service failed or was too late; no rating comes.
+   * The rating service failed or timed out; no rating follows.
    *
    * @param requestId id of the request
    * @param attemptId id of the attempt that gave the answer
-   * @param detail what went wrong
+   * @param detail error message
    */
   record RatingMissing(String requestId, String attemptId, String detail)
       implements UpstreamEvent {}
 
   /**
-   * An upstream answered an order, or the order's sending failed.
+   * An upstream answered an order, or the order could not be sent.
    *
    * @param orderId id of the order
-   * @param outcome what came of it
-   * @param newestFencingNumber newest number that the upstream knows, or null if it didn't say
-   * @param detail what it said
+   * @param outcome outcome of the order
+   * @param newestFencingNumber highest fencing number that the upstream knows, or null if it
+   *     reported none
+   * @param detail message of the upstream, or the error of the sending
    */
   record OrderAnswered(
       String orderId, OrderOutcome outcome, @Nullable Long newestFencingNumber, String detail)
       implements UpstreamEvent {}
 
-  /** What came of an order. */
+  /** Outcome of an order. */
   enum OrderOutcome {
-    /** It is carried out. */
+    /** The order was carried out. */
     DONE,
-    /** It was refused because a higher fencing number was seen. */
+    /** The order was refused because the upstream knows a higher fencing number. */
     STALE,
-    /** It was refused and not carried out. */
+    /** The order was refused and not carried out. */
     REFUSED,
-    /** It may or may not have been carried out. */
+    /** The order may or may not have been carried out. */
     UNKNOWN
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/event/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/event/package-info.java
@@ -1,4 +1,4 @@
-/** Everything that can happen to a daemon, as data. */
+/** Events: all inputs of a daemon's reducer, as immutable data. */
 @NullMarked
 package org.skylarkfork.core.event;
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/message/ConfigurationMessage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/message/ConfigurationMessage.java
@@ -8,18 +8,23 @@
 import org.skylarkfork.core.effect.OperatorEffect;
 import org.skylarkfork.core.event.OperatorEvent;
 
-/** Messages that spread the configuration and its leases from the control voters to all daemons. */
+/**
+ * Messages that distribute the configuration and its leases from the control voters to all daemons.
+ */
 public sealed interface ConfigurationMessage extends PeerMessage {
 
   /**
-   * Subscribes, renews the configuration lease and acknowledges, all in one.
+   * Subscribes to a source, renews the configuration lease and acknowledges the applied revision. A
+   * subscriber sends it to its source once per renewal interval, and earlier to report a risen
+   * {@code floor} or to repair a gap.
    *
-   * @param haveRevision newest revision applied by the sender; 0 asks for a full copy
-   * @param sentAt the sender's time, which the grant repeats
-   * @param floor revision that the sender and all daemons that have a lease from it have reached
-   * @param lagging daemons below the sender's revision, at most a few of them
-   * @param laggingCount how many there are
-   * @param repair whether the sender found a gap and wants what it misses at once
+   * @param haveRevision newest revision that the sender has applied; 0 requests a full copy
+   * @param sentAt time of sending on the sender's clock, echoed in the grant
+   * @param floor lowest revision that the sender and every daemon with a lease from it have applied
+   * @param lagging daemons below the sender's revision; a bounded excerpt of all of them
+   * @param laggingCount number of all daemons below the sender's revision
+   * @param repair whether the sender found a gap between revisions and requests the missing ones at
+   *     once
    */
   record Renew(
       long haveRevision,
@@ -30,35 +35,35 @@
       boolean repair)
       implements ConfigurationMessage {
 
-    /** Copies the list. */
+    /** Copies the list of lagging daemons. */
     public Renew {
       lagging = List.copyOf(lagging);
     }
   }
 
   /**
-   * A daemon that still may serve under an older revision.
+   * A daemon that may still serve under an older revision.
    *
-   * @param node its name
-   * @param revision the revision that it may serve under
-   * @param leaseLeft how long its lease at that revision lasts at most
+   * @param node node name of the daemon
+   * @param revision revision that the daemon may still serve under
+   * @param leaseLeft upper bound of the remaining time of its lease at that revision
    */
   record LaggingEntry(String node, long revision, Duration leaseLeft) {}
 
   /**
-   * Grants or extends a configuration lease.
+   * Grants or extends a configuration lease; a source's answer to {@link Renew}.
    *
-   * @param requestSentAt time of the subscriber's request, on the subscriber's clock
-   * @param remaining how long the lease lasts from the time of that request
-   * @param revision the lease holds only for a daemon that has applied this revision
+   * @param requestSentAt {@code sentAt} of the subscriber's request, on the subscriber's clock
+   * @param remaining duration of the lease, counted from {@code requestSentAt}
+   * @param revision revision that the subscriber must have applied for the lease to be valid
    */
   record LeaseGrant(Instant requestSentAt, Duration remaining, long revision)
       implements ConfigurationMessage {}
 
   /**
-   * Brings newer revisions.
+   * Carries newer revisions from a source to a subscriber.
    *
-   * @param steps the steps in order, without gaps between them
+   * @param steps steps in ascending order of revisions, without gaps between them
    */
   record Push(List<ConfigurationStep> steps) implements ConfigurationMessage {
 
@@ -69,11 +74,11 @@
   }
 
   /**
-   * Brings a part of a full copy.
+   * Carries one chunk of a full copy of the configuration from a source to a subscriber.
    *
    * @param revision revision of the copy
-   * @param index number of the part, from 0
-   * @param count number of parts
+   * @param index index of the chunk, from 0
+   * @param count number of chunks of the copy
    * @param differences differences from the empty configuration
    */
   record CopyChunk(long revision, int index, int count, List<ConfigurationDifference> differences)
@@ -86,28 +91,32 @@
   }
 
   /**
-   * Asks for the next part of a full copy.
+   * Requests the next chunk of a full copy; sent by a subscriber to its source.
    *
    * @param revision revision of the copy
-   * @param index number of the part
+   * @param index index of the chunk, from 0
    */
   record CopyRequest(long revision, int index) implements ConfigurationMessage {}
 
-  /** Tells a subscriber to subscribe elsewhere: the sender is full or has no lease itself. */
+  /**
+   * Rejects a subscriber, which then tries another source: the sender has no room for another
+   * subscriber or holds no lease itself.
+   */
   record TryOther() implements ConfigurationMessage {}
 
   /**
-   * Passes an operator's question on to a control voter.
+   * Forwards an operator's query to a control voter.
    *
-   * @param origin daemon that the operator asked, which gets the answer
-   * @param hops how often it was passed on
-   * @param call the question
+   * @param origin node name of the daemon that received the query from the operator, and to which
+   *     the answer is sent
+   * @param hops number of times that the query has been forwarded
+   * @param call the query
    */
   record OperatorCall(String origin, int hops, OperatorEvent call)
       implements ConfigurationMessage {}
 
   /**
-   * Brings the answer to an operator's question.
+   * Carries the answer to an operator's query back to the daemon that received it.
    *
    * @param answer the answer
    */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/message/CrashMessage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/message/CrashMessage.java
@@ -4,14 +4,17 @@
 import org.skylarkfork.core.crash.RequestKey;
 import org.skylarkfork.core.upstream.UpstreamRun;
 
-/** What entries tell those that judge which requests end their upstreams. */
+/**
+ * Reports of entries to the crash reviewers, which determine the requests that crash the upstreams
+ * that run them.
+ */
 public sealed interface CrashMessage extends PeerMessage {
 
   /**
-   * An upstream ended while it ran requests of an entry.
+   * Reports that an upstream ended while it ran requests of the sending entry.
    *
-   * @param upstream the start of the upstream that ended
-   * @param lost the requests that were lost there
+   * @param upstream the run of the upstream that ended
+   * @param lost the sender's requests that were lost with it
    */
   record UpstreamEnded(UpstreamRun upstream, List<LostRequest> lost) implements CrashMessage {
 
@@ -22,18 +25,18 @@
   }
 
   /**
-   * A request that was lost as its upstream ended.
+   * A request that was lost when its upstream ended.
    *
-   * @param key what it has in common with the same request sent again
-   * @param sentMillis time since its attempt was sent, in milliseconds
-   * @param lostMillis time since it was lost, in milliseconds
+   * @param key key that identifies the request across resends
+   * @param sentMillis time since the attempt was sent to the upstream, in milliseconds
+   * @param lostMillis time since the request was lost, in milliseconds
    */
   record LostRequest(RequestKey key, int sentMillis, int lostMillis) {}
 
   /**
-   * A request was answered whole that had been told as lost.
+   * Reports that a request received its complete answer after it had been reported as lost.
    *
-   * @param key what it has in common with the same request sent again
+   * @param key key that identifies the request across resends
    */
   record RequestServed(RequestKey key) implements CrashMessage {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/message/DirectoryMessage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/message/DirectoryMessage.java
@@ -5,14 +5,14 @@
 import org.skylarkfork.core.upstream.LoadReport;
 import org.skylarkfork.core.upstream.UpstreamRecord;
 
-/** Messages by which daemons spread what they know of upstreams. */
+/** Messages by which daemons disseminate the directory of upstreams. */
 public sealed interface DirectoryMessage extends PeerMessage {
 
   /**
-   * Passes on changes of upstreams.
+   * Disseminates changed records of upstreams.
    *
    * @param records the newest records of the changed upstreams
-   * @param forward whether the receiver is to pass them on to the daemons of its zone
+   * @param forward whether the receiver has to forward the records to the daemons of its zone
    */
   record Changes(List<UpstreamRecord> records, boolean forward) implements DirectoryMessage {
 
@@ -23,23 +23,24 @@
   }
 
   /**
-   * Passes an announcement on to the daemon that speaks for the upstream.
+   * Forwards an announcement from the daemon that received it to the daemon that owns the upstream.
    *
-   * @param announcement the announcement as the sender heard it
+   * @param announcement the announcement as the sender received it
    */
   record Heard(Announcement announcement) implements DirectoryMessage {}
 
   /**
-   * Starts a comparison; answered by {@link BucketHashes} if the receiver knows other things.
+   * Starts an anti-entropy comparison; a receiver whose hash differs answers with {@link
+   * BucketHashes}.
    *
-   * @param hash hash of all live records
+   * @param hash hash of all of the sender's live records
    */
   record RootHash(long hash) implements DirectoryMessage {}
 
   /**
-   * Names what the sender's records look like in each bucket.
+   * Carries the hash of the sender's records in each bucket.
    *
-   * @param hashes one hash a bucket
+   * @param hashes one hash per bucket, in the order of the buckets
    */
   record BucketHashes(List<Long> hashes) implements DirectoryMessage {
 
@@ -50,10 +51,11 @@
   }
 
   /**
-   * Lists the sender's records of some buckets; answered with newer ones and {@link Wanted}.
+   * Lists the versions of the sender's records in some buckets; the receiver answers with its newer
+   * records and with {@link Wanted} for those that it lacks.
    *
-   * @param buckets numbers of the buckets
-   * @param versions what the sender has in them
+   * @param buckets indexes of the buckets
+   * @param versions versions of all of the sender's records in these buckets
    */
   record BucketVersions(List<Integer> buckets, List<RecordVersion> versions)
       implements DirectoryMessage {
@@ -66,18 +68,18 @@
   }
 
   /**
-   * Tells how new a record is.
+   * The version of a record, without its content.
    *
    * @param id name of the upstream
-   * @param incarnation number of its process
-   * @param sequence number of the record
-   * @param owner name of the daemon that speaks for the upstream
-   * @param live whether the upstream counts as there
+   * @param incarnation incarnation number of the upstream's process
+   * @param sequence sequence number of the record, rising with each change
+   * @param owner node name of the daemon that owns the upstream
+   * @param live whether the upstream is considered live
    */
   record RecordVersion(String id, long incarnation, long sequence, String owner, boolean live) {}
 
   /**
-   * Asks for records that the sender lacks.
+   * Requests the records that the sender lacks or has in an older version.
    *
    * @param ids names of the upstreams
    */
@@ -90,10 +92,11 @@
   }
 
   /**
-   * Asks the daemon that speaks for upstreams for their loads, for a while.
+   * Subscribes to load reports of upstreams at the daemon that owns them. The subscription expires
+   * unless the sender repeats it.
    *
-   * @param ids names of the upstreams; replaces an earlier list
-   * @param everyMillis shortest time between two reports of an upstream, in milliseconds
+   * @param ids names of the upstreams; replaces the list of an earlier subscription of the sender
+   * @param everyMillis minimum time between two reports of the same upstream, in milliseconds
    */
   record FollowLoads(List<String> ids, long everyMillis) implements DirectoryMessage {
 
@@ -104,9 +107,9 @@
   }
 
   /**
-   * Tells loads that have changed.
+   * Reports loads that have changed to a subscriber.
    *
-   * @param loads one for each upstream concerned
+   * @param loads one load for each upstream whose load has changed
    */
   record Loads(List<UpstreamLoad> loads) implements DirectoryMessage {
 
@@ -117,11 +120,11 @@
   }
 
   /**
-   * The load of an upstream.
+   * The load of one upstream.
    *
    * @param id name of the upstream
-   * @param incarnation number of its process
-   * @param load what it said of its load
+   * @param incarnation incarnation number of the upstream's process
+   * @param load load that the upstream last announced
    */
   record UpstreamLoad(String id, long incarnation, LoadReport load) {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/message/LedgerMessage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/message/LedgerMessage.java
@@ -4,17 +4,19 @@
 import org.skylarkfork.core.command.GroupId;
 import org.skylarkfork.core.ledger.NumberedBill;
 
-/** Messages by which entries keep each other's bills until they are committed. */
+/** Messages by which entries replicate their bills to backups until the bills are committed. */
 public sealed interface LedgerMessage extends PeerMessage {
 
   /**
-   * Asks a peer to keep bills until they are settled, and tells which are settled.
+   * Requests a backup to retain bills until they are settled, and reports which bills are settled.
    *
    * @param group ledger group that the bills are for
-   * @param incarnation number of the sender's process
-   * @param round rises whenever the sender starts again from its oldest unsettled bill
-   * @param settledUpTo all numbers up to this one are committed and need not be kept
-   * @param bills bills in rising order of their numbers; empty to tell only what is settled
+   * @param incarnation incarnation number of the sender's process
+   * @param round number that rises whenever the sender restarts from its oldest unsettled bill
+   * @param settledUpTo number of the last bill of the settled range: all bills up to it are
+   *     committed and the backup may drop them
+   * @param bills bills in ascending order of their numbers; empty if only {@code settledUpTo} is
+   *     reported
    */
   record BackupBills(
       GroupId group, long incarnation, long round, long settledUpTo, List<NumberedBill> bills)
@@ -27,12 +29,12 @@
   }
 
   /**
-   * Says that bills are kept.
+   * Acknowledges that the sender retains the bills of a {@link BackupBills} message.
    *
    * @param group ledger group that the bills are for
-   * @param incarnation number of the process that asked
-   * @param round round in which it asked
-   * @param upTo number of the last bill of the message that is acknowledged
+   * @param incarnation incarnation number of the requesting process
+   * @param round round of the acknowledged message
+   * @param upTo number of the last bill in the acknowledged message
    */
   record BackupAcknowledged(GroupId group, long incarnation, long round, long upTo)
       implements LedgerMessage {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/message/LimitMessage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/message/LimitMessage.java
@@ -4,14 +4,16 @@
 import java.time.Instant;
 import java.util.List;
 
-/** Messages by which entries lease shares of the teams' limits from one of them. */
+/**
+ * Messages by which entries lease shares of the teams' limits from the entry that allocates them.
+ */
 public sealed interface LimitMessage extends PeerMessage {
 
   /**
-   * Tells the entry that hands out teams' limits what the sender needs of them.
+   * Reports the sender's demand to the entry that allocates the teams' limits.
    *
-   * @param sentAt the sender's time, which the grant repeats
-   * @param teams one for each team with recent demand
+   * @param sentAt time of sending on the sender's clock, echoed in the grant
+   * @param teams one element for each team with recent demand
    */
   record Demand(Instant sentAt, List<TeamDemand> teams) implements LimitMessage {
 
@@ -22,15 +24,15 @@
   }
 
   /**
-   * What one team asks of the sender.
+   * The demand of one team at the sender.
    *
    * @param team name of the team
-   * @param running requests that run
-   * @param waiting requests that wait
-   * @param requestsPerSecond requests that arrive a second, whatever becomes of them
-   * @param tokensPerMinute tokens that they ask for a minute
-   * @param using {@code sentAt} of the grant that the sender uses; it ignores older ones from now
-   *     on
+   * @param running number of running requests
+   * @param waiting number of waiting requests
+   * @param requestsPerSecond requests that arrive per second, whether admitted or refused
+   * @param tokensPerMinute tokens that the arriving requests ask for per minute
+   * @param using {@code demandSentAt} of the grant in use at the sender, which ignores older grants
+   *     from now on
    */
   record TeamDemand(
       String team,
@@ -41,11 +43,12 @@
       Instant using) {}
 
   /**
-   * Leases shares of limits; replaces the sender's earlier grants for these teams.
+   * Leases shares of limits to the entry whose {@link Demand} it answers; replaces the sender's
+   * earlier grants for these teams.
    *
-   * @param demandSentAt time of the demand, on the receiver's clock
-   * @param lease how long the shares hold from the time of that demand
-   * @param teams one for each team that gets a share
+   * @param demandSentAt {@code sentAt} of the demand, on the receiver's clock
+   * @param lease duration of the leases, counted from {@code demandSentAt}
+   * @param teams one element for each team that receives a share
    */
   record Grant(Instant demandSentAt, Duration lease, List<TeamShare> teams)
       implements LimitMessage {
@@ -57,12 +60,13 @@
   }
 
   /**
-   * A share that comes on top of what each entry has without a lease; 0 means nothing.
+   * A share that an entry may use in addition to its unleased fraction of the limit; 0 grants
+   * nothing.
    *
    * @param team name of the team
-   * @param requestsPerSecond requests a second
-   * @param concurrentRequests requests at the same time
-   * @param tokensPerMinute tokens a minute
+   * @param requestsPerSecond requests per second
+   * @param concurrentRequests number of concurrent requests
+   * @param tokensPerMinute tokens per minute
    */
   record TeamShare(
       String team, double requestsPerSecond, int concurrentRequests, long tokensPerMinute) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/message/MembershipMessage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/message/MembershipMessage.java
@@ -3,18 +3,21 @@
 import java.util.List;
 import org.skylarkfork.core.membership.MemberUpdate;
 
-/** Messages by which daemons watch each other and spread who is there. */
+/** Messages by which daemons detect failures of each other and disseminate the membership. */
 public sealed interface MembershipMessage extends PeerMessage {
 
-  /** Returns the sender's incarnation; messages of a replaced process are dropped by it. */
+  /**
+   * Returns the incarnation number of the sender's process, by which receivers drop messages of a
+   * replaced process.
+   */
   long incarnation();
 
   /**
-   * Asks for an {@link Ack}.
+   * Probes a daemon, which answers with an {@link Ack}.
    *
-   * @param incarnation of the sending process
-   * @param sequence number of the probe, chosen by the sender
-   * @param updates news of members
+   * @param incarnation incarnation number of the sending process
+   * @param sequence sequence number of the probe, chosen by the sender
+   * @param updates updates of members, piggybacked on the message
    */
   record Ping(long incarnation, long sequence, List<MemberUpdate> updates)
       implements MembershipMessage {
@@ -28,9 +31,9 @@
   /**
    * Answers a {@link Ping}, or a {@link PingRequest} once its target has answered.
    *
-   * @param incarnation of the sending process
-   * @param sequence number of the probe
-   * @param updates news of members
+   * @param incarnation incarnation number of the sending process
+   * @param sequence sequence number of the probe
+   * @param updates updates of members, piggybacked on the message
    */
   record Ack(long incarnation, long sequence, List<MemberUpdate> updates)
       implements MembershipMessage {
@@ -42,27 +45,28 @@
   }
 
   /**
-   * Answers a {@link PingRequest} whose target is silent; shows that this daemon itself is well.
+   * Answers a {@link PingRequest} whose target has not answered yet; shows that the sender itself
+   * is reachable.
    *
-   * @param incarnation of the sending process
-   * @param sequence number of the probe
+   * @param incarnation incarnation number of the sending process
+   * @param sequence sequence number of the probe
    */
   record Nack(long incarnation, long sequence) implements MembershipMessage {}
 
   /**
-   * Asks a daemon to probe another on behalf of the sender.
+   * Requests a daemon to probe another one on behalf of the sender.
    *
-   * @param incarnation of the sending process
-   * @param sequence number of the probe, chosen by the sender
-   * @param target name of the daemon to probe
+   * @param incarnation incarnation number of the sending process
+   * @param sequence sequence number of the probe, chosen by the sender
+   * @param target node name of the daemon to probe
    */
   record PingRequest(long incarnation, long sequence, String target) implements MembershipMessage {}
 
   /**
-   * Passes on news of members without a probe.
+   * Disseminates updates of members without a probe.
    *
-   * @param incarnation of the sending process
-   * @param updates news of members
+   * @param incarnation incarnation number of the sending process
+   * @param updates updates of members, piggybacked on the message
    */
   record Gossip(long incarnation, List<MemberUpdate> updates) implements MembershipMessage {
 
@@ -73,19 +77,20 @@
   }
 
   /**
-   * Starts a comparison; answered by {@link FullState} if the receiver knows other things.
+   * Starts an anti-entropy comparison; a receiver whose hash differs answers with {@link
+   * FullState}.
    *
-   * @param incarnation of the sending process
-   * @param hash hash over the live members
+   * @param incarnation incarnation number of the sending process
+   * @param hash hash over the live members that the sender knows
    */
   record StateHash(long incarnation, long hash) implements MembershipMessage {}
 
   /**
-   * A page of all that the sender knows of members.
+   * Carries one page of the sender's complete membership state.
    *
-   * @param incarnation of the sending process
-   * @param updates one for each member of the page
-   * @param wantAnswer whether the receiver is to send its own pages
+   * @param incarnation incarnation number of the sending process
+   * @param updates one update for each member of the page
+   * @param wantAnswer whether the receiver has to answer with its own pages
    */
   record FullState(long incarnation, List<MemberUpdate> updates, boolean wantAnswer)
       implements MembershipMessage {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/message/QualityMessage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/message/QualityMessage.java
@@ -4,14 +4,14 @@
 import org.skylarkfork.core.quality.QualityCounters;
 import org.skylarkfork.core.quality.Verdict;
 
-/** Evidence on versions that entries share. */
+/** Messages by which entries share quality evidence on model versions. */
 public sealed interface QualityMessage extends PeerMessage {
 
   /**
-   * Tells of a sender's own counters and of all verdicts that it knows; safe to repeat.
+   * Reports the sender's own counters and all verdicts that it knows; idempotent.
    *
-   * @param counters the sender's counters that changed since it last told this receiver
-   * @param verdicts the verdicts
+   * @param counters the sender's counters that have changed since its last report to this receiver
+   * @param verdicts all verdicts that the sender knows, its own and received ones
    */
   record Evidence(List<QualityCounters> counters, List<Verdict> verdicts)
       implements QualityMessage {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/message/RaftMessage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/message/RaftMessage.java
@@ -8,57 +8,62 @@
 import org.skylarkfork.core.command.GroupId;
 import org.skylarkfork.core.command.LogEntry;
 
-/** Messages between the replicas of a group, and to them from daemons that submit commands. */
+/**
+ * Messages between the replicas of a group, and between replicas and daemons that submit commands.
+ */
 public sealed interface RaftMessage extends PeerMessage {
 
   /** Returns the group that the message is for. */
   GroupId group();
 
   /**
-   * Asks for a vote.
+   * Requests a vote; sent by a candidate or pre-candidate to the voters.
    *
    * @param group the group
-   * @param term the candidate's term, or the term it would take if {@code preVote}
+   * @param term the candidate's term; for a pre-vote, the term in which it would campaign
    * @param lastIndex index of the candidate's last entry
    * @param lastTerm term of the candidate's last entry
-   * @param preVote whether it only asks if it could win
-   * @param handover whether the leader gave up its office for this campaign, so that no lease
-   *     stands against the vote
+   * @param preVote whether this is a pre-vote, which only determines whether the candidate could
+   *     win
+   * @param handover whether the campaign follows a leadership transfer, so that no leader lease
+   *     prevents the vote
    */
   record VoteRequest(
       GroupId group, long term, long lastIndex, long lastTerm, boolean preVote, boolean handover)
       implements RaftMessage {}
 
   /**
-   * Tells a voter to campaign at once, since the leader has given up its office.
+   * Requests a voter to campaign at once; sent by a leader that has stepped down to transfer its
+   * leadership.
    *
    * @param group the group
-   * @param term the term that the leader led
+   * @param term the term in which the sender led
    */
   record CampaignNow(GroupId group, long term) implements RaftMessage {}
 
   /**
-   * Answers a request for a vote; a real vote is on the voter's disk before this is sent.
+   * Answers a {@link VoteRequest}. A granted vote, unlike a pre-vote, is synced to the voter's disk
+   * before this message is sent.
    *
    * @param group the group
-   * @param term the term asked for if granted, else the voter's own term
-   * @param instance number of the voter's disk
-   * @param granted whether the candidate has the vote
+   * @param term the requested term if granted, else the voter's own term
+   * @param instance random number that identifies the voter's disk
+   * @param granted whether the vote is granted
    * @param preVote whether the request was a pre-vote
    */
   record VoteResponse(GroupId group, long term, long instance, boolean granted, boolean preVote)
       implements RaftMessage {}
 
   /**
-   * Brings entries to a replica, or without entries shows that the leader is there.
+   * Replicates log entries from the leader to a replica; without entries, it is a heartbeat.
    *
    * @param group the group
    * @param term the leader's term
-   * @param previousIndex index of the entry before the first one sent
+   * @param previousIndex index of the entry before the first one in {@code entries}
    * @param previousTerm term of that entry
    * @param entries entries from {@code previousIndex + 1} on, without gaps
    * @param commitIndex the leader's commit index
-   * @param sentAt the leader's time, which the response repeats
+   * @param sentAt time of sending on the leader's clock, echoed in the response
    */
   record AppendRequest(
       GroupId group,
@@ -77,131 +82,133 @@
   }
 
   /**
-   * Answers entries, a heartbeat or a whole snapshot.
+   * Answers an {@link AppendRequest} or the last chunk of a snapshot.
    *
    * @param group the group
    * @param term the replica's term
-   * @param instance number of the replica's disk
-   * @param matched whether the entry before the first one sent was found
-   * @param index if matched, the last index known to agree with the leader's log and synced; else
-   *     an index at or before which the leader is to try again
-   * @param sentAt the time in the request
+   * @param instance random number that identifies the replica's disk
+   * @param matched whether the replica's log contains the entry before the first one sent
+   * @param index if matched, the last index up to which the replica's log agrees with the leader's
+   *     and is synced; else an index at or before which the leader has to retry
+   * @param sentAt {@code sentAt} of the request
    */
   record AppendResponse(
       GroupId group, long term, long instance, boolean matched, long index, Instant sentAt)
       implements RaftMessage {}
 
   /**
-   * Brings a part of an encoded snapshot.
+   * Carries one chunk of an encoded snapshot from the leader to a replica.
    *
    * @param group the group
    * @param term the leader's term
    * @param index last index that the snapshot covers
-   * @param offset position of the first byte sent
+   * @param offset offset of the chunk's first byte in the encoded snapshot
    * @param length length of the whole encoded snapshot in bytes
-   * @param data the bytes
-   * @param sentAt the leader's time, which the response repeats
+   * @param data bytes of the chunk
+   * @param sentAt time of sending on the leader's clock, echoed in the response
    */
   record SnapshotChunk(
       GroupId group, long term, long index, int offset, int length, byte[] data, Instant sentAt)
       implements RaftMessage {}
 
   /**
-   * Answers a part of a snapshot.
+   * Acknowledges a chunk of a snapshot.
    *
    * @param group the group
    * @param term the replica's term
-   * @param instance number of the replica's disk
-   * @param index the snapshot's index
-   * @param offset number of bytes the replica has, which is where the leader goes on
-   * @param sentAt the time in the chunk
+   * @param instance random number that identifies the replica's disk
+   * @param index last index that the snapshot covers
+   * @param offset number of bytes that the replica has received, which is the offset of the next
+   *     chunk
+   * @param sentAt {@code sentAt} of the chunk
    */
   record ChunkResponse(
       GroupId group, long term, long instance, long index, int offset, Instant sentAt)
       implements RaftMessage {}
 
   /**
-   * Asks a voter named in the settings whether its disk is empty too, before a group is founded.
+   * Queries whether the disk of a voter named in the settings is empty too, before a group is
+   * bootstrapped.
    *
    * @param group the group
-   * @param instance number of the asking disk
+   * @param instance random number that identifies the sender's disk
    */
   record FoundingRequest(GroupId group, long instance) implements RaftMessage {}
 
   /**
-   * Answers whether a disk is empty.
+   * Answers a {@link FoundingRequest}.
    *
    * @param group the group
-   * @param askedBy number of the disk that asked
-   * @param instance number of the answering disk
-   * @param empty whether the replica has neither seen a term nor stored an entry
+   * @param askedBy {@code instance} of the request
+   * @param instance random number that identifies the answering replica's disk
+   * @param empty whether the answering replica has neither seen a term nor stored an entry
    */
   record FoundingResponse(GroupId group, long askedBy, long instance, boolean empty)
       implements RaftMessage {}
 
   /**
-   * Tells a group that a replica isn't among its members and waits to be taken in.
+   * Reports to a group that the sending replica isn't a member and waits for its admission.
    *
    * @param group the group
-   * @param instance number of the waiting disk
+   * @param instance random number that identifies the waiting replica's disk
    */
   record JoinRequest(GroupId group, long instance) implements RaftMessage {}
 
   /**
-   * Answers a replica that waits to be taken in: these may lead the group.
+   * Answers a {@link JoinRequest} with the voters, one of which may lead the group.
    *
    * @param group the group
    * @param voters node names of the voters that the answering replica knows
    */
   record JoinResponse(GroupId group, List<String> voters) implements RaftMessage {
 
-    /** Copies the list. */
+    /** Copies the list of voters. */
     public JoinResponse {
       voters = List.copyOf(voters);
     }
   }
 
   /**
-   * Asks the leader to have a command agreed on.
+   * Submits a command to the leader, which replicates and commits it.
    *
    * @param group the group
-   * @param session number of the submitting process, so that an answer to an earlier one isn't
-   *     taken for its own
-   * @param submissionId the submitter's number for it; the same when it is sent again
+   * @param session number of the submitting process, by which answers to an earlier process of the
+   *     same daemon are dropped
+   * @param submissionId the submitter's number for the command; a resend has the same number
    * @param command the command
    */
   record SubmitRequest(GroupId group, long session, long submissionId, Command command)
       implements RaftMessage {}
 
   /**
-   * Gives the result of a submitted command.
+   * Returns the result of a submitted command that was applied.
    *
    * @param group the group
-   * @param session the number in the request
-   * @param submissionId the number in the request
-   * @param result what applying it gave
+   * @param session {@code session} of the request
+   * @param submissionId {@code session} of the request
+   * @param result result of applying the command
    */
   record SubmitAnswer(GroupId group, long session, long submissionId, CommandResult result)
       implements RaftMessage {}
 
   /**
-   * Says that a submitted command was not taken by this replica because it doesn't lead.
+   * Rejects a submitted command because the sender doesn't lead the group; it wasn't appended.
    *
    * @param group the group
-   * @param session the number in the request
-   * @param submissionId the number in the request
-   * @param leader name of the daemon to ask, or null if none is known
+   * @param session {@code session} of the request
+   * @param submissionId {@code session} of the request
+   * @param leader node name of the leader to submit to, or null if none is known
    */
   record SubmitRedirect(GroupId group, long session, long submissionId, @Nullable String leader)
       implements RaftMessage {}
 
   /**
-   * Says that the leader is too busy to take a submitted command; it wasn't appended.
+   * Rejects a submitted command because the leader is overloaded; it wasn't appended.
    *
    * @param group the group
-   * @param session the number in the request
-   * @param submissionId the number in the request
-   * @param remedy what the submitter can do
+   * @param session {@code session} of the request
+   * @param submissionId {@code session} of the request
+   * @param remedy what the submitter can do, for people
    */
   record SubmitRefusal(GroupId group, long session, long submissionId, String remedy)
       implements RaftMessage {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/message/RelayMessage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/message/RelayMessage.java
@@ -13,28 +13,31 @@
 import org.skylarkfork.core.relay.VersionCounts;
 import org.skylarkfork.core.upstream.UpstreamRun;
 
-/** Messages between the relay's entries and control VMs. */
+/** Messages between the entries and control VMs of the relay. */
 public sealed interface RelayMessage extends PeerMessage {
 
   /**
-   * An entry tells a control VM that it lives and asks what is new. The leader answers; others only
-   * tell an entry that searches for the leader which control VMs they know.
+   * An entry's heartbeat to a control VM, which also requests updates. The leader answers with an
+   * {@link EntryUpdate}; other control VMs answer only an entry that knows no leader, with the
+   * control VMs that they know.
    *
-   * @param callerAddress where callers connect to the entry
-   * @param zone its availability zone
-   * @param serving whether callers should be sent to it
-   * @param incarnation number of the entry's process
-   * @param sentAt the entry's time of this poll, repeated in the answer
-   * @param version version of the configuration it has; 0 for none
-   * @param stateIndex log index of the roll-outs and leaving upstreams that it has; 0 for none
-   * @param directoryEpoch epoch of the directory that it has; 0 for none
-   * @param directorySequence newest change of that directory that it has
-   * @param searching whether it knows no leader
-   * @param busy whether it has more to do than its processor can, so that callers should rather go
-   *     elsewhere
-   * @param neighbourhoodVersion version of the neighbourhood that it has; 0 for none
-   * @param counts what it saw of each version since its start
-   * @param limits rate limits that upstreams named to it and that the leader doesn't know
+   * @param callerAddress address at which callers connect to the entry
+   * @param zone availability zone of the entry
+   * @param serving whether callers should be directed to the entry
+   * @param incarnation incarnation number of the entry's process
+   * @param sentAt time of this poll on the entry's clock, echoed in the answer
+   * @param version version of the entry's configuration; 0 for none
+   * @param stateIndex log index of the entry's {@link SharedState}; 0 for none
+   * @param directoryEpoch epoch of the entry's directory of upstreams; 0 for none
+   * @param directorySequence sequence number of the newest change in the entry's directory
+   * @param searching whether the entry knows no leader
+   * @param busy whether the entry's processor is overloaded, so that callers should prefer other
+   *     entries
+   * @param neighbourhoodVersion version of the entry's {@link Neighbourhood}; 0 for none
+   * @param counts results of each version since the start of the entry's process; empty in polls to
+   *     others than the leader
+   * @param limits rate limits that upstreams reported to the entry and that the leader doesn't
+   *     know; empty in polls to others than the leader
    */
   record EntryPoll(
       String callerAddress,
@@ -61,25 +64,27 @@
   }
 
   /**
-   * What an upstream said of its rate limit in an answer.
+   * A rate limit that an upstream reported in an answer.
    *
-   * @param upstream the start of it that answered
-   * @param named what it said
+   * @param upstream the run of the upstream that answered
+   * @param named the reported limit and its age
    */
   record UpstreamRateLimit(UpstreamRun upstream, NamedLimit named) {}
 
   /**
-   * What a leader tells an entry.
+   * The answer of a control VM to an {@link EntryPoll}: updates of what the entry lacks.
    *
-   * @param provenAt the entry's own time of a poll after whose arrival the sender was proven to
-   *     lead; null if nothing is proven
-   * @param stateIndex log index that this rests on
-   * @param configuration the newest configuration, or null if the entry has it
-   * @param shared roll-outs and leaving upstreams, or null if the entry has them
-   * @param directory changes of the directory of upstreams
-   * @param controlNodes peer names of the control VMs
-   * @param entries how many entries serve
-   * @param neighbourhood the other entries, or null if the entry has that or it isn't known yet
+   * @param provenAt {@code sentAt} of a poll, on the entry's clock, after whose arrival the
+   *     sender's leadership was confirmed; null if it wasn't confirmed
+   * @param stateIndex log index of the state that the update reflects
+   * @param configuration the newest configuration, or null if the entry already has it
+   * @param shared the replicated state beside the configuration, or null if the entry already has
+   *     it
+   * @param directory changes of the leader's directory of upstreams
+   * @param controlNodes node names of the control VMs
+   * @param entries number of serving entries
+   * @param neighbourhood the other entries as far as they concern the receiver, or null if the
+   *     entry already has this version or it isn't known yet
    */
   record EntryUpdate(
       @Nullable Instant provenAt,
@@ -99,14 +104,16 @@
   }
 
   /**
-   * What an entry is told of the others.
+   * What the leader reports to an entry about the other entries.
    *
-   * @param version changes with the content
-   * @param callerAddresses where callers may connect, entries of its zone first
-   * @param peers peer names of the entries that it tells of its load
-   * @param schedulers peer names of the entries that place prompts, each for the group of engines
-   *     whose number is its place here; empty if each entry places its own
-   * @param place which one of all entries it is
+   * @param version number that changes with the content
+   * @param callerAddresses addresses at which callers may connect, those of entries in the same
+   *     zone first
+   * @param peers node names of the entries to which the entry reports its load
+   * @param schedulers node names of the schedulers, the entries that choose engines for prompts;
+   *     the scheduler at index {@code i} is responsible for engine group {@code i}; empty if each
+   *     entry places its own prompts
+   * @param place ordinal of the entry among all entries
    */
   record Neighbourhood(
       long version,
@@ -115,7 +122,7 @@
       List<String> schedulers,
       EntryPlace place) {
 
-    /** Before anything was told. */
+    /** Value before the first report of the leader. */
     public static final Neighbourhood NONE =
         new Neighbourhood(0, List.of(), List.of(), List.of(), EntryPlace.UNKNOWN);
 
@@ -128,20 +135,21 @@
   }
 
   /**
-   * An entry asks a scheduler for an engine.
+   * A placement query of an entry to a scheduler, which answers with a {@link PlacementAnswer}.
    *
-   * @param number number of this question, which the asking entry uses once
-   * @param group group of engines to choose from
-   * @param groups how many groups there are
-   * @param service service that the request goes to
-   * @param model model that is to answer
-   * @param zone availability zone of the asking entry
-   * @param beginnings beginnings of the prompt, the whole prompt last
-   * @param promptTokens tokens of the whole prompt
-   * @param objectiveMillis time in which its answer is to begin, in milliseconds
-   * @param versions versions that may get the request
-   * @param excluded ids of engines that may not
-   * @param lastsMillis time after which the request is over in any case, in milliseconds
+   * @param number number of the query, which the sending entry uses only once
+   * @param group index of the engine group to choose from
+   * @param groups number of engine groups
+   * @param service service that the request is for
+   * @param model model that has to answer
+   * @param zone availability zone of the sending entry
+   * @param beginnings prefixes of the prompt, shortest first; the last one is the whole prompt
+   * @param promptTokens length of the whole prompt in tokens
+   * @param objectiveMillis objective for the time until the answer begins, in milliseconds
+   * @param versions versions that may receive the request
+   * @param excluded ids of engines that may not receive the request
+   * @param lastsMillis time after which the request has ended in any case, in milliseconds; the
+   *     scheduler then releases the reservation
    */
   record PlacementAsk(
       long number,
@@ -167,23 +175,25 @@
   }
 
   /**
-   * A beginning of a prompt.
+   * A prefix of a prompt.
    *
-   * @param key key of the beginning, which names the model too
-   * @param tokens its length in tokens
+   * @param key hash of the prefix, which covers the model too
+   * @param tokens length of the prefix in tokens
    */
   record PromptPrefix(long key, int tokens) {}
 
   /**
-   * A scheduler's answer. An engine that it names counts as taken until the asking entry tells of
-   * the attempt's end.
+   * A scheduler's answer to a {@link PlacementAsk}. The scheduler counts the request as load of the
+   * chosen engine until the entry reports the end of the attempt or the request's time is over.
    *
-   * @param number number of the question
-   * @param upstream id of the engine, or null if none of the group can take the request
-   * @param waitMillis time until the engine turns to it, in milliseconds
-   * @param workMillis time of the engine that its reading takes, in milliseconds
-   * @param firstByteMillis time until its first byte, in milliseconds
-   * @param newTokens tokens of its prompt that the engine has to read
+   * @param number number of the query
+   * @param upstream id of the chosen engine, or null if no engine of the group can accept the
+   *     request; the other figures are 0 then
+   * @param waitMillis estimated time until the engine starts the request, in milliseconds
+   * @param workMillis estimated time of the prefill, in milliseconds
+   * @param firstByteMillis estimated time until the first byte of the answer, in milliseconds
+   * @param newTokens tokens of the prompt outside the engine's cached prefix, which the prefill has
+   *     to process
    */
   record PlacementAnswer(
       long number,
@@ -195,42 +205,43 @@
       implements RelayMessage {}
 
   /**
-   * An entry tells a scheduler how an attempt goes on that it placed.
+   * An entry's report to a scheduler on the progress of an attempt that the scheduler placed.
    *
-   * @param number number of the question
-   * @param progress what has happened
-   * @param millis time since the sending, in milliseconds
-   * @param named what the entry knows of the engine's rate limit, or null if it never named one
+   * @param number number of the query
+   * @param progress what has happened to the attempt
+   * @param millis time since the attempt was sent, in milliseconds
+   * @param named the engine's rate limit as the entry knows it, or null if the engine never
+   *     reported one
    */
   record PlacementNews(
       long number, AttemptProgress progress, int millis, @Nullable NamedLimit named)
       implements RelayMessage {
 
-    /** Makes news of an attempt at an engine that never named a rate limit. */
+    /** Creates the report of an attempt at an engine that never reported a rate limit. */
     public PlacementNews(long number, AttemptProgress progress, int millis) {
       this(number, progress, millis, null);
     }
   }
 
-  /** What becomes of an attempt. */
+  /** Progress of an attempt. */
   enum AttemptProgress {
-    /** Its answer has begun. */
+    /** The answer has begun. */
     BEGUN,
-    /** It is over, without a fault of the engine. */
+    /** The attempt has ended without a failure of the engine. */
     ENDED,
-    /** The engine failed it. */
+    /** The attempt failed at the engine. */
     FAILED,
-    /** The engine could not be reached. */
+    /** No connection to the engine could be opened. */
     UNREACHABLE,
-    /** The engine was left because it kept silent. */
+    /** The entry ended the attempt because the engine was silent for too long. */
     SILENT
   }
 
   /**
-   * An entry tells another one what it has under way.
+   * An entry's report to another entry on its own running requests.
    *
-   * @param loads its load at each upstream where it has any
-   * @param prompts shared beginnings of prompts that it has sent since it told last
+   * @param loads load of the sender at each upstream where it has any
+   * @param prompts shared prefixes of the prompts that the sender has sent since its last report
    */
   record EntryLoads(List<UpstreamLoad> loads, List<CachedPrefix> prompts) implements RelayMessage {
 
@@ -245,26 +256,27 @@
    * An entry's load at one upstream.
    *
    * @param upstream id of the upstream
-   * @param running requests that run or wait there
-   * @param waitingMillis reading there for those whose answer has not begun, in milliseconds
+   * @param running number of the entry's requests that run or wait at the upstream
+   * @param waitingMillis estimated prefill time of those requests whose answer has not begun, in
+   *     milliseconds
    */
   record UpstreamLoad(String upstream, int running, int waitingMillis) {}
 
   /**
-   * A shared beginning of a prompt that an engine keeps or reads now.
+   * A shared prompt prefix that an engine has cached or is processing.
    *
    * @param upstream id of the engine
-   * @param key key of the beginning, which names the model too
+   * @param key hash of the prefix, which covers the model too
    */
   record CachedPrefix(String upstream, long key) {}
 
   /**
-   * Agreed state beside the configuration.
+   * Replicated state beside the configuration.
    *
    * @param rollOuts newest roll-out of each service
-   * @param leaving upstreams that leave
-   * @param evacuated availability zones whose upstreams get nothing
-   * @param quarantined requests that are refused
+   * @param leaving runs of upstreams that are leaving and receive no new requests
+   * @param evacuated evacuated availability zones, whose upstreams receive no requests
+   * @param quarantined keys of the requests that are refused because they crash upstreams
    */
   record SharedState(
       List<ServiceRollOut> rollOuts,
@@ -282,13 +294,13 @@
   }
 
   /**
-   * Changes of a leader's directory.
+   * Changes of a leader's directory of upstreams.
    *
-   * @param epoch tells the directories of two leaders apart
-   * @param sequence newest change in it
-   * @param whole whether this is all that the leader knows, else changes only
-   * @param settled whether the leader has led long enough to know every upstream that lives
-   * @param upstreams the upstreams
+   * @param epoch number that distinguishes the directories of different leaders
+   * @param sequence sequence number of the newest change in the directory
+   * @param whole whether {@code upstreams} is the complete directory, else it holds only changes
+   * @param settled whether the leader has led long enough to know every live upstream
+   * @param upstreams states of the upstreams
    */
   record DirectoryChanges(
       long epoch, long sequence, boolean whole, boolean settled, List<UpstreamStatus> upstreams) {
@@ -300,9 +312,9 @@
   }
 
   /**
-   * A control VM passes an upstream's heartbeat on to the leader.
+   * Forwards an upstream's heartbeat from the control VM that received it to the leader.
    *
-   * @param instance what the upstream told
+   * @param instance the content of the heartbeat
    */
   record UpstreamHeard(UpstreamInstance instance) implements RelayMessage {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/message/SessionMessage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/message/SessionMessage.java
@@ -4,14 +4,15 @@
 import org.skylarkfork.core.session.SessionKey;
 import org.skylarkfork.core.session.SessionPin;
 
-/** Messages to and from the owners of sessions. */
+/** Messages between entries and the owners of sessions. */
 public sealed interface SessionMessage extends PeerMessage {
 
   /**
-   * Gives pins to an owner; where another pin prevails it answers with {@link PinsAnswer}.
+   * Stores pins at an owner, which answers with {@link PinsAnswer} where one of its own pins
+   * overrides a stored one.
    *
-   * @param pins the pins, of any sessions
-   * @param follow whether the sender is to be told of later changes
+   * @param pins pins of any number of sessions
+   * @param follow whether the sender subscribes to later changes
    */
   record StorePins(List<SessionPin> pins, boolean follow) implements SessionMessage {
 
@@ -22,17 +23,19 @@
   }
 
   /**
-   * Asks an owner for a session's pins, and to be told of changes for a while.
+   * Queries the pins of a session at an owner and subscribes to their changes. The subscription
+   * expires after a while.
    *
    * @param key the session
    */
   record AskPins(SessionKey key) implements SessionMessage {}
 
   /**
-   * Says which pins of a session an owner knows, asked or when one changed.
+   * Reports the pins of a session that an owner knows; sent as the answer to a query and to
+   * subscribers after a change.
    *
    * @param key the session
-   * @param pins its pins, one a model; empty if the owner knows none
+   * @param pins pins of the session, at most one per model; empty if the owner knows none
    */
   record PinsAnswer(SessionKey key, List<SessionPin> pins) implements SessionMessage {
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/message/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/message/package-info.java
@@ -1,4 +1,4 @@
-/** Messages between the daemons. */
+/** Messages between daemons, sent at most once and without delivery guarantees. */
 @NullMarked
 package org.skylarkfork.core.message;
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/request/AnswerFacts.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/request/AnswerFacts.java
@@ -3,16 +3,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What every answer and refusal says in its headers, as far as it is known.
+ * The metadata that every answer and refusal carries in its headers, as far as it is known.
  *
  * @param requestId id of the request
  * @param model model that answered, or null
- * @param version its version, or null
+ * @param version version of the model that answered, or null
  * @param upstream id of the upstream that answered, or null
- * @param attempts how many attempts were dispatched
- * @param costMicros cost so far in millionths of the currency unit
- * @param sessionToken signed pin for the caller to send back, or null
- * @param notice something the caller should know, such as a session that had to move, or null
+ * @param attempts number of dispatched attempts
+ * @param costMicros cost so far, in millionths of the currency unit
+ * @param sessionToken signed pin of the session, which the caller sends back with its next request,
+ *     or null
+ * @param notice notice to the caller, such as that its session had to move to another version, or
+ *     null
  */
 public record AnswerFacts(
     String requestId,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/request/Bytes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/request/Bytes.java
@@ -4,13 +4,13 @@
 import java.util.Arrays;
 
 /**
- * A piece of a body, compared by content.
+ * A byte sequence, such as a body, compared by content.
  *
- * @param value the bytes; shared, so nobody may change them
+ * @param value the bytes; not copied, so the array must not be modified
  */
 public record Bytes(byte[] value) {
 
-  /** No bytes. */
+  /** The empty byte sequence. */
   public static final Bytes EMPTY = new Bytes(new byte[0]);
 
   /** Returns the UTF-8 bytes of a text. */
@@ -18,7 +18,7 @@
     return new Bytes(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Returns the bytes read as UTF-8. */
+  /** Returns the bytes decoded as UTF-8. */
   public String text() {
     return new String(value, StandardCharsets.UTF_8);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/request/Header.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/request/Header.java
@@ -1,9 +1,9 @@
 package org.skylarkfork.core.request;
 
 /**
- * One header line.
+ * One HTTP header field.
  *
- * @param name in lower case
- * @param value without surrounding white space
+ * @param name name in lower case
+ * @param value value without surrounding white space
  */
 public record Header(String name, String value) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/request/RequestKind.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/request/RequestKind.java
@@ -1,6 +1,6 @@
 package org.skylarkfork.core.request;
 
-/** Which protocol a request speaks. */
+/** The protocol of a request. */
 public enum RequestKind {
   /** A chat completion on a model engine. */
   CHAT,
@@ -9,7 +9,7 @@
   /** A call to a plain service. */
   SERVICE;
 
-  /** Returns whether a model engine answers it. */
+  /** Returns whether requests of this kind are answered by a model engine. */
   public boolean isDraft() {
     return this != SERVICE;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/request/RunState.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/request/RunState.java
@@ -1,15 +1,15 @@
 package org.skylarkfork.core.request;
 
-/** What is known of whether a refused or failed request ran on an upstream. */
+/** What is known about whether a refused or failed request ran on an upstream. */
 public enum RunState {
-  /** No upstream can have started it. */
+  /** No upstream can have started the request. */
   NOT_RUN,
-  /** An upstream ran it. */
+  /** An upstream ran the request. */
   RAN,
-  /** An upstream may have run it; it must not be sent again unless it is idempotent. */
+  /** An upstream may have run the request, which must not be sent again unless it is idempotent. */
   UNKNOWN;
 
-  /** Returns the form used in headers, such as {@code not-run}. */
+  /** Returns the value used in headers, such as {@code not-run}. */
   public String headerValue() {
     return switch (this) {
       case NOT_RUN -> "not-run";
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/request/Usage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/request/Usage.java
@@ -1,14 +1,14 @@
 package org.skylarkfork.core.request;
 
 /**
- * Tokens that an engine counted for one attempt.
+ * Token counts that an engine reported for one attempt.
  *
- * @param promptTokens tokens of the prompt
- * @param completionTokens tokens generated
- * @param cachedTokens prompt tokens found in the engine's prefix cache
+ * @param promptTokens number of tokens of the prompt
+ * @param completionTokens number of generated tokens
+ * @param cachedTokens number of prompt tokens found in the engine's prefix cache
  */
 public record Usage(int promptTokens, int completionTokens, int cachedTokens) {
 
-  /** Nothing was counted. */
+  /** Usage without any counted tokens. */
   public static final Usage NONE = new Usage(0, 0, 0);
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/request/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/request/package-info.java
@@ -1,4 +1,4 @@
-/** What callers ask for and how it ended, as data. */
+/** Callers' requests and the results of running them, as immutable data. */
 @NullMarked
 package org.skylarkfork.core.request;
 
