--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/InvariantViolation.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/InvariantViolation.java
@@ -1,16 +1,16 @@
 package org.skylarkfork.core;
 
-/** An invariant was found false: the program has a fault and its state can't be trusted. */
+/** Thrown when an invariant doesn't hold: the program has a fault and its state may be corrupt. */
 public final class InvariantViolation extends Error {
 
   private static final long serialVersionUID = 1L;
 
   /**
-   * Makes the error.
+   * Creates the error.
    *
    * @param statement the invariant that doesn't hold
    */
   public InvariantViolation(String statement) {
-    super(statement + "; stop this process and report its time line");
+    super(statement + "; stop this process and report its timeline");
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/Invariants.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/Invariants.java
@@ -1,15 +1,15 @@
 package org.skylarkfork.core;
 
-/** Checks, inside the running program, of what must never be false. */
+/** Run-time checks of invariants. */
 public final class Invariants {
 
   private Invariants() {}
 
   /**
-   * Throws if a condition that must always hold doesn't.
+   * Throws an error if an invariant doesn't hold.
    *
-   * @param condition what must hold
-   * @param statement the invariant in words, for the report
+   * @param condition value of the invariant's condition
+   * @param statement the invariant in words, for the error message
    * @throws InvariantViolation if the condition is false
    */
   public static void check(boolean condition, String statement) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/Part.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/Part.java
@@ -3,15 +3,15 @@
 import java.time.Instant;
 import org.skylarkfork.core.event.Event;
 
-/** One job of the reducer, with state that only the reducer's thread touches. */
+/** One component of the reducer, whose state is accessed only by the reducer's thread. */
 public interface Part {
 
   /**
-   * Takes note of an event and decides.
+   * Applies an event: updates the state of this part and adds effects and follow-up events.
    *
-   * @param event what happened; a part ignores events that are not its business
-   * @param now the present time
-   * @param output where effects and follow-up events go
+   * @param event the event; a part ignores events that don't concern it
+   * @param now the current time
+   * @param output receives effects and follow-up events
    */
   void apply(Event event, Instant now, Output output);
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/Reducer.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/Reducer.java
@@ -9,7 +9,7 @@
 import org.skylarkfork.core.effect.Effect;
 import org.skylarkfork.core.event.Event;
 
-/** The one reducer of a daemon: passes each event to its parts in a fixed order. */
+/** The single reducer of a daemon, which passes each event to its parts in a fixed order. */
 public final class Reducer {
 
   /** Time between two {@code Tick} events. */
@@ -18,20 +18,20 @@
   private final List<Part> parts;
 
   /**
-   * Makes a reducer.
+   * Creates a reducer.
    *
-   * @param parts the parts in the order in which they see each event
+   * @param parts the parts, in the order in which they receive each event
    */
   public Reducer(List<Part> parts) {
     this.parts = List.copyOf(parts);
   }
 
   /**
-   * Applies an event and whatever events the parts raise because of it.
+   * Applies an event, followed by all events that the parts raise in response.
    *
-   * @param event what happened
-   * @param now the present time
-   * @return what the runtime is to do, in order
+   * @param event the event
+   * @param now the current time
+   * @return effects for the runtime to carry out, in order
    */
   public List<Effect> apply(Event event, Instant now) {
     Collector collector = new Collector();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/error/RoutingError.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/error/RoutingError.java
@@ -4,22 +4,25 @@
 import org.skylarkfork.core.request.RunState;
 
 /**
- * A refusal or failure as its receiver sees it.
+ * A refusal or failure as reported to a caller or operator.
  *
  * @param kind what went wrong
- * @param message what happened and what the receiver can do about it
- * @param runState whether an upstream ran the request
- * @param retryAfterMillis when it is worth asking again, or null if it never is
+ * @param message what happened and what the recipient can do about it
+ * @param runState what is known about whether an upstream ran the request
+ * @param retryAfterMillis time after which a retry may succeed, in milliseconds, or null if none
+ *     ever does
  */
 public record RoutingError(
     ErrorKind kind, String message, RunState runState, @Nullable Long retryAfterMillis) {
 
-  /** Makes an error for a request that no upstream can have started. */
+  /** Creates an error without a retry time for a request that no upstream can have started. */
   public static RoutingError notRun(ErrorKind kind, String message) {
     return new RoutingError(kind, message, RunState.NOT_RUN, null);
   }
 
-  /** Makes an error for a request that was not started and may be sent again later. */
+  /**
+   * Creates an error for a request that no upstream can have started and that may be retried later.
+   */
   public static RoutingError notRunRetry(ErrorKind kind, String message, long retryAfterMillis) {
     return new RoutingError(kind, message, RunState.NOT_RUN, retryAfterMillis);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/error/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/error/package-info.java
@@ -1,4 +1,4 @@
-/** Typed errors whose messages name the remedy. */
+/** Typed errors for callers and operators, whose messages state the remedy. */
 @NullMarked
 package org.skylarkfork.core.error;
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/message/RelayMessage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/message/RelayMessage.java
@@ -25,7 +25,7 @@
    * @param zone availability zone of the entry
    * @param serving whether callers should be directed to the entry
    * @param incarnation incarnation number of the entry's process
-   * @param sentAt time of this poll on the entry's clock, echoed in the answer
+   * @param sentAt time of this poll on the entry's clock, echoed as {@code provenAt} of the answer
    * @param version version of the entry's configuration; 0 for none
    * @param stateIndex log index of the entry's {@link SharedState}; 0 for none
    * @param directoryEpoch epoch of the entry's directory of upstreams; 0 for none
@@ -72,10 +72,12 @@
   record UpstreamRateLimit(UpstreamRun upstream, NamedLimit named) {}
 
   /**
-   * The answer of a control VM to an {@link EntryPoll}: updates of what the entry lacks.
+   * Updates an entry with what it lacks. The leader sends it as the answer to an {@link EntryPoll}
+   * and after changes; other control VMs send only {@code controlNodes}, to an entry that knows no
+   * leader.
    *
    * @param provenAt {@code sentAt} of a poll, on the entry's clock, after whose arrival the
-   *     sender's leadership was confirmed; null if it wasn't confirmed
+   *     sender's leadership was confirmed; null if the update doesn't answer such a poll
    * @param stateIndex log index of the state that the update reflects
    * @param configuration the newest configuration, or null if the entry already has it
    * @param shared the replicated state beside the configuration, or null if the entry already has
@@ -296,7 +298,7 @@
   /**
    * Changes of a leader's directory of upstreams.
    *
-   * @param epoch number that distinguishes the directories of different leaders
+   * @param epoch term of the leader, which distinguishes the directories of different leaders
    * @param sequence sequence number of the newest change in the directory
    * @param whole whether {@code upstreams} is the complete directory, else it holds only changes
    * @param settled whether the leader has led long enough to know every live upstream
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/package-info.java
@@ -1,4 +1,4 @@
-/** The reducer, its parts and what they are given. */
+/** The deterministic reducer of a daemon, and the interfaces of its parts and of their output. */
 @NullMarked
 package org.skylarkfork.core;
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/Announcement.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/Announcement.java
@@ -4,23 +4,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What an upstream says of itself, repeated as its heartbeat.
+ * The state that an upstream announces, repeated periodically as its heartbeat.
  *
- * @param id name of the upstream, kept over restarts
- * @param incarnation number of the process; a restart has a higher one
- * @param host IP number at which it takes requests
- * @param port port at which it takes requests
- * @param zone availability zone
- * @param kind engine or plain service
+ * @param id name of the upstream, the same after a restart
+ * @param incarnation incarnation number of the process; higher after a restart
+ * @param host IP address at which the upstream accepts requests
+ * @param port port at which the upstream accepts requests
+ * @param zone availability zone of the upstream
+ * @param kind whether the upstream is an engine or a plain service
  * @param service name of the service, or null for an engine
- * @param models what is loaded; empty for a service
+ * @param models loaded models; empty for a service
  * @param role {@code mixed}, {@code prefill} or {@code decode}
- * @param capacity requests it runs at the same time
- * @param load its load
- * @param checksFencing whether it refuses orders with an old fencing number
- * @param leaving whether it wants no new work
- * @param gone whether it has ended; no further announcement follows
- * @param cacheEvents changes of the prefix cache since the last announcement, as far as known
+ * @param capacity maximum number of requests that the upstream runs concurrently
+ * @param load current load
+ * @param checksFencing whether the upstream refuses orders with an outdated fencing number
+ * @param leaving whether the upstream accepts no new work because it is about to end
+ * @param gone whether the upstream has ended; no further announcement of this process follows
+ * @param cacheEvents known changes of the prefix cache since the previous announcement
  */
 public record Announcement(
     String id,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/LoadReport.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/LoadReport.java
@@ -1,15 +1,15 @@
 package org.skylarkfork.core.upstream;
 
 /**
- * What an upstream says of its load; it is late by its age and more.
+ * The load that an upstream reports. It is outdated by its age and the delay of its transmission.
  *
- * @param running requests that run
- * @param queued requests that wait
- * @param cacheUsed used part of the prefix cache, from 0 to 1
- * @param ageMillis how old the figures were when they were sent, in milliseconds
+ * @param running number of running requests
+ * @param queued number of waiting requests
+ * @param cacheUsed used fraction of the prefix cache, from 0 to 1
+ * @param ageMillis age of the figures when they were sent, in milliseconds
  */
 public record LoadReport(int running, int queued, double cacheUsed, long ageMillis) {
 
-  /** No load at all. */
+  /** The load of an idle upstream. */
   public static final LoadReport IDLE = new LoadReport(0, 0, 0.0, 0);
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/LoadedModel.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/LoadedModel.java
@@ -7,7 +7,7 @@
  *
  * @param model name of the model
  * @param version name of the version
- * @param adapters names of the adapters loaded with it
+ * @param adapters names of the adapters that are loaded with the model
  */
 public record LoadedModel(String model, String version, List<String> adapters) {
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/UpstreamDirectory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/UpstreamDirectory.java
@@ -5,18 +5,24 @@
 import java.util.Optional;
 import org.skylarkfork.core.configuration.ModelVersion;
 
-/** The upstreams that this daemon knows; those that left, fell silent or are drained are out. */
+/**
+ * The directory of upstreams that this daemon knows. Upstreams that have ended or are lost are not
+ * part of it, and drained or leaving ones are not offered for new work.
+ */
 public interface UpstreamDirectory {
 
-  /** Returns the engines that may take new work for a model and version, in the order of ids. */
+  /** Returns the engines that may accept new work for a model and version, ordered by id. */
   List<Announcement> engines(ModelVersion version, Instant now);
 
-  /** Returns the upstreams that may take new work for a plain service, in the order of ids. */
+  /** Returns the upstreams that may accept new work for a plain service, ordered by id. */
   List<Announcement> services(String service, Instant now);
 
-  /** Returns the newest announcement of an upstream that is still known, leaving or not. */
+  /**
+   * Returns the newest announcement of a known upstream, whether it is leaving or not; empty if it
+   * isn't known.
+   */
   Optional<Announcement> find(String id);
 
-  /** Returns all known upstreams, leaving ones too, in the order of ids. */
+  /** Returns all known upstreams, including leaving ones, ordered by id. */
   List<Announcement> all();
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/UpstreamKind.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/UpstreamKind.java
@@ -1,9 +1,9 @@
 package org.skylarkfork.core.upstream;
 
-/** What an upstream is. */
+/** The kind of an upstream. */
 public enum UpstreamKind {
-  /** Runs models. */
+  /** An engine, which runs models. */
   ENGINE,
-  /** Answers plain calls of one service. */
+  /** A plain service, which answers calls of one service. */
   SERVICE
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/UpstreamRecord.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/UpstreamRecord.java
@@ -1,13 +1,15 @@
 package org.skylarkfork.core.upstream;
 
 /**
- * The newest that is known of an upstream, as daemons pass it on.
+ * The newest known state of an upstream, in the form in which daemons disseminate it.
  *
- * @param announcement what the upstream last said; cache events are left out
- * @param owner name of the daemon that hears the upstream and speaks for it
- * @param ownerIncarnation number of that daemon's process
- * @param sequence rises with each change, over changes of the owner too
- * @param state whether the upstream is there
+ * @param announcement newest announcement of the upstream, without its cache events
+ * @param owner node name of the upstream's owner, the daemon that receives its announcements and
+ *     disseminates its record
+ * @param ownerIncarnation incarnation number of the owner's process
+ * @param sequence sequence number of the record, rising with each change, also across changes of
+ *     the owner
+ * @param state whether the upstream is live, lost or gone
  */
 public record UpstreamRecord(
     Announcement announcement,
@@ -21,7 +23,10 @@
     return announcement.id();
   }
 
-  /** Returns whether this says more recent things of the same upstream than the other does. */
+  /**
+   * Returns whether this record is newer than another one of the same upstream: by incarnation,
+   * then sequence number, then the owner's name.
+   */
   public boolean isNewerThan(UpstreamRecord other) {
     if (announcement.incarnation() != other.announcement.incarnation()) {
       return announcement.incarnation() > other.announcement.incarnation();
@@ -32,17 +37,20 @@
     return owner.compareTo(other.owner) > 0;
   }
 
-  /** Returns this with another announcement. */
+  /** Returns a copy with another announcement. */
   public UpstreamRecord with(Announcement other) {
     return new UpstreamRecord(other, owner, ownerIncarnation, sequence, state);
   }
 
-  /** Returns this in another state. */
+  /** Returns a copy with another state. */
   public UpstreamRecord with(UpstreamState other) {
     return new UpstreamRecord(announcement, owner, ownerIncarnation, sequence, other);
   }
 
-  /** Returns whether the upstream is there and takes new work, drained ones included. */
+  /**
+   * Returns whether the upstream is live and accepts new work. A drain is not part of the record,
+   * so the result is true for drained upstreams too.
+   */
   public boolean acceptsWork() {
     return state == UpstreamState.LIVE && !announcement.leaving();
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/UpstreamRun.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/UpstreamRun.java
@@ -1,25 +1,31 @@
 package org.skylarkfork.core.upstream;
 
 /**
- * One start of an upstream's process.
+ * One run of an upstream: the lifetime of one of its processes.
  *
- * <p>An upstream may start again under its id. It then holds nothing of before, so what was learned
- * of the earlier start, or said of it, must not be taken for the later one.
+ * <p>An upstream may restart under the same id. The new process holds no state of the earlier one,
+ * so observations of an earlier run and commands for it must not be applied to a later run.
  *
  * @param id id of the upstream
- * @param bornMillis when the process started, in milliseconds since 1970; 0 if it doesn't say
+ * @param bornMillis start time of the process, in milliseconds since 1970; 0 if the upstream
+ *     doesn't report it
  */
 public record UpstreamRun(String id, long bornMillis) {
 
-  /** Start that is later than each one: stands for all starts of an id. */
+  /** Start time after that of every actual run; a run with it represents all runs of an id. */
   private static final long AFTER_EVERY_RUN = Long.MAX_VALUE;
 
-  /** Returns what stands for all starts of an id, as records without a start meant it. */
+  /**
+   * Returns the value that represents all runs of an id, for stored records without a start time.
+   */
   public static UpstreamRun allRunsOf(String id) {
     return new UpstreamRun(id, AFTER_EVERY_RUN);
   }
 
-  /** Returns whether what is said of this start holds for another one too: the same or earlier. */
+  /**
+   * Returns whether a statement on this run also applies to another one, which is the same or an
+   * earlier run of the same upstream.
+   */
   public boolean covers(UpstreamRun other) {
     return id.equals(other.id) && other.bornMillis <= bornMillis;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/UpstreamState.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/UpstreamState.java
@@ -1,11 +1,14 @@
 package org.skylarkfork.core.upstream;
 
-/** Whether an upstream is there. */
+/** The state of an upstream in the directory. */
 public enum UpstreamState {
-  /** It is heard. */
+  /** The upstream's announcements are being received. */
   LIVE,
-  /** It fell silent; it counts as there again once it is heard. */
+  /** The upstream's announcements have stopped; it is live again once another one is received. */
   LOST,
-  /** It ended or another process has taken its address; this process never returns. */
+  /**
+   * The process has ended or another process uses its address; this process never becomes live
+   * again.
+   */
   GONE
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/package-info.java
@@ -1,4 +1,4 @@
-/** What upstreams announce and the directory of those known. */
+/** Announcements of upstreams and the directory of the known upstreams. */
 @NullMarked
 package org.skylarkfork.core.upstream;
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/testing/RecordedOutput.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/testing/RecordedOutput.java
@@ -6,7 +6,7 @@
 import org.skylarkfork.core.effect.Effect;
 import org.skylarkfork.core.event.Event;
 
-/** Keeps what a part decides, for tests of single classes. */
+/** Records the effects and events of a part, for tests of single classes. */
 public final class RecordedOutput implements Output {
 
   private final List<Effect> effects = new ArrayList<>();
@@ -22,7 +22,7 @@
     events.add(event);
   }
 
-  /** Returns the effects of one type so far, oldest first. */
+  /** Returns the effects of one type that were added so far, oldest first. */
   public <E extends Effect> List<E> effects(Class<E> type) {
     return effects.stream().filter(type::isInstance).map(type::cast).toList();
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/testing/SimulatedDisk.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/testing/SimulatedDisk.java
@@ -12,7 +12,10 @@
 import org.skylarkfork.core.effect.StorageEffect;
 import org.skylarkfork.core.event.StorageEvent;
 
-/** One group's part of a data folder: what is synced, and what a crash may still take away. */
+/**
+ * Simulates the storage of one group: its synced content, and the unsynced writes that a crash may
+ * lose.
+ */
 final class SimulatedDisk {
 
   private final GroupId group;
@@ -30,7 +33,7 @@
     unsynced.addLast(effect);
   }
 
-  /** Syncs the oldest write and returns what the runtime would report of it. */
+  /** Syncs the oldest unsynced write and returns the event that the runtime would submit for it. */
   StorageEvent sync() {
     StorageEffect effect = unsynced.removeFirst();
     if (effect instanceof StorageEffect.Persist write) {
@@ -53,7 +56,7 @@
       lastIndex = Math.min(lastIndex, write.truncateFrom() - 1);
     }
     for (LogEntry entry : write.entries()) {
-      // The real log stops at this: a gap on the disk would be found only at the next start.
+      // The real log fails here too; otherwise a gap would be detected only at the next start.
       if (entry.index() != lastIndex + 1) {
         throw new AssertionError(group + ": entry " + entry.index() + " after " + lastIndex);
       }
@@ -62,7 +65,7 @@
     }
   }
 
-  /** Loses the unsynced writes but for the oldest ones, as a power failure does. */
+  /** Drops all unsynced writes except the given number of oldest ones, as a power failure does. */
   void crash(int survivors) {
     for (int i = 0; i < survivors && !unsynced.isEmpty(); i++) {
       sync();
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/testing/SimulatedNetwork.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/testing/SimulatedNetwork.java
@@ -27,13 +27,14 @@
 import org.skylarkfork.core.message.PeerMessage;
 
 /**
- * Several reducers in one test, with seeded time, delivery and faults.
+ * Simulates several daemons in one test, with virtual time and with message delays and faults that
+ * are determined by a seed.
  *
- * <p>Carries out peer and storage effects; hands all others to a listener.
+ * <p>Carries out messages to peers and storage effects; passes all other effects to a listener.
  */
 public final class SimulatedNetwork {
 
-  /** Makes a daemon's reducer at each of its starts. */
+  /** Creates the reducer of a daemon at each of its starts. */
   @FunctionalInterface
   public interface ReducerFactory {
 
@@ -41,7 +42,9 @@
     Reducer start(long seed);
   }
 
-  /** Marks a delivery that also a later start of the daemon gets, as messages in flight do. */
+  /**
+   * Marks a delivery that a later start of the daemon receives too, such as a message in flight.
+   */
   private static final int ANY_START = -1;
 
   private final UniformRandomProvider random;
@@ -58,54 +61,59 @@
   private int maxDelayMillis = 2;
   private int maxSyncMillis = 3;
 
-  /** Makes a network without nodes; the same seed gives the same run. */
+  /** Creates a network without daemons; the same seed gives the same run. */
   public SimulatedNetwork(long seed) {
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
   }
 
-  /** Adds a daemon, not started yet, with an empty disk for the groups that it hosts. */
+  /** Adds a stopped daemon with an empty disk for each group that it hosts. */
   public void add(String name, List<GroupId> groups, ReducerFactory boot) {
     nodes.put(name, new Node(name, groups, boot));
   }
 
-  /** Sets the share of messages lost and doubled, and the greatest delay of one. */
-  public void setMessageFaults(double lossRate, double duplicationRate, int maxDelay) {
+  /**
+   * Sets the fractions of messages that are lost and duplicated, and the maximum delay of a message
+   * in milliseconds.
+   */
+  public void setMessageFaults(double lossRate, double duplicationRate, int delayLimitMillis) {
     loss = lossRate;
     duplication = duplicationRate;
-    maxDelayMillis = maxDelay;
+    maxDelayMillis = delayLimitMillis;
   }
 
-  /** Sets the greatest time of a sync. */
+  /** Sets the maximum duration of a sync, in milliseconds. */
   public void setMaxSyncMillis(int millis) {
     maxSyncMillis = millis;
   }
 
-  /** Gives effects other than those for peers and storage to a listener. */
+  /**
+   * Sets the listener that receives all effects other than messages to peers and storage effects.
+   */
   public void setEffectListener(BiConsumer<String, Effect> effects) {
     listener = effects;
   }
 
-  /** Runs a check after each event. */
+  /** Sets a check that runs after each event. */
   public void setCheck(Runnable afterEvent) {
     setCheck = afterEvent;
   }
 
-  /** Returns the present time of all daemons. */
+  /** Returns the current time of the network, which is that of daemons without a clock offset. */
   public Instant now() {
     return now;
   }
 
-  /** Returns the run's randomness. */
+  /** Returns the source of randomness of this run. */
   public UniformRandomProvider random() {
     return random;
   }
 
-  /** Returns whether a daemon runs. */
+  /** Returns whether a daemon is running. */
   public boolean isUp(String name) {
     return nodes.get(name).reducer != null;
   }
 
-  /** Starts a daemon with what its disk holds. */
+  /** Starts a daemon with the content of its disk. */
   public void start(String name) {
     Node node = nodes.get(name);
     node.starts++;
@@ -117,7 +125,7 @@
     schedule(node, Reducer.TICK, node.starts, () -> tick(node));
   }
 
-  /** Ends a daemon at once; of its unsynced writes the oldest few may survive. */
+  /** Kills a daemon; a random number of its oldest unsynced writes survives. */
   public void crash(String name) {
     Node node = nodes.get(name);
     node.reducer = null;
@@ -128,33 +136,33 @@
     }
   }
 
-  /** Ends a daemon and empties its disk. */
+  /** Kills a daemon and erases its disk. */
   public void crashAndWipe(String name) {
     crash(name);
     nodes.get(name).format();
   }
 
   /**
-   * Sets how far a daemon's clock is from the network's, from now on.
+   * Sets the offset of a daemon's clock from the network's time.
    *
-   * @param name the daemon; to be called before it starts, since its clock must not jump
-   * @param offset added to the network's time
+   * @param name name of the daemon, which must not be running yet, since its clock must not jump
+   * @param offset offset that is added to the network's time
    */
   public void setClockOffset(String name, Duration offset) {
     nodes.get(name).clockOffset = offset;
   }
 
-  /** Returns the present time on a daemon's own clock. */
+  /** Returns the current time on a daemon's own clock. */
   public Instant timeOf(String name) {
     return now.plus(nodes.get(name).clockOffset);
   }
 
-  /** Suspends a daemon: what happens to it waits, while its clock runs on. */
+  /** Suspends a daemon: its events are deferred while its clock continues. */
   public void suspend(String name) {
     nodes.get(name).suspended = true;
   }
 
-  /** Wakes a suspended daemon up, which then sees all at once what has waited. */
+  /** Resumes a suspended daemon, which then receives all deferred events at once. */
   public void resume(String name) {
     Node node = nodes.get(name);
     node.suspended = false;
@@ -174,35 +182,38 @@
     nodes.get(name).writesFail = true;
   }
 
-  /** Drops all messages between two daemons, in silence. */
+  /** Drops all messages between two daemons without connection errors. */
   public void disconnect(String one, String other) {
     blockedLinks.add(one + ">" + other);
     blockedLinks.add(other + ">" + one);
   }
 
-  /** Drops all messages between a daemon and the others, in silence. */
+  /** Drops all messages between a daemon and all others without connection errors. */
   public void isolate(String name) {
     for (String other : nodes.keySet()) {
       disconnect(name, other);
     }
   }
 
-  /** Ends all cuts. */
+  /** Reconnects all disconnected daemons. */
   public void reconnectAll() {
     blockedLinks.clear();
   }
 
-  /** Gives a running daemon an event. */
+  /** Applies an event to a daemon if it is running. */
   public void inject(String name, Event event) {
     apply(nodes.get(name), event);
   }
 
-  /** Lets time pass. */
+  /** Advances the time. */
   public void run(Duration time) {
     runUntil(time, () -> false);
   }
 
-  /** Lets time pass until a condition holds; returns whether it does. */
+  /**
+   * Advances the time until a condition holds or the limit is reached; returns whether the
+   * condition holds.
+   */
   public boolean runUntil(Duration limit, BooleanSupplier condition) {
     Instant end = now.plus(limit);
     while (!condition.getAsBoolean()) {
