--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
@@ -16,7 +16,7 @@
 import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.ledger.ClaimOutcome;
 import org.skylarkfork.core.ledger.LedgerMachine;
-import org.skylarkfork.core.request.AnswerFacts;
+import org.skylarkfork.core.request.AnswerMetadata;
 import org.skylarkfork.core.request.RunState;
 import org.skylarkfork.core.upstream.Announcement;
 
@@ -125,7 +125,7 @@
       active.ran = true;
       active.costMicros = answered.facts().costMicros();
       active.notice = "recorded answer of request " + answered.facts().requestId();
-      AnswerFacts facts = active.facts(null, answered.facts().upstream());
+      AnswerMetadata facts = active.facts(null, answered.facts().upstream());
       CallerEffect last =
           answered.headers().contains(LedgerMachine.BODY_DROPPED)
               ? new CallerEffect.Refuse(active.id(), BODY_NOT_KEPT, facts)
@@ -275,7 +275,7 @@
     if (event.status() < SERVER_ERROR) {
       active.costMicros = price(active.request.service());
     }
-    AnswerFacts facts = active.facts(null, attempt.upstream);
+    AnswerMetadata facts = active.facts(null, attempt.upstream);
     CallerEffect last =
         new CallerEffect.SendServiceAnswer(
             active.id(), event.status(), event.headers(), event.body(), facts);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/CallerEffect.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/CallerEffect.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.skylarkfork.core.error.RoutingError;
-import org.skylarkfork.core.request.AnswerFacts;
+import org.skylarkfork.core.request.AnswerMetadata;
 import org.skylarkfork.core.request.Bytes;
 import org.skylarkfork.core.request.Header;
 import org.skylarkfork.core.request.Usage;
@@ -22,7 +22,7 @@
    * @param requestId id of the request
    * @param facts values of the answer's headers
    */
-  record BeginStream(String requestId, AnswerFacts facts) implements CallerEffect {}
+  record BeginStream(String requestId, AnswerMetadata facts) implements CallerEffect {}
 
   /**
    * Sends further tokens of a streamed answer.
@@ -40,7 +40,7 @@
    * @param usage token counts reported to the caller
    * @param facts final values of the answer's headers, sent as the last comment of the stream
    */
-  record EndStream(String requestId, String finishReason, Usage usage, AnswerFacts facts)
+  record EndStream(String requestId, String finishReason, Usage usage, AnswerMetadata facts)
       implements CallerEffect {}
 
   /**
@@ -50,7 +50,7 @@
    * @param error error reported to the caller
    * @param facts final values of the answer's headers
    */
-  record BreakStream(String requestId, RoutingError error, AnswerFacts facts)
+  record BreakStream(String requestId, RoutingError error, AnswerMetadata facts)
       implements CallerEffect {}
 
   /**
@@ -63,7 +63,7 @@
    * @param facts values of the answer's headers
    */
   record SendDraft(
-      String requestId, String text, String finishReason, Usage usage, AnswerFacts facts)
+      String requestId, String text, String finishReason, Usage usage, AnswerMetadata facts)
       implements CallerEffect {}
 
   /**
@@ -76,7 +76,7 @@
    * @param facts values of the answer's headers
    */
   record SendServiceAnswer(
-      String requestId, int status, List<Header> headers, Bytes body, AnswerFacts facts)
+      String requestId, int status, List<Header> headers, Bytes body, AnswerMetadata facts)
       implements CallerEffect {
 
     /** Copies the headers. */
@@ -92,5 +92,6 @@
    * @param error error reported to the caller
    * @param facts values of the answer's headers
    */
-  record Refuse(String requestId, RoutingError error, AnswerFacts facts) implements CallerEffect {}
+  record Refuse(String requestId, RoutingError error, AnswerMetadata facts)
+      implements CallerEffect {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/request/AnswerFacts.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/request/AnswerMetadata.java
@@ -16,7 +16,7 @@
  * @param notice notice to the caller, such as that its session had to move to another version, or
  *     null
  */
-public record AnswerFacts(
+public record AnswerMetadata(
     String requestId,
     @Nullable String model,
     @Nullable String version,
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CallTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CallTest.java
@@ -20,7 +20,7 @@
 import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.ledger.ClaimOutcome;
 import org.skylarkfork.core.ledger.LedgerMachine;
-import org.skylarkfork.core.request.AnswerFacts;
+import org.skylarkfork.core.request.AnswerMetadata;
 import org.skylarkfork.core.request.Bytes;
 import org.skylarkfork.core.request.RunState;
 import org.testng.annotations.Test;
@@ -91,7 +91,7 @@
     // The answer of the first call exceeded the size limit for recorded bodies. The resend must be
     // refused with "ran", instead of getting an empty answer with status 201.
     RequestFixture fixture = new RequestFixture();
-    AnswerFacts facts = new AnswerFacts("o", null, null, "s", 1, 50, null, null);
+    AnswerMetadata facts = new AnswerMetadata("o", null, null, "s", 1, 50, null, null);
     fixture.ledger.owners.put("jury/k", "request of another entry");
     fixture.ledger.outcomes.put(
         "jury/k",
