--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/RelayEffect.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/RelayEffect.java
@@ -6,7 +6,7 @@
 import org.skylarkfork.core.relay.Refusal;
 import org.skylarkfork.core.relay.UpstreamInstance;
 
-/** Effects of the relay, carried out by its network front end. */
+/** Effects of the relay, carried out by the relay's runtime. */
 public sealed interface RelayEffect extends Effect {
 
   /**
@@ -20,7 +20,7 @@
       implements RelayEffect {}
 
   /**
-   * Opens the control VM's listeners for operators, upstreams and callers; added once a leader is
+   * Opens the control VM's listeners for operators, upstreams and callers; added when a leader is
    * known or the wait for one has timed out.
    */
   record TakeCalls() implements RelayEffect {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/event/RelayEvent.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/event/RelayEvent.java
@@ -9,7 +9,7 @@
 import org.skylarkfork.core.relay.UpstreamInstance;
 import org.skylarkfork.core.upstream.UpstreamRun;
 
-/** Events of the relay, submitted by its network front end. */
+/** Events of the relay, submitted by the relay's runtime. */
 public sealed interface RelayEvent extends Event {
 
   /**
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/message/package-info.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/message/package-info.java
@@ -1,4 +1,4 @@
-/** Messages between daemons, sent at most once and without delivery guarantees. */
+/** Messages between daemons, sent without delivery guarantees. */
 @NullMarked
 package org.skylarkfork.core.message;
 
