--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/Admission.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/Admission.java
@@ -20,7 +20,7 @@
    * @param priority priority after rules, 0 to 9
    * @param now the present time
    */
-  Verdict submit(CallerRequest request, Team team, int priority, Instant now);
+  Result submit(CallerRequest request, Team team, int priority, Instant now);
 
   /**
    * Gives back what an admitted request held, or takes a waiting one out of its queue.
@@ -37,7 +37,7 @@
    * @param decision what was decided
    * @param error why it was refused, with the time to come back; null unless refused
    */
-  record Verdict(Decision decision, @Nullable RoutingError error) {}
+  record Result(Decision decision, @Nullable RoutingError error) {}
 
   /** What was decided. */
   enum Decision {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/KnownCapacity.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/AnnouncedCapacity.java
@@ -17,16 +17,16 @@
  * a headroom of 2 the upstreams' own queues hold at most as much again as runs. The sum over the
  * upstreams is made once in a while and not for each request.
  */
-public final class KnownCapacity implements LaneCapacity {
+public final class AnnouncedCapacity implements LaneCapacity {
 
-  private static final Duration KEPT = Duration.ofMillis(500);
+  private static final Duration CACHE_TIME = Duration.ofMillis(500);
 
   private final UpstreamDirectory directory;
   private final IntSupplier liveEntries;
   private final double headroom;
-  private final Map<Lane, Known> known = new HashMap<>();
+  private final Map<Lane, CachedCapacity> cached = new HashMap<>();
 
-  private record Known(int capacity, Instant until) {}
+  private record CachedCapacity(int capacity, Instant until) {}
 
   /**
    * Makes a capacity.
@@ -35,7 +35,7 @@
    * @param liveEntries how many entries there are, this one included
    * @param headroom by how much an entry exceeds its even share, at least 1
    */
-  public KnownCapacity(UpstreamDirectory directory, IntSupplier liveEntries, double headroom) {
+  public AnnouncedCapacity(UpstreamDirectory directory, IntSupplier liveEntries, double headroom) {
     this.directory = directory;
     this.liveEntries = liveEntries;
     this.headroom = headroom;
@@ -43,25 +43,25 @@
 
   @Override
   public int capacity(Lane lane, Instant now) {
-    Known last = known.get(lane);
-    if (last == null || !now.isBefore(last.until)) {
-      last = new Known(sum(lane, now), now.plus(KEPT));
-      known.put(lane, last);
+    CachedCapacity latest = cached.get(lane);
+    if (latest == null || !now.isBefore(latest.until)) {
+      latest = new CachedCapacity(sum(lane, now), now.plus(CACHE_TIME));
+      cached.put(lane, latest);
     }
-    return last.capacity;
+    return latest.capacity;
   }
 
   private int sum(Lane lane, Instant now) {
     List<Announcement> upstreams =
         lane.equals(Lane.DRAFTS)
-            ? directory.all().stream().filter(KnownCapacity::takesDrafts).toList()
+            ? directory.all().stream().filter(AnnouncedCapacity::acceptsDrafts).toList()
             : directory.services(lane.service(), now);
     long total = upstreams.stream().mapToLong(Announcement::capacity).sum();
     double share = total * headroom / Math.max(1, liveEntries.getAsInt());
     return (int) Math.max(1, Math.min(total, Math.ceil(share)));
   }
 
-  private static boolean takesDrafts(Announcement upstream) {
+  private static boolean acceptsDrafts(Announcement upstream) {
     return upstream.kind() == UpstreamKind.ENGINE && !upstream.leaving();
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/EntryView.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/EntryView.java
@@ -13,24 +13,24 @@
 /** Which entries there are, and were a while ago, and which of them owns a team's limits. */
 final class EntryView {
 
-  private static final Duration EVERY = Duration.ofMillis(100);
+  private static final Duration REFRESH_INTERVAL = Duration.ofMillis(100);
 
   private final Members members;
-  private final Duration memory;
+  private final Duration retention;
   private final TreeMap<String, Instant> lastSeen = new TreeMap<>();
   private final Map<String, String> owners = new HashMap<>();
   private List<String> live = List.of();
   private Instant changedAt = Instant.MIN;
   private Instant refreshedAt = Instant.MIN;
 
-  EntryView(Members members, Duration memory) {
+  EntryView(Members members, Duration retention) {
     this.members = members;
-    this.memory = memory;
+    this.retention = retention;
   }
 
   /** Looks at the members again from time to time; returns whether the live entries changed. */
   boolean refresh(Instant now) {
-    if (!live.isEmpty() && now.isBefore(refreshedAt.plus(EVERY))) {
+    if (!live.isEmpty() && now.isBefore(refreshedAt.plus(REFRESH_INTERVAL))) {
       return false;
     }
     refreshedAt = now;
@@ -40,7 +40,7 @@
             .map(Member::name)
             .toList();
     names.forEach(name -> lastSeen.put(name, now));
-    lastSeen.values().removeIf(seen -> seen.plus(memory).isBefore(now));
+    lastSeen.values().removeIf(seen -> seen.plus(retention).isBefore(now));
     if (names.equals(live)) {
       return false;
     }
@@ -68,15 +68,17 @@
   }
 
   /** Returns how many entries there are or were a while ago, at least 1. */
-  int known() {
+  int knownCount() {
     return Math.max(1, lastSeen.size());
   }
 
   /** Returns whether the live entries are most of the known ones; half counts with the first. */
   boolean hasMajority() {
-    int twice = live.size() * 2;
-    return twice > lastSeen.size()
-        || (twice == lastSeen.size() && !live.isEmpty() && live.contains(lastSeen.firstKey()));
+    int doubledLive = live.size() * 2;
+    return doubledLive > lastSeen.size()
+        || (doubledLive == lastSeen.size()
+            && !live.isEmpty()
+            && live.contains(lastSeen.firstKey()));
   }
 
   /** Returns the entry that hands out a team's limits; this one if it knows of none. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/EvenShares.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/EvenShares.java
@@ -27,12 +27,12 @@
 
   @Override
   public Limits share(Team team, Instant now) {
-    Limits whole = team.limits();
+    Limits teamLimits = team.limits();
     int entries = Math.max(1, liveEntries.getAsInt());
     return new Limits(
-        whole.requestsPerSecond() / entries,
-        atLeastOne(whole.concurrentRequests(), entries),
-        atLeastOne(whole.tokensPerMinute(), entries));
+        teamLimits.requestsPerSecond() / entries,
+        atLeastOne(teamLimits.concurrentRequests(), entries),
+        atLeastOne(teamLimits.tokensPerMinute(), entries));
   }
 
   private static int atLeastOne(int limit, int entries) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/FairAdmission.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/FairAdmission.java
@@ -30,27 +30,28 @@
  */
 public final class FairAdmission implements Admission, Part {
 
-  private static final long LEAST_RETRY_MILLIS = 100;
-  private static final double MILLIS = 1000;
-  private static final Verdict ADMITTED = new Verdict(Decision.ADMITTED, null);
-  private static final Verdict WAITING = new Verdict(Decision.WAITING, null);
+  private static final long MIN_RETRY_MILLIS = 100;
+  private static final double MILLIS_PER_SECOND = 1000;
+  private static final Result ADMITTED = new Result(Decision.ADMITTED, null);
+  private static final Result WAITING = new Result(Decision.WAITING, null);
 
   private final LaneCapacity capacity;
   private final LimitShares shares;
   private final AdmissionSettings settings;
   private final Map<Lane, LaneQueue> lanes = new TreeMap<>(Comparator.comparing(Lane::service));
   private final Map<String, TeamUsage> usages = new HashMap<>();
-  private final Map<String, Waiter> waiting = new HashMap<>();
-  private final Map<String, Running> running = new HashMap<>();
-  private final TreeSet<Waiter> byDeadline =
-      new TreeSet<>(Comparator.comparing(Waiter::deadline).thenComparingLong(Waiter::sequence));
-  private final List<AdmissionEvent> raised = new ArrayList<>();
+  private final Map<String, QueuedRequest> waiting = new HashMap<>();
+  private final Map<String, RunningRequest> running = new HashMap<>();
+  private final TreeSet<QueuedRequest> byDeadline =
+      new TreeSet<>(
+          Comparator.comparing(QueuedRequest::deadline).thenComparingLong(QueuedRequest::sequence));
+  private final List<AdmissionEvent> pendingEvents = new ArrayList<>();
   private long sequence;
 
   /** Whether a place or a waiter came since the queues were looked at. */
-  private boolean changed;
+  private boolean drainNeeded;
 
-  private record Running(Waiter request, Instant since) {}
+  private record RunningRequest(QueuedRequest request, Instant startedAt) {}
 
   /**
    * Makes an admission.
@@ -66,32 +67,32 @@
   }
 
   @Override
-  public Verdict submit(CallerRequest request, Team team, int priority, Instant now) {
-    Waiter newcomer = waiter(request, team, priority);
-    usage(team, now).asked(newcomer.cost());
-    LaneQueue lane = lanes.computeIfAbsent(newcomer.lane(), key -> new LaneQueue());
-    boolean first = lane.waitingOf(team.name()) == 0;
-    if (first
-        && lane.running() < capacity.capacity(newcomer.lane(), now)
-        && mayStart(newcomer, now)) {
-      start(newcomer, lane, now);
+  public Result submit(CallerRequest request, Team team, int priority, Instant now) {
+    QueuedRequest incoming = queuedRequest(request, team, priority);
+    usage(team, now).recordSubmission(incoming.cost());
+    LaneQueue lane = lanes.computeIfAbsent(incoming.lane(), key -> new LaneQueue());
+    boolean noneAhead = lane.waitingOf(team.name()) == 0;
+    if (noneAhead
+        && lane.running() < capacity.capacity(incoming.lane(), now)
+        && mayStart(incoming, now)) {
+      start(incoming, lane, now);
       return ADMITTED;
     }
-    RoutingError error = refusal(newcomer, lane, now);
+    RoutingError error = refusal(incoming, lane, now);
     if (error != null) {
-      return new Verdict(Decision.REFUSED, error);
+      return new Result(Decision.REFUSED, error);
     }
-    lane.add(newcomer);
-    waiting.put(newcomer.requestId(), newcomer);
-    byDeadline.add(newcomer);
-    changed = true;
+    lane.add(incoming);
+    waiting.put(incoming.requestId(), incoming);
+    byDeadline.add(incoming);
+    drainNeeded = true;
     return WAITING;
   }
 
-  private Waiter waiter(CallerRequest request, Team team, int priority) {
+  private QueuedRequest queuedRequest(CallerRequest request, Team team, int priority) {
     long tokens = (long) request.promptTokens() + request.maxTokens();
     long cost = request.kind().isDraft() ? Math.max(1, tokens) : 1;
-    return new Waiter(
+    return new QueuedRequest(
         request.requestId(),
         Lane.of(request),
         team,
@@ -103,45 +104,47 @@
 
   private TeamUsage usage(Team team, Instant now) {
     TeamUsage usage = usages.computeIfAbsent(team.name(), name -> new TeamUsage());
-    usage.follow(shares.share(team, now), now);
+    usage.applyShare(shares.share(team, now), now);
     return usage;
   }
 
-  private boolean mayStart(Waiter waiter, Instant now) {
-    boolean lookup = !waiter.lane().equals(Lane.DRAFTS);
-    return usage(waiter.team(), now).mayStart(waiter.cost(), lookup, now);
+  private boolean mayStart(QueuedRequest queued, Instant now) {
+    boolean lookup = !queued.lane().equals(Lane.DRAFTS);
+    return usage(queued.team(), now).mayStart(queued.cost(), lookup, now);
   }
 
-  private void start(Waiter waiter, LaneQueue lane, Instant now) {
-    lane.started(waiter.team().name(), waiter.team().weight(), waiter.cost());
-    usage(waiter.team(), now).started(waiter.cost(), now);
-    running.put(waiter.requestId(), new Running(waiter, now));
+  private void start(QueuedRequest queued, LaneQueue lane, Instant now) {
+    lane.recordStart(queued.team().name(), queued.team().weight(), queued.cost());
+    usage(queued.team(), now).recordStart(queued.cost(), now);
+    running.put(queued.requestId(), new RunningRequest(queued, now));
   }
 
   /** Returns why a newcomer may not even wait, or null if it may. */
-  private @Nullable RoutingError refusal(Waiter newcomer, LaneQueue lane, Instant now) {
-    double byTeam =
-        usage(newcomer.team(), now)
-            .secondsUntil(lane.aheadInTeam(newcomer), newcomer.cost(), lane.serviceSeconds(), now);
-    double byLane = laneSeconds(newcomer, lane, now);
-    double wait = Math.max(byTeam, byLane);
-    double patience = Duration.between(now, newcomer.deadline()).toMillis() / MILLIS;
+  private @Nullable RoutingError refusal(QueuedRequest incoming, LaneQueue lane, Instant now) {
+    double teamWait =
+        usage(incoming.team(), now)
+            .secondsUntil(
+                lane.aheadInTeam(incoming), incoming.cost(), lane.meanServiceSeconds(), now);
+    double laneWait = laneWaitSeconds(incoming, lane, now);
+    double wait = Math.max(teamWait, laneWait);
+    double secondsToDeadline =
+        Duration.between(now, incoming.deadline()).toMillis() / MILLIS_PER_SECOND;
     // What must wait beyond its deadline is refused now: later it would have cost its caller the
     // time and the queue the place, and the end would be the same.
-    if (wait + lane.serviceSeconds() / 2 > patience) {
-      return byTeam > byLane
-          ? overLimit(newcomer, byTeam - patience + lane.serviceSeconds())
-          : tooLate(newcomer, byLane - patience + lane.serviceSeconds());
+    if (wait + lane.meanServiceSeconds() / 2 > secondsToDeadline) {
+      return teamWait > laneWait
+          ? overLimit(incoming, teamWait - secondsToDeadline + lane.meanServiceSeconds())
+          : tooLate(incoming, laneWait - secondsToDeadline + lane.meanServiceSeconds());
     }
-    return makeRoom(newcomer, lane, wait);
+    return evictOrRefuse(incoming, lane, wait);
   }
 
-  private double laneSeconds(Waiter newcomer, LaneQueue lane, Instant now) {
-    int slots = capacity.capacity(newcomer.lane(), now);
+  private double laneWaitSeconds(QueuedRequest incoming, LaneQueue lane, Instant now) {
+    int slots = capacity.capacity(incoming.lane(), now);
     if (lane.running() < slots) {
       return 0;
     }
-    return (lane.aheadInLane(newcomer) + 1) * lane.serviceSeconds() / slots;
+    return (lane.aheadInLane(incoming) + 1) * lane.meanServiceSeconds() / slots;
   }
 
   /**
@@ -151,22 +154,24 @@
    * small team would be refused for the whole burst. So the last one of the team that waits most
    * for its weight has to go.
    */
-  private @Nullable RoutingError makeRoom(Waiter newcomer, LaneQueue lane, double wait) {
-    Waiter last = null;
-    if (lane.waitingOf(newcomer.team().name()) >= settings.maxWaitingPerTeam()) {
-      last = lane.lastOf(newcomer.team().name());
+  private @Nullable RoutingError evictOrRefuse(
+      QueuedRequest incoming, LaneQueue lane, double wait) {
+    QueuedRequest victim = null;
+    if (lane.waitingOf(incoming.team().name()) >= settings.maxWaitingPerTeam()) {
+      victim = lane.lastOf(incoming.team().name());
     } else if (waiting.size() >= settings.maxWaiting()) {
-      last = longestLane().lastOfLongest();
+      victim = longestLane().lastOfLongest();
     } else {
       return null;
     }
-    boolean same = last == null || last.team().name().equals(newcomer.team().name());
-    boolean better = last != null && (!same || Waiter.ORDER.compare(newcomer, last) < 0);
-    if (!better) {
-      return overLimit(newcomer, wait);
+    boolean sameTeam = victim == null || victim.team().name().equals(incoming.team().name());
+    boolean mayEvict =
+        victim != null && (!sameTeam || QueuedRequest.ORDER.compare(incoming, victim) < 0);
+    if (!mayEvict) {
+      return overLimit(incoming, wait);
     }
-    forget(last);
-    raised.add(new AdmissionEvent.WaitRefused(last.requestId(), overLimit(last, wait)));
+    dequeue(victim);
+    pendingEvents.add(new AdmissionEvent.WaitRefused(victim.requestId(), overLimit(victim, wait)));
     return null;
   }
 
@@ -174,90 +179,90 @@
     return lanes.values().stream().max(Comparator.comparingInt(LaneQueue::waiting)).orElseThrow();
   }
 
-  private static RoutingError overLimit(Waiter waiter, double seconds) {
+  private static RoutingError overLimit(QueuedRequest queued, double seconds) {
     return RoutingError.notRunRetry(
         ErrorKind.OVER_LIMIT,
         "Team "
-            + waiter.team().name()
+            + queued.team().name()
             + " has more requests at this entry than its share."
             + " Send it again after the stated time, or ask your operator for a higher limit.",
         retryMillis(seconds));
   }
 
-  private static RoutingError tooLate(Waiter waiter, double seconds) {
+  private static RoutingError tooLate(QueuedRequest queued, double seconds) {
     return RoutingError.notRunRetry(
         ErrorKind.NO_CAPACITY,
         "The queue for "
-            + waiter.lane()
+            + queued.lane()
             + " is longer than the deadline allows."
             + " Send it again after the stated time, or with a later deadline.",
         retryMillis(seconds));
   }
 
   private static long retryMillis(double seconds) {
-    return Math.max(LEAST_RETRY_MILLIS, Math.round(seconds * MILLIS));
+    return Math.max(MIN_RETRY_MILLIS, Math.round(seconds * MILLIS_PER_SECOND));
   }
 
-  private void forget(Waiter waiter) {
-    waiting.remove(waiter.requestId());
-    byDeadline.remove(waiter);
-    lanes.get(waiter.lane()).remove(waiter);
+  private void dequeue(QueuedRequest queued) {
+    waiting.remove(queued.requestId());
+    byDeadline.remove(queued);
+    lanes.get(queued.lane()).remove(queued);
   }
 
   @Override
   public void release(String requestId, long tokens, Instant now) {
-    Waiter waiter = waiting.get(requestId);
-    if (waiter != null) {
-      forget(waiter);
+    QueuedRequest queued = waiting.get(requestId);
+    if (queued != null) {
+      dequeue(queued);
       return;
     }
-    changed = true;
-    Running ended = running.remove(requestId);
-    if (ended != null) {
-      Waiter request = ended.request;
+    drainNeeded = true;
+    RunningRequest finished = running.remove(requestId);
+    if (finished != null) {
+      QueuedRequest request = finished.request;
       boolean wasRun = tokens > 0 || !request.lane().equals(Lane.DRAFTS);
-      lanes.get(request.lane()).ended(Duration.between(ended.since, now), wasRun);
-      usage(request.team(), now).ended(request.cost(), tokens, now);
+      lanes.get(request.lane()).recordEnd(Duration.between(finished.startedAt, now), wasRun);
+      usage(request.team(), now).recordEnd(request.cost(), tokens, now);
     }
   }
 
   @Override
   public void apply(Event event, Instant now, Output output) {
-    expire(now);
+    refuseExpired(now);
     // Tokens stream in by the thousand, and none of them gives a place back.
-    if (changed || event instanceof LifecycleEvent.Tick) {
-      changed = false;
+    if (drainNeeded || event instanceof LifecycleEvent.Tick) {
+      drainNeeded = false;
       lanes.forEach((key, lane) -> drain(key, lane, now));
     }
-    raised.forEach(output::raise);
-    raised.clear();
+    pendingEvents.forEach(output::raise);
+    pendingEvents.clear();
     if (event instanceof LifecycleEvent.Tick) {
       output.effect(new TraceEffect.Observe("admission_waiting", "", waiting.size()));
     }
   }
 
-  private void expire(Instant now) {
+  private void refuseExpired(Instant now) {
     while (!byDeadline.isEmpty() && !byDeadline.first().deadline().isAfter(now)) {
-      Waiter late = byDeadline.first();
-      forget(late);
+      QueuedRequest expired = byDeadline.first();
+      dequeue(expired);
       RoutingError error =
           RoutingError.notRun(
               ErrorKind.DEADLINE,
               "The deadline passed while the request waited. Send it with a later deadline.");
-      raised.add(new AdmissionEvent.WaitRefused(late.requestId(), error));
+      pendingEvents.add(new AdmissionEvent.WaitRefused(expired.requestId(), error));
     }
   }
 
   /** Starts waiters of a lane while it has room and their teams' limits let them. */
   private void drain(Lane key, LaneQueue lane, Instant now) {
     while (lane.waiting() > 0 && lane.running() < capacity.capacity(key, now)) {
-      Optional<Waiter> next = lane.next(waiter -> mayStart(waiter, now));
+      Optional<QueuedRequest> next = lane.next(queued -> mayStart(queued, now));
       if (next.isEmpty()) {
         return;
       }
-      forget(next.get());
+      dequeue(next.get());
       start(next.get(), lane, now);
-      raised.add(new AdmissionEvent.Admitted(next.get().requestId()));
+      pendingEvents.add(new AdmissionEvent.Admitted(next.get().requestId()));
     }
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/FifoAdmission.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/FifoAdmission.java
@@ -39,18 +39,18 @@
   }
 
   @Override
-  public Verdict submit(CallerRequest request, Team team, int priority, Instant now) {
+  public Result submit(CallerRequest request, Team team, int priority, Instant now) {
     if (running.size() < slots && waiting.isEmpty()) {
       running.add(request.requestId());
-      return new Verdict(Decision.ADMITTED, null);
+      return new Result(Decision.ADMITTED, null);
     }
     if (waiting.size() >= maxWaiting) {
       String message = "The queue is full. Send the request again later.";
       RoutingError error = RoutingError.notRunRetry(ErrorKind.NO_CAPACITY, message, RETRY_MILLIS);
-      return new Verdict(Decision.REFUSED, error);
+      return new Result(Decision.REFUSED, error);
     }
     waiting.put(request.requestId(), request.deadline());
-    return new Verdict(Decision.WAITING, null);
+    return new Result(Decision.WAITING, null);
   }
 
   @Override
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LaneQueue.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LaneQueue.java
@@ -19,13 +19,13 @@
  */
 final class LaneQueue {
 
-  private static final double SMOOTHING = 0.1;
-  private static final double NANOS = 1e9;
+  private static final double SMOOTHING_FACTOR = 0.1;
+  private static final double NANOS_PER_SECOND = 1e9;
 
   private final Map<String, TeamQueue> teams = new HashMap<>();
-  private final TreeSet<TeamQueue> due =
+  private final TreeSet<TeamQueue> activeTeams =
       new TreeSet<>(
-          Comparator.comparingDouble((TeamQueue queue) -> queue.dueAt)
+          Comparator.comparingDouble((TeamQueue queue) -> queue.virtualStart)
               .thenComparing(queue -> queue.team));
 
   private double virtualTime;
@@ -33,12 +33,12 @@
   private int running;
 
   /** Mean time that a request runs, in seconds, or 0 while unknown. */
-  private double serviceSeconds;
+  private double meanServiceSeconds;
 
   private static final class TeamQueue {
     final String team;
-    final TreeSet<Waiter> waiters = new TreeSet<>(Waiter.ORDER);
-    double dueAt;
+    final TreeSet<QueuedRequest> requests = new TreeSet<>(QueuedRequest.ORDER);
+    double virtualStart;
     int weight = 1;
 
     TeamQueue(String team) {
@@ -46,32 +46,32 @@
     }
   }
 
-  void add(Waiter waiter) {
-    TeamQueue queue = teams.computeIfAbsent(waiter.team().name(), TeamQueue::new);
-    if (queue.waiters.isEmpty()) {
-      queue.dueAt = Math.max(queue.dueAt, virtualTime);
-      due.add(queue);
+  void add(QueuedRequest request) {
+    TeamQueue queue = teams.computeIfAbsent(request.team().name(), TeamQueue::new);
+    if (queue.requests.isEmpty()) {
+      queue.virtualStart = Math.max(queue.virtualStart, virtualTime);
+      activeTeams.add(queue);
     }
-    queue.weight = Math.max(1, waiter.team().weight());
-    queue.waiters.add(waiter);
+    queue.weight = Math.max(1, request.team().weight());
+    queue.requests.add(request);
     waiting++;
   }
 
   /** Takes a waiter out without starting it. */
-  void remove(Waiter waiter) {
-    TeamQueue queue = teams.get(waiter.team().name());
-    if (queue != null && queue.waiters.remove(waiter)) {
+  void remove(QueuedRequest request) {
+    TeamQueue queue = teams.get(request.team().name());
+    if (queue != null && queue.requests.remove(request)) {
       waiting--;
-      if (queue.waiters.isEmpty()) {
-        due.remove(queue);
+      if (queue.requests.isEmpty()) {
+        activeTeams.remove(queue);
       }
     }
   }
 
   /** Returns the next waiter that may start, by fair shares. */
-  Optional<Waiter> next(Predicate<Waiter> mayStart) {
-    for (TeamQueue queue : due) {
-      Waiter first = queue.waiters.first();
+  Optional<QueuedRequest> next(Predicate<QueuedRequest> mayStart) {
+    for (TeamQueue queue : activeTeams) {
+      QueuedRequest first = queue.requests.first();
       if (mayStart.test(first)) {
         return Optional.of(first);
       }
@@ -80,27 +80,29 @@
   }
 
   /** Takes note that a request starts, one that waited or one that needn't. */
-  void started(String team, int weight, long cost) {
+  void recordStart(String team, int weight, long cost) {
     running++;
     TeamQueue queue = teams.computeIfAbsent(team, TeamQueue::new);
-    final boolean queued = due.remove(queue);
-    queue.dueAt = Math.max(queue.dueAt, virtualTime);
-    virtualTime = queue.dueAt;
-    queue.dueAt += (double) cost / Math.max(1, weight);
-    if (queued) {
-      due.add(queue);
+    final boolean wasActive = activeTeams.remove(queue);
+    queue.virtualStart = Math.max(queue.virtualStart, virtualTime);
+    virtualTime = queue.virtualStart;
+    queue.virtualStart += (double) cost / Math.max(1, weight);
+    if (wasActive) {
+      activeTeams.add(queue);
     }
   }
 
   /** Takes note that a request ended after a time; one that was never run tells no time. */
-  void ended(Duration ran, boolean wasRun) {
+  void recordEnd(Duration runTime, boolean wasRun) {
     running--;
     if (!wasRun) {
       return;
     }
-    double seconds = ran.toNanos() / NANOS;
-    serviceSeconds =
-        serviceSeconds == 0 ? seconds : serviceSeconds + SMOOTHING * (seconds - serviceSeconds);
+    double seconds = runTime.toNanos() / NANOS_PER_SECOND;
+    meanServiceSeconds =
+        meanServiceSeconds == 0
+            ? seconds
+            : meanServiceSeconds + SMOOTHING_FACTOR * (seconds - meanServiceSeconds);
   }
 
   int running() {
@@ -111,51 +113,51 @@
     return waiting;
   }
 
-  double serviceSeconds() {
-    return serviceSeconds;
+  double meanServiceSeconds() {
+    return meanServiceSeconds;
   }
 
   int waitingOf(String team) {
     TeamQueue queue = teams.get(team);
-    return queue == null ? 0 : queue.waiters.size();
+    return queue == null ? 0 : queue.requests.size();
   }
 
   /** Returns how many of its own team wait before a newcomer. */
-  int aheadInTeam(Waiter newcomer) {
-    TeamQueue queue = teams.get(newcomer.team().name());
-    return queue == null ? 0 : queue.waiters.headSet(newcomer).size();
+  int aheadInTeam(QueuedRequest incoming) {
+    TeamQueue queue = teams.get(incoming.team().name());
+    return queue == null ? 0 : queue.requests.headSet(incoming).size();
   }
 
   /** Returns how many requests start before a newcomer, at fair shares. */
-  double aheadInLane(Waiter newcomer) {
-    int weight = Math.max(1, newcomer.team().weight());
-    int active = weight;
-    for (TeamQueue queue : due) {
-      if (!queue.team.equals(newcomer.team().name())) {
-        active += queue.weight;
+  double aheadInLane(QueuedRequest incoming) {
+    int weight = Math.max(1, incoming.team().weight());
+    int activeWeight = weight;
+    for (TeamQueue queue : activeTeams) {
+      if (!queue.team.equals(incoming.team().name())) {
+        activeWeight += queue.weight;
       }
     }
-    return Math.min(waiting, (double) aheadInTeam(newcomer) * active / weight);
+    return Math.min(waiting, (double) aheadInTeam(incoming) * activeWeight / weight);
   }
 
   /** Returns the last waiter of the team that waits most for its weight, or null if none waits. */
-  @Nullable Waiter lastOfLongest() {
+  @Nullable QueuedRequest lastOfLongest() {
     TeamQueue longest = null;
-    for (TeamQueue queue : due) {
-      if (longest == null || length(queue) > length(longest)) {
+    for (TeamQueue queue : activeTeams) {
+      if (longest == null || weightedLength(queue) > weightedLength(longest)) {
         longest = queue;
       }
     }
-    return longest == null ? null : longest.waiters.last();
+    return longest == null ? null : longest.requests.last();
   }
 
-  private static double length(TeamQueue queue) {
-    return (double) queue.waiters.size() / queue.weight;
+  private static double weightedLength(TeamQueue queue) {
+    return (double) queue.requests.size() / queue.weight;
   }
 
   /** Returns the last waiter of a team, or null if it has none. */
-  @Nullable Waiter lastOf(String team) {
+  @Nullable QueuedRequest lastOf(String team) {
     TeamQueue queue = teams.get(team);
-    return queue == null || queue.waiters.isEmpty() ? null : queue.waiters.last();
+    return queue == null || queue.requests.isEmpty() ? null : queue.requests.last();
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LeasedShares.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LeasedShares.java
@@ -58,26 +58,26 @@
       Function<String, TeamLoad> loads,
       Function<String, Optional<Limits>> limits,
       ShareSettings settings) {
-    this.view = new EntryView(members, settings.memory());
+    this.view = new EntryView(members, settings.entryRetention());
     this.loads = loads;
     this.settings = settings;
-    this.split = new ShareSplit(settings.reserve());
+    this.split = new ShareSplit(settings.unleasedFraction());
     this.owner = new ShareOwner(view, limits, settings);
   }
 
   @Override
   public Limits share(Team team, Instant now) {
-    Limits whole = team.limits();
-    if (whole.equals(Limits.NONE)) {
-      return whole;
+    Limits limits = team.limits();
+    if (limits.equals(Limits.NONE)) {
+      return limits;
     }
     refresh(now);
     LeasedTeam leased = teams.computeIfAbsent(team.name(), name -> new LeasedTeam(name, now));
-    if (view.known() == 1) {
-      return whole;
+    if (view.knownCount() == 1) {
+      return limits;
     }
-    TeamShare unleased = split.unleased(team.name(), whole, view.known());
-    return ShareSplit.together(unleased, leased.leased(now), whole);
+    TeamShare unleased = split.unleased(team.name(), limits, view.knownCount());
+    return ShareSplit.combine(unleased, leased.leased(now), limits);
   }
 
   private void refresh(Instant now) {
@@ -101,34 +101,35 @@
 
   private void receive(String from, LimitMessage message, Instant now, Output output) {
     if (message instanceof Demand demand) {
-      Grant grant = owner.answer(from, demand, now);
+      Grant grant = owner.handleDemand(from, demand, now);
       if (!grant.teams().isEmpty()) {
         output.effect(new PeerEffect.SendToPeer(from, grant));
       }
     } else if (message instanceof Grant grant) {
-      take(grant);
+      applyGrant(grant);
     }
   }
 
-  private void take(Grant grant) {
+  private void applyGrant(Grant grant) {
     // The owner counts the lease from a later moment, and longer, lest its clock be the faster one.
-    Instant end = grant.demandSentAt().plus(settings.shortened(grant.lease()));
+    Instant end = grant.demandSentAt().plus(settings.holderLease(grant.lease()));
     for (TeamShare share : grant.teams()) {
       LeasedTeam team = teams.get(share.team());
       if (team != null) {
-        team.take(share, grant.demandSentAt(), end);
+        team.applyGrant(share, grant.demandSentAt(), end);
       }
     }
   }
 
   private void report(Instant now, Output output) {
-    boolean due = !now.isBefore(reportedAt.plus(settings.every()));
-    boolean urgent = !now.isBefore(reportedAt.plus(settings.urgent())) && lacksLease(now);
-    if (view.isSuperseded() || view.known() == 1 || !(due || urgent)) {
+    boolean due = !now.isBefore(reportedAt.plus(settings.reportInterval()));
+    boolean urgent =
+        !now.isBefore(reportedAt.plus(settings.urgentReportInterval())) && lacksLease(now);
+    if (view.isSuperseded() || view.knownCount() == 1 || !(due || urgent)) {
       return;
     }
     reportedAt = now;
-    owner.forget(now);
+    owner.removeIdleTeams(now);
     demands(now).forEach((name, demands) -> send(name, demands, now, output));
   }
 
@@ -141,14 +142,14 @@
   private Map<String, List<TeamDemand>> demands(Instant now) {
     Map<String, List<TeamDemand>> demands = new TreeMap<>();
     List<String> idle = new ArrayList<>();
-    Duration recent = settings.lease();
+    Duration activityTimeout = settings.lease();
     teams.forEach(
         (name, team) -> {
           TeamLoad load = loads.apply(name);
-          if (team.isActive(load, recent, now)) {
-            List<TeamDemand> ofOwner =
+          if (team.isActive(load, activityTimeout, now)) {
+            List<TeamDemand> ownerDemands =
                 demands.computeIfAbsent(view.ownerOf(name), key -> new ArrayList<>());
-            ofOwner.add(team.demand(load, now));
+            ownerDemands.add(team.demand(load, now));
           } else if (!team.hasLease(now)) {
             idle.add(name);
           }
@@ -162,7 +163,7 @@
       int end = Math.min(demands.size(), from + MAX_TEAMS);
       Demand demand = new Demand(now, demands.subList(from, end));
       if (to.equals(view.self())) {
-        take(owner.answer(to, demand, now));
+        applyGrant(owner.handleDemand(to, demand, now));
       } else {
         output.effect(new PeerEffect.SendToPeer(to, demand));
       }
@@ -176,6 +177,6 @@
 
   /** Returns how many teams have demand whose limits this entry leases to others and itself. */
   public int ownedTeams() {
-    return owner.size();
+    return owner.teamCount();
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LeasedTeam.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LeasedTeam.java
@@ -8,14 +8,14 @@
 /** A team's demand at this entry, and the share that this entry has a lease for. */
 final class LeasedTeam {
 
-  private static final double SMOOTHING = 0.5;
-  private static final double MILLIS = 1000;
+  private static final double SMOOTHING_FACTOR = 0.5;
+  private static final double MILLIS_PER_SECOND = 1000;
   private static final double MILLIS_PER_MINUTE = 60_000;
 
   private final String name;
-  private final TeamShare nothing;
-  private TeamShare granted;
-  private Instant grantedFor = Instant.EPOCH;
+  private final TeamShare emptyShare;
+  private TeamShare grantedShare;
+  private Instant grantDemandSentAt = Instant.EPOCH;
   private Instant leaseEnd = Instant.EPOCH;
   private TeamLoad reported;
   private Instant reportedAt;
@@ -25,8 +25,8 @@
 
   LeasedTeam(String name, Instant now) {
     this.name = name;
-    this.nothing = new TeamShare(name, 0, 0, 0);
-    this.granted = nothing;
+    this.emptyShare = new TeamShare(name, 0, 0, 0);
+    this.grantedShare = emptyShare;
     this.reported = TeamLoad.NONE;
     this.reportedAt = now;
     this.activeAt = now;
@@ -37,37 +37,44 @@
   }
 
   TeamShare leased(Instant now) {
-    return hasLease(now) ? granted : nothing;
+    return hasLease(now) ? grantedShare : emptyShare;
   }
 
   /** Takes a grant; one for an older demand than the present grant's is ignored. */
-  void take(TeamShare share, Instant demandSentAt, Instant end) {
-    if (demandSentAt.isBefore(grantedFor)) {
+  void applyGrant(TeamShare share, Instant demandSentAt, Instant end) {
+    if (demandSentAt.isBefore(grantDemandSentAt)) {
       return;
     }
-    granted = share;
-    grantedFor = demandSentAt;
+    grantedShare = share;
+    grantDemandSentAt = demandSentAt;
     leaseEnd = end;
   }
 
   /** Returns whether the team asked for anything lately. */
-  boolean isActive(TeamLoad load, Duration recent, Instant now) {
-    if (load.active() || load.askedRequests() != reported.askedRequests()) {
+  boolean isActive(TeamLoad load, Duration activityTimeout, Instant now) {
+    if (load.active() || load.submittedRequests() != reported.submittedRequests()) {
       activeAt = now;
     }
-    return now.isBefore(activeAt.plus(recent));
+    return now.isBefore(activeAt.plus(activityTimeout));
   }
 
   /** Returns the demand to report, with rates smoothed over reports. */
   TeamDemand demand(TeamLoad load, Instant now) {
     double millis = Math.max(1, Duration.between(reportedAt, now).toMillis());
-    double requests = (load.askedRequests() - reported.askedRequests()) / millis * MILLIS;
-    double tokens = (load.askedTokens() - reported.askedTokens()) / millis * MILLIS_PER_MINUTE;
-    requestsPerSecond += SMOOTHING * (requests - requestsPerSecond);
-    tokensPerMinute += SMOOTHING * (tokens - tokensPerMinute);
+    double requests =
+        (load.submittedRequests() - reported.submittedRequests()) / millis * MILLIS_PER_SECOND;
+    double tokens =
+        (load.submittedTokens() - reported.submittedTokens()) / millis * MILLIS_PER_MINUTE;
+    requestsPerSecond += SMOOTHING_FACTOR * (requests - requestsPerSecond);
+    tokensPerMinute += SMOOTHING_FACTOR * (tokens - tokensPerMinute);
     reported = load;
     reportedAt = now;
     return new TeamDemand(
-        name, load.running(), load.waiting(), requestsPerSecond, tokensPerMinute, grantedFor);
+        name,
+        load.running(),
+        load.waiting(),
+        requestsPerSecond,
+        tokensPerMinute,
+        grantDemandSentAt);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LimitShares.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/LimitShares.java
@@ -8,12 +8,12 @@
 public interface LimitShares {
 
   /** Stands in a share for a limited amount of which this entry may use nothing at present. */
-  int NOTHING = -1;
+  int NO_SHARE = -1;
 
   /**
    * Returns what the team may use through this entry; a limit of 0 stays no limit.
    *
-   * <p>Concurrency and tokens may be {@link #NOTHING}; requests then wait for a later share.
+   * <p>Concurrency and tokens may be {@link #NO_SHARE}; requests then wait for a later share.
    *
    * @param team the team
    * @param now the present time
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/OpenAdmission.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/OpenAdmission.java
@@ -7,10 +7,10 @@
 /** Admits every request at once: the baseline without limits or queues. */
 public final class OpenAdmission implements Admission {
 
-  private static final Verdict ADMITTED = new Verdict(Decision.ADMITTED, null);
+  private static final Result ADMITTED = new Result(Decision.ADMITTED, null);
 
   @Override
-  public Verdict submit(CallerRequest request, Team team, int priority, Instant now) {
+  public Result submit(CallerRequest request, Team team, int priority, Instant now) {
     return ADMITTED;
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/OwnedTeam.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/OwnedTeam.java
@@ -17,20 +17,20 @@
 final class OwnedTeam {
 
   /** Part of all demand that each asking entry counts for at the least. */
-  private static final double FLOOR = 0.02;
+  private static final double MIN_DEMAND_FRACTION = 0.02;
 
-  private static final double ROUNDING = 1e-6;
+  private static final double EPSILON = 1e-6;
   private static final TeamDemand NO_DEMAND = new TeamDemand("", 0, 0, 0, 0, Instant.EPOCH);
 
   private final String name;
   private final Instant ownedSince;
-  private final Duration longLease;
-  private final TreeMap<String, ShareHolder> holders = new TreeMap<>();
+  private final Duration ownerLease;
+  private final TreeMap<String, LeaseHolder> holders = new TreeMap<>();
 
-  OwnedTeam(String name, Instant ownedSince, Duration longLease) {
+  OwnedTeam(String name, Instant ownedSince, Duration ownerLease) {
     this.name = name;
     this.ownedSince = ownedSince;
-    this.longLease = longLease;
+    this.ownerLease = ownerLease;
   }
 
   Instant ownedSince() {
@@ -38,15 +38,15 @@
   }
 
   /** Takes a demand; returns false for one that is no newer than the entry's last. */
-  boolean hear(String entry, TeamDemand demand, Instant sentAt, Instant now) {
+  boolean recordDemand(String entry, TeamDemand demand, Instant sentAt, Instant now) {
     return holders
-        .computeIfAbsent(entry, key -> new ShareHolder())
-        .hear(demand, sentAt, now.plus(longLease));
+        .computeIfAbsent(entry, key -> new LeaseHolder())
+        .recordDemand(demand, sentAt, now.plus(ownerLease));
   }
 
   /** Forgets entries that are done; returns whether none is left. */
-  boolean forget(Instant now) {
-    holders.values().removeIf(holder -> holder.isDone(now));
+  boolean removeIdleHolders(Instant now) {
+    holders.values().removeIf(holder -> holder.isIdle(now));
     return holders.isEmpty();
   }
 
@@ -59,30 +59,34 @@
    * @param now the present time
    */
   TeamShare grant(String entry, TeamShare pool, int unleasedSlots, Instant now) {
-    TeamShare before = held(now);
+    TeamShare before = leased(now);
     TeamShare share =
         new TeamShare(
             name,
             Math.min(
-                pool.requestsPerSecond() * part(entry, TeamDemand::requestsPerSecond, now),
+                pool.requestsPerSecond()
+                    * demandFraction(entry, TeamDemand::requestsPerSecond, now),
                 Math.max(
-                    0, pool.requestsPerSecond() - heldByOthers(entry, now).requestsPerSecond())),
+                    0, pool.requestsPerSecond() - leasedToOthers(entry, now).requestsPerSecond())),
             Math.min(
                 slots(entry, pool.concurrentRequests(), now),
                 Math.max(0, pool.concurrentRequests() - slotsOfOthers(entry, unleasedSlots, now))),
             Math.min(
-                (long) (pool.tokensPerMinute() * part(entry, TeamDemand::tokensPerMinute, now)),
-                Math.max(0, pool.tokensPerMinute() - heldByOthers(entry, now).tokensPerMinute())));
-    holders.get(entry).promise(share, now.plus(longLease));
-    checkSum(held(now), before, pool);
+                (long)
+                    (pool.tokensPerMinute()
+                        * demandFraction(entry, TeamDemand::tokensPerMinute, now)),
+                Math.max(
+                    0, pool.tokensPerMinute() - leasedToOthers(entry, now).tokensPerMinute())));
+    holders.get(entry).addLease(share, now.plus(ownerLease));
+    checkLeasedTotal(leased(now), before, pool);
     return share;
   }
 
   /** A lowered limit is exceeded until the leases of the old one have ended, but never more so. */
-  private static void checkSum(TeamShare after, TeamShare before, TeamShare pool) {
+  private static void checkLeasedTotal(TeamShare after, TeamShare before, TeamShare pool) {
     Invariants.check(
         after.requestsPerSecond()
-                <= Math.max(pool.requestsPerSecond(), before.requestsPerSecond()) + ROUNDING
+                <= Math.max(pool.requestsPerSecond(), before.requestsPerSecond()) + EPSILON
             && after.concurrentRequests()
                 <= Math.max(pool.concurrentRequests(), before.concurrentRequests())
             && after.tokensPerMinute()
@@ -91,20 +95,20 @@
   }
 
   /** Returns all that entries may use under leases not yet ended. */
-  TeamShare held(Instant now) {
-    return heldByOthers("", now);
+  TeamShare leased(Instant now) {
+    return leasedToOthers("", now);
   }
 
-  private TeamShare heldByOthers(String entry, Instant now) {
+  private TeamShare leasedToOthers(String entry, Instant now) {
     double rate = 0;
     int slots = 0;
     long tokens = 0;
-    for (Map.Entry<String, ShareHolder> holder : holders.entrySet()) {
+    for (Map.Entry<String, LeaseHolder> holder : holders.entrySet()) {
       if (!holder.getKey().equals(entry)) {
-        TeamShare held = holder.getValue().held(name, now);
-        rate += held.requestsPerSecond();
-        slots += held.concurrentRequests();
-        tokens += held.tokensPerMinute();
+        TeamShare leased = holder.getValue().leased(name, now);
+        rate += leased.requestsPerSecond();
+        slots += leased.concurrentRequests();
+        tokens += leased.tokensPerMinute();
       }
     }
     return new TeamShare(name, rate, slots, tokens);
@@ -119,35 +123,35 @@
    */
   private int slotsOfOthers(String entry, int unleasedSlots, Instant now) {
     int slots = 0;
-    for (Map.Entry<String, ShareHolder> holder : holders.entrySet()) {
+    for (Map.Entry<String, LeaseHolder> holder : holders.entrySet()) {
       if (!holder.getKey().equals(entry)) {
         int running = demand(holder.getValue(), now).running() - unleasedSlots;
-        slots += Math.max(running, holder.getValue().held(name, now).concurrentRequests());
+        slots += Math.max(running, holder.getValue().leased(name, now).concurrentRequests());
       }
     }
     return slots;
   }
 
   /** Returns an entry's part of all demand. */
-  private double part(String entry, ToDoubleFunction<TeamDemand> amount, Instant now) {
-    double all = 0;
-    for (ShareHolder holder : asking(now)) {
-      all += amount.applyAsDouble(demand(holder, now));
+  private double demandFraction(String entry, ToDoubleFunction<TeamDemand> amount, Instant now) {
+    double total = 0;
+    for (LeaseHolder holder : activeHolders(now)) {
+      total += amount.applyAsDouble(demand(holder, now));
     }
-    double floor = Math.max(ROUNDING, all * FLOOR);
+    double floor = Math.max(EPSILON, total * MIN_DEMAND_FRACTION);
     double own = Math.max(floor, amount.applyAsDouble(demand(holders.get(entry), now)));
     double sum = 0;
-    for (ShareHolder holder : asking(now)) {
+    for (LeaseHolder holder : activeHolders(now)) {
       sum += Math.max(floor, amount.applyAsDouble(demand(holder, now)));
     }
     return own / sum;
   }
 
-  private List<ShareHolder> asking(Instant now) {
+  private List<LeaseHolder> activeHolders(Instant now) {
     return holders.values().stream().filter(holder -> holder.demand(now) != null).toList();
   }
 
-  private static TeamDemand demand(ShareHolder holder, Instant now) {
+  private static TeamDemand demand(LeaseHolder holder, Instant now) {
     return Optional.ofNullable(holder.demand(now)).orElse(NO_DEMAND);
   }
 
@@ -158,21 +162,21 @@
    * ever. So the order among equals changes with each lease.
    */
   private int slots(String entry, int pool, Instant now) {
-    int all = 0;
-    for (ShareHolder holder : asking(now)) {
-      all += places(holder, now);
+    int total = 0;
+    for (LeaseHolder holder : activeHolders(now)) {
+      total += wantedSlots(holder, now);
     }
-    if (all == 0) {
+    if (total == 0) {
       return 0;
     }
-    long turn = now.getEpochSecond() / Math.max(1, 2 * longLease.toSeconds());
+    long rotation = now.getEpochSecond() / Math.max(1, 2 * ownerLease.toSeconds());
     TreeMap<String, Long> remainders = new TreeMap<>();
-    int left = pool;
-    for (Map.Entry<String, ShareHolder> holder : holders.entrySet()) {
-      long wanted = (long) pool * places(holder.getValue(), now);
-      left -= (int) (wanted / all);
-      if (wanted > 0) {
-        remainders.put(holder.getKey(), wanted % all);
+    int remaining = pool;
+    for (Map.Entry<String, LeaseHolder> holder : holders.entrySet()) {
+      long scaledDemand = (long) pool * wantedSlots(holder.getValue(), now);
+      remaining -= (int) (scaledDemand / total);
+      if (scaledDemand > 0) {
+        remainders.put(holder.getKey(), scaledDemand % total);
       }
     }
     List<String> order =
@@ -180,16 +184,16 @@
             .sorted(
                 Comparator.comparing((String name) -> remainders.get(name))
                     .reversed()
-                    .thenComparing(name -> Hashes.mix(Hashes.of(name) ^ turn)))
+                    .thenComparing(name -> Hashes.mix(Hashes.of(name) ^ rotation)))
             .toList();
-    long whole = (long) pool * places(holders.get(entry), now) / all;
-    int rank = order.indexOf(entry);
-    return (int) whole + (rank >= 0 && rank < left ? 1 : 0);
+    long wholeSlots = (long) pool * wantedSlots(holders.get(entry), now) / total;
+    int index = order.indexOf(entry);
+    return (int) wholeSlots + (index >= 0 && index < remaining ? 1 : 0);
   }
 
-  private static int places(ShareHolder holder, Instant now) {
+  private static int wantedSlots(LeaseHolder holder, Instant now) {
     TeamDemand demand = demand(holder, now);
-    boolean arrivals = demand.requestsPerSecond() > ROUNDING;
-    return Math.max(arrivals ? 1 : 0, demand.running() + demand.waiting());
+    boolean hasArrivals = demand.requestsPerSecond() > EPSILON;
+    return Math.max(hasArrivals ? 1 : 0, demand.running() + demand.waiting());
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/Waiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/QueuedRequest.java
@@ -15,7 +15,7 @@
  * @param cost its estimated work: tokens of a draft, 1 for a call
  * @param sequence rises with each arrival
  */
-record Waiter(
+record QueuedRequest(
     String requestId,
     Lane lane,
     Team team,
@@ -25,8 +25,8 @@
     long sequence) {
 
   /** Within a team: the most urgent first, then the earliest deadline, then the first come. */
-  static final Comparator<Waiter> ORDER =
-      Comparator.comparingInt(Waiter::priority)
-          .thenComparing(Waiter::deadline)
-          .thenComparingLong(Waiter::sequence);
+  static final Comparator<QueuedRequest> ORDER =
+      Comparator.comparingInt(QueuedRequest::priority)
+          .thenComparing(QueuedRequest::deadline)
+          .thenComparingLong(QueuedRequest::sequence);
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareOwner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareOwner.java
@@ -21,13 +21,13 @@
   private final ShareSettings settings;
   private final ShareSplit split;
   private final Map<String, OwnedTeam> teams = new HashMap<>();
-  private boolean majority;
+  private boolean hasMajority;
 
   ShareOwner(EntryView view, Function<String, Optional<Limits>> limits, ShareSettings settings) {
     this.view = view;
     this.limits = limits;
     this.settings = settings;
-    this.split = new ShareSplit(settings.reserve());
+    this.split = new ShareSplit(settings.unleasedFraction());
   }
 
   /**
@@ -38,50 +38,51 @@
    * whole for a while.
    */
   void viewChanged() {
-    boolean hadMajority = majority;
-    majority = view.hasMajority();
-    if (!hadMajority || !majority) {
+    boolean hadMajority = hasMajority;
+    hasMajority = view.hasMajority();
+    if (!hadMajority || !hasMajority) {
       teams.clear();
     }
     teams.keySet().removeIf(team -> !view.ownerOf(team).equals(view.self()));
   }
 
   /** Forgets teams that no entry asks for or has a lease of. */
-  void forget(Instant now) {
-    teams.values().removeIf(team -> team.forget(now));
+  void removeIdleTeams(Instant now) {
+    teams.values().removeIf(team -> team.removeIdleHolders(now));
   }
 
   /** Returns how many teams have demand here. */
-  int size() {
+  int teamCount() {
     return teams.size();
   }
 
   /** Answers a demand; the grant lacks teams that get no share. */
-  Grant answer(String entry, Demand demand, Instant now) {
+  Grant handleDemand(String entry, Demand demand, Instant now) {
     List<TeamShare> shares = new ArrayList<>();
     for (TeamDemand team : demand.teams()) {
-      Optional<Limits> whole = limits.apply(team.team());
-      boolean mine = view.ownerOf(team.team()).equals(view.self()) && view.isLive(entry);
-      if (mine && whole.isPresent()) {
-        share(entry, team, whole.get(), demand.sentAt(), now).ifPresent(shares::add);
+      Optional<Limits> teamLimits = limits.apply(team.team());
+      boolean isOwner = view.ownerOf(team.team()).equals(view.self()) && view.isLive(entry);
+      if (isOwner && teamLimits.isPresent()) {
+        grantShare(entry, team, teamLimits.get(), demand.sentAt(), now).ifPresent(shares::add);
       }
     }
     return new Grant(demand.sentAt(), settings.lease(), shares);
   }
 
-  private Optional<TeamShare> share(
-      String entry, TeamDemand demand, Limits whole, Instant sentAt, Instant now) {
+  private Optional<TeamShare> grantShare(
+      String entry, TeamDemand demand, Limits teamLimits, Instant sentAt, Instant now) {
     OwnedTeam team =
         teams.computeIfAbsent(
-            demand.team(), name -> new OwnedTeam(name, view.changedAt(), settings.longLease()));
-    boolean isNew = team.hear(entry, demand, sentAt, now);
+            demand.team(), name -> new OwnedTeam(name, view.changedAt(), settings.ownerLease()));
+    boolean isNew = team.recordDemand(entry, demand, sentAt, now);
     // The entry that owned the team before may have granted all of it just now. Until its leases
     // have ended for sure, and where most entries can't be seen, a grant would be on top of them.
-    boolean early = now.isBefore(team.ownedSince().plus(settings.takeover()));
-    if (!isNew || early || !view.hasMajority()) {
+    boolean inTakeoverDelay = now.isBefore(team.ownedSince().plus(settings.takeoverDelay()));
+    if (!isNew || inTakeoverDelay || !view.hasMajority()) {
       return Optional.empty();
     }
-    int unleased = split.unleased(demand.team(), whole, view.known()).concurrentRequests();
-    return Optional.of(team.grant(entry, split.pool(demand.team(), whole), unleased, now));
+    int unleased =
+        split.unleased(demand.team(), teamLimits, view.knownCount()).concurrentRequests();
+    return Optional.of(team.grant(entry, split.pool(demand.team(), teamLimits), unleased, now));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/ShareSettings.java
@@ -5,23 +5,24 @@
 /**
  * How shares of limits are leased.
  *
- * @param reserve part of each limit that entries have without a lease, all together; 0 to 1
+ * @param unleasedFraction part of each limit that entries have without a lease, all together; 0 to
+ *     1
  * @param lease how long a share holds after its demand was sent
- * @param drift greatest difference of two clocks' speeds, as a share
- * @param every time between two reports of demand
- * @param urgent shortest time between them while a team with demand has no lease
- * @param takeover how long a new owner waits before its first grant: longer than a lease and the
- *     time in which entries learn of each other's changes
- * @param memory how long an entry that is gone still counts
+ * @param maxClockDrift greatest difference of two clocks' speeds, as a share
+ * @param reportInterval time between two reports of demand
+ * @param urgentReportInterval shortest time between them while a team with demand has no lease
+ * @param takeoverDelay how long a new owner waits before its first grant: longer than a lease and
+ *     the time in which entries learn of each other's changes
+ * @param entryRetention how long an entry that is gone still counts
  */
 public record ShareSettings(
-    double reserve,
+    double unleasedFraction,
     Duration lease,
-    double drift,
-    Duration every,
-    Duration urgent,
-    Duration takeover,
-    Duration memory) {
+    double maxClockDrift,
+    Duration reportInterval,
+    Duration urgentReportInterval,
+    Duration takeoverDelay,
+    Duration entryRetention) {
 
   /** What daemons use. */
   public static final ShareSettings DEFAULT =
@@ -35,12 +36,12 @@
           Duration.ofSeconds(60));
 
   /** Returns a lease as its holder counts it, whose clock may be the slower one. */
-  Duration shortened(Duration granted) {
-    return Duration.ofMillis((long) (granted.toMillis() * (1 - drift)));
+  Duration holderLease(Duration granted) {
+    return Duration.ofMillis((long) (granted.toMillis() * (1 - maxClockDrift)));
   }
 
   /** Returns the lease as the owner counts it from the moment of the grant. */
-  Duration longLease() {
-    return Duration.ofMillis((long) Math.ceil(lease.toMillis() * (1 + drift)));
+  Duration ownerLease() {
+    return Duration.ofMillis((long) Math.ceil(lease.toMillis() * (1 + maxClockDrift)));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/TeamLoad.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/TeamLoad.java
@@ -5,10 +5,10 @@
  *
  * @param running requests that run
  * @param waiting requests that wait
- * @param askedRequests requests that came since the start, refused ones included
- * @param askedTokens tokens that they asked for
+ * @param submittedRequests requests that came since the start, refused ones included
+ * @param submittedTokens tokens that they asked for
  */
-public record TeamLoad(int running, int waiting, long askedRequests, long askedTokens) {
+public record TeamLoad(int running, int waiting, long submittedRequests, long submittedTokens) {
 
   /** The load of a team that never asked. */
   public static final TeamLoad NONE = new TeamLoad(0, 0, 0, 0);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/TeamUsage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/admission/TeamUsage.java
@@ -10,39 +10,39 @@
   private static final double SECONDS_PER_MINUTE = 60;
 
   /** How soon to come back while this entry has no share at all, in seconds. */
-  private static final double NEXT_SHARE_SECONDS = 1;
+  private static final double NO_SHARE_RETRY_SECONDS = 1;
 
   private Limits limits = Limits.NONE;
   private @Nullable TokenBucket requests;
   private @Nullable TokenBucket tokens;
   private int running;
-  private long askedRequests;
-  private long askedTokens;
+  private long submittedRequests;
+  private long submittedTokens;
 
   /** Follows the present share of the limits. */
-  void follow(Limits share, Instant now) {
+  void applyShare(Limits share, Instant now) {
     if (share.equals(limits)) {
       return;
     }
     limits = share;
     double perSecond = share.requestsPerSecond();
-    requests = follow(requests, perSecond, Math.max(1, perSecond), now);
+    requests = applyShare(requests, perSecond, Math.max(1, perSecond), now);
     double tokensPerSecond = share.tokensPerMinute() / SECONDS_PER_MINUTE;
-    tokens = follow(tokens, tokensPerSecond, Math.max(0, share.tokensPerMinute()), now);
+    tokens = applyShare(tokens, tokensPerSecond, Math.max(0, share.tokensPerMinute()), now);
   }
 
-  private static @Nullable TokenBucket follow(
-      @Nullable TokenBucket bucket, double perSecond, double most, Instant now) {
+  private static @Nullable TokenBucket applyShare(
+      @Nullable TokenBucket bucket, double perSecond, double capacity, Instant now) {
     if (perSecond == 0) {
       return null;
     }
     // An entry without a share keeps an empty bucket. A new one would be full, and a share that
     // comes and goes would fill it each time.
-    double filling = Math.max(0, perSecond);
+    double refillRate = Math.max(0, perSecond);
     if (bucket == null) {
-      return new TokenBucket(filling, most, now);
+      return new TokenBucket(refillRate, capacity, now);
     }
-    bucket.change(filling, most, now);
+    bucket.reconfigure(refillRate, capacity, now);
     return bucket;
   }
 
@@ -59,8 +59,8 @@
     }
     boolean slot = limits.concurrentRequests() <= 0 || running < limits.concurrentRequests();
     return slot
-        && (requests == null || requests.has(1, now))
-        && (tokens == null || tokens.has(estimatedTokens, now));
+        && (requests == null || requests.isAvailable(1, now))
+        && (tokens == null || tokens.isAvailable(estimatedTokens, now));
   }
 
   private boolean hasNoShare() {
@@ -68,31 +68,31 @@
   }
 
   /** Takes note that the team asked for a request, whatever becomes of it. */
-  void asked(long estimatedTokens) {
-    askedRequests++;
-    askedTokens += estimatedTokens;
+  void recordSubmission(long estimatedTokens) {
+    submittedRequests++;
+    submittedTokens += estimatedTokens;
   }
 
   /** Returns what the team asks of this entry, with as many requests waiting. */
   TeamLoad load(int waiting) {
-    return new TeamLoad(running, waiting, askedRequests, askedTokens);
+    return new TeamLoad(running, waiting, submittedRequests, submittedTokens);
   }
 
-  void started(long estimatedTokens, Instant now) {
+  void recordStart(long estimatedTokens, Instant now) {
     running++;
     if (requests != null) {
-      requests.take(1, now);
+      requests.consume(1, now);
     }
     if (tokens != null) {
-      tokens.take(estimatedTokens, now);
+      tokens.consume(estimatedTokens, now);
     }
   }
 
   /** Takes note of an end; of the estimated tokens, those not used are given back. */
-  void ended(long estimatedTokens, long usedTokens, Instant now) {
+  void recordEnd(long estimatedTokens, long usedTokens, Instant now) {
     running--;
     if (tokens != null) {
-      tokens.giveBack(estimatedTokens - usedTokens, now);
+      tokens.refund(estimatedTokens - usedTokens, now);
     }
   }
 
@@ -106,11 +106,11 @@
    */
   double secondsUntil(int ahead, long estimatedTokens, double serviceSeconds, Instant now) {
     if (hasNoShare()) {
-      return NEXT_SHARE_SECONDS;
+      return NO_SHARE_RETRY_SECONDS;
     }
     double byRate = requests == null ? 0 : requests.secondsUntil(ahead + 1, now);
-    long wanted = Math.min(estimatedTokens, limits.tokensPerMinute());
-    double byTokens = tokens == null ? 0 : tokens.secondsUntil(wanted, now);
+    long neededTokens = Math.min(estimatedTokens, limits.tokensPerMinute());
+    double byTokens = tokens == null ? 0 : tokens.secondsUntil(neededTokens, now);
     int slots = limits.concurrentRequests();
     double byConcurrency =
         slots == 0 || running + ahead < slots
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/EscalationPolicy.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/EscalationPolicy.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.effect.UpstreamEffect;
 import org.skylarkfork.core.quality.AttemptOutcome;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 import org.skylarkfork.core.routing.Plan;
 
 /** Decides whether the held answer of a rated step is accepted or the next step runs. */
@@ -16,10 +16,10 @@
   private static final Duration MIN_STEP_TIME = Duration.ofMillis(500);
 
   private final ActiveRequests requests;
-  private final QualityBook quality;
+  private final VersionQuality quality;
   private final RequestSettings settings;
 
-  EscalationPolicy(ActiveRequests requests, QualityBook quality, RequestSettings settings) {
+  EscalationPolicy(ActiveRequests requests, VersionQuality quality, RequestSettings settings) {
     this.requests = requests;
     this.quality = quality;
     this.settings = settings;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RatingSampler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RatingSampler.java
@@ -7,7 +7,7 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 import org.skylarkfork.core.effect.UpstreamEffect;
 import org.skylarkfork.core.quality.AttemptOutcome;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 
 /** Requests ratings for a share of the delivered answers, to keep quality estimates current. */
 final class RatingSampler {
@@ -16,11 +16,11 @@
 
   private final double share;
   private final long waitMillis;
-  private final QualityBook quality;
+  private final VersionQuality quality;
   private final UniformRandomProvider random;
   private final Map<String, AttemptOutcome> pendingRatings = new LinkedHashMap<>();
 
-  RatingSampler(RequestSettings settings, QualityBook quality, UniformRandomProvider random) {
+  RatingSampler(RequestSettings settings, VersionQuality quality, UniformRandomProvider random) {
     this.share = settings.sampledRatingShare();
     this.waitMillis = settings.ratingTimeout().toMillis();
     this.quality = quality;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCollaborators.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCollaborators.java
@@ -7,7 +7,7 @@
 import org.skylarkfork.core.crash.CrashReviewers;
 import org.skylarkfork.core.ledger.Ledger;
 import org.skylarkfork.core.membership.EntryListing;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 import org.skylarkfork.core.routing.Planner;
 import org.skylarkfork.core.routing.RuleBook;
 import org.skylarkfork.core.routing.UpstreamChooser;
@@ -35,7 +35,7 @@
     Planner planner,
     UpstreamDirectory directory,
     UpstreamChooser chooser,
-    QualityBook quality,
+    VersionQuality quality,
     SessionPins pins,
     Ledger ledger,
     Admission admission,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestIntake.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestIntake.java
@@ -236,7 +236,7 @@
   private void admit(ActiveRequest active, Team team, EventContext context) {
     active.phase = ActiveRequest.Phase.ADMISSION;
     active.phaseEnd = null;
-    Admission.Verdict verdict =
+    Admission.Result verdict =
         collaborators.admission().submit(active.request, team, active.priority, context.now());
     if (verdict.decision() == Admission.Decision.REFUSED) {
       completer.fail(active, Objects.requireNonNull(verdict.error()), context);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/message/RelayMessage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/message/RelayMessage.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.crash.RequestKey;
-import org.skylarkfork.core.relay.EntryPlace;
-import org.skylarkfork.core.relay.NamedLimit;
+import org.skylarkfork.core.relay.EntryOrdinal;
 import org.skylarkfork.core.relay.RelayConfiguration;
+import org.skylarkfork.core.relay.ReportedLimit;
 import org.skylarkfork.core.relay.ServiceRollOut;
 import org.skylarkfork.core.relay.UpstreamInstance;
 import org.skylarkfork.core.relay.UpstreamStatus;
@@ -69,7 +69,7 @@
    * @param upstream the run of the upstream that answered
    * @param named the reported limit and its age
    */
-  record UpstreamRateLimit(UpstreamRun upstream, NamedLimit named) {}
+  record UpstreamRateLimit(UpstreamRun upstream, ReportedLimit named) {}
 
   /**
    * Updates an entry with what it lacks. The leader sends it as the answer to an {@link EntryPoll}
@@ -122,11 +122,11 @@
       List<String> callerAddresses,
       List<String> peers,
       List<String> schedulers,
-      EntryPlace place) {
+      EntryOrdinal place) {
 
     /** Value before the first report of the leader. */
     public static final Neighbourhood NONE =
-        new Neighbourhood(0, List.of(), List.of(), List.of(), EntryPlace.UNKNOWN);
+        new Neighbourhood(0, List.of(), List.of(), List.of(), EntryOrdinal.UNKNOWN);
 
     /** Copies the lists. */
     public Neighbourhood {
@@ -216,7 +216,7 @@
    *     reported one
    */
   record PlacementNews(
-      long number, AttemptProgress progress, int millis, @Nullable NamedLimit named)
+      long number, AttemptProgress progress, int millis, @Nullable ReportedLimit named)
       implements RelayMessage {
 
     /** Creates the report of an attempt at an engine that never reported a rate limit. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/EngineGroups.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/EngineGroups.java
@@ -34,7 +34,7 @@
    * @param prompt what the requests of one group have in common
    * @param weights engines of each group; a group with none is left out
    */
-  public static List<Integer> order(long prompt, int[] weights) {
+  public static List<Integer> rank(long prompt, int[] weights) {
     List<Integer> order = new ArrayList<>();
     double[] scores = new double[weights.length];
     for (int group = 0; group < weights.length; group++) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PeerWork.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PeerLoads.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** The work that other entries have at one upstream, as they told last. */
-public final class PeerWork {
+public final class PeerLoads {
 
   /** Age at which word of an entry no longer counts; it is repeated three times in this time. */
   private static final Duration OLDEST = Duration.ofMillis(1300);
@@ -23,7 +23,7 @@
    * @param waitingMillis work of those whose answer has not begun
    * @param now the present time
    */
-  public void told(String peer, int running, double waitingMillis, Instant now) {
+  public void update(String peer, int running, double waitingMillis, Instant now) {
     if (running == 0) {
       byPeer.remove(peer);
     } else {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/ReadingTimes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PrefillTimes.java
@@ -9,7 +9,7 @@
  * <p>For each model the time is a fixed part and one for each token to be read: the straight line
  * through the newest answers with the least squares. Models differ tenfold, deployments too.
  */
-public final class ReadingTimes {
+public final class PrefillTimes {
 
   /** Share that an answer loses with each newer one; the newest 50 count most. */
   private static final double KEPT_WEIGHT = 0.98;
@@ -31,7 +31,7 @@
   private final Map<String, Line> byModel = new HashMap<>();
 
   /** Returns the milliseconds of an engine that reading takes, in which nothing else is read. */
-  public double workMillis(String model, double tokens) {
+  public double prefillMillis(String model, double tokens) {
     return line(model).perToken * tokens;
   }
 
@@ -48,7 +48,7 @@
    * @param tokens tokens that were read for it
    * @param millis time until its first byte
    */
-  public void observed(String model, double tokens, double millis) {
+  public void recordAnswer(String model, double tokens, double millis) {
     double largest = LARGEST_SURPRISE * firstByteMillis(model, tokens);
     line(model).add(tokens, Math.min(millis, largest));
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/KeptPrompts.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PrefixCacheEstimate.java
@@ -9,7 +9,7 @@
  * <p>Engines don't tell; they drop what was not used for longest once their memory is full. So a
  * beginning counts as kept until about as many tokens as fit into the memory were read after it.
  */
-public final class KeptPrompts {
+public final class PrefixCacheEstimate {
 
   /** Beginnings that are remembered; with 40 bytes each a tenth of a megabyte for each engine. */
   private static final int MOST = 2048;
@@ -29,7 +29,7 @@
    * @param chain the prompt
    * @param memoryTokens tokens that fit into the engine's memory; 0 if unknown
    */
-  public int keptTokens(PromptChain chain, long memoryTokens) {
+  public int cachedTokens(PromptPrefixes chain, long memoryTokens) {
     for (int place = chain.size() - 1; place >= 0; place--) {
       Double used = usedAt.get(chain.key(place));
       boolean fresh =
@@ -47,15 +47,15 @@
    * @param chain the prompt
    * @param newTokens tokens that the engine reads for it and for what else is read meanwhile
    */
-  public void sent(PromptChain chain, double newTokens) {
+  public void recordSent(PromptPrefixes chain, double newTokens) {
     tokensRead += newTokens;
     for (int place = 0; place < chain.size(); place++) {
-      used(chain.key(place));
+      recordUse(chain.key(place));
     }
   }
 
   /** Takes note that a beginning was read or used there for another entry. */
-  public void used(long key) {
+  public void recordUse(long key) {
     usedAt.put(key, tokensRead);
     if (usedAt.size() > MOST) {
       usedAt.remove(usedAt.keySet().iterator().next());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PromptChain.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PromptPrefixes.java
@@ -9,16 +9,16 @@
  * <p>A part is of use only behind all parts before it, and only to the model that read it. So each
  * beginning has one key, made of the model and the parts; all entries make the same.
  */
-public final class PromptChain {
+public final class PromptPrefixes {
 
   private final long[] keys;
   private final int[] tokens;
-  private final int total;
+  private final int totalTokens;
 
-  private PromptChain(long[] keys, int[] tokens, int total) {
+  private PromptPrefixes(long[] keys, int[] tokens, int total) {
     this.keys = keys;
     this.tokens = tokens;
-    this.total = total;
+    this.totalTokens = total;
   }
 
   /**
@@ -28,7 +28,7 @@
    * @param parts its parts in order, the request's own one last; may be empty
    * @param promptTokens tokens of the whole prompt, if the parts don't make it up
    */
-  public static PromptChain of(String model, List<PromptPart> parts, int promptTokens) {
+  public static PromptPrefixes of(String model, List<PromptPart> parts, int promptTokens) {
     long[] keys = new long[parts.size()];
     int[] tokens = new int[parts.size()];
     String before = model;
@@ -39,7 +39,7 @@
       sum += parts.get(place).tokens();
       tokens[place] = sum;
     }
-    return new PromptChain(keys, tokens, Math.max(sum, promptTokens));
+    return new PromptPrefixes(keys, tokens, Math.max(sum, promptTokens));
   }
 
   /**
@@ -47,13 +47,13 @@
    *
    * @param keys keys of the beginnings in order
    * @param tokens tokens of each
-   * @param total tokens of the whole prompt
+   * @param totalTokens tokens of the whole prompt
    */
-  public static PromptChain ofKeys(long[] keys, int[] tokens, int total) {
+  public static PromptPrefixes ofKeys(long[] keys, int[] tokens, int total) {
     if (keys.length != tokens.length) {
       throw new IllegalArgumentException(keys.length + " keys with " + tokens.length + " lengths");
     }
-    return new PromptChain(keys.clone(), tokens.clone(), total);
+    return new PromptPrefixes(keys.clone(), tokens.clone(), total);
   }
 
   /** Returns how many beginnings there are, the whole prompt among them. */
@@ -72,8 +72,8 @@
   }
 
   /** Returns the tokens of the whole prompt. */
-  public int total() {
-    return total;
+  public int totalTokens() {
+    return totalTokens;
   }
 
   /** Returns how many beginnings are shared with other requests: all but the whole prompt. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/Slowness.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/RelativeLatency.java
@@ -9,7 +9,7 @@
  * <p>Upstreams of a service differ in speed, and one that turns slow still passes health checks.
  * What was learned fades, or an upstream that was slow once would never be tried again.
  */
-public final class Slowness {
+public final class RelativeLatency {
 
   /** Weight of the newest answer; six of them make most of the mean. */
   private static final double LEARNING = 0.2;
@@ -30,7 +30,7 @@
   }
 
   /** Takes note of an answer: the time that it took and the time that was expected. */
-  public void observed(double millis, double expectedMillis, Instant now) {
+  public void recordAnswer(double millis, double expectedMillis, Instant now) {
     double seen = Math.max(LEAST, Math.min(MOST, millis / Math.max(1, expectedMillis)));
     factor = factor(now) + LEARNING * (seen - factor(now));
     learnedAt = now;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/BadVersionDetector.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/BadVersionDetector.java
@@ -24,15 +24,15 @@
 final class BadVersionDetector {
 
   /** Fewest values of one key for a reference of its own. */
-  private static final int LEAST_OF_KEY = 30;
+  private static final int MIN_KEY_SAMPLES = 30;
 
   /** Logarithm of the gain from which more answers are rated, to know sooner. */
-  private static final double ALERT = 2;
+  private static final double LOG_ALERT_THRESHOLD = 2;
 
   private final EvidenceHistory history;
   private final QualitySettings settings;
-  private final Map<ModelVersion, Long> testedFrom = new HashMap<>();
-  private final Map<ModelVersion, FirstTime> firstTimes = new HashMap<>();
+  private final Map<ModelVersion, Long> testStarts = new HashMap<>();
+  private final Map<ModelVersion, Baseline> baselines = new HashMap<>();
   private final Set<ModelVersion> alerts = new HashSet<>();
 
   BadVersionDetector(EvidenceHistory history, QualitySettings settings) {
@@ -43,13 +43,13 @@
   /**
    * Looks for evidence against a version.
    *
-   * @param chance bound for the chance that a good version is ever found bad
+   * @param falseAlarmBound bound for the chance that a good version is ever found bad
    * @return the strongest finding, or empty if there is none
    */
   Optional<Finding> test(
-      ModelVersion version, Configuration configuration, double chance, long epoch) {
-    testedFrom.computeIfAbsent(version, unused -> epoch);
-    keepFirstTime(version, epoch);
+      ModelVersion version, Configuration configuration, double falseAlarmBound, long epoch) {
+    testStarts.computeIfAbsent(version, unused -> epoch);
+    recordBaseline(version, epoch);
     alerts.remove(version);
     Finding strongest = null;
     for (Signal signal : Signal.values()) {
@@ -58,11 +58,11 @@
         continue;
       }
       List<SequentialTest.EpochGains> gains = comparison.get().gains(settings.windowEpochs());
-      if (signal == Signal.RATING && SequentialTest.logAlert(gains) >= ALERT) {
+      if (signal == Signal.RATING && SequentialTest.logAlert(gains) >= LOG_ALERT_THRESHOLD) {
         alerts.add(version);
       }
       double evidence = SequentialTest.logEvidence(gains);
-      double threshold = -Math.log(chance * signal.share());
+      double threshold = -Math.log(falseAlarmBound * signal.falseAlarmShare());
       if (evidence >= threshold && (strongest == null || evidence > strongest.logEvidence())) {
         strongest = comparison.get().finding(evidence);
       }
@@ -86,35 +86,37 @@
   }
 
   /** Returns whether more ratings would soon tell if the version is bad. */
-  boolean wantsRatings(ModelVersion version) {
+  boolean needsMoreRatings(ModelVersion version) {
     return alerts.contains(version);
   }
 
   /** Begins the test anew; earlier evidence no longer counts. */
   void restart(ModelVersion version, long epoch) {
-    testedFrom.put(version, epoch);
+    testStarts.put(version, epoch);
   }
 
   private Optional<Comparison> comparison(
       ModelVersion version, Configuration configuration, Signal signal, long epoch) {
     Optional<ModelVersion> predecessor = predecessor(version, configuration);
     double tolerance = configuration.versionPolicy().tolerance();
-    long from = testedFrom.getOrDefault(version, epoch);
+    long from = testStarts.getOrDefault(version, epoch);
     if (predecessor.isPresent()) {
       Map<EvidenceKey, long[]> reference =
           history.sums(predecessor.get(), epoch - signal.windowEpochs(), epoch);
-      Comparison with = new Comparison(version, signal, reference, tolerance, from, epoch);
-      if (with.hasReference()) {
-        return Optional.of(with);
+      Comparison againstPredecessor =
+          new Comparison(version, signal, reference, tolerance, from, epoch);
+      if (againstPredecessor.hasReference()) {
+        return Optional.of(againstPredecessor);
       }
     }
-    FirstTime own = firstTimes.get(version);
+    Baseline baseline = baselines.get(version);
     // Load, and with it the delay, changes from hour to hour without the version's fault.
-    if (own == null || signal == Signal.FIRST_TOKEN) {
+    if (baseline == null || signal == Signal.FIRST_TOKEN) {
       return Optional.empty();
     }
-    long begin = Math.max(from, own.lastEpoch() + 1);
-    return Optional.of(new Comparison(version, signal, own.counts(), tolerance, begin, epoch));
+    long firstEpoch = Math.max(from, baseline.lastEpoch() + 1);
+    return Optional.of(
+        new Comparison(version, signal, baseline.counts(), tolerance, firstEpoch, epoch));
   }
 
   private static Optional<ModelVersion> predecessor(
@@ -126,20 +128,20 @@
         .map(from -> new ModelVersion(version.model(), from));
   }
 
-  private void keepFirstTime(ModelVersion version, long epoch) {
-    if (firstTimes.containsKey(version)) {
+  private void recordBaseline(ModelVersion version, long epoch) {
+    if (baselines.containsKey(version)) {
       return;
     }
     long last = epoch - settings.openEpochs();
     Map<EvidenceKey, long[]> counts = history.sums(version, 0, last);
     long ratings = counts.values().stream().mapToLong(Counters::ratings).sum();
-    if (ratings >= settings.referenceRatings()) {
-      firstTimes.put(version, new FirstTime(counts, last));
+    if (ratings >= settings.minReferenceRatings()) {
+      baselines.put(version, new Baseline(counts, last));
     }
   }
 
   /** What a version showed in its first time, up to an epoch. */
-  private record FirstTime(Map<EvidenceKey, long[]> counts, long lastEpoch) {}
+  private record Baseline(Map<EvidenceKey, long[]> counts, long lastEpoch) {}
 
   /**
    * Evidence against a version.
@@ -152,7 +154,7 @@
   record Finding(Signal signal, double logEvidence, double expected, double observed) {
 
     /** Returns a sentence for operators. */
-    String sentence() {
+    String message() {
       return String.format(
           Locale.ROOT,
           "%s: mean %.3f where at least %.3f is expected, evidence e^%.1f",
@@ -188,7 +190,7 @@
     }
 
     boolean hasReference() {
-      return Expectation.of(signal, total(null), tolerance, settings.referenceRatings())
+      return Expectation.of(signal, total(null), tolerance, settings.minReferenceRatings())
           .isPresent();
     }
 
@@ -208,19 +210,19 @@
         TreeMap<Long, double[]> gains, Map<Long, long[]> epochs, Expectation expected) {
       double[][] table = new double[signal.classes()][];
       for (int i = 0; i < table.length; i++) {
-        table[i] = SequentialTest.logGains(signal.value(i), expected.leastMean());
+        table[i] = SequentialTest.logGains(signal.value(i), expected.minMean());
       }
       epochs.forEach(
-          (at, seen) -> {
+          (at, epochCounts) -> {
             double[] sum =
                 gains.computeIfAbsent(at, unused -> new double[SequentialTest.STAKES.length]);
             for (int i = 0; i < table.length; i++) {
-              addTimes(sum, table[i], signal.count(seen, i, expected.slowFrom()));
+              addScaled(sum, table[i], signal.count(epochCounts, i, expected.firstSlowClass()));
             }
           });
     }
 
-    private static void addTimes(double[] sum, double[] gains, long times) {
+    private static void addScaled(double[] sum, double[] gains, long times) {
       if (times == 0) {
         return;
       }
@@ -238,13 +240,18 @@
           continue;
         }
         long[] sum = new long[Counters.SIZE];
-        entry.getValue().tailMap(since).values().forEach(seen -> Counters.add(sum, seen));
-        Expectation.Sample sample = Expectation.Sample.of(signal, sum, expected.get().slowFrom());
+        entry
+            .getValue()
+            .tailMap(since)
+            .values()
+            .forEach(epochCounts -> Counters.add(sum, epochCounts));
+        Expectation.Sample sample =
+            Expectation.Sample.of(signal, sum, expected.get().firstSlowClass());
         size += sample.size();
-        surplus += sample.size() * (sample.mean() - expected.get().leastMean());
+        surplus += sample.size() * (sample.mean() - expected.get().minMean());
       }
-      boolean enough = signal != Signal.RATING || size >= settings.referenceRatings();
-      return enough && surplus >= 0;
+      boolean hasEnough = signal != Signal.RATING || size >= settings.minReferenceRatings();
+      return hasEnough && surplus >= 0;
     }
 
     Finding finding(double evidence) {
@@ -256,40 +263,42 @@
                   epochs
                       .tailMap(epoch - settings.openEpochs())
                       .values()
-                      .forEach(seen -> Counters.add(recent, seen)));
+                      .forEach(epochCounts -> Counters.add(recent, epochCounts)));
       Expectation expected =
           Expectation.of(signal, total(null), tolerance, 1).orElse(new Expectation(0, 0));
-      double observed = Expectation.Sample.of(signal, recent, expected.slowFrom()).mean();
-      return new Finding(signal, evidence, expected.leastMean(), observed);
+      double observed = Expectation.Sample.of(signal, recent, expected.firstSlowClass()).mean();
+      return new Finding(signal, evidence, expected.minMean(), observed);
     }
 
     /** Returns what is expected of a key: from the same key, else from all keys like it. */
     private Optional<Expectation> expectation(EvidenceKey key) {
-      long[] same = null;
+      long[] sameSize = null;
       for (Map.Entry<EvidenceKey, long[]> entry : reference.entrySet()) {
-        if (isLike(entry.getKey(), key) && entry.getKey().size() == key.size()) {
-          same = entry.getValue();
+        if (hasSameEscalation(entry.getKey(), key) && entry.getKey().size() == key.size()) {
+          sameSize = entry.getValue();
         }
       }
-      Optional<Expectation> own =
-          same == null ? Optional.empty() : Expectation.of(signal, same, tolerance, LEAST_OF_KEY);
-      return own.isPresent()
-          ? own
-          : Expectation.of(signal, total(key), tolerance, settings.referenceRatings());
+      Optional<Expectation> baseline =
+          sameSize == null
+              ? Optional.empty()
+              : Expectation.of(signal, sameSize, tolerance, MIN_KEY_SAMPLES);
+      return baseline.isPresent()
+          ? baseline
+          : Expectation.of(signal, total(key), tolerance, settings.minReferenceRatings());
     }
 
-    private long[] total(@Nullable EvidenceKey like) {
+    private long[] total(@Nullable EvidenceKey similarKey) {
       long[] total = new long[Counters.SIZE];
       reference.forEach(
           (key, sum) -> {
-            if (like == null || isLike(key, like)) {
+            if (similarKey == null || hasSameEscalation(key, similarKey)) {
               Counters.add(total, sum);
             }
           });
       return total;
     }
 
-    private static boolean isLike(EvidenceKey one, EvidenceKey other) {
+    private static boolean hasSameEscalation(EvidenceKey one, EvidenceKey other) {
       return one.escalated() == other.escalated();
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/DecayedCounts.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/DecayedCounts.java
@@ -7,7 +7,7 @@
 final class DecayedCounts {
 
   private static final double NEGLIGIBLE = 1e-6;
-  private static final double[] NOTHING = new double[Counters.SIZE];
+  private static final double[] ZERO_COUNTS = new double[Counters.SIZE];
 
   private final double factorPerEpoch;
   private final Map<EvidenceKey, double[]> counts = new HashMap<>();
@@ -18,21 +18,21 @@
     factorPerEpoch = Math.pow(0.5, 1 / halfLifeEpochs);
   }
 
-  void add(long at, EvidenceKey key, long[] rise) {
-    double weight = Math.pow(factorPerEpoch, epoch - at);
+  void add(long countsEpoch, EvidenceKey key, long[] increase) {
+    double weight = Math.pow(factorPerEpoch, epoch - countsEpoch);
     double[] sum = counts.computeIfAbsent(key, unused -> new double[Counters.SIZE]);
     for (int i = 0; i < sum.length; i++) {
-      sum[i] += weight * rise[i];
+      sum[i] += weight * increase[i];
     }
   }
 
   /** Goes on to a later epoch. */
-  void advance(long to) {
-    if (to <= epoch) {
+  void advance(long newEpoch) {
+    if (newEpoch <= epoch) {
       return;
     }
-    double factor = Math.pow(factorPerEpoch, to - epoch);
-    epoch = to;
+    double factor = Math.pow(factorPerEpoch, newEpoch - epoch);
+    epoch = newEpoch;
     for (double[] sum : counts.values()) {
       for (int i = 0; i < sum.length; i++) {
         sum[i] *= factor;
@@ -43,7 +43,7 @@
 
   /** Returns the counts of a key; nobody may change them. */
   double[] of(EvidenceKey key) {
-    return counts.getOrDefault(key, NOTHING);
+    return counts.getOrDefault(key, ZERO_COUNTS);
   }
 
   static double ratings(double[] counts) {
@@ -55,7 +55,7 @@
   }
 
   /** Returns how many ratings reach a target; a class that it cuts counts in part. */
-  static double reaching(double[] counts, double target) {
+  static double ratingsReaching(double[] counts, double target) {
     double position = Math.max(0, Math.min(1, target)) * Counters.RATING_CLASSES;
     int last = Counters.RATING_CLASSES - 1;
     int first = Math.min(last, (int) Math.floor(position + 1e-9));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/EvidenceHistory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/EvidenceHistory.java
@@ -26,10 +26,10 @@
   }
 
   /** Returns the versions with new evidence since the last call. */
-  Set<ModelVersion> takeChanged() {
-    Set<ModelVersion> taken = new HashSet<>(changed);
+  Set<ModelVersion> drainChanged() {
+    Set<ModelVersion> drained = new HashSet<>(changed);
     changed.clear();
-    return taken;
+    return drained;
   }
 
   /** Returns a version's counts by key and epoch. */
@@ -50,7 +50,7 @@
     return sums;
   }
 
-  void forgetBefore(long epoch) {
+  void removeBefore(long epoch) {
     for (Map<EvidenceKey, NavigableMap<Long, long[]>> keys : versions.values()) {
       keys.values().forEach(epochs -> epochs.headMap(epoch).clear());
       keys.values().removeIf(Map::isEmpty);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/PriorQualityBook.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/PriorVersionQuality.java
@@ -6,7 +6,7 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 
 /** Knows only what operators expect of each version and learns nothing. */
-public final class PriorQualityBook implements QualityBook {
+public final class PriorVersionQuality implements VersionQuality {
 
   private static final Estimate UNKNOWN = new Estimate(0, 0, 0);
 
@@ -17,7 +17,7 @@
    *
    * @param configuration where the priors come from
    */
-  public PriorQualityBook(ConfigurationView configuration) {
+  public PriorVersionQuality(ConfigurationView configuration) {
     this.configuration = configuration;
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualityCounters.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualityCounters.java
@@ -9,7 +9,7 @@
  * @param incarnation number of the process; a restart has a higher one and counts anew
  * @param epoch number of the epoch
  * @param key what the counts are about
- * @param counts the counts in the order of {@link Counters}
+ * @param counts the counts in the order of {@link TransportCounters}
  */
 public record QualityCounters(
     String entry, long incarnation, long epoch, EvidenceKey key, List<Long> counts) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualityEstimator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualityEstimator.java
@@ -24,45 +24,49 @@
     this.priorStrength = priorStrength;
   }
 
-  QualityBook.Estimate estimate(EvidenceKey key, double target) {
-    double first = allSizes(key.version(), false, target, prior(key.version()));
-    double drawnTo = key.escalated() ? allSizes(key.version(), true, target, first) : first;
-    double[] seen = counts.of(key);
-    double ratings = DecayedCounts.ratings(seen);
-    double reaching = DecayedCounts.reaching(seen, target);
+  VersionQuality.Estimate estimate(EvidenceKey key, double target) {
+    double unescalatedMean = meanOverSizes(key.version(), false, target, prior(key.version()));
+    double priorMean =
+        key.escalated()
+            ? meanOverSizes(key.version(), true, target, unescalatedMean)
+            : unescalatedMean;
+    double[] keyCounts = counts.of(key);
+    double ratings = DecayedCounts.ratings(keyCounts);
+    double reaching = DecayedCounts.ratingsReaching(keyCounts, target);
     double weight = ratings + priorStrength;
-    double mean = (reaching + priorStrength * drawnTo) / weight;
-    return new QualityBook.Estimate(mean, Math.sqrt(mean * (1 - mean) / (weight + 1)), ratings);
+    double mean = (reaching + priorStrength * priorMean) / weight;
+    return new VersionQuality.Estimate(mean, Math.sqrt(mean * (1 - mean) / (weight + 1)), ratings);
   }
 
   /** Returns the mean time to a whole answer in milliseconds, or 0 if none was seen. */
-  double millis(ModelVersion version, SizeClass size) {
-    return perTimed(version, size, Counters.MILLIS);
+  double meanMillis(ModelVersion version, SizeClass size) {
+    return meanPerTimedAnswer(version, size, Counters.MILLIS);
   }
 
   /** Returns the mean number of generated tokens, or 0 if none was seen. */
-  double tokens(ModelVersion version, SizeClass size) {
-    return perTimed(version, size, Counters.TOKENS);
+  double meanTokens(ModelVersion version, SizeClass size) {
+    return meanPerTimedAnswer(version, size, Counters.TOKENS);
   }
 
-  private double allSizes(ModelVersion version, boolean escalated, double target, double prior) {
+  private double meanOverSizes(
+      ModelVersion version, boolean escalated, double target, double prior) {
     double ratings = 0;
     double reaching = 0;
     for (SizeClass size : SizeClass.values()) {
-      double[] seen = counts.of(new EvidenceKey(version, size, escalated));
-      ratings += DecayedCounts.ratings(seen);
-      reaching += DecayedCounts.reaching(seen, target);
+      double[] keyCounts = counts.of(new EvidenceKey(version, size, escalated));
+      ratings += DecayedCounts.ratings(keyCounts);
+      reaching += DecayedCounts.ratingsReaching(keyCounts, target);
     }
     return (reaching + priorStrength * prior) / (ratings + priorStrength);
   }
 
-  private double perTimed(ModelVersion version, SizeClass size, int index) {
+  private double meanPerTimedAnswer(ModelVersion version, SizeClass size, int index) {
     double sum = 0;
     double timed = 0;
     for (boolean escalated : new boolean[] {false, true}) {
-      double[] seen = counts.of(new EvidenceKey(version, size, escalated));
-      sum += seen[index];
-      timed += seen[Counters.TIMED];
+      double[] keyCounts = counts.of(new EvidenceKey(version, size, escalated));
+      sum += keyCounts[index];
+      timed += keyCounts[Counters.TIMED];
     }
     return timed > 0 ? sum / timed : 0;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualitySettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualitySettings.java
@@ -12,8 +12,8 @@
  * @param priorStrength how many ratings the operators' prior is worth
  * @param peersPerRound how many peers are told the news each second
  * @param countersPerMessage bound for the counters in one message
- * @param referenceRatings ratings that a comparison needs of the predecessor or the past
- * @param reinstateAfter least time for which a version stays suspect
+ * @param minReferenceRatings ratings that a comparison needs of the predecessor or the past
+ * @param minSuspectTime least time for which a version stays suspect
  */
 public record QualitySettings(
     Duration epoch,
@@ -23,8 +23,8 @@
     double priorStrength,
     int peersPerRound,
     int countersPerMessage,
-    int referenceRatings,
-    Duration reinstateAfter) {
+    int minReferenceRatings,
+    Duration minSuspectTime) {
 
   /** Settings for 7 to 9 entries. */
   public static final QualitySettings DEFAULT =
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SequentialTest.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SequentialTest.java
@@ -22,11 +22,11 @@
   private SequentialTest() {}
 
   /** Returns the logarithms of what each stake gains on one value. */
-  static double[] logGains(double value, double leastMean) {
+  static double[] logGains(double value, double minMean) {
     double[] gains = new double[STAKES.length];
     for (int i = 0; i < STAKES.length; i++) {
-      double stake = STAKES[i] / (1 - leastMean);
-      gains[i] = Math.log1p(stake * (leastMean - value));
+      double stake = STAKES[i] / (1 - minMean);
+      gains[i] = Math.log1p(stake * (minMean - value));
     }
     return gains;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SharedQualityBook.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/SharedVersionQuality.java
@@ -30,14 +30,14 @@
  * <p>Each entry counts for itself and tells a few peers a second what changed. Each runs the test
  * for bad versions on the merged counts; the first that finds one tells all others at once.
  */
-public final class SharedQualityBook implements QualityBook, Part {
+public final class SharedVersionQuality implements VersionQuality, Part {
 
-  private static final Duration ROUND = Duration.ofSeconds(1);
+  private static final Duration ROUND_INTERVAL = Duration.ofSeconds(1);
 
   /** How many peers hear a new verdict at once; they pass it on. */
-  private static final int VERDICT_PEERS = 16;
+  private static final int VERDICT_FANOUT = 16;
 
-  private static final double LEAST_CHANCE = 1e-9;
+  private static final double MIN_FALSE_ALARM_BOUND = 1e-9;
 
   private final String entry;
   private final long incarnation;
@@ -46,14 +46,14 @@
   private final Supplier<List<String>> peers;
   private final VersionWithdrawer withdrawer;
   private final UniformRandomProvider random;
-  private final EntryCounters merged = new EntryCounters();
-  private final OwnCounters own;
+  private final MergedCounters merged = new MergedCounters();
+  private final LocalCounters local;
   private final EvidenceHistory history = new EvidenceHistory();
   private final DecayedCounts decayed;
   private final QualityEstimator estimator;
   private final BadVersionDetector detector;
   private final Verdicts verdicts = new Verdicts();
-  private final List<String> peersLeft = new ArrayList<>();
+  private final List<String> remainingPeers = new ArrayList<>();
   private Set<ModelVersion> withdrawn = Set.of();
   private Instant nextRound = Instant.MIN;
 
@@ -68,7 +68,7 @@
    * @param withdrawer submits withdrawals
    * @param seed seed of the choice of peers
    */
-  public SharedQualityBook(
+  public SharedVersionQuality(
       String entry,
       long incarnation,
       QualitySettings settings,
@@ -83,7 +83,7 @@
     this.peers = peers;
     this.withdrawer = withdrawer;
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-    this.own = new OwnCounters(entry, incarnation);
+    this.local = new LocalCounters(entry, incarnation);
     this.decayed = new DecayedCounts(settings.halfLifeEpochs());
     this.estimator = new QualityEstimator(decayed, configuration, settings.priorStrength());
     this.detector = new BadVersionDetector(history, settings);
@@ -102,17 +102,17 @@
 
   @Override
   public double expectedMillis(ModelVersion version, int promptTokens) {
-    return estimator.millis(version, SizeClass.of(promptTokens));
+    return estimator.meanMillis(version, SizeClass.of(promptTokens));
   }
 
   @Override
   public double expectedTokens(ModelVersion version, int promptTokens) {
-    return estimator.tokens(version, SizeClass.of(promptTokens));
+    return estimator.meanTokens(version, SizeClass.of(promptTokens));
   }
 
   @Override
-  public double ratingShare(ModelVersion version, double usual) {
-    return detector.wantsRatings(version) ? 1 : usual;
+  public double ratingShare(ModelVersion version, double configuredShare) {
+    return detector.needsMoreRatings(version) ? 1 : configuredShare;
   }
 
   @Override
@@ -128,55 +128,55 @@
             outcome.version(), SizeClass.of(outcome.promptTokens()), outcome.escalated());
     long[] counts = Counters.of(outcome);
     decayed.advance(epoch);
-    own.add(epoch, key, counts);
-    count(epoch, key, counts);
+    local.add(epoch, key, counts);
+    addCounts(epoch, key, counts);
   }
 
   @Override
   public void apply(Event event, Instant now, Output output) {
     if (event instanceof LifecycleEvent.Tick && !now.isBefore(nextRound)) {
-      nextRound = now.plus(ROUND);
-      round(now, output);
+      nextRound = now.plus(ROUND_INTERVAL);
+      runRound(now, output);
     } else if (event instanceof PeerEvent.MessageReceived received
         && received.message() instanceof QualityMessage.Evidence evidence) {
-      takeIn(evidence, received.node(), now, output);
+      receiveEvidence(evidence, received.node(), now, output);
     } else if (event instanceof PeerEvent.ConnectionLost lost) {
-      own.forgetPeer(lost.node());
+      local.resetPeer(lost.node());
     }
   }
 
-  private void count(long epoch, EvidenceKey key, long[] counts) {
+  private void addCounts(long epoch, EvidenceKey key, long[] counts) {
     history.add(epoch, key, counts);
     decayed.add(epoch, key, counts);
   }
 
-  private void round(Instant now, Output output) {
+  private void runRound(Instant now, Output output) {
     long epoch = settings.epochAt(now.toEpochMilli());
     long oldestOpen = epoch - settings.openEpochs();
     decayed.advance(epoch);
-    own.forgetBefore(oldestOpen);
-    merged.forgetBefore(oldestOpen);
-    history.forgetBefore(epoch - settings.windowEpochs());
+    local.removeBefore(oldestOpen);
+    merged.removeBefore(oldestOpen);
+    history.removeBefore(epoch - settings.windowEpochs());
     clearReinstated(now, output);
-    judge(epoch, now, output);
-    share(output);
+    testVersions(epoch, now, output);
+    sendCounters(output);
   }
 
   /** Tells the next few peers, in an order that is shuffled anew once all had their turn. */
-  private void share(Output output) {
-    if (peersLeft.isEmpty()) {
-      peersLeft.addAll(otherEntries());
+  private void sendCounters(Output output) {
+    if (remainingPeers.isEmpty()) {
+      remainingPeers.addAll(otherEntries());
     }
-    int count = Math.min(settings.peersPerRound(), peersLeft.size());
-    List<String> turn = peersLeft.subList(0, count);
-    for (String peer : turn) {
-      List<QualityCounters> news = own.news(peer, settings.countersPerMessage());
-      List<Verdict> known = verdicts.all();
-      if (!news.isEmpty() || !known.isEmpty()) {
-        tell(peer, news, known, output);
+    int count = Math.min(settings.peersPerRound(), remainingPeers.size());
+    List<String> batch = remainingPeers.subList(0, count);
+    for (String peer : batch) {
+      List<QualityCounters> unsent = local.unsentCounters(peer, settings.countersPerMessage());
+      List<Verdict> currentVerdicts = verdicts.all();
+      if (!unsent.isEmpty() || !currentVerdicts.isEmpty()) {
+        sendEvidence(peer, unsent, currentVerdicts, output);
       }
     }
-    turn.clear();
+    batch.clear();
   }
 
   private List<String> otherEntries() {
@@ -188,52 +188,56 @@
     return others;
   }
 
-  private static void tell(
+  private static void sendEvidence(
       String peer, List<QualityCounters> counters, List<Verdict> verdicts, Output output) {
     output.effect(new PeerEffect.SendToPeer(peer, new QualityMessage.Evidence(counters, verdicts)));
   }
 
-  private void takeIn(QualityMessage.Evidence evidence, String node, Instant now, Output output) {
+  private void receiveEvidence(
+      QualityMessage.Evidence evidence, String node, Instant now, Output output) {
     long epoch = settings.epochAt(now.toEpochMilli());
     decayed.advance(epoch);
-    for (QualityCounters told : evidence.counters()) {
-      boolean open = told.epoch() > epoch - settings.openEpochs() && told.epoch() <= epoch + 1;
+    for (QualityCounters received : evidence.counters()) {
+      boolean isOpen =
+          received.epoch() > epoch - settings.openEpochs() && received.epoch() <= epoch + 1;
       // Own counts that come back must not be counted as another's.
-      boolean other = !told.entry().equals(entry) || told.incarnation() != incarnation;
-      if (open && other) {
-        merged.merge(told).ifPresent(rise -> count(told.epoch(), told.key(), rise));
+      boolean isRemote = !received.entry().equals(entry) || received.incarnation() != incarnation;
+      if (isOpen && isRemote) {
+        merged
+            .merge(received)
+            .ifPresent(increase -> addCounts(received.epoch(), received.key(), increase));
       }
     }
     for (Verdict verdict : evidence.verdicts()) {
-      decide(verdict, node, now, output);
+      applyVerdict(verdict, node, now, output);
     }
   }
 
-  private void judge(long epoch, Instant now, Output output) {
+  private void testVersions(long epoch, Instant now, Output output) {
     Configuration current = configuration.current();
-    for (ModelVersion version : history.takeChanged()) {
+    for (ModelVersion version : history.drainChanged()) {
       if (verdicts.isSuspect(version)) {
         reinstateIfRecovered(version, current, epoch, now, output);
       } else if (!current.isWithdrawn(version)) {
         detector
-            .test(version, current, chance(version, current), epoch)
-            .ifPresent(finding -> suspect(version, finding, now, output));
+            .test(version, current, falseAlarmBound(version, current), epoch)
+            .ifPresent(finding -> markSuspect(version, finding, now, output));
       }
     }
   }
 
   /** Returns the bound for a false alarm; each further test of a version has half of the last's. */
-  private double chance(ModelVersion version, Configuration current) {
+  private double falseAlarmBound(ModelVersion version, Configuration current) {
     long number = verdicts.of(version).map(Verdict::number).orElse(0L);
     double halvings = 1 + number / 2.0;
     double bound = current.versionPolicy().falseAlarmRate() * Math.pow(0.5, halvings);
-    return Math.max(LEAST_CHANCE, bound);
+    return Math.max(MIN_FALSE_ALARM_BOUND, bound);
   }
 
-  private void suspect(
+  private void markSuspect(
       ModelVersion version, BadVersionDetector.Finding finding, Instant now, Output output) {
-    Verdict verdict = next(version, true, finding.sentence(), now);
-    decide(verdict, null, now, output);
+    Verdict verdict = nextVerdict(version, true, finding.message(), now);
+    applyVerdict(verdict, null, now, output);
     if (configuration.current().versionPolicy().withdrawAutomatically()) {
       String changeId = "withdraw-suspect-%s-%d".formatted(version, verdict.number());
       withdrawer.withdraw(version, changeId, verdict.reason(), now, output);
@@ -244,45 +248,47 @@
       ModelVersion version, Configuration current, long epoch, Instant now, Output output) {
     Verdict verdict = verdicts.of(version).orElseThrow();
     long doublings = Math.min(10, verdict.number() / 2);
-    Duration hold = settings.reinstateAfter().multipliedBy(1L << doublings);
-    if (now.isBefore(verdict.since().plus(hold)) || current.isWithdrawn(version)) {
+    Duration suspectTime = settings.minSuspectTime().multipliedBy(1L << doublings);
+    if (now.isBefore(verdict.since().plus(suspectTime)) || current.isWithdrawn(version)) {
       return;
     }
-    long since = settings.epochAt(now.minus(hold).toEpochMilli());
+    long since = settings.epochAt(now.minus(suspectTime).toEpochMilli());
     if (detector.hasRecovered(version, current, since, epoch)) {
-      decide(next(version, false, "its evidence is good again", now), null, now, output);
+      applyVerdict(
+          nextVerdict(version, false, "its evidence is good again", now), null, now, output);
     }
   }
 
   /** Clears a suspect that the operators withdrew and then took back: they know more than we. */
   private void clearReinstated(Instant now, Output output) {
-    Set<ModelVersion> present = new HashSet<>(configuration.current().withdrawn());
+    Set<ModelVersion> current = new HashSet<>(configuration.current().withdrawn());
     for (ModelVersion version : withdrawn) {
-      if (!present.contains(version) && verdicts.isSuspect(version)) {
-        decide(next(version, false, "operators reinstated it", now), null, now, output);
+      if (!current.contains(version) && verdicts.isSuspect(version)) {
+        applyVerdict(
+            nextVerdict(version, false, "operators reinstated it", now), null, now, output);
       }
     }
-    withdrawn = present;
+    withdrawn = current;
   }
 
-  private Verdict next(ModelVersion version, boolean suspect, String reason, Instant now) {
+  private Verdict nextVerdict(ModelVersion version, boolean suspect, String reason, Instant now) {
     long number = verdicts.of(version).map(Verdict::number).orElse(0L) + 1;
     return new Verdict(version, number, suspect, reason, now);
   }
 
   /** Takes a verdict over, here or from a peer, and passes it on if it is news. */
-  private void decide(Verdict verdict, @Nullable String from, Instant now, Output output) {
-    boolean before = verdicts.isSuspect(verdict.version());
+  private void applyVerdict(Verdict verdict, @Nullable String from, Instant now, Output output) {
+    boolean wasSuspect = verdicts.isSuspect(verdict.version());
     if (!verdicts.merge(verdict)) {
       return;
     }
-    if (before != verdict.suspect()) {
+    if (wasSuspect != verdict.suspect()) {
       announce(verdict, now, output);
     }
     otherEntries().stream()
         .filter(peer -> !peer.equals(from))
-        .limit(VERDICT_PEERS)
-        .forEach(peer -> tell(peer, List.of(), List.of(verdict), output));
+        .limit(VERDICT_FANOUT)
+        .forEach(peer -> sendEvidence(peer, List.of(), List.of(verdict), output));
   }
 
   private void announce(Verdict verdict, Instant now, Output output) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Signal.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Signal.java
@@ -16,21 +16,21 @@
   private static final double SLOW_QUANTILE = 0.9;
 
   /** Two classes of delays are one doubling. */
-  private static final int SLOWER_BY_CLASSES = 2;
+  private static final int SLOWDOWN_CLASSES = 2;
 
   private final int classes;
   private final int windowEpochs;
-  private final double share;
+  private final double falseAlarmShare;
 
   Signal(int classes, int windowEpochs, double share) {
     this.classes = classes;
     this.windowEpochs = windowEpochs;
-    this.share = share;
+    this.falseAlarmShare = share;
   }
 
   /** Returns its share of the bound for false alarms; the shares sum to 1. */
-  double share() {
-    return share;
+  double falseAlarmShare() {
+    return falseAlarmShare;
   }
 
   int classes() {
@@ -50,34 +50,34 @@
   /**
    * Returns how often a class was seen.
    *
-   * @param slowFrom first class of delays that counts as late
+   * @param firstSlowClass first class of delays that counts as late
    */
-  long count(long[] counts, int index, int slowFrom) {
+  long count(long[] counts, int index, int firstSlowClass) {
     return switch (this) {
       case RATING -> counts[index];
-      case ERRORS -> binary(counts[Counters.ERRORS], counts[Counters.ATTEMPTS], index);
+      case ERRORS -> binaryCount(counts[Counters.ERRORS], counts[Counters.ATTEMPTS], index);
       case BROKEN_ANSWERS ->
-          binary(
+          binaryCount(
               counts[Counters.BROKEN], counts[Counters.ATTEMPTS] - counts[Counters.ERRORS], index);
-      case FIRST_TOKEN -> binary(delays(counts, slowFrom), delays(counts, 0), index);
+      case FIRST_TOKEN -> binaryCount(delays(counts, firstSlowClass), delays(counts, 0), index);
     };
   }
 
   /** Returns the first class of delays that is late against a reference: twice its slow ones. */
-  static int slowFrom(long[] reference) {
-    long slow = (long) Math.ceil(SLOW_QUANTILE * delays(reference, 0));
+  static int firstSlowClass(long[] reference) {
+    long quantileCount = (long) Math.ceil(SLOW_QUANTILE * delays(reference, 0));
     long sum = 0;
     for (int i = 0; i < Counters.DELAY_CLASSES; i++) {
       sum += reference[Counters.DELAYS + i];
-      if (sum >= slow) {
-        return i + SLOWER_BY_CLASSES + 1;
+      if (sum >= quantileCount) {
+        return i + SLOWDOWN_CLASSES + 1;
       }
     }
     return Counters.DELAY_CLASSES;
   }
 
-  private static long binary(long bad, long all, int index) {
-    return index == 0 ? bad : Math.max(0, all - bad);
+  private static long binaryCount(long bad, long total, int index) {
+    return index == 0 ? bad : Math.max(0, total - bad);
   }
 
   private static long delays(long[] counts, int from) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Verdict.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Verdict.java
@@ -16,7 +16,7 @@
     ModelVersion version, long number, boolean suspect, String reason, Instant since) {
 
   /** Returns whether this verdict holds against another on the same version. */
-  boolean beats(Verdict other) {
+  boolean overrides(Verdict other) {
     if (number != other.number) {
       return number > other.number;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Verdicts.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/Verdicts.java
@@ -13,12 +13,12 @@
   private final Map<ModelVersion, Verdict> verdicts = new HashMap<>();
 
   /** Takes in a verdict and returns whether it holds now and didn't before. */
-  boolean merge(Verdict told) {
-    Verdict known = verdicts.get(told.version());
-    if (known != null && !told.beats(known)) {
+  boolean merge(Verdict received) {
+    Verdict current = verdicts.get(received.version());
+    if (current != null && !received.overrides(current)) {
       return false;
     }
-    verdicts.put(told.version(), told);
+    verdicts.put(received.version(), received);
     return true;
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualityBook.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/VersionQuality.java
@@ -4,7 +4,7 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 
 /** What is known of how good each version's answers are, over all entries. */
-public interface QualityBook {
+public interface VersionQuality {
 
   /**
    * Returns the chance that an answer of the version reaches a target, with its uncertainty.
@@ -54,11 +54,11 @@
    * Returns the share of a version's answers that should be rated.
    *
    * @param version the version
-   * @param usual share that operators set, 0 to 1
+   * @param configuredShare share that operators set, 0 to 1
    * @return the usual share, or more while it is not clear whether the version is good
    */
-  default double ratingShare(ModelVersion version, double usual) {
-    return usual;
+  default double ratingShare(ModelVersion version, double configuredShare) {
+    return configuredShare;
   }
 
   /** Returns whether the evidence shows the version to be bad, so that it gets no new sessions. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelay.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ActiveRelay.java
@@ -93,9 +93,9 @@
   }
 
   /** Returns the upstream of the attempt in progress, or null if there is none. */
-  @Nullable UpstreamTrack upstream() {
+  @Nullable TrackedUpstream upstream() {
     Placement placed = placement;
-    return placed == null ? null : placed.track();
+    return placed == null ? null : placed.upstream();
   }
 
   /** Returns the name of the requested model, or null if there is none. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AnswerTimes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AnswerTimes.java
@@ -24,10 +24,10 @@
    * Takes note of an answer that has ended, or that was broken off.
    *
    * @param relay the request
-   * @param millis time since the answer's first byte, in milliseconds
+   * @param expectedMillis time since the answer's first byte, in milliseconds
    * @param whole whether the answer was whole; if not, it would have taken longer
    */
-  void ended(ActiveRelay relay, double millis, boolean whole) {
+  void recordEnd(ActiveRelay relay, double millis, boolean whole) {
     int tokens = relay.request.outputTokens();
     String model = relay.modelName();
     boolean resumed = relay.lastEventId != null;
@@ -47,7 +47,7 @@
    * @param model the model that would answer
    * @param deviations mean deviations beyond the mean; below 0 for a time that few answers keep to
    */
-  double millis(ActiveRelay relay, String model, double deviations) {
+  double expectedMillis(ActiveRelay relay, String model, double deviations) {
     Ratio known = byModel.get(key(relay, model));
     if (known == null || known.answers < LEAST_ANSWERS) {
       return 0;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -54,12 +54,12 @@
   /** Handles an upstream's report that it has not run the request. */
   void onNotRun(
       ActiveRelay relay,
-      UpstreamTrack track,
+      TrackedUpstream track,
       RelayEvent.AnswerBegan began,
       Instant now,
       Output output) {
     if (began.status() == MISDIRECTED_REQUEST) {
-      track.answeredByOther();
+      track.markReplaced();
     } else {
       sender.recordFailure(relay, AttemptProgress.FAILED, now, output);
     }
@@ -78,7 +78,7 @@
    */
   boolean onServerError(
       ActiveRelay relay,
-      UpstreamTrack track,
+      TrackedUpstream track,
       RelayEvent.AnswerBegan began,
       Instant now,
       Output output) {
@@ -101,7 +101,7 @@
   /** Handles an attempt that failed before its answer was complete. */
   void onAttemptFailed(
       ActiveRelay relay, RelayEvent.AttemptFailed failed, Instant now, Output output) {
-    UpstreamTrack track = relay.upstream();
+    TrackedUpstream track = relay.upstream();
     if (track == null) {
       return;
     }
@@ -194,7 +194,7 @@
    */
   private void failOver(
       ActiveRelay relay, double maxFirstByteMillis, String why, Instant now, Output output) {
-    UpstreamTrack silent = relay.upstream();
+    TrackedUpstream silent = relay.upstream();
     boolean possible = !relay.failedOver && silent != null && relay.route.retryable();
     if (!possible || relay.sentAttempts >= relay.route.maxAttempts()) {
       return;
@@ -227,7 +227,7 @@
    * <p>A new version has no cached prompt prefixes and is slow at first. When abandoned attempts
    * counted as failures, a good version was rolled back.
    */
-  private void recordAbandonedWait(ActiveRelay relay, UpstreamTrack silent, Instant now) {
+  private void recordAbandonedWait(ActiveRelay relay, TrackedUpstream silent, Instant now) {
     if (!relay.forwarding) {
       long waitedMillis = Duration.between(relay.sentAt, now).toMillis();
       firstByteTimeout.addSample(relay.route, relay.modelIndex, waitedMillis);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
@@ -9,7 +9,7 @@
 import org.skylarkfork.core.Output;
 import org.skylarkfork.core.effect.RelayEffect;
 import org.skylarkfork.core.message.RelayMessage.AttemptProgress;
-import org.skylarkfork.core.placement.PromptChain;
+import org.skylarkfork.core.placement.PromptPrefixes;
 
 /** Places and sends attempts to upstreams and tracks the attempts in progress. */
 final class AttemptSender {
@@ -28,7 +28,7 @@
   private final UpstreamPicker picker;
   private final SchedulerClient schedulers;
   private final VersionSelector versions;
-  private final SentPrompts prompts;
+  private final SentPrefixes prompts;
   private final RequestTrace trace;
 
   AttemptSender(
@@ -37,7 +37,7 @@
       UpstreamPicker picker,
       SchedulerClient schedulers,
       VersionSelector versions,
-      SentPrompts prompts,
+      SentPrefixes prompts,
       RequestTrace trace) {
     this.view = view;
     this.zone = zone;
@@ -71,9 +71,9 @@
    * is in an evacuated zone.
    */
   boolean isEvacuated(ActiveRelay relay) {
-    List<UpstreamTrack> all = view.upstreams(relay.service.name());
+    List<TrackedUpstream> all = view.upstreams(relay.service.name());
     return all.stream().anyMatch(track -> track.condition() == UpstreamCondition.EVACUATED)
-        && all.stream().allMatch(track -> track.condition().barsNewWork());
+        && all.stream().allMatch(track -> track.condition().rejectsNewWork());
   }
 
   /**
@@ -81,7 +81,7 @@
    * limits aren't the reason.
    */
   Duration retryDelay(ActiveRelay relay, Instant now) {
-    return picker.untilTaken(query(relay, relay.modelName(), relay.triedUpstreams), now);
+    return picker.timeUntilAccepted(query(relay, relay.modelName(), relay.triedUpstreams), now);
   }
 
   /**
@@ -102,7 +102,7 @@
 
   private static Set<String> triedAndCurrent(ActiveRelay relay) {
     Set<String> excluded = new HashSet<>(relay.triedUpstreams);
-    UpstreamTrack current = relay.upstream();
+    TrackedUpstream current = relay.upstream();
     if (current != null) {
       excluded.add(current.instance().id());
     }
@@ -127,11 +127,11 @@
         upstream -> allowed.allows(upstream.version()) && !excluded.contains(upstream.id()));
   }
 
-  private static @Nullable PromptChain prefixes(ActiveRelay relay, @Nullable String model) {
+  private static @Nullable PromptPrefixes prefixes(ActiveRelay relay, @Nullable String model) {
     if (relay.service.engine() == null || model == null) {
       return null;
     }
-    return PromptChain.of(model, relay.request.prompt(), relay.request.promptTokens());
+    return PromptPrefixes.of(model, relay.request.prompt(), relay.request.promptTokens());
   }
 
   /**
@@ -155,7 +155,7 @@
   /** Releases an unused grant at the scheduler that issued it; does nothing for null. */
   void releaseGrant(@Nullable SchedulerGrant grant, Output output) {
     if (grant != null) {
-      schedulers.tell(grant, AttemptProgress.ENDED, 0, output);
+      schedulers.reportProgress(grant, AttemptProgress.ENDED, 0, output);
     }
   }
 
@@ -185,15 +185,15 @@
     relay.grant = grant;
     relay.sentAt = now;
     relay.pendingWorkMillis = placement.workMillis();
-    UpstreamTrack track = placement.track();
-    track.sent(placement.workMillis(), now);
+    TrackedUpstream track = placement.upstream();
+    track.recordSent(placement.workMillis(), now);
     if (grant == null) {
-      picker.sent(relay.service, placement, now);
+      picker.recordSent(relay.service, placement, now);
     }
-    PromptChain prefixes = placement.chain();
+    PromptPrefixes prefixes = placement.prefixes();
     if (prefixes != null) {
-      track.kept().sent(prefixes, (double) placement.newTokens() * view.entries());
-      prompts.sent(track.instance().id(), prefixes, now);
+      track.prefixCache().recordSent(prefixes, (double) placement.newTokens() * view.entries());
+      prompts.recordSent(track.instance().id(), prefixes, now);
     }
     long remainingMillis = Duration.between(now, relay.deadline).toMillis();
     output.effect(
@@ -206,7 +206,7 @@
     RelayTeam team = relay.team;
     int connections = (int) (relay.service.maxConnections() * CONNECTION_FRACTION / view.entries());
     return new AttemptTarget(
-        placement.track().instance(),
+        placement.upstream().instance(),
         Math.max(1, connections),
         team == null ? null : team.name(),
         relay.modelIndex < 0 ? null : relay.modelName(),
@@ -225,13 +225,13 @@
     if (placement == null) {
       return;
     }
-    placement.track().begun(relay.pendingWorkMillis);
+    placement.upstream().recordBegun(relay.pendingWorkMillis);
     relay.pendingWorkMillis = 0;
     double millis = Duration.between(relay.sentAt, now).toMillis();
-    picker.answered(relay.service, relay.modelName(), placement, millis, now);
+    picker.recordFirstByte(relay.service, relay.modelName(), placement, millis, now);
     if (relay.grant != null) {
-      NamedLimit named = placement.track().rate().toTell(now);
-      schedulers.tell(relay.grant, AttemptProgress.BEGUN, (long) millis, named, output);
+      ReportedLimit named = placement.upstream().rate().toReport(now);
+      schedulers.reportProgress(relay.grant, AttemptProgress.BEGUN, (long) millis, named, output);
     }
   }
 
@@ -244,16 +244,16 @@
    * @param output receives the resulting effects
    */
   void recordFailure(ActiveRelay relay, AttemptProgress progress, Instant now, Output output) {
-    UpstreamTrack track = relay.upstream();
+    TrackedUpstream track = relay.upstream();
     if (track == null) {
       return;
     }
     boolean gone =
         progress == AttemptProgress.UNREACHABLE
-            || progress == AttemptProgress.SILENT && track.silentSince(relay.sentAt);
-    track.failed(gone, now);
+            || progress == AttemptProgress.SILENT && track.isSilentSince(relay.sentAt);
+    track.recordFailure(gone, now);
     if (relay.grant != null) {
-      schedulers.tell(relay.grant, progress, 0, track.rate().toTell(now), output);
+      schedulers.reportProgress(relay.grant, progress, 0, track.rate().toReport(now), output);
       relay.grant = null;
     }
   }
@@ -271,12 +271,12 @@
    * and its share of the upstream's load.
    */
   void releaseAttempt(ActiveRelay relay, Output output) {
-    schedulers.forget(relay);
+    schedulers.cancel(relay);
     releaseGrant(relay.grant, output);
     relay.grant = null;
-    UpstreamTrack track = relay.upstream();
+    TrackedUpstream track = relay.upstream();
     if (track != null) {
-      track.ended(relay.pendingWorkMillis);
+      track.recordEnded(relay.pendingWorkMillis);
       relay.triedUpstreams.add(track.instance().id());
       relay.placement = null;
       relay.pendingWorkMillis = 0;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptStarter.java
@@ -34,7 +34,7 @@
   }
 
   /** Continues a request whose placement query was answered or timed out. */
-  void onPlacement(SchedulerClient.Placed placed, Instant now, Output output) {
+  void onPlacement(SchedulerClient.SchedulerDecision placed, Instant now, Output output) {
     ActiveRelay relay = placed.relay();
     Placement chosen = placed.placement();
     Placement placement = chosen == null ? sender.place(relay, now) : chosen;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/CallEstimates.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/CallLatencyModel.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 
 /** Expects times of calls to plain services, from the mean of their answers. */
-final class CallEstimates {
+final class CallLatencyModel {
 
   /** Weight of the newest answer; the newest 20 make most of the mean. */
   private static final double LEARNING = 0.05;
@@ -16,17 +16,17 @@
   private final Map<String, Double> meanMillis = new HashMap<>();
 
   /** Expects a call to wait once all slots of the upstream are taken. */
-  Placement of(RelayService service, UpstreamTrack track, Instant now) {
+  Placement estimate(RelayService service, TrackedUpstream track, Instant now) {
     double mean = meanMillis.getOrDefault(service.name(), FIRST_MILLIS);
     int slots = Math.max(1, track.instance().slots());
     double wait = mean * track.running(now) / slots;
-    double work = mean * track.slowness().factor(now);
+    double work = mean * track.relativeLatency().factor(now);
     return new Placement(track, wait, work, wait + work, 0, null);
   }
 
-  void answered(RelayService service, Placement placement, double millis, Instant now) {
+  void recordFirstByte(RelayService service, Placement placement, double millis, Instant now) {
     double mean = meanMillis.getOrDefault(service.name(), FIRST_MILLIS);
     meanMillis.put(service.name(), mean + LEARNING * (millis - mean));
-    placement.track().slowness().observed(millis, mean + placement.waitMillis(), now);
+    placement.upstream().relativeLatency().recordAnswer(millis, mean + placement.waitMillis(), now);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ColdStartLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ColdStartLimiter.java
@@ -25,11 +25,11 @@
   double SCHEDULER_SHARE = 5 / 6.0;
 
   /** Returns whether an upstream may get one more request now. */
-  boolean takes(RelayService service, UpstreamTrack track, Instant now);
+  boolean allows(RelayService service, TrackedUpstream track, Instant now);
 
   /**
    * Returns whether an upstream has had as many requests lately as it could bear if it turned cold
    * now, which is heard up to a heartbeat later. Such a one gets more only where no other is left.
    */
-  boolean isCrowded(RelayService service, UpstreamTrack track, Instant now);
+  boolean exceedsColdRate(RelayService service, TrackedUpstream track, Instant now);
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ConfidenceCascade.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ConfidenceCascade.java
@@ -47,23 +47,23 @@
   }
 
   @Override
-  public int first(RelayRoute route, RelayRequest request) {
+  public int firstModel(RelayRoute route, RelayRequest request) {
     return 0;
   }
 
   @Override
-  public int larger(RelayRoute route, int model) {
+  public int largerModel(RelayRoute route, int model) {
     int largest = route.models().size() - 1;
     return model < largest ? largest : -1;
   }
 
   @Override
-  public boolean doubts(ActiveRelay relay) {
+  public boolean wouldEscalate(ActiveRelay relay) {
     return relay.confidence != null && relay.confidence < KEPT;
   }
 
   @Override
-  public boolean asks(ActiveRelay relay, Placement placement, Instant now) {
+  public boolean shouldEscalate(ActiveRelay relay, Placement placement, Instant now) {
     Integer confidence = relay.confidence;
     if (confidence == null) {
       return false;
@@ -94,8 +94,8 @@
    * it began long answers that broke off at their callers' deadline, in place of ones at hand.
    */
   private boolean ends(ActiveRelay relay, double firstByteMillis, double leftMillis) {
-    int larger = larger(relay.route, relay.modelIndex);
-    double whole = times.millis(relay, relay.route.models().get(larger), deviations(relay));
+    int larger = largerModel(relay.route, relay.modelIndex);
+    double whole = times.expectedMillis(relay, relay.route.models().get(larger), deviations(relay));
     return whole > 0
         ? firstByteMillis + whole < leftMillis * WHOLE_SHARE
         : firstByteMillis < leftMillis * LATEST_SHARE;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EngineEstimates.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EngineLatencyModel.java
@@ -4,8 +4,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.skylarkfork.core.placement.PromptChain;
-import org.skylarkfork.core.placement.ReadingTimes;
+import org.skylarkfork.core.placement.PrefillTimes;
+import org.skylarkfork.core.placement.PromptPrefixes;
 import org.skylarkfork.core.routing.StableHash;
 
 /**
@@ -14,7 +14,7 @@
  * <p>The wait is the reading that is ahead there, of all entries as far as they tell; the reading
  * is what the engine is not believed to keep for that model.
  */
-final class EngineEstimates {
+final class EngineLatencyModel {
 
   /**
    * Least cost to others of reading a shared part where it isn't kept, as a share of that reading.
@@ -62,48 +62,48 @@
   private static final double NO_WAIT_MILLIS = 20;
 
   private final UpstreamSource upstreams;
-  private final Map<String, ReadingTimes> byService = new HashMap<>();
+  private final Map<String, PrefillTimes> byService = new HashMap<>();
 
-  EngineEstimates(UpstreamSource upstreams) {
+  EngineLatencyModel(UpstreamSource upstreams) {
     this.upstreams = upstreams;
   }
 
   /** Returns what is expected of a request at each of some engines. */
-  TimeEstimate of(
+  PlacementEstimator estimatorFor(
       PlacementQuery query,
       EngineProfile engine,
-      PromptChain chain,
-      List<UpstreamTrack> engines,
+      PromptPrefixes chain,
+      List<TrackedUpstream> engines,
       Instant now) {
     boolean kept =
         chain.sharedSize() == 0
             || engines.stream()
                 .anyMatch(
                     track ->
-                        track.kept().keptTokens(chain, engine.memoryTokens())
+                        track.prefixCache().cachedTokens(chain, engine.memoryTokens())
                             >= chain.sharedTokens());
     return new AtEngine(query, engine, chain, !kept, now);
   }
 
-  private ReadingTimes times(RelayService service) {
-    return byService.computeIfAbsent(service.name(), missing -> new ReadingTimes());
+  private PrefillTimes times(RelayService service) {
+    return byService.computeIfAbsent(service.name(), missing -> new PrefillTimes());
   }
 
   /** Learns from an answer's first byte; from long waits only how slow the engine is. */
-  void answered(
+  void recordFirstByte(
       RelayService service, String model, Placement placement, double millis, Instant now) {
     double wait = placement.waitMillis();
-    placement.track().slowness().observed(millis, placement.firstByteMillis(), now);
+    placement.upstream().relativeLatency().recordAnswer(millis, placement.firstByteMillis(), now);
     if (wait <= NO_WAIT_MILLIS + NO_WAIT_SHARE * placement.workMillis()) {
-      times(service).observed(model, placement.newTokens(), Math.max(1, millis - wait));
+      times(service).recordAnswer(model, placement.newTokens(), Math.max(1, millis - wait));
     }
   }
 
-  private final class AtEngine implements TimeEstimate {
-    private final ReadingTimes times;
+  private final class AtEngine implements PlacementEstimator {
+    private final PrefillTimes times;
     private final EngineProfile engine;
     private final String model;
-    private final PromptChain chain;
+    private final PromptPrefixes chain;
     private final double objectiveMillis;
 
     /** Whether no engine keeps the shared parts yet. */
@@ -114,7 +114,7 @@
     private AtEngine(
         PlacementQuery query,
         EngineProfile engine,
-        PromptChain chain,
+        PromptPrefixes chain,
         boolean firstRead,
         Instant now) {
       this.times = times(query.service());
@@ -127,24 +127,25 @@
     }
 
     @Override
-    public Placement at(UpstreamTrack track) {
-      int tokens = chain.total() - track.kept().keptTokens(chain, engine.memoryTokens());
-      double slow = track.slowness().factor(now);
+    public Placement estimate(TrackedUpstream track) {
+      int tokens =
+          chain.totalTokens() - track.prefixCache().cachedTokens(chain, engine.memoryTokens());
+      double slow = track.relativeLatency().factor(now);
       double unheard = Math.min(MOST_UNHEARD, 1 / upstreams.loadShare());
       double wait = slow * unheard * track.waitingMillis(now);
-      double work = slow * times.workMillis(model, tokens);
+      double work = slow * times.prefillMillis(model, tokens);
       double firstByte = wait + slow * times.firstByteMillis(model, tokens);
       return new Placement(track, wait, work, firstByte, tokens, chain);
     }
 
     @Override
-    public double extraMillis(Placement placement) {
-      UpstreamTrack track = placement.track();
-      int own = chain.total() - chain.sharedTokens();
+    public double costToOthersMillis(Placement placement) {
+      TrackedUpstream track = placement.upstream();
+      int own = chain.totalTokens() - chain.sharedTokens();
       int copied = Math.max(0, placement.newTokens() - own);
-      double cost = copyMillis(times.workMillis(model, copied));
+      double cost = copyMillis(times.prefillMillis(model, copied));
       if (firstRead) {
-        cost += PREFERENCE_SHARE * times.workMillis(model, chain.sharedTokens()) * rank(track);
+        cost += PREFERENCE_SHARE * times.prefillMillis(model, chain.sharedTokens()) * rank(track);
       }
       return cost + RUNNING_MILLIS * track.running(now);
     }
@@ -156,7 +157,7 @@
     }
 
     /** Returns the place of an engine for this prompt, from 0 to 1, which all entries agree on. */
-    private double rank(UpstreamTrack track) {
+    private double rank(TrackedUpstream track) {
       long key = chain.key(chain.sharedSize() - 1);
       long hash = StableHash.of(Long.toHexString(key), track.instance().id());
       return (hash >>> 11) * 0x1.0p-53;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryColdStartLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryColdStartLimiter.java
@@ -32,15 +32,15 @@
   }
 
   @Override
-  public boolean takes(RelayService service, UpstreamTrack track, Instant now) {
+  public boolean allows(RelayService service, TrackedUpstream track, Instant now) {
     if (!service.cold().isBounded() || !track.isCold(now)) {
       return true;
     }
     // Before the leader has told how many entries there are, each would think that it is alone.
-    return view.settled() && track.sentLately(now) < most(service, track);
+    return view.settled() && track.recentSends(now) < most(service, track);
   }
 
-  private int most(RelayService service, UpstreamTrack track) {
+  private int most(RelayService service, TrackedUpstream track) {
     double bound = service.cold().perSecond();
     if (service.engine() != null && !view.schedulers().isEmpty()) {
       bound *= 1 - SCHEDULER_SHARE;
@@ -53,13 +53,13 @@
   }
 
   /** Returns a number from 0 to 1 that is this entry's for an upstream. */
-  private double hash(UpstreamTrack track) {
+  private double hash(TrackedUpstream track) {
     return (StableHash.of(self, track.instance().id()) >>> 11) * 0x1.0p-53;
   }
 
   /** An entry sees too little of the work of warm upstreams to tell. */
   @Override
-  public boolean isCrowded(RelayService service, UpstreamTrack track, Instant now) {
+  public boolean exceedsColdRate(RelayService service, TrackedUpstream track, Instant now) {
     return false;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryPlace.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryOrdinal.java
@@ -9,10 +9,10 @@
  * @param number its number, from 0
  * @param of how many entries there are; 0 if that isn't known yet
  */
-public record EntryPlace(int number, int of) {
+public record EntryOrdinal(int number, int of) {
 
   /** Before the leader has told. */
-  public static final EntryPlace UNKNOWN = new EntryPlace(0, 0);
+  public static final EntryOrdinal UNKNOWN = new EntryOrdinal(0, 0);
 
   /** Returns whether the leader has told. */
   boolean isKnown() {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRateDivision.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRateDivision.java
@@ -20,30 +20,30 @@
   }
 
   @Override
-  public RateShare share(RelayService service, UpstreamTrack track, Instant now) {
-    EntryPlace place = view.place();
+  public RateShare share(RelayService service, TrackedUpstream track, Instant now) {
+    EntryOrdinal place = view.place();
     // Before the leader has told how many entries there are, each would think that it is alone.
     if (!place.isKnown()) {
-      return RateShare.NOTHING;
+      return RateShare.NONE;
     }
     RateLimit limit = track.rateLimit();
     double perSecond = RateDivision.perSecond(limit);
     double burst = RateDivision.burst(limit);
     if (RateDivision.isScheduled(service, view)) {
       perSecond *= 1 - ColdStartLimiter.SCHEDULER_SHARE;
-      burst = RateDivision.holdersBesideScheduler(limit);
+      burst = RateDivision.maxDirectSenders(limit);
     }
     int holders = (int) Math.min(place.of(), burst);
     int rank = Math.floorMod(place.number() - first(track, place.of()), place.of());
     if (rank >= holders) {
-      return RateShare.NOTHING;
+      return RateShare.NONE;
     }
     double staggered = (double) rank / holders;
     return new RateShare(perSecond / holders, burst / holders, staggered, Instant.EPOCH);
   }
 
   /** Returns the number of the first entry that has a part at an upstream. */
-  private static int first(UpstreamTrack track, int entries) {
+  private static int first(TrackedUpstream track, int entries) {
     return Math.floorMod(StableHash.of(track.instance().id()), entries);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRegistry.java
@@ -110,7 +110,7 @@
     boolean few = sorted.size() <= MAX_PEERS + 1;
     List<String> peers = few ? othersInOrder(sorted, own) : List.of();
     List<String> schedulers = few ? List.of() : schedulers(sorted, engines);
-    EntryPlace place = new EntryPlace(own, sorted.size());
+    EntryOrdinal place = new EntryOrdinal(own, sorted.size());
     long version =
         StableHash.of(
                 String.join(",", addresses),
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeastTimePicker.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LeastTimePicker.java
@@ -44,8 +44,8 @@
   private final ColdStartLimiter coldStarts;
   private final RateLimiter rates;
   private final UniformRandomProvider random;
-  private final EngineEstimates engines;
-  private final CallEstimates calls;
+  private final EngineLatencyModel engines;
+  private final CallLatencyModel calls;
 
   LeastTimePicker(
       UpstreamSource upstreams, ColdStartLimiter coldStarts, RateLimiter rates, long seed) {
@@ -53,43 +53,44 @@
     this.coldStarts = coldStarts;
     this.rates = rates;
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-    this.engines = new EngineEstimates(upstreams);
-    this.calls = new CallEstimates();
+    this.engines = new EngineLatencyModel(upstreams);
+    this.calls = new CallLatencyModel();
   }
 
   @Override
   public @Nullable Placement pick(PlacementQuery query, Instant now) {
     RelayService service = query.service();
-    List<UpstreamTrack> usable = usable(query, now);
+    List<TrackedUpstream> usable = usable(query, now);
     EngineProfile engine = service.engine();
-    if (engine != null && query.chain() != null) {
-      return best(engines.of(query, engine, query.chain(), usable, now), query, usable, now);
+    if (engine != null && query.prefixes() != null) {
+      return best(
+          engines.estimatorFor(query, engine, query.prefixes(), usable, now), query, usable, now);
     }
-    return best(track -> calls.of(service, track, now), query, usable, now);
+    return best(track -> calls.estimate(service, track, now), query, usable, now);
   }
 
-  private List<UpstreamTrack> usable(PlacementQuery query, Instant now) {
-    List<UpstreamTrack> ready = candidates(query, UpstreamCondition.READY, now);
-    List<UpstreamTrack> sound = ready.stream().filter(track -> !track.avoided(now)).toList();
+  private List<TrackedUpstream> usable(PlacementQuery query, Instant now) {
+    List<TrackedUpstream> ready = candidates(query, UpstreamCondition.READY, now);
+    List<TrackedUpstream> sound = ready.stream().filter(track -> !track.isAvoided(now)).toList();
     if (!sound.isEmpty()) {
       return uncrowded(query.service(), sound, now);
     }
     return ready.isEmpty() ? candidates(query, UpstreamCondition.SILENT, now) : ready;
   }
 
-  private List<UpstreamTrack> uncrowded(
-      RelayService service, List<UpstreamTrack> sound, Instant now) {
-    List<UpstreamTrack> others =
-        sound.stream().filter(track -> !coldStarts.isCrowded(service, track, now)).toList();
+  private List<TrackedUpstream> uncrowded(
+      RelayService service, List<TrackedUpstream> sound, Instant now) {
+    List<TrackedUpstream> others =
+        sound.stream().filter(track -> !coldStarts.exceedsColdRate(service, track, now)).toList();
     return others.isEmpty() ? sound : others;
   }
 
-  private List<UpstreamTrack> candidates(
+  private List<TrackedUpstream> candidates(
       PlacementQuery query, UpstreamCondition condition, Instant now) {
     RelayService service = query.service();
-    List<UpstreamTrack> found = new ArrayList<>();
-    for (UpstreamTrack track : upstreams.upstreams(service.name())) {
-      boolean fits = track.condition() == condition && query.fits().test(track.instance());
+    List<TrackedUpstream> found = new ArrayList<>();
+    for (TrackedUpstream track : upstreams.upstreams(service.name())) {
+      boolean fits = track.condition() == condition && query.eligible().test(track.instance());
       if (fits && takes(service, track, now)) {
         found.add(track);
       }
@@ -97,35 +98,38 @@
     return found;
   }
 
-  private boolean takes(RelayService service, UpstreamTrack track, Instant now) {
-    return coldStarts.takes(service, track, now) && rates.takes(service, track, now);
+  private boolean takes(RelayService service, TrackedUpstream track, Instant now) {
+    return coldStarts.allows(service, track, now) && rates.allows(service, track, now);
   }
 
   @Override
-  public void sent(RelayService service, Placement placement, Instant now) {
-    rates.sent(service, placement.track(), now);
+  public void recordSent(RelayService service, Placement placement, Instant now) {
+    rates.recordSent(service, placement.upstream(), now);
   }
 
   @Override
-  public Duration untilTaken(PlacementQuery query, Instant now) {
+  public Duration timeUntilAccepted(PlacementQuery query, Instant now) {
     RelayService service = query.service();
     return upstreams.upstreams(service.name()).stream()
         .filter(track -> track.condition() == UpstreamCondition.READY)
-        .filter(track -> query.fits().test(track.instance()))
-        .map(track -> rates.untilTaken(service, track, now))
+        .filter(track -> query.eligible().test(track.instance()))
+        .map(track -> rates.timeUntilAllowed(service, track, now))
         .min(Comparator.naturalOrder())
         .orElse(Duration.ZERO);
   }
 
   private @Nullable Placement best(
-      TimeEstimate estimate, PlacementQuery query, List<UpstreamTrack> usable, Instant now) {
+      PlacementEstimator estimate,
+      PlacementQuery query,
+      List<TrackedUpstream> usable,
+      Instant now) {
     String zone = query.zone();
     double distance = distance(zone, usable);
     Placement best = null;
     double least = Double.MAX_VALUE;
-    for (UpstreamTrack track : usable) {
-      Placement placement = estimate.at(track);
-      double cost = placement.firstByteMillis() + estimate.extraMillis(placement);
+    for (TrackedUpstream track : usable) {
+      Placement placement = estimate.estimate(track);
+      double cost = placement.firstByteMillis() + estimate.costToOthersMillis(placement);
       cost += FAILURE_MILLIS * track.failureShare() + random.nextDouble();
       cost += zone.equals(track.instance().zone()) ? 0 : distance;
       cost -= track.rateLimit().isBounded() ? LIMITED_MILLIS : 0;
@@ -137,22 +141,22 @@
     return best;
   }
 
-  private static double distance(String zone, List<UpstreamTrack> usable) {
+  private static double distance(String zone, List<TrackedUpstream> usable) {
     long near = usable.stream().filter(track -> zone.equals(track.instance().zone())).count();
     return near >= LEAST_KEEPERS ? OTHER_KEEPERS_MILLIS : OTHER_ZONE_MILLIS;
   }
 
   @Override
-  public void answered(
+  public void recordFirstByte(
       RelayService service,
       @Nullable String model,
       Placement placement,
       double millis,
       Instant now) {
     if (service.engine() != null && model != null) {
-      engines.answered(service, model, placement, millis, now);
+      engines.recordFirstByte(service, model, placement, millis, now);
     } else {
-      calls.answered(service, placement, millis, now);
+      calls.recordFirstByte(service, placement, millis, now);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadSharePart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadExchangePart.java
@@ -22,7 +22,7 @@
  * <p>Each entry sees an eighth of the traffic or less. Without the others' part it sends a prompt
  * of a second of reading behind seconds of others' reading, while engines beside it are idle.
  */
-public final class LoadSharePart implements Part {
+public final class LoadExchangePart implements Part {
 
   /** Least time between two tellings; a prompt's reading takes ten times as long. */
   private static final Duration LEAST_PAUSE = Duration.ofMillis(50);
@@ -36,7 +36,7 @@
   private static final int MOST_PROMPTS = 32;
 
   private final RelayEntryPart entry;
-  private final SentPrompts prompts;
+  private final SentPrefixes prompts;
   private List<UpstreamLoad> told = List.of();
   private Instant toldAt = Instant.EPOCH;
 
@@ -46,7 +46,7 @@
    * @param entry what this entry believes
    * @param requests the decisions on requests, whose attempts are told
    */
-  public LoadSharePart(RelayEntryPart entry, RelayRequestPart requests) {
+  public LoadExchangePart(RelayEntryPart entry, RelayRequestPart requests) {
     this.entry = entry;
     this.prompts = requests.prompts();
   }
@@ -66,7 +66,7 @@
       return;
     }
     List<UpstreamLoad> loads = loads();
-    List<CachedPrefix> sent = prompts.take(MOST_PROMPTS);
+    List<CachedPrefix> sent = prompts.takeUnreported(MOST_PROMPTS);
     boolean again = !loads.isEmpty() && !now.isBefore(toldAt.plus(AGAIN));
     if (again || !sent.isEmpty() || !loads.equals(told)) {
       told = loads;
@@ -78,7 +78,7 @@
 
   private List<UpstreamLoad> loads() {
     List<UpstreamLoad> loads = new ArrayList<>();
-    for (UpstreamTrack track : entry.tracks()) {
+    for (TrackedUpstream track : entry.tracks()) {
       if (track.ownRunning() > 0 && loads.size() < MOST_LOADS) {
         int waiting = (int) Math.round(track.ownWaitingMillis());
         loads.add(new UpstreamLoad(track.instance().id(), track.ownRunning(), waiting));
@@ -90,15 +90,15 @@
   private void take(String peer, EntryLoads message, Instant now) {
     Map<String, UpstreamLoad> byUpstream = new HashMap<>();
     message.loads().forEach(load -> byUpstream.put(load.upstream(), load));
-    for (UpstreamTrack track : entry.tracks()) {
+    for (TrackedUpstream track : entry.tracks()) {
       UpstreamLoad load = byUpstream.get(track.instance().id());
       int running = load == null ? 0 : load.running();
-      track.peers().told(peer, running, load == null ? 0 : load.waitingMillis(), now);
+      track.peerLoads().update(peer, running, load == null ? 0 : load.waitingMillis(), now);
     }
     for (CachedPrefix prompt : message.prompts()) {
-      UpstreamTrack track = entry.track(prompt.upstream());
+      TrackedUpstream track = entry.track(prompt.upstream());
       if (track != null) {
-        track.kept().used(prompt.key());
+        track.prefixCache().recordUse(prompt.key());
       }
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ModelPolicy.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ModelPolicy.java
@@ -11,7 +11,7 @@
    * @param route the route, with at least one model
    * @param request the request
    */
-  int first(RelayRoute route, RelayRequest request);
+  int firstModel(RelayRoute route, RelayRequest request);
 
   /**
    * Returns the place of the model that may be asked in place of an answer, or -1 if there is none.
@@ -19,14 +19,14 @@
    * @param route the route
    * @param model place of the model that answered
    */
-  int larger(RelayRoute route, int model);
+  int largerModel(RelayRoute route, int model);
 
   /**
    * Returns whether that model would be asked if it could answer at once.
    *
    * @param relay the request, with the confidence of the answer that has begun
    */
-  boolean doubts(ActiveRelay relay);
+  boolean wouldEscalate(ActiveRelay relay);
 
   /**
    * Returns whether that model is asked.
@@ -35,5 +35,5 @@
    * @param placement where the larger model would be asked, and what is expected there
    * @param now the present time
    */
-  boolean asks(ActiveRelay relay, Placement placement, Instant now);
+  boolean shouldEscalate(ActiveRelay relay, Placement placement, Instant now);
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TimeEstimate.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PlacementEstimator.java
@@ -1,13 +1,13 @@
 package org.skylarkfork.core.relay;
 
 /** Expects how long one attempt would take at each upstream. */
-interface TimeEstimate {
+interface PlacementEstimator {
 
   /** Returns what is expected of the attempt at an upstream. */
-  Placement at(UpstreamTrack track);
+  Placement estimate(TrackedUpstream track);
 
   /** Returns what the attempt costs others at that upstream, in milliseconds. */
-  default double extraMillis(Placement placement) {
+  default double costToOthersMillis(Placement placement) {
     return 0;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PlacementQuery.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/PlacementQuery.java
@@ -2,22 +2,22 @@
 
 import java.util.function.Predicate;
 import org.jspecify.annotations.Nullable;
-import org.skylarkfork.core.placement.PromptChain;
+import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
  * A request for an upstream.
  *
  * @param service service that the request goes to
  * @param model model that is to answer, or null if there is none
- * @param chain the prompt as that model reads it, or null without a model
+ * @param prefixes the prompt as that model reads it, or null without a model
  * @param objectiveMillis time in which its answer is to begin, in milliseconds
  * @param zone availability zone of the entry that sends it
- * @param fits tells the upstreams that may get it
+ * @param eligible tells the upstreams that may get it
  */
 record PlacementQuery(
     RelayService service,
     @Nullable String model,
-    @Nullable PromptChain chain,
+    @Nullable PromptPrefixes prefixes,
     int objectiveMillis,
     String zone,
-    Predicate<UpstreamInstance> fits) {}
+    Predicate<UpstreamInstance> eligible) {}
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateDivision.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateDivision.java
@@ -14,28 +14,28 @@
    * Requests that all daemons together may send to a limited upstream at once, however small its
    * limit; as many entries can have a part of it.
    */
-  double SPARE = 4;
+  double BASE_BURST = 4;
 
-  /** Seconds whose requests may come at once beyond {@link #SPARE}. */
+  /** Seconds whose requests may come at once beyond {@link #BASE_BURST}. */
   double BURST_SECONDS = 1.5;
 
   /**
    * Least rate at which a limited upstream is asked, in requests a second: one that nobody asks
    * can't say that its limit is lifted.
    */
-  double LEAST_PER_SECOND = 0.2;
+  double MIN_PER_SECOND = 0.2;
 
   /** Returns this daemon's part at an upstream that names a limit. */
-  RateShare share(RelayService service, UpstreamTrack track, Instant now);
+  RateShare share(RelayService service, TrackedUpstream track, Instant now);
 
   /** Returns the requests a second that all daemons together send to an upstream. */
   static double perSecond(RateLimit limit) {
-    return Math.max(LEAST_PER_SECOND, limit.perSecond());
+    return Math.max(MIN_PER_SECOND, limit.perSecond());
   }
 
   /** Returns the requests that all daemons together may send to an upstream at once. */
   static double burst(RateLimit limit) {
-    return SPARE + BURST_SECONDS * limit.perSecond();
+    return BASE_BURST + BURST_SECONDS * limit.perSecond();
   }
 
   /** Returns whether schedulers place the requests of a service. */
@@ -47,7 +47,7 @@
    * Returns how many entries may send to an upstream without asking its scheduler, one request at
    * once each.
    */
-  static int holdersBesideScheduler(RateLimit limit) {
+  static int maxDirectSenders(RateLimit limit) {
     return (int) Math.max(1, (1 - ColdStartLimiter.SCHEDULER_SHARE) * burst(limit));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimitWatch.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimitRecorder.java
@@ -6,7 +6,7 @@
 import org.skylarkfork.core.event.RelayEvent;
 
 /** Takes note of the rate limits that upstreams name in their answers to this entry. */
-final class RateLimitWatch {
+final class RateLimitRecorder {
 
   private static final int FIRST_NO_SUCCESS = 300;
 
@@ -22,8 +22,8 @@
    * @param now the present time
    * @param output takes a line if the limit is another one than before
    */
-  void heard(
-      UpstreamTrack track,
+  void recordAnswer(
+      TrackedUpstream track,
       RelayEvent.AnswerBegan answer,
       String request,
       Instant now,
@@ -33,7 +33,7 @@
     if (limit == null || !limit.isBounded() && !isLifted(before, answer)) {
       return;
     }
-    track.rate().heard(limit, now);
+    track.rate().recordLimit(limit, now);
     if (!limit.isNear(before)) {
       String facts =
           "event=rate_limit_heard id="
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RateLimiter.java
@@ -17,7 +17,7 @@
   }
 
   /** A daemon's sends to one upstream for as long as that names a limit. */
-  static final class Account {
+  static final class Quota {
 
     /** What is left of the daemon's part, or null while it has none. */
     private @Nullable TokenBucket bucket;
@@ -29,28 +29,28 @@
   }
 
   /** Returns whether an upstream may get one more request of this daemon now. */
-  boolean takes(RelayService service, UpstreamTrack track, Instant now) {
+  boolean allows(RelayService service, TrackedUpstream track, Instant now) {
     if (!track.rateLimit().isBounded()) {
-      track.rate().account(null);
+      track.rate().quota(null);
       return true;
     }
     TokenBucket bucket = bucket(service, track, now);
-    return bucket != null && bucket.has(1, now);
+    return bucket != null && bucket.isAvailable(1, now);
   }
 
   /** Takes note of a request that this daemon sends to an upstream by its own choice. */
-  void sent(RelayService service, UpstreamTrack track, Instant now) {
+  void recordSent(RelayService service, TrackedUpstream track, Instant now) {
     if (track.rateLimit().isBounded()) {
       TokenBucket bucket = bucket(service, track, now);
       if (bucket != null) {
-        bucket.take(1, now);
+        bucket.consume(1, now);
       }
     }
   }
 
   /** Returns the time until an upstream takes one more request, of this daemon or another one. */
-  Duration untilTaken(RelayService service, UpstreamTrack track, Instant now) {
-    if (takes(service, track, now)) {
+  Duration timeUntilAllowed(RelayService service, TrackedUpstream track, Instant now) {
+    if (allows(service, track, now)) {
       return Duration.ZERO;
     }
     TokenBucket bucket = bucket(service, track, now);
@@ -61,21 +61,21 @@
     return Duration.ofMillis((long) Math.ceil(seconds * MILLIS_A_SECOND));
   }
 
-  private @Nullable TokenBucket bucket(RelayService service, UpstreamTrack track, Instant now) {
-    Account known = track.rate().account();
-    Account account = known == null ? new Account() : known;
-    track.rate().account(account);
+  private @Nullable TokenBucket bucket(RelayService service, TrackedUpstream track, Instant now) {
+    Quota known = track.rate().quota();
+    Quota account = known == null ? new Quota() : known;
+    track.rate().quota(account);
     RateShare share = division.share(service, track, now);
     TokenBucket bucket = account.bucket;
-    if (share.isNothing()) {
+    if (share.isNone()) {
       bucket = null;
     } else if (bucket != null && account.since.equals(share.since())) {
-      bucket.change(share.perSecond(), share.burst(), now);
+      bucket.reconfigure(share.perSecond(), share.burst(), now);
     } else {
       bucket = new TokenBucket(share.perSecond(), share.burst(), now);
       // A part that comes later, with other entries' restarts, begins empty: another entry may
       // have just used it up.
-      bucket.take(share.burst() - (account.settled ? 0 : share.initial()), now);
+      bucket.consume(share.burst() - (account.settled ? 0 : share.initialTokens()), now);
       account.since = share.since();
     }
     account.bucket = bucket;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -112,7 +112,7 @@
   }
 
   @Override
-  public List<UpstreamTrack> upstreams(String service) {
+  public List<TrackedUpstream> upstreams(String service) {
     return directory.upstreams(service);
   }
 
@@ -132,7 +132,7 @@
   }
 
   @Override
-  public EntryPlace place() {
+  public EntryOrdinal place() {
     return neighbourhood.place();
   }
 
@@ -193,11 +193,11 @@
     return neighbourhood.schedulers();
   }
 
-  Collection<UpstreamTrack> tracks() {
+  Collection<TrackedUpstream> tracks() {
     return directory.tracks();
   }
 
-  @Nullable UpstreamTrack track(String id) {
+  @Nullable TrackedUpstream track(String id) {
     return directory.track(id);
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -39,10 +39,10 @@
   private final ShutdownPolicy shutdownPolicy;
   private final RequestTrace trace;
   private final FirstByteTimeout firstByteTimeout = new FirstByteTimeout();
-  private final SentPrompts prompts = new SentPrompts();
+  private final SentPrefixes prompts = new SentPrefixes();
   private final ActiveRelays active = new ActiveRelays();
   private final CrashDetector crashes;
-  private final RateLimitWatch rateLimits = new RateLimitWatch();
+  private final RateLimitRecorder rateLimits = new RateLimitRecorder();
   private final RequestIntake intake;
   private final SchedulerClient schedulers;
   private final AttemptSender sender;
@@ -114,7 +114,7 @@
   }
 
   /** Returns the prompt prefixes that this entry has sent, for reports to other entries. */
-  SentPrompts prompts() {
+  SentPrefixes prompts() {
     return prompts;
   }
 
@@ -131,7 +131,8 @@
       shutdownPolicy.stop(now);
     } else if (event instanceof PeerEvent.MessageReceived received
         && received.message() instanceof PlacementAnswer answer) {
-      SchedulerClient.Placed placed = schedulers.answered(received.node(), answer, output);
+      SchedulerClient.SchedulerDecision placed =
+          schedulers.handleAnswer(received.node(), answer, output);
       if (placed != null) {
         onPlacement(placed, now, output);
       }
@@ -174,12 +175,12 @@
 
   private void answerBegan(
       ActiveRelay relay, RelayEvent.AnswerBegan began, Instant now, Output output) {
-    UpstreamTrack track = relay.upstream();
+    TrackedUpstream track = relay.upstream();
     if (track == null) {
       return;
     }
     if (began.status() != MISDIRECTED_REQUEST) {
-      rateLimits.heard(track, began, relay.request.id(), now, output);
+      rateLimits.recordAnswer(track, began, relay.request.id(), now, output);
     }
     if (began.notRun() || began.status() == MISDIRECTED_REQUEST) {
       failures.onNotRun(relay, track, began, now, output);
@@ -189,7 +190,7 @@
     relay.confidence = began.confidence();
     relay.answeredAt = now;
     long millis = Duration.between(relay.sentAt, now).toMillis();
-    track.answered(now);
+    track.recordAnswered(now);
     sender.recordFirstByte(relay, now, output);
     firstByteTimeout.addSample(relay.route, relay.modelIndex, millis);
     boolean serverError = began.status() >= FIRST_SERVER_ERROR;
@@ -198,7 +199,7 @@
     }
     if (!serverError) {
       trace.answered(relay, began.status(), now, output);
-      track.succeeded();
+      track.recordSuccess();
       counts.recordAnswer(track.instance(), millis);
     }
     if (relay.forwarding || serverError || relay.modelIndex < 0 || !escalate(relay, now, output)) {
@@ -211,8 +212,8 @@
    * entry discards the answer or waits for a scheduler's placement.
    */
   private boolean escalate(ActiveRelay relay, Instant now, Output output) {
-    int largerModel = models.larger(relay.route, relay.modelIndex);
-    if (largerModel < 0 || !models.doubts(relay)) {
+    int largerModel = models.largerModel(relay.route, relay.modelIndex);
+    if (largerModel < 0 || !models.wouldEscalate(relay)) {
       return false;
     }
     if (sender.querySchedulerForEscalation(relay, largerModel, now, output)) {
@@ -233,7 +234,7 @@
       @Nullable SchedulerGrant grant,
       Instant now,
       Output output) {
-    if (!models.asks(relay, placement, now) || !starter.acquireRetry(relay, now)) {
+    if (!models.shouldEscalate(relay, placement, now) || !starter.acquireRetry(relay, now)) {
       sender.releaseGrant(grant, output);
       return false;
     }
@@ -245,16 +246,16 @@
   }
 
   /** Continues a request whose placement query was answered or timed out. */
-  private void onPlacement(SchedulerClient.Placed placed, Instant now, Output output) {
-    if (!placed.larger()) {
+  private void onPlacement(SchedulerClient.SchedulerDecision placed, Instant now, Output output) {
+    if (!placed.isEscalation()) {
       starter.onPlacement(placed, now, output);
       return;
     }
     ActiveRelay relay = placed.relay();
-    int largerModel = models.larger(relay.route, relay.modelIndex);
+    int largerModel = models.largerModel(relay.route, relay.modelIndex);
     Placement chosen = placed.placement();
     Placement placement = chosen == null ? sender.placeEscalation(relay, largerModel, now) : chosen;
-    UpstreamTrack track = relay.upstream();
+    TrackedUpstream track = relay.upstream();
     boolean isEscalated =
         placement != null && escalate(relay, largerModel, placement, placed.grant(), now, output);
     if (!isEscalated && track != null) {
@@ -262,7 +263,7 @@
     }
   }
 
-  private static void forwardAnswer(ActiveRelay relay, UpstreamTrack track, Output output) {
+  private static void forwardAnswer(ActiveRelay relay, TrackedUpstream track, Output output) {
     if (!relay.forwarding) {
       relay.forwarding = true;
       relay.version = track.instance().version();
@@ -273,7 +274,7 @@
   private void tick(Instant now, Output output) {
     crashes.tick(now, output);
     intake.releasePending(now, output).forEach(relay -> start(relay, now, output));
-    schedulers.overdue(now, output).forEach(placed -> onPlacement(placed, now, output));
+    schedulers.takeTimedOut(now, output).forEach(placed -> onPlacement(placed, now, output));
     for (ActiveRelay relay : active.all()) {
       if (now.isBefore(relay.deadline)) {
         failures.checkFirstByteTimeout(relay, now, output);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/NamedLimit.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ReportedLimit.java
@@ -11,10 +11,10 @@
  * @param limit the limit, {@link RateLimit#NONE} if it named none
  * @param ageMillis time since that answer, in milliseconds
  */
-public record NamedLimit(RateLimit limit, long ageMillis) {
+public record ReportedLimit(RateLimit limit, long ageMillis) {
 
   /** Returns when the upstream said so, as of the present time. */
-  Instant namedAt(Instant now) {
+  Instant reportedAt(Instant now) {
     return now.minusMillis(ageMillis);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestCompleter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestCompleter.java
@@ -109,7 +109,7 @@
 
   private void recordAnswerTime(ActiveRelay relay, boolean whole, Instant now) {
     if (relay.forwarding && relay.streams()) {
-      answerTimes.ended(relay, Duration.between(relay.answeredAt, now).toMillis(), whole);
+      answerTimes.recordEnd(relay, Duration.between(relay.answeredAt, now).toMillis(), whole);
     }
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestIntake.java
@@ -89,7 +89,7 @@
         new ActiveRelay(
             request, route, service, team, arrivedAt, arrivedAt.plusMillis(allowedMillis));
     if (!route.models().isEmpty()) {
-      relay.modelIndex = models.first(route, request);
+      relay.modelIndex = models.firstModel(route, request);
     }
     return relay;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestTrace.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestTrace.java
@@ -25,7 +25,7 @@
   }
 
   void sent(ActiveRelay relay, Placement placement, Instant now, Output output) {
-    UpstreamTrack track = placement.track();
+    TrackedUpstream track = placement.upstream();
     String facts =
         "attempt="
             + relay.attempt
@@ -93,7 +93,7 @@
   /** Reports an attempt that ended without a successful answer. */
   void attemptEnded(String event, ActiveRelay relay, String facts, Instant now, Output output) {
     output.effect(new TraceEffect.Count("relay_attempts_ended", event, 1));
-    UpstreamTrack track = relay.upstream();
+    TrackedUpstream track = relay.upstream();
     String upstream = track == null ? "-" : track.instance().id();
     String allFacts =
         "attempt="
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ScheduledEngines.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ScheduledEngines.java
@@ -18,22 +18,22 @@
 final class ScheduledEngines implements UpstreamSource {
 
   private final RelayView view;
-  private final Map<UpstreamRun, UpstreamTrack> tracks = new HashMap<>();
+  private final Map<UpstreamRun, TrackedUpstream> tracks = new HashMap<>();
 
   ScheduledEngines(RelayView view) {
     this.view = view;
   }
 
   @Override
-  public List<UpstreamTrack> upstreams(String service) {
-    List<UpstreamTrack> found = new ArrayList<>();
-    for (UpstreamTrack known : view.upstreams(service)) {
+  public List<TrackedUpstream> upstreams(String service) {
+    List<TrackedUpstream> found = new ArrayList<>();
+    for (TrackedUpstream known : view.upstreams(service)) {
       UpstreamStatus status = new UpstreamStatus(known.instance(), known.condition());
-      UpstreamTrack own =
-          tracks.computeIfAbsent(known.instance().run(), run -> new UpstreamTrack(status));
-      own.told(status);
+      TrackedUpstream own =
+          tracks.computeIfAbsent(known.instance().run(), run -> new TrackedUpstream(status));
+      own.updateStatus(status);
       own.coldUntil(known.coldUntil());
-      own.rate().told(known.rateLimit(), known.rate().namedAt());
+      own.rate().updateIfNewer(known.rateLimit(), known.rate().reportedAt());
       own.evacuated(known.condition() == UpstreamCondition.EVACUATED);
       found.add(own);
     }
@@ -47,7 +47,7 @@
   }
 
   /** Forgets engines that the directory doesn't name any more. */
-  void forgetGone(Iterable<String> services) {
+  void removeDeparted(Iterable<String> services) {
     Set<UpstreamRun> present = new HashSet<>();
     for (String service : services) {
       view.upstreams(service).forEach(track -> present.add(track.instance().run()));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
@@ -19,7 +19,7 @@
 import org.skylarkfork.core.message.RelayMessage.PlacementNews;
 import org.skylarkfork.core.message.RelayMessage.PromptPrefix;
 import org.skylarkfork.core.placement.EngineGroups;
-import org.skylarkfork.core.placement.PromptChain;
+import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
  * Asks schedulers where prompts go, and tells them how the attempts go on.
@@ -45,7 +45,7 @@
   private static final int NUMBERS_A_MILLI = 1024;
 
   private final RelayView view;
-  private final Map<Long, Asked> asked = new LinkedHashMap<>();
+  private final Map<Long, OpenQuestion> asked = new LinkedHashMap<>();
   private final Map<String, Instant> pausedUntil = new HashMap<>();
   private long number;
 
@@ -54,20 +54,24 @@
   }
 
   /** A question that is open, and whether it is for a larger model in place of an answer. */
-  private record Asked(
-      ActiveRelay relay, String scheduler, PromptChain chain, Instant at, boolean larger) {}
+  private record OpenQuestion(
+      ActiveRelay relay,
+      String scheduler,
+      PromptPrefixes chain,
+      Instant askedAt,
+      boolean isEscalation) {}
 
   /**
    * A scheduler's word on a request.
    *
    * @param relay the request
-   * @param larger whether it was asked for a larger model in place of an answer
+   * @param isEscalation whether it was asked for a larger model in place of an answer
    * @param placement where the attempt goes, or null if the entry is to place it itself
    * @param grant what the scheduler is to be told of, or null
    */
-  record Placed(
+  record SchedulerDecision(
       ActiveRelay relay,
-      boolean larger,
+      boolean isEscalation,
       @Nullable Placement placement,
       @Nullable SchedulerGrant grant) {}
 
@@ -76,24 +80,24 @@
    *
    * @param relay the request
    * @param query what is to be placed
-   * @param larger whether it is a larger model in place of an answer
+   * @param isEscalation whether it is a larger model in place of an answer
    * @param now the present time
    * @param output takes what is to be done
    * @return whether a scheduler was asked; if not, the entry places the prompt itself
    */
   boolean ask(ActiveRelay relay, PlacementQuery query, boolean larger, Instant now, Output output) {
-    forget(relay);
-    PromptChain chain = query.chain();
+    cancel(relay);
+    PromptPrefixes chain = query.prefixes();
     List<String> schedulers = view.schedulers();
     if (chain == null || schedulers.isEmpty()) {
       return false;
     }
-    for (int group : EngineGroups.order(family(chain, relay), weights(query, schedulers.size()))) {
+    for (int group : EngineGroups.rank(family(chain, relay), weights(query, schedulers.size()))) {
       String scheduler = schedulers.get(group);
       if (!now.isBefore(pausedUntil.getOrDefault(scheduler, Instant.EPOCH))) {
         number = Math.max(number + 1, now.toEpochMilli() * NUMBERS_A_MILLI);
         relay.placementQuery = number;
-        asked.put(number, new Asked(relay, scheduler, chain, now, larger));
+        asked.put(number, new OpenQuestion(relay, scheduler, chain, now, larger));
         output.effect(new SendToPeer(scheduler, message(relay, query, chain, group, now)));
         return true;
       }
@@ -102,7 +106,7 @@
   }
 
   /** Returns what a prompt has in common with others: its shared parts, else it alone. */
-  private static long family(PromptChain chain, ActiveRelay relay) {
+  private static long family(PromptPrefixes chain, ActiveRelay relay) {
     if (chain.sharedSize() > 0) {
       return chain.key(chain.sharedSize() - 1);
     }
@@ -111,16 +115,16 @@
 
   private int[] weights(PlacementQuery query, int groups) {
     int[] weights = new int[groups];
-    for (UpstreamTrack track : view.upstreams(query.service().name())) {
+    for (TrackedUpstream track : view.upstreams(query.service().name())) {
       boolean usable =
-          track.condition() == UpstreamCondition.READY && query.fits().test(track.instance());
+          track.condition() == UpstreamCondition.READY && query.eligible().test(track.instance());
       weights[EngineGroups.groupOf(track.instance().id(), groups)] += usable ? 1 : 0;
     }
     return weights;
   }
 
   private PlacementAsk message(
-      ActiveRelay relay, PlacementQuery query, PromptChain chain, int group, Instant now) {
+      ActiveRelay relay, PlacementQuery query, PromptPrefixes chain, int group, Instant now) {
     List<PromptPrefix> beginnings = new ArrayList<>();
     for (int place = 0; place < chain.size(); place++) {
       beginnings.add(new PromptPrefix(chain.key(place), chain.tokens(place)));
@@ -134,7 +138,7 @@
         String.valueOf(query.model()),
         query.zone(),
         beginnings,
-        chain.total(),
+        chain.totalTokens(),
         query.objectiveMillis(),
         List.copyOf(versions),
         excluded(query, versions),
@@ -143,8 +147,8 @@
 
   private Set<String> versions(PlacementQuery query) {
     Set<String> versions = new LinkedHashSet<>();
-    for (UpstreamTrack track : view.upstreams(query.service().name())) {
-      if (query.fits().test(track.instance())) {
+    for (TrackedUpstream track : view.upstreams(query.service().name())) {
+      if (query.eligible().test(track.instance())) {
         versions.add(track.instance().version());
       }
     }
@@ -154,9 +158,9 @@
   /** Returns the engines of some versions that may not get it all the same. */
   private List<String> excluded(PlacementQuery query, Set<String> versions) {
     List<String> excluded = new ArrayList<>();
-    for (UpstreamTrack track : view.upstreams(query.service().name())) {
+    for (TrackedUpstream track : view.upstreams(query.service().name())) {
       UpstreamInstance engine = track.instance();
-      boolean barred = !query.fits().test(engine) || track.condition().barsNewWork();
+      boolean barred = !query.eligible().test(engine) || track.condition().rejectsNewWork();
       if (barred && versions.contains(engine.version())) {
         excluded.add(engine.id());
       }
@@ -173,20 +177,20 @@
    *
    * @return the request that goes on, or null if none waits for this answer
    */
-  @Nullable Placed answered(String from, PlacementAnswer answer, Output output) {
-    Asked one = asked.remove(answer.number());
+  @Nullable SchedulerDecision handleAnswer(String from, PlacementAnswer answer, Output output) {
+    OpenQuestion one = asked.remove(answer.number());
     boolean expected = one != null && one.relay.placementQuery == answer.number();
     String upstream = answer.upstream();
-    UpstreamTrack track = expected && upstream != null ? find(one.relay, upstream) : null;
+    TrackedUpstream track = expected && upstream != null ? find(one.relay, upstream) : null;
     if (upstream != null && track == null) {
-      tell(new SchedulerGrant(from, answer.number()), AttemptProgress.ENDED, 0, output);
+      reportProgress(new SchedulerGrant(from, answer.number()), AttemptProgress.ENDED, 0, output);
     }
     if (!expected) {
       return null;
     }
     one.relay.placementQuery = 0;
     if (track == null) {
-      return new Placed(one.relay, one.larger, null, null);
+      return new SchedulerDecision(one.relay, one.isEscalation, null, null);
     }
     Placement placement =
         new Placement(
@@ -197,31 +201,31 @@
             answer.newTokens(),
             one.chain);
     SchedulerGrant grant = new SchedulerGrant(from, answer.number());
-    return new Placed(one.relay, one.larger, placement, grant);
+    return new SchedulerDecision(one.relay, one.isEscalation, placement, grant);
   }
 
-  private @Nullable UpstreamTrack find(ActiveRelay relay, String upstream) {
-    for (UpstreamTrack track : view.upstreams(relay.service.name())) {
+  private @Nullable TrackedUpstream find(ActiveRelay relay, String upstream) {
+    for (TrackedUpstream track : view.upstreams(relay.service.name())) {
       if (track.instance().id().equals(upstream)) {
-        return track.condition().barsNewWork() ? null : track;
+        return track.condition().rejectsNewWork() ? null : track;
       }
     }
     return null;
   }
 
   /** Returns the requests whose scheduler keeps silent, which this entry is to place itself. */
-  List<Placed> overdue(Instant now, Output output) {
-    List<Placed> overdue = new ArrayList<>();
-    for (Map.Entry<Long, Asked> open : List.copyOf(asked.entrySet())) {
-      Asked one = open.getValue();
-      if (now.isBefore(one.at.plus(PATIENCE))) {
+  List<SchedulerDecision> takeTimedOut(Instant now, Output output) {
+    List<SchedulerDecision> overdue = new ArrayList<>();
+    for (Map.Entry<Long, OpenQuestion> open : List.copyOf(asked.entrySet())) {
+      OpenQuestion one = open.getValue();
+      if (now.isBefore(one.askedAt.plus(PATIENCE))) {
         break;
       }
       asked.remove(open.getKey());
       pause(one.scheduler, now, output);
       if (one.relay.placementQuery == open.getKey()) {
         one.relay.placementQuery = 0;
-        overdue.add(new Placed(one.relay, one.larger, null, null));
+        overdue.add(new SchedulerDecision(one.relay, one.isEscalation, null, null));
       }
     }
     return overdue;
@@ -236,7 +240,7 @@
   }
 
   /** Forgets the question of a request that needs no answer any more. */
-  void forget(ActiveRelay relay) {
+  void cancel(ActiveRelay relay) {
     if (relay.placementQuery != 0) {
       asked.remove(relay.placementQuery);
       relay.placementQuery = 0;
@@ -244,16 +248,16 @@
   }
 
   /** Tells a scheduler how an attempt goes on that it placed. */
-  void tell(SchedulerGrant grant, AttemptProgress progress, long millis, Output output) {
-    tell(grant, progress, millis, null, output);
+  void reportProgress(SchedulerGrant grant, AttemptProgress progress, long millis, Output output) {
+    reportProgress(grant, progress, millis, null, output);
   }
 
   /** Tells a scheduler how an attempt goes on, and what its engine said of its rate limit. */
-  void tell(
+  void reportProgress(
       SchedulerGrant grant,
       AttemptProgress progress,
       long millis,
-      @Nullable NamedLimit named,
+      @Nullable ReportedLimit named,
       Output output) {
     output.effect(
         new SendToPeer(
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerColdStartLimiter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerColdStartLimiter.java
@@ -15,17 +15,17 @@
   }
 
   @Override
-  public boolean takes(RelayService service, UpstreamTrack track, Instant now) {
+  public boolean allows(RelayService service, TrackedUpstream track, Instant now) {
     if (!service.cold().isBounded() || !track.isCold(now)) {
       return true;
     }
     int most = (int) (SCHEDULER_SHARE * service.cold().perSecond());
-    return role.serves(track.instance().id(), now) && track.sentLately(now) < most;
+    return role.ownsEngine(track.instance().id(), now) && track.recentSends(now) < most;
   }
 
   @Override
-  public boolean isCrowded(RelayService service, UpstreamTrack track, Instant now) {
+  public boolean exceedsColdRate(RelayService service, TrackedUpstream track, Instant now) {
     return service.cold().isBounded()
-        && track.sentLately(now) >= CROWDED_SHARE * service.cold().perSecond();
+        && track.recentSends(now) >= CROWDED_SHARE * service.cold().perSecond();
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
@@ -19,7 +19,7 @@
 import org.skylarkfork.core.message.RelayMessage.PlacementNews;
 import org.skylarkfork.core.message.RelayMessage.PromptPrefix;
 import org.skylarkfork.core.placement.EngineGroups;
-import org.skylarkfork.core.placement.PromptChain;
+import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
  * Places the prompts of all entries on a group of engines.
@@ -41,7 +41,7 @@
   private final ScheduledEngines engines;
   private final SchedulerRole role;
   private final LeastTimePicker picker;
-  private final Map<SchedulerGrant, Place> places = new HashMap<>();
+  private final Map<SchedulerGrant, Reservation> places = new HashMap<>();
   private Instant sweptAt = Instant.EPOCH;
 
   /**
@@ -68,7 +68,7 @@
   }
 
   /** A place that an attempt has at an engine. */
-  private static final class Place {
+  private static final class Reservation {
     private final RelayService service;
     private final String model;
     private final Placement placement;
@@ -77,7 +77,7 @@
     private double waitingMillis;
     private boolean begun;
 
-    private Place(
+    private Reservation(
         RelayService service,
         String model,
         Placement placement,
@@ -108,19 +108,19 @@
 
   private PlacementAnswer answer(String entry, PlacementAsk ask, Instant now) {
     RelayService service = view.table().service(ask.service());
-    PromptChain chain = chain(ask);
+    PromptPrefixes chain = chain(ask);
     Placement placement = service == null ? null : place(service, chain, ask, now);
     if (placement == null) {
       return new PlacementAnswer(ask.number(), null, 0, 0, 0, 0);
     }
-    UpstreamTrack track = placement.track();
-    track.sent(placement.workMillis(), now);
-    picker.sent(service, placement, now);
-    track.kept().sent(chain, placement.newTokens());
+    TrackedUpstream track = placement.upstream();
+    track.recordSent(placement.workMillis(), now);
+    picker.recordSent(service, placement, now);
+    track.prefixCache().recordSent(chain, placement.newTokens());
     Instant expiresAt = now.plusMillis(ask.lastsMillis()).plus(MARGIN);
     places.put(
         new SchedulerGrant(entry, ask.number()),
-        new Place(service, ask.model(), placement, now, expiresAt));
+        new Reservation(service, ask.model(), placement, now, expiresAt));
     return new PlacementAnswer(
         ask.number(),
         track.instance().id(),
@@ -131,7 +131,7 @@
   }
 
   private @Nullable Placement place(
-      RelayService service, PromptChain chain, PlacementAsk ask, Instant now) {
+      RelayService service, PromptPrefixes chain, PlacementAsk ask, Instant now) {
     Set<String> excluded = Set.copyOf(ask.excluded());
     PlacementQuery query =
         new PlacementQuery(
@@ -147,45 +147,45 @@
     return picker.pick(query, now);
   }
 
-  private static PromptChain chain(PlacementAsk ask) {
+  private static PromptPrefixes chain(PlacementAsk ask) {
     List<PromptPrefix> beginnings = ask.beginnings();
     long[] keys = beginnings.stream().mapToLong(PromptPrefix::key).toArray();
     int[] tokens = beginnings.stream().mapToInt(PromptPrefix::tokens).toArray();
-    return PromptChain.ofKeys(keys, tokens, ask.promptTokens());
+    return PromptPrefixes.ofKeys(keys, tokens, ask.promptTokens());
   }
 
   private void progressed(SchedulerGrant grant, PlacementNews news, Instant now) {
-    Place place = places.get(grant);
+    Reservation place = places.get(grant);
     if (place == null) {
       return;
     }
-    UpstreamTrack track = place.placement.track();
-    track.rate().told(news.named(), now);
+    TrackedUpstream track = place.placement.upstream();
+    track.rate().updateIfNewer(news.named(), now);
     switch (news.progress()) {
       case BEGUN -> begun(place, news.millis(), now);
       case ENDED -> {
         if (place.begun) {
-          track.succeeded();
+          track.recordSuccess();
         }
       }
-      case FAILED -> track.failed(false, now);
-      case UNREACHABLE -> track.failed(true, now);
-      case SILENT -> track.failed(track.silentSince(place.givenAt), now);
+      case FAILED -> track.recordFailure(false, now);
+      case UNREACHABLE -> track.recordFailure(true, now);
+      case SILENT -> track.recordFailure(track.isSilentSince(place.givenAt), now);
       default -> throw new IllegalArgumentException("unknown progress " + news.progress());
     }
     if (news.progress() != AttemptProgress.BEGUN) {
       places.remove(grant);
-      track.ended(place.waitingMillis);
+      track.recordEnded(place.waitingMillis);
     }
   }
 
-  private void begun(Place place, int millis, Instant now) {
-    UpstreamTrack track = place.placement.track();
-    track.begun(place.waitingMillis);
+  private void begun(Reservation place, int millis, Instant now) {
+    TrackedUpstream track = place.placement.upstream();
+    track.recordBegun(place.waitingMillis);
     place.waitingMillis = 0;
     place.begun = true;
-    track.answered(now);
-    picker.answered(place.service, place.model, place.placement, millis, now);
+    track.recordAnswered(now);
+    picker.recordFirstByte(place.service, place.model, place.placement, millis, now);
   }
 
   /** Frees places of entries that died, which would count as taken for ever. */
@@ -200,11 +200,11 @@
             place -> {
               boolean over = !now.isBefore(place.expiresAt);
               if (over) {
-                place.placement.track().ended(place.waitingMillis);
+                place.placement.upstream().recordEnded(place.waitingMillis);
               }
               return over;
             });
-    engines.forgetGone(
+    engines.removeDeparted(
         view.table().configuration().services().stream().map(RelayService::name).toList());
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerRateDivision.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerRateDivision.java
@@ -12,13 +12,13 @@
   }
 
   @Override
-  public RateShare share(RelayService service, UpstreamTrack track, Instant now) {
-    if (!role.serves(track.instance().id(), now)) {
-      return RateShare.NOTHING;
+  public RateShare share(RelayService service, TrackedUpstream track, Instant now) {
+    if (!role.ownsEngine(track.instance().id(), now)) {
+      return RateShare.NONE;
     }
     RateLimit limit = track.rateLimit();
     double perSecond = RateDivision.perSecond(limit) * ColdStartLimiter.SCHEDULER_SHARE;
-    double burst = RateDivision.burst(limit) - RateDivision.holdersBesideScheduler(limit);
+    double burst = RateDivision.burst(limit) - RateDivision.maxDirectSenders(limit);
     return new RateShare(perSecond, burst, 0, role.since());
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerRole.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerRole.java
@@ -57,7 +57,7 @@
   }
 
   /** Returns whether an engine is certainly this daemon's to give out, and no other one's. */
-  boolean serves(String engine, Instant now) {
+  boolean ownsEngine(String engine, Instant now) {
     tick(now);
     return group >= 0
         && EngineGroups.groupOf(engine, groups) == group
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SendWindow.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SendWindow.java
@@ -15,7 +15,7 @@
     this.length = length;
   }
 
-  void sent(Instant now) {
+  void recordSend(Instant now) {
     forgetOld(now);
     sends.addLast(now);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SentPrompts.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SentPrefixes.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Map;
 import org.skylarkfork.core.message.RelayMessage.CachedPrefix;
-import org.skylarkfork.core.placement.PromptChain;
+import org.skylarkfork.core.placement.PromptPrefixes;
 
 /** Shared beginnings of prompts that this entry sent to engines and other entries don't know of. */
-final class SentPrompts {
+final class SentPrefixes {
 
   /** Time after which a use is told again, so that others see that an engine still keeps it. */
   private static final Duration AGAIN = Duration.ofMillis(1500);
@@ -25,7 +25,7 @@
   private final List<CachedPrefix> untold = new ArrayList<>();
 
   /** Takes note of a prompt that was sent to an engine. */
-  void sent(String upstream, PromptChain chain, Instant now) {
+  void recordSent(String upstream, PromptPrefixes chain, Instant now) {
     for (int place = 0; place < chain.sharedSize(); place++) {
       CachedPrefix prompt = new CachedPrefix(upstream, chain.key(place));
       Instant told = toldAt.get(prompt);
@@ -46,7 +46,7 @@
   }
 
   /** Hands out the oldest of what is to be told. */
-  List<CachedPrefix> take(int most) {
+  List<CachedPrefix> takeUnreported(int most) {
     List<CachedPrefix> taken = untold.subList(0, Math.min(most, untold.size()));
     List<CachedPrefix> copy = List.copyOf(taken);
     taken.clear();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TrackedRateLimit.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TrackedRateLimit.java
@@ -8,9 +8,9 @@
 final class TrackedRateLimit {
 
   private RateLimit limit = RateLimit.NONE;
-  private Instant namedAt = Instant.EPOCH;
+  private Instant reportedAt = Instant.EPOCH;
   private RateLimit knownToLeader = RateLimit.NONE;
-  private RateLimiter.@Nullable Account account;
+  private RateLimiter.@Nullable Quota quota;
 
   /** Returns the limit that the upstream named last. */
   RateLimit limit() {
@@ -18,21 +18,21 @@
   }
 
   /** Returns when it named that; long ago if it never named one. */
-  Instant namedAt() {
-    return namedAt;
+  Instant reportedAt() {
+    return reportedAt;
   }
 
   /** Takes note of what an answer to this daemon named. */
-  void heard(RateLimit named, Instant now) {
+  void recordLimit(RateLimit named, Instant now) {
     limit = named;
-    namedAt = now;
+    reportedAt = now;
   }
 
   /** Takes note of what the upstream named at a time; returns whether that is newer. */
-  boolean told(RateLimit named, Instant at) {
-    boolean newer = at.isAfter(namedAt);
+  boolean updateIfNewer(RateLimit named, Instant at) {
+    boolean newer = at.isAfter(reportedAt);
     if (newer) {
-      heard(named, at);
+      recordLimit(named, at);
     }
     return newer;
   }
@@ -44,33 +44,33 @@
    * @param now the present time
    * @return whether it is newer than what is known here
    */
-  boolean told(@Nullable NamedLimit named, Instant now) {
-    return named != null && told(named.limit(), named.namedAt(now));
+  boolean updateIfNewer(@Nullable ReportedLimit named, Instant now) {
+    return named != null && updateIfNewer(named.limit(), named.reportedAt(now));
   }
 
   /** Takes note of what the leader knows, or null if it knows of no limit. */
-  void leaderKnows(@Nullable NamedLimit named) {
+  void setKnownToLeader(@Nullable ReportedLimit named) {
     knownToLeader = named == null ? RateLimit.NONE : named.limit();
   }
 
   /** Returns whether the leader lacks what is known here. */
-  boolean isNewsToLeader() {
+  boolean differsFromLeader() {
     return !limit.isNear(knownToLeader);
   }
 
   /** Returns what is to be told to others, or null if the upstream never named a limit. */
-  @Nullable NamedLimit toTell(Instant now) {
-    boolean never = namedAt.equals(Instant.EPOCH);
-    return never ? null : new NamedLimit(limit, Duration.between(namedAt, now).toMillis());
+  @Nullable ReportedLimit toReport(Instant now) {
+    boolean never = reportedAt.equals(Instant.EPOCH);
+    return never ? null : new ReportedLimit(limit, Duration.between(reportedAt, now).toMillis());
   }
 
   /** Returns the account of sends under the limit, or null before the first. */
-  RateLimiter.@Nullable Account account() {
-    return account;
+  RateLimiter.@Nullable Quota quota() {
+    return quota;
   }
 
   /** Keeps the account of sends under the limit; null forgets it. */
-  void account(RateLimiter.@Nullable Account newer) {
-    account = newer;
+  void quota(RateLimiter.@Nullable Quota newer) {
+    quota = newer;
   }
 }
