--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamTrack.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/TrackedUpstream.java
@@ -2,12 +2,12 @@
 
 import java.time.Duration;
 import java.time.Instant;
-import org.skylarkfork.core.placement.KeptPrompts;
-import org.skylarkfork.core.placement.PeerWork;
-import org.skylarkfork.core.placement.Slowness;
+import org.skylarkfork.core.placement.PeerLoads;
+import org.skylarkfork.core.placement.PrefixCacheEstimate;
+import org.skylarkfork.core.placement.RelativeLatency;
 
 /** What an entry knows of one start of an upstream, from its own attempts and other entries. */
-final class UpstreamTrack {
+final class TrackedUpstream {
 
   private static final Duration FIRST_PAUSE = Duration.ofMillis(600);
   private static final int MAX_DOUBLINGS = 3;
@@ -16,9 +16,9 @@
   private UpstreamStatus status;
   private int running;
   private double waitingMillis;
-  private final KeptPrompts kept = new KeptPrompts();
-  private final Slowness slowness = new Slowness();
-  private final PeerWork peers = new PeerWork();
+  private final PrefixCacheEstimate prefixCache = new PrefixCacheEstimate();
+  private final RelativeLatency relativeLatency = new RelativeLatency();
+  private final PeerLoads peerLoads = new PeerLoads();
   private int failuresInRow;
   private double failureShare;
   private Instant avoidedUntil = Instant.EPOCH;
@@ -26,10 +26,10 @@
   private final SendWindow sends = new SendWindow(ColdStartLimiter.WINDOW);
   private Instant coldUntil = Instant.EPOCH;
   private final TrackedRateLimit rate = new TrackedRateLimit();
-  private boolean wrongRun;
+  private boolean replaced;
   private boolean evacuated;
 
-  UpstreamTrack(UpstreamStatus status) {
+  TrackedUpstream(UpstreamStatus status) {
     this.status = status;
   }
 
@@ -38,7 +38,7 @@
   }
 
   UpstreamCondition condition() {
-    if (wrongRun || status.condition() == UpstreamCondition.LEAVING) {
+    if (replaced || status.condition() == UpstreamCondition.LEAVING) {
       return UpstreamCondition.LEAVING;
     }
     return evacuated ? UpstreamCondition.EVACUATED : status.condition();
@@ -73,23 +73,23 @@
   }
 
   /** Returns how many requests were sent there within {@link ColdStartLimiter#WINDOW}. */
-  int sentLately(Instant now) {
+  int recentSends(Instant now) {
     return sends.count(now);
   }
 
-  void told(UpstreamStatus newer) {
+  void updateStatus(UpstreamStatus newer) {
     boolean leaving = status.condition() == UpstreamCondition.LEAVING;
     UpstreamCondition condition = leaving ? UpstreamCondition.LEAVING : newer.condition();
     status = new UpstreamStatus(newer.instance(), condition);
   }
 
-  void leaves() {
+  void markLeaving() {
     status = new UpstreamStatus(status.instance(), UpstreamCondition.LEAVING);
   }
 
   /** Takes note that another run answers at this address. */
-  void answeredByOther() {
-    wrongRun = true;
+  void markReplaced() {
+    replaced = true;
   }
 
   /** Returns the requests of this entry that run or wait there. */
@@ -104,64 +104,64 @@
 
   /** Returns the requests of all entries that run or wait there, as far as they tell. */
   int running(Instant now) {
-    return running + peers.running(now);
+    return running + peerLoads.running(now);
   }
 
   /** Returns the reading there for requests of all entries whose answer has not begun. */
   double waitingMillis(Instant now) {
-    return waitingMillis + peers.waitingMillis(now);
+    return waitingMillis + peerLoads.waitingMillis(now);
   }
 
-  KeptPrompts kept() {
-    return kept;
+  PrefixCacheEstimate prefixCache() {
+    return prefixCache;
   }
 
-  Slowness slowness() {
-    return slowness;
+  RelativeLatency relativeLatency() {
+    return relativeLatency;
   }
 
-  PeerWork peers() {
-    return peers;
+  PeerLoads peerLoads() {
+    return peerLoads;
   }
 
   double failureShare() {
     return failureShare;
   }
 
-  boolean avoided(Instant now) {
+  boolean isAvoided(Instant now) {
     return now.isBefore(avoidedUntil);
   }
 
   /** Takes note of an attempt that is sent there. */
-  void sent(double workMillis, Instant now) {
-    sends.sent(now);
+  void recordSent(double workMillis, Instant now) {
+    sends.recordSend(now);
     running++;
     waitingMillis += workMillis;
   }
 
   /** Takes note that the upstream has done the reading for an attempt. */
-  void begun(double workMillis) {
+  void recordBegun(double workMillis) {
     waitingMillis = Math.max(0, waitingMillis - workMillis);
   }
 
   /** Takes note of the end of an attempt, with the reading that it still waited for. */
-  void ended(double workMillis) {
-    begun(workMillis);
+  void recordEnded(double workMillis) {
+    recordBegun(workMillis);
     running--;
     waitingMillis = running == 0 ? 0 : waitingMillis;
   }
 
   /** Returns whether nothing has come from the upstream since a time. */
-  boolean silentSince(Instant time) {
+  boolean isSilentSince(Instant time) {
     return answeredAt.isBefore(time);
   }
 
   /** Takes note of the beginning of an answer. */
-  void answered(Instant now) {
+  void recordAnswered(Instant now) {
     answeredAt = now;
   }
 
-  void succeeded() {
+  void recordSuccess() {
     failuresInRow = 0;
     failureShare -= LEARNING * failureShare;
     avoidedUntil = Instant.EPOCH;
@@ -172,7 +172,7 @@
    *
    * @param hard whether it seems to be gone, so that the first failure counts
    */
-  void failed(boolean hard, Instant now) {
+  void recordFailure(boolean hard, Instant now) {
     failureShare += LEARNING * (1 - failureShare);
     failuresInRow++;
     if (hard || failuresInRow > 2) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamCondition.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamCondition.java
@@ -12,7 +12,7 @@
   EVACUATED;
 
   /** Returns whether an upstream gets no new work, even where no other is left. */
-  boolean barsNewWork() {
+  boolean rejectsNewWork() {
     return this == LEAVING || this == EVACUATED;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
@@ -26,8 +26,8 @@
    */
   private static final int MAX_LIMITS = 64;
 
-  private final Map<String, UpstreamTrack> byId = new LinkedHashMap<>();
-  private final Map<String, List<UpstreamTrack>> byService = new HashMap<>();
+  private final Map<String, TrackedUpstream> byId = new LinkedHashMap<>();
+  private final Map<String, List<TrackedUpstream>> byService = new HashMap<>();
   private final Map<String, String> stableVersions = new HashMap<>();
   private final Map<String, UpstreamRun> leaving = new HashMap<>();
   private Set<String> evacuated = Set.of();
@@ -50,15 +50,15 @@
     return settled;
   }
 
-  List<UpstreamTrack> upstreams(String service) {
+  List<TrackedUpstream> upstreams(String service) {
     return byService.getOrDefault(service, List.of());
   }
 
-  Collection<UpstreamTrack> tracks() {
+  Collection<TrackedUpstream> tracks() {
     return byId.values();
   }
 
-  @Nullable UpstreamTrack track(String id) {
+  @Nullable TrackedUpstream track(String id) {
     return byId.get(id);
   }
 
@@ -84,7 +84,7 @@
     byId.values().forEach(this::markEvacuated);
   }
 
-  private void markEvacuated(UpstreamTrack track) {
+  private void markEvacuated(TrackedUpstream track) {
     track.evacuated(evacuated.contains(track.instance().zone()));
   }
 
@@ -99,10 +99,10 @@
     leaving.clear();
     runs.forEach(run -> leaving.put(run.id(), run));
     for (UpstreamRun run : leaving.values()) {
-      UpstreamTrack track = byId.get(run.id());
+      TrackedUpstream track = byId.get(run.id());
       boolean matches = track != null && run.covers(track.instance().run());
       if (matches && track.condition() != UpstreamCondition.LEAVING) {
-        track.leaves();
+        track.markLeaving();
         log("event=upstream_leaves id=" + run.id() + " index=" + index, output);
       }
     }
@@ -137,22 +137,22 @@
 
   private void apply(UpstreamStatus status, Instant now, Output output) {
     UpstreamInstance instance = status.instance();
-    UpstreamTrack known = byId.get(instance.id());
+    TrackedUpstream known = byId.get(instance.id());
     if (known == null || instance.bornMillis() > known.instance().bornMillis()) {
       addRun(status, known, output);
     } else if (instance.bornMillis() != known.instance().bornMillis()) {
       return;
     } else if (known.condition() != status.condition() || instance.isNewerThan(known.instance())) {
-      known.told(status);
+      known.updateStatus(status);
     }
-    UpstreamTrack track = byId.get(instance.id());
+    TrackedUpstream track = byId.get(instance.id());
     applyCold(track, instance, now, output);
     applyRateLimit(track, status.named(), now, output);
   }
 
   /** Updates until when an upstream is cold; message delay can only lengthen that time. */
   private static void applyCold(
-      UpstreamTrack track, UpstreamInstance instance, Instant now, Output output) {
+      TrackedUpstream track, UpstreamInstance instance, Instant now, Output output) {
     if (instance.sequence() < track.instance().sequence()) {
       return;
     }
@@ -169,15 +169,15 @@
    * <p>If they were retained, failures of the run before would divert requests from a healthy
    * process, and prompts would be placed by cached prefixes that the new process does not have.
    */
-  private void addRun(UpstreamStatus status, @Nullable UpstreamTrack before, Output output) {
+  private void addRun(UpstreamStatus status, @Nullable TrackedUpstream before, Output output) {
     UpstreamInstance instance = status.instance();
     if (before != null) {
       byService.getOrDefault(before.instance().service(), List.of()).remove(before);
     }
-    UpstreamTrack track = new UpstreamTrack(status);
+    TrackedUpstream track = new TrackedUpstream(status);
     UpstreamRun left = leaving.get(instance.id());
     if (left != null && left.covers(instance.run())) {
-      track.leaves();
+      track.markLeaving();
     }
     markEvacuated(track);
     byId.put(instance.id(), track);
@@ -187,10 +187,10 @@
   }
 
   private static void applyRateLimit(
-      UpstreamTrack track, @Nullable NamedLimit named, Instant now, Output output) {
+      TrackedUpstream track, @Nullable ReportedLimit named, Instant now, Output output) {
     RateLimit before = track.rateLimit();
-    track.rate().leaderKnows(named);
-    if (track.rate().told(named, now) && !track.rateLimit().isNear(before)) {
+    track.rate().setKnownToLeader(named);
+    if (track.rate().updateIfNewer(named, now) && !track.rateLimit().isNear(before)) {
       String facts =
           "event=rate_limit_told id="
               + track.instance().id()
@@ -199,7 +199,7 @@
               + " before="
               + before
               + " age_ms="
-              + Duration.between(track.rate().namedAt(), now).toMillis();
+              + Duration.between(track.rate().reportedAt(), now).toMillis();
       log(facts, output);
     }
   }
@@ -210,9 +210,9 @@
    */
   List<UpstreamRateLimit> limitsUnknownToLeader(Instant now) {
     List<UpstreamRateLimit> limits = new ArrayList<>();
-    for (UpstreamTrack track : byId.values()) {
+    for (TrackedUpstream track : byId.values()) {
       TrackedRateLimit rate = track.rate();
-      NamedLimit named = rate.isNewsToLeader() ? rate.toTell(now) : null;
+      ReportedLimit named = rate.differsFromLeader() ? rate.toReport(now) : null;
       if (named != null && limits.size() < MAX_LIMITS) {
         limits.add(new UpstreamRateLimit(track.instance().run(), named));
       }
@@ -224,7 +224,7 @@
     Set<String> ids = new HashSet<>();
     all.forEach(status -> ids.add(status.instance().id()));
     byId.keySet().retainAll(ids);
-    for (List<UpstreamTrack> tracks : byService.values()) {
+    for (List<TrackedUpstream> tracks : byService.values()) {
       tracks.removeIf(track -> !ids.contains(track.instance().id()));
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamPicker.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamPicker.java
@@ -23,7 +23,7 @@
    * @param placement where it goes
    * @param now the present time
    */
-  void sent(RelayService service, Placement placement, Instant now);
+  void recordSent(RelayService service, Placement placement, Instant now);
 
   /**
    * Returns when an upstream takes a request for which {@link #pick} found none.
@@ -33,7 +33,7 @@
    * @return the time until the first one takes it, or zero if it isn't a rate limit that all wait
    *     for
    */
-  Duration untilTaken(PlacementQuery query, Instant now);
+  Duration timeUntilAccepted(PlacementQuery query, Instant now);
 
   /**
    * Takes note of an answer's first byte.
@@ -44,7 +44,7 @@
    * @param millis time from the sending to the first byte, in milliseconds
    * @param now the present time
    */
-  void answered(
+  void recordFirstByte(
       RelayService service,
       @Nullable String model,
       Placement placement,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamRegistry.java
@@ -83,17 +83,17 @@
    * @param now the present time
    * @return whether the change must be sent to entries
    */
-  boolean recordRateLimit(UpstreamRun run, NamedLimit reported, String entryName, Instant now) {
+  boolean recordRateLimit(UpstreamRun run, ReportedLimit reported, String entryName, Instant now) {
     Registration registration = byId.get(run.id());
     boolean matches = registration != null && registration.instance().run().equals(run);
     if (!matches
-        || !registration.rate.told(reported, now)
+        || !registration.rate.updateIfNewer(reported, now)
         || reported.limit().isNear(registration.sentLimit)) {
       return false;
     }
     registration.sentLimit = reported.limit();
     registration.limitReportedTo = entryName;
-    registration.limitSince = registration.rate.namedAt();
+    registration.limitSince = registration.rate.reportedAt();
     registration.changedAt = ++sequence;
     return true;
   }
@@ -238,7 +238,7 @@
                 new UpstreamStatus(
                     instanceAt(registration, now),
                     registration.condition,
-                    registration.rate.toTell(now)))
+                    registration.rate.toReport(now)))
         .toList();
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamSource.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamSource.java
@@ -6,7 +6,7 @@
 interface UpstreamSource {
 
   /** Returns the known upstreams of a service. */
-  List<UpstreamTrack> upstreams(String service);
+  List<TrackedUpstream> upstreams(String service);
 
   /** Returns the share of all entries of whose work this source hears. */
   double loadShare();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamStatus.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamStatus.java
@@ -10,7 +10,7 @@
  * @param named the rate limit that it reported last, or null if it never reported one
  */
 public record UpstreamStatus(
-    UpstreamInstance instance, UpstreamCondition condition, @Nullable NamedLimit named) {
+    UpstreamInstance instance, UpstreamCondition condition, @Nullable ReportedLimit named) {
 
   /** Creates the status of an upstream that never reported a rate limit. */
   public UpstreamStatus(UpstreamInstance instance, UpstreamCondition condition) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/BestModelPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/BestModelPlanner.java
@@ -4,13 +4,13 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Optional;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 
 /** Always runs the model whose answers are expected to be best, whatever its price. */
 public final class BestModelPlanner implements Planner {
 
   private final Candidates candidates;
-  private final QualityBook quality;
+  private final VersionQuality quality;
 
   /**
    * Makes a planner.
@@ -18,23 +18,24 @@
    * @param candidates lists the versions
    * @param quality says how good each version is
    */
-  public BestModelPlanner(Candidates candidates, QualityBook quality) {
+  public BestModelPlanner(Candidates candidates, VersionQuality quality) {
     this.candidates = candidates;
     this.quality = quality;
   }
 
   @Override
   public Optional<Plan> plan(PlanQuery query, Instant now) {
-    double target = Candidates.target(query);
+    double target = Candidates.qualityTarget(query);
     return candidates.of(query, now).stream()
-        .max(Comparator.comparingDouble(candidate -> chance(candidate, query, target)))
+        .max(Comparator.comparingDouble(candidate -> successProbability(candidate, query, target)))
         .map(
             best ->
                 FixedOrderPlanner.cascade(
                     List.of(best), target, "model with the best expected answers"));
   }
 
-  private double chance(Candidates.Candidate candidate, PlanQuery query, double target) {
+  private double successProbability(
+      Candidates.Candidate candidate, PlanQuery query, double target) {
     return quality
         .estimate(
             candidate.choice().version(),
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/AdmissionBench.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/AdmissionSimulation.java
@@ -21,14 +21,14 @@
 import org.skylarkfork.core.request.RequestKind;
 
 /** Hands requests to an admission and ends each a set time after its start. */
-final class AdmissionBench implements Output {
+final class AdmissionSimulation implements Output {
 
   final Admission admission;
   final Map<String, RoutingError> refused = new HashMap<>();
   final Map<String, Duration> waits = new HashMap<>();
   final List<String> started = new ArrayList<>();
-  final Map<String, Long> used = new HashMap<>();
-  private final Map<String, Instant> asked = new HashMap<>();
+  final Map<String, Long> usedTokens = new HashMap<>();
+  private final Map<String, Instant> submittedAt = new HashMap<>();
   private final Duration runTime;
   private final PriorityQueue<End> ends = new PriorityQueue<>();
   Instant now = Instant.ofEpochSecond(1_000_000);
@@ -41,7 +41,7 @@
     }
   }
 
-  AdmissionBench(Admission admission, Duration runTime) {
+  AdmissionSimulation(Admission admission, Duration runTime) {
     this.admission = admission;
     this.runTime = runTime;
   }
@@ -50,7 +50,7 @@
     return new Team(name, List.of(), List.of(), List.of(), limits, weight);
   }
 
-  Admission.Decision ask(String id, Team team, String service, int priority, Duration patience) {
+  Admission.Decision submit(String id, Team team, String service, int priority, Duration timeout) {
     boolean draft = service.isEmpty();
     CallerRequest request =
         new CallerRequest(
@@ -71,39 +71,39 @@
             null,
             null,
             null,
-            now.plus(patience),
+            now.plus(timeout),
             null);
-    asked.put(id, now);
-    Admission.Verdict verdict = admission.submit(request, team, priority, now);
-    if (verdict.decision() == Admission.Decision.ADMITTED) {
+    submittedAt.put(id, now);
+    Admission.Result result = admission.submit(request, team, priority, now);
+    if (result.decision() == Admission.Decision.ADMITTED) {
       start(id);
-    } else if (verdict.decision() == Admission.Decision.REFUSED) {
-      refused.put(id, verdict.error());
+    } else if (result.decision() == Admission.Decision.REFUSED) {
+      refused.put(id, result.error());
     }
-    see(new LifecycleEvent.Started());
-    return verdict.decision();
+    apply(new LifecycleEvent.Started());
+    return result.decision();
   }
 
   private void start(String id) {
     started.add(id);
-    waits.put(id, Duration.between(asked.get(id), now));
+    waits.put(id, Duration.between(submittedAt.get(id), now));
     ends.add(new End(now.plus(runTime), id));
   }
 
-  private void see(Event event) {
+  private void apply(Event event) {
     ((Part) admission).apply(event, now, this);
   }
 
   /** Lets time pass in steps of a tick, and ends what is due. */
-  void pass(Duration time) {
+  void advance(Duration time) {
     Instant until = now.plus(time);
     while (now.isBefore(until)) {
       now = now.plusMillis(20);
       while (!ends.isEmpty() && !ends.peek().at.isAfter(now)) {
         String id = ends.poll().id;
-        admission.release(id, used.getOrDefault(id, 100L), now);
+        admission.release(id, usedTokens.getOrDefault(id, 100L), now);
       }
-      see(new LifecycleEvent.Tick());
+      apply(new LifecycleEvent.Tick());
     }
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/ShareBench.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/ShareSimulation.java
@@ -16,13 +16,13 @@
 import org.skylarkfork.core.testing.SimulatedNetwork;
 
 /** Entries that lease shares from each other over a network with faults. */
-final class ShareBench {
+final class ShareSimulation {
 
   final SimulatedNetwork network;
   final TreeMap<String, Entry> entries = new TreeMap<>();
   private final Map<String, Limits> limits;
 
-  ShareBench(long seed, int count, Map<String, Limits> limits) {
+  ShareSimulation(long seed, int count, Map<String, Limits> limits) {
     this.network = new SimulatedNetwork(seed);
     this.limits = limits;
     for (int i = 1; i <= count; i++) {
@@ -30,7 +30,7 @@
     }
     for (Entry entry : entries.values()) {
       entry.live = List.copyOf(entries.keySet());
-      network.add(entry.name, List.of(), start -> new Reducer(List.of(entry.boot())));
+      network.add(entry.name, List.of(), start -> new Reducer(List.of(entry.createShares())));
       network.start(entry.name);
     }
   }
@@ -38,12 +38,12 @@
   /** Starts an entry again that sees all the others. */
   void restart(String entry) {
     entries.get(entry).live = List.copyOf(entries.keySet());
-    entries.get(entry).next = List.of();
+    entries.get(entry).nextLive = List.of();
     network.start(entry);
   }
 
   Team team(String name) {
-    return AdmissionBench.team(name, limits.get(name), 1);
+    return AdmissionSimulation.team(name, limits.get(name), 1);
   }
 
   Limits share(String entry, String team) {
@@ -55,7 +55,7 @@
   }
 
   /** Returns what the running entries may use together. */
-  Limits sum(String team) {
+  Limits total(String team) {
     double rate = 0;
     int slots = 0;
     long tokens = 0;
@@ -71,27 +71,27 @@
   }
 
   /** Makes an entry see others only, after a time in which it still sees what it saw. */
-  void see(String entry, List<String> others, Duration after) {
-    entries.get(entry).next = new ArrayList<>(others);
-    entries.get(entry).nextIn = after;
+  void changeView(String entry, List<String> others, Duration delay) {
+    entries.get(entry).nextLive = new ArrayList<>(others);
+    entries.get(entry).nextLiveIn = delay;
   }
 
   /** Lets a second pass, in steps in which entries learn of each other's changes. */
-  void second() {
+  void runSecond() {
     for (int step = 0; step < 10; step++) {
       network.run(Duration.ofMillis(100));
       for (Entry entry : entries.values()) {
-        entry.nextIn = entry.nextIn.minusMillis(100);
-        if (entry.nextIn.isNegative()) {
-          entry.live = entry.next.isEmpty() ? entry.live : entry.next;
+        entry.nextLiveIn = entry.nextLiveIn.minusMillis(100);
+        if (entry.nextLiveIn.isNegative()) {
+          entry.live = entry.nextLive.isEmpty() ? entry.live : entry.nextLive;
         }
       }
     }
   }
 
-  void seconds(int count) {
+  void runSeconds(int count) {
     for (int second = 0; second < count; second++) {
-      second();
+      runSecond();
     }
   }
 
@@ -100,15 +100,15 @@
     final String name;
     final Map<String, TeamLoad> loads = new HashMap<>();
     List<String> live = List.of();
-    List<String> next = List.of();
-    Duration nextIn = Duration.ZERO;
+    List<String> nextLive = List.of();
+    Duration nextLiveIn = Duration.ZERO;
     LeasedShares shares;
 
     Entry(String name) {
       this.name = name;
     }
 
-    LeasedShares boot() {
+    LeasedShares createShares() {
       shares =
           new LeasedShares(
               this,
@@ -119,15 +119,15 @@
     }
 
     /** Sets what a team asks from now on, of requests and a hundred times as many tokens. */
-    void load(String team, int running, int waiting, int newRequests) {
-      TeamLoad old = loads.getOrDefault(team, TeamLoad.NONE);
+    void setLoad(String team, int running, int waiting, int newRequests) {
+      TeamLoad previous = loads.getOrDefault(team, TeamLoad.NONE);
       loads.put(
           team,
           new TeamLoad(
               running,
               waiting,
-              old.askedRequests() + newRequests,
-              old.askedTokens() + 100L * newRequests));
+              previous.submittedRequests() + newRequests,
+              previous.submittedTokens() + 100L * newRequests));
       shares.share(team(team), network.now());
     }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RandomFaultsTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RandomFaultsTest.java
@@ -126,10 +126,10 @@
     }
 
     @Override
-    public Verdict submit(CallerRequest request, Team team, int priority, Instant now) {
+    public Result submit(CallerRequest request, Team team, int priority, Instant now) {
       boolean waits = random.nextInt(4) == 0;
       (waits ? waiting : running).add(request.requestId());
-      return new Verdict(waits ? Decision.WAITING : Decision.ADMITTED, null);
+      return new Result(waits ? Decision.WAITING : Decision.ADMITTED, null);
     }
 
     @Override
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RequestFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RequestFixture.java
@@ -38,7 +38,7 @@
 import org.skylarkfork.core.event.UpstreamEvent;
 import org.skylarkfork.core.membership.EntryListing;
 import org.skylarkfork.core.quality.AttemptOutcome;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 import org.skylarkfork.core.request.Bytes;
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.RequestKind;
@@ -58,7 +58,7 @@
         RuleBook,
         UpstreamDirectory,
         UpstreamChooser,
-        QualityBook,
+        VersionQuality,
         EntryListing {
 
   static final ModelVersion SMALL = new ModelVersion("small", "1");
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/ledger/LedgerMachineTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/ledger/LedgerMachineTest.java
@@ -67,7 +67,7 @@
   private void advanceBySteps(LedgerMachine machine, Duration duration) {
     Instant end = now.plus(duration);
     while (now.isBefore(end)) {
-      now = now.plus(SteppedTime.LONGEST_STEP);
+      now = now.plus(BoundedStepClock.LONGEST_STEP);
       apply(machine, new LedgerCommand.ReadStatement("club"));
     }
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/EngineGroupsTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/placement/EngineGroupsTest.java
@@ -27,7 +27,7 @@
   public void promptsFollowTheWeightsOfGroups() {
     int[] first = new int[3];
     for (long prompt = 0; prompt < PROMPTS; prompt++) {
-      first[EngineGroups.order(prompt, new int[] {10, 30, 0}).get(0)]++;
+      first[EngineGroups.rank(prompt, new int[] {10, 30, 0}).get(0)]++;
     }
     assertEquals(first[2], 0, "it has no engine");
     assertTrue(Math.abs(first[0] - PROMPTS / 4) < PROMPTS / 20, "a quarter: " + first[0]);
@@ -37,8 +37,8 @@
   @Test
   public void onlyPromptsOfLostGroupMove() {
     for (long prompt = 0; prompt < PROMPTS; prompt++) {
-      List<Integer> before = EngineGroups.order(prompt, new int[] {16, 16, 16, 16});
-      List<Integer> after = EngineGroups.order(prompt, new int[] {16, 0, 16, 16});
+      List<Integer> before = EngineGroups.rank(prompt, new int[] {16, 16, 16, 16});
+      List<Integer> after = EngineGroups.rank(prompt, new int[] {16, 0, 16, 16});
       assertEquals(before.size(), 4);
       assertEquals(after.get(0), before.get(0) == 1 ? before.get(1) : before.get(0));
     }
@@ -46,6 +46,6 @@
 
   @Test
   public void nothingIsNamedWithoutEngines() {
-    assertEquals(EngineGroups.order(7, new int[] {0, 0}), List.of());
+    assertEquals(EngineGroups.rank(7, new int[] {0, 0}), List.of());
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/BookNetwork.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/QualityNetwork.java
@@ -25,41 +25,41 @@
 import org.skylarkfork.core.event.PeerEvent;
 
 /** Some entries' books with a network between them that may lose, repeat and reorder. */
-final class BookNetwork implements ConfigurationView {
+final class QualityNetwork implements ConfigurationView {
 
   static final ModelVersion OLD = new ModelVersion("ruling", "1");
   static final ModelVersion NEW = new ModelVersion("ruling", "2");
 
-  final List<SharedQualityBook> books = new ArrayList<>();
+  final List<SharedVersionQuality> qualities = new ArrayList<>();
   final List<String> withdrawals = new ArrayList<>();
   final UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(42L);
   List<ModelVersion> withdrawn = List.of();
   boolean withdrawAutomatically;
   double lossRate;
-  double repeatRate;
+  double duplicateRate;
   Instant now = Instant.parse("2026-05-04T08:00:00Z");
 
   private final Map<String, Reducer> reducers = new HashMap<>();
   private final List<Sent> inFlight = new ArrayList<>();
   private long requests;
 
-  BookNetwork(int entries) {
+  QualityNetwork(int entries) {
     List<String> names = new ArrayList<>();
     for (int i = 0; i < entries; i++) {
       names.add("entry" + i);
     }
     for (String name : names) {
-      SharedQualityBook book =
-          new SharedQualityBook(
+      SharedVersionQuality quality =
+          new SharedVersionQuality(
               name,
               1,
               QualitySettings.DEFAULT,
               this,
               () -> names,
-              (version, changeId, reason, at, output) -> withdrawals.add(changeId),
+              (version, changeId, reason, time, output) -> withdrawals.add(changeId),
               names.indexOf(name));
-      books.add(book);
-      reducers.put(name, new Reducer(List.of(book)));
+      qualities.add(quality);
+      reducers.put(name, new Reducer(List.of(quality)));
     }
   }
 
@@ -91,7 +91,7 @@
   }
 
   @Override
-  public boolean mayServe(Instant at) {
+  public boolean mayServe(Instant time) {
     return true;
   }
 
@@ -114,18 +114,18 @@
             200,
             4_000L,
             false);
-    books.get(entry).record(outcome, now);
+    qualities.get(entry).record(outcome, now);
   }
 
   /** Lets a second pass: each entry ticks, then the messages of the second before arrive. */
-  void second() {
+  void runSecond() {
     now = now.plusSeconds(1);
-    List<Sent> arriving = new ArrayList<>(inFlight);
+    List<Sent> delivered = new ArrayList<>(inFlight);
     inFlight.clear();
-    for (int i = arriving.size() - 1; i > 0; i--) {
-      arriving.set(i, arriving.set(random.nextInt(i + 1), arriving.get(i)));
+    for (int i = delivered.size() - 1; i > 0; i--) {
+      delivered.set(i, delivered.set(random.nextInt(i + 1), delivered.get(i)));
     }
-    for (Sent sent : arriving) {
+    for (Sent sent : delivered) {
       deliver(sent.to(), new PeerEvent.MessageReceived(sent.from(), sent.effect().message()));
     }
     for (String name : reducers.keySet().stream().sorted().toList()) {
@@ -137,7 +137,7 @@
     for (Effect effect : reducers.get(name).apply(event, now)) {
       if (effect instanceof PeerEffect.SendToPeer send && random.nextDouble() >= lossRate) {
         inFlight.add(new Sent(name, send.node(), send));
-        if (random.nextDouble() < repeatRate) {
+        if (random.nextDouble() < duplicateRate) {
           inFlight.add(new Sent(name, send.node(), send));
         }
       }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/SequentialTestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/quality/SequentialTestTest.java
@@ -11,24 +11,24 @@
 /** Tests that the sequential test is seldom wrong and soon right. */
 public class SequentialTestTest {
 
-  private static final double LEAST_MEAN = 0.8;
+  private static final double MIN_MEAN = 0.8;
   private static final double ALPHA = 0.05;
   private static final int EPOCHS = 200;
   private static final int VALUES_PER_EPOCH = 8;
 
   @Test
-  public void falseAlarmsStayBelowTheBoundAtEveryLook() {
+  public void falseAlarmRateStaysBelowBoundAtEveryEpoch() {
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(7L);
     int runs = 400;
     int alarms = 0;
     for (int run = 0; run < runs; run++) {
-      alarms += firstAlarm(random, EPOCHS, LEAST_MEAN) < EPOCHS ? 1 : 0;
+      alarms += firstAlarm(random, EPOCHS, MIN_MEAN) < EPOCHS ? 1 : 0;
     }
     assertTrue(alarms <= ALPHA * runs, alarms + " alarms in " + runs + " runs at the boundary");
   }
 
   @Test
-  public void lateDropIsFoundAboutAsFastAsAnEarlyOne() {
+  public void lateDropIsDetectedAboutAsFastAsEarlyDrop() {
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(8L);
     int early = 0;
     int late = 0;
@@ -44,8 +44,8 @@
   /** Returns the epoch of the first alarm in a run whose mean falls to 0.4 at an epoch. */
   private static int firstAlarm(UniformRandomProvider random, int dropAt, double mean) {
     List<SequentialTest.EpochGains> gains = new ArrayList<>();
-    double[] bad = SequentialTest.logGains(0, LEAST_MEAN);
-    double[] good = SequentialTest.logGains(1, LEAST_MEAN);
+    double[] bad = SequentialTest.logGains(0, MIN_MEAN);
+    double[] good = SequentialTest.logGains(1, MIN_MEAN);
     for (int epoch = 0; epoch < EPOCHS; epoch++) {
       double[] sum = new double[SequentialTest.STAKES.length];
       for (int value = 0; value < VALUES_PER_EPOCH; value++) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ColdStartLimiterTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ColdStartLimiterTest.java
@@ -14,10 +14,10 @@
 public final class ColdStartLimiterTest {
 
   private static final Instant START = RelayFixture.START;
-  private static final double BEARS = 18;
+  private static final double MAX_PER_SECOND = 18;
   private static final EngineProfile ENGINE = new EngineProfile(64, 100_000, List.of());
   private static final RelayService SERVICE =
-      new RelayService("service", "/health", 100, ENGINE, new ColdStart(3000, BEARS));
+      new RelayService("service", "/health", 100, ENGINE, new ColdStart(3000, MAX_PER_SECOND));
 
   private static RelayFixture.FakeView view(int entries, String... schedulers) {
     RelayFixture.FakeView view = new RelayFixture.FakeView();
@@ -26,19 +26,19 @@
     return view;
   }
 
-  private static UpstreamTrack track(String id, Instant coldUntil) {
+  private static TrackedUpstream track(String id, Instant coldUntil) {
     UpstreamStatus status =
         new UpstreamStatus(RelayFixture.instance(id, "v1"), UpstreamCondition.READY);
-    UpstreamTrack track = new UpstreamTrack(status);
+    TrackedUpstream track = new TrackedUpstream(status);
     track.coldUntil(coldUntil);
     return track;
   }
 
   /** Sends as often as the limiter allows at one moment, and returns how often that was. */
-  private static int sends(ColdStartLimiter limiter, UpstreamTrack track, Instant now) {
+  private static int sends(ColdStartLimiter limiter, TrackedUpstream track, Instant now) {
     int sent = 0;
-    while (sent < 1000 && limiter.takes(SERVICE, track, now)) {
-      track.sent(0, now);
+    while (sent < 1000 && limiter.allows(SERVICE, track, now)) {
+      track.recordSent(0, now);
       sent++;
     }
     return sent;
@@ -61,7 +61,8 @@
   public void entriesTogetherStayWithinWhatColdUpstreamsBear() {
     for (int entries : new int[] {1, 2, 5, 9, 18}) {
       int sum = sendsOfAllEntries(view(entries), "up");
-      assertTrue(sum <= BEARS && sum > BEARS / 2, entries + " entries send " + sum);
+      assertTrue(
+          sum <= MAX_PER_SECOND && sum > MAX_PER_SECOND / 2, entries + " entries send " + sum);
     }
     for (int entries : new int[] {30, 55, 91, 520}) {
       int most = 0;
@@ -81,13 +82,13 @@
     ColdStartLimiter limiter = new EntryColdStartLimiter(view(55), "entry-1");
     assertEquals(sends(limiter, track("up", START), START), 1000);
     RelayService unbounded = new RelayService("service", "/health", 100, ENGINE);
-    assertTrue(limiter.takes(unbounded, track("up", START.plusSeconds(3)), START));
+    assertTrue(limiter.allows(unbounded, track("up", START.plusSeconds(3)), START));
   }
 
   @Test
   public void windowMovesOn() {
     ColdStartLimiter limiter = new EntryColdStartLimiter(view(1), "entry-1");
-    UpstreamTrack track = track("up", START.plusSeconds(3));
+    TrackedUpstream track = track("up", START.plusSeconds(3));
     assertEquals(sends(limiter, track, START), 18);
     assertEquals(sends(limiter, track, START.plusMillis(1000)), 0);
     assertEquals(sends(limiter, track, START.plusMillis(1200)), 18);
@@ -102,8 +103,8 @@
     RelayFixture.FakeView view = view(1);
     view.settled = false;
     ColdStartLimiter limiter = new EntryColdStartLimiter(view, "entry-1");
-    assertFalse(limiter.takes(SERVICE, track("up", START.plusSeconds(3)), START));
-    assertTrue(limiter.takes(SERVICE, track("warm", START), START));
+    assertFalse(limiter.allows(SERVICE, track("up", START.plusSeconds(3)), START));
+    assertTrue(limiter.allows(SERVICE, track("warm", START), START));
   }
 
   /**
@@ -150,13 +151,13 @@
   public void engineThatWouldFallOverIfItTurnedColdIsCrowded() {
     SchedulerColdStartLimiter limiter =
         new SchedulerColdStartLimiter(new SchedulerRole(view(55, "scheduler"), "scheduler"));
-    UpstreamTrack track = track("up", START);
+    TrackedUpstream track = track("up", START);
     for (int sent = 0; sent < 23; sent++) {
-      assertFalse(limiter.isCrowded(SERVICE, track, START), "after " + sent);
-      track.sent(0, START);
+      assertFalse(limiter.exceedsColdRate(SERVICE, track, START), "after " + sent);
+      track.recordSent(0, START);
     }
-    assertTrue(limiter.isCrowded(SERVICE, track, START));
-    assertTrue(limiter.takes(SERVICE, track, START), "but not refused");
-    assertFalse(limiter.isCrowded(SERVICE, track, START.plusSeconds(2)));
+    assertTrue(limiter.exceedsColdRate(SERVICE, track, START));
+    assertTrue(limiter.allows(SERVICE, track, START), "but not refused");
+    assertFalse(limiter.exceedsColdRate(SERVICE, track, START.plusSeconds(2)));
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ColdReturn.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ColdStartReplay.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 
 /** Engines that are away until they come back together, cold, and fall over under too much. */
-final class ColdReturn {
+final class ColdStartReplay {
 
   /** Requests in a second under which a cold engine falls over. */
   private static final int FALLS_OVER = 32;
@@ -29,22 +29,22 @@
    * @param returnAt when they come back, in milliseconds
    * @param cold what they bear then
    */
-  ColdReturn(Collection<String> engines, double returnAt, ColdStart cold) {
+  ColdStartReplay(Collection<String> engines, double returnAt, ColdStart cold) {
     this.engines = Set.copyOf(engines);
     this.returnAt = returnAt;
     this.cold = cold;
   }
 
   /** Returns the replay of engines that are always there. */
-  static ColdReturn none() {
-    return new ColdReturn(Set.of(), 0, ColdStart.NONE);
+  static ColdStartReplay none() {
+    return new ColdStartReplay(Set.of(), 0, ColdStart.NONE);
   }
 
   ColdStart cold() {
     return cold;
   }
 
-  boolean isThere(String engine, double now) {
+  boolean isUp(String engine, double now) {
     return now >= returnAt || !engines.contains(engine);
   }
 
@@ -55,7 +55,7 @@
   }
 
   /** Counts a request at an engine; returns false where a cold one has fallen over. */
-  boolean bears(String engine, double now) {
+  boolean recordSend(String engine, double now) {
     if (coldMillis(engine, now) == 0) {
       return true;
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConfidenceCascadeTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ConfidenceCascadeTest.java
@@ -36,14 +36,14 @@
       double waitMillis,
       double readMillis,
       long leftMillis) {
-    UpstreamTrack track =
-        new UpstreamTrack(
+    TrackedUpstream track =
+        new TrackedUpstream(
             new UpstreamStatus(RelayFixture.instance("up", "v1"), UpstreamCondition.READY));
     Placement placement =
         new Placement(track, waitMillis, readMillis, waitMillis + readMillis, 1000, null);
     ActiveRelay relay = relay(RelayFixture.START.plusMillis(leftMillis + usedMillis));
     relay.confidence = confidence;
-    return cascade.asks(relay, placement, RelayFixture.START.plusMillis(usedMillis));
+    return cascade.shouldEscalate(relay, placement, RelayFixture.START.plusMillis(usedMillis));
   }
 
   private static ActiveRelay relay(Instant deadline) {
@@ -65,7 +65,7 @@
     ActiveRelay ended = relay(RelayFixture.START.plusSeconds(20));
     ended.modelIndex = 2;
     for (int answer = 0; answer < 20; answer++) {
-      times.ended(ended, millis, whole);
+      times.recordEnd(ended, millis, whole);
     }
   }
 
@@ -95,16 +95,16 @@
   @Test
   public void brokenOffAnswersCountAsLongerOnes() {
     learn(4000, true);
-    double before = times.millis(relay(RelayFixture.START), "large", 0);
+    double before = times.expectedMillis(relay(RelayFixture.START), "large", 0);
     learn(1000, false);
-    assertTrue(times.millis(relay(RelayFixture.START), "large", 0) >= before);
+    assertTrue(times.expectedMillis(relay(RelayFixture.START), "large", 0) >= before);
   }
 
   @Test
   public void theLargestModelIsAskedAfterTheOthers() {
-    assertEquals(cascade.first(ROUTE, RelayFixture.request(1, "/a/", "key")), 0);
-    assertEquals(cascade.larger(ROUTE, 0), 2);
-    assertEquals(cascade.larger(ROUTE, 2), -1);
+    assertEquals(cascade.firstModel(ROUTE, RelayFixture.request(1, "/a/", "key")), 0);
+    assertEquals(cascade.largerModel(ROUTE, 0), 2);
+    assertEquals(cascade.largerModel(ROUTE, 2), -1);
   }
 
   @Test
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestSimulation.java
@@ -111,8 +111,8 @@
 
   /** Sends ordinary requests, each with a different content, until the end of the simulation. */
   void sendOrdinaryRequests(int requestsPerSecond) {
-    after(
-        Math.max(1, upTo(2 * 1000 / requestsPerSecond) - 1),
+    schedule(
+        Math.max(1, randomMillis(2 * 1000 / requestsPerSecond) - 1),
         () -> {
           long content = ++lastContent;
           ordinarySent++;
@@ -125,8 +125,8 @@
    * Sends the same ordinary lookup repeatedly until the end of the simulation, as many callers do.
    */
   void sendPopularLookups(long content, int requestsPerSecond) {
-    after(
-        upTo(2 * 1000 / requestsPerSecond),
+    schedule(
+        randomMillis(2 * 1000 / requestsPerSecond),
         () -> {
           ordinarySent++;
           send(content, "/lookup/x", 1);
@@ -138,7 +138,7 @@
   void sendCrashingRequest(long content, int pauseMillis) {
     recordsByContent.computeIfAbsent(content, unknown -> new CrashRecord());
     send(content, path(content), 0);
-    after(upTo(pauseMillis), () -> sendCrashingRequest(content, pauseMillis));
+    schedule(randomMillis(pauseMillis), () -> sendCrashingRequest(content, pauseMillis));
   }
 
   private static String path(long content) {
@@ -175,7 +175,7 @@
   @Override
   void onEffect(String node, Effect effect) {
     if (effect instanceof RelayEffect.SendAttempt sent) {
-      after(1, () -> onArrival(node, sent));
+      schedule(1, () -> onArrival(node, sent));
     } else if (effect instanceof RelayEffect.DropAttempt drop) {
       onDropped(node, drop);
     } else if (effect instanceof RelayEffect.Refuse refuse) {
@@ -184,7 +184,7 @@
       retry(callers.remove(broken.request()));
     } else if (effect instanceof RelayEffect.ProbeUpstream probe) {
       Upstream upstream = upstreams.get(probe.upstream().id());
-      after(
+      schedule(
           1,
           () ->
               inject(
@@ -210,14 +210,14 @@
     if (record != null) {
       countSend(record, entry);
     }
-    after(upTo(MAX_WAIT_MILLIS), () -> onBegin(upstream, run, caller));
+    schedule(randomMillis(MAX_WAIT_MILLIS), () -> onBegin(upstream, run, caller));
   }
 
   private void countSend(CrashRecord record, String entry) {
     record.sends++;
     Instant identified = record.identifiedAt;
-    boolean isLate = identified != null && network.now().isAfter(identified.plus(CONTACT));
-    if (isLate && isInTouch(entry)) {
+    boolean isLate = identified != null && network.now().isAfter(identified.plus(SETTLE_TIME));
+    if (isLate && isSettled(entry)) {
       record.lateSends++;
     }
   }
@@ -232,13 +232,13 @@
       if (streams && random.nextBoolean()) {
         answer(run);
       }
-      after(upTo(MAX_CRASH_MILLIS) - 1, () -> crashUnder(upstream, run));
+      schedule(randomMillis(MAX_CRASH_MILLIS) - 1, () -> crashUnder(upstream, run));
       return;
     }
     if (streams) {
       answer(run);
     }
-    after(upTo(MAX_ANSWER_MILLIS), () -> onEnd(upstream, run, streams));
+    schedule(randomMillis(MAX_ANSWER_MILLIS), () -> onEnd(upstream, run, streams));
   }
 
   private void answer(Run run) {
@@ -293,12 +293,12 @@
     String[] idParts = upstream.instance.id().substring("up-".length()).split("\\.");
     int number = Integer.parseInt(idParts[0]);
     int start = Integer.parseInt(idParts[1]);
-    after(RESTART_DELAY.toMillis(), () -> startUpstream(number, start + 1));
+    schedule(RESTART_DELAY.toMillis(), () -> startUpstream(number, start + 1));
   }
 
   private void fail(String entry, long request, int attempt, AttemptFailure failure) {
-    after(
-        upTo(3),
+    schedule(
+        randomMillis(3),
         () -> inject(entry, new RelayEvent.AttemptFailed(request, attempt, failure, null)));
   }
 
@@ -334,7 +334,7 @@
   /** Resends the failed request of a caller while it has retries left. */
   private void retry(@Nullable Caller caller) {
     if (caller != null && caller.retriesLeft() > 0) {
-      after(RETRY_MILLIS, () -> send(caller.content(), caller.path(), caller.retriesLeft() - 1));
+      schedule(RETRY_MILLIS, () -> send(caller.content(), caller.path(), caller.retriesLeft() - 1));
     }
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestTest.java
@@ -145,17 +145,17 @@
       case 4 -> {
         String frozen = random.nextBoolean() || leader == null ? run.entries.get(0) : leader;
         run.network.suspend(frozen);
-        run.disturbed(frozen);
+        run.markDisturbed(frozen);
         return List.of();
       }
       default -> {
         run.network.isolate(control);
-        run.disturbed(control);
+        run.markDisturbed(control);
         return List.of();
       }
     }
     downDaemons.forEach(run.network::crash);
-    downDaemons.forEach(run::disturbed);
+    downDaemons.forEach(run::markDisturbed);
     return downDaemons;
   }
 
@@ -169,6 +169,6 @@
       }
     }
     downDaemons.forEach(run.network::start);
-    all.forEach(run::disturbed);
+    all.forEach(run::markDisturbed);
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
@@ -29,7 +29,7 @@
 abstract class EmulatedDeployment {
 
   /** Time in which each entry that is in touch can know what the others know. */
-  static final Duration CONTACT = Duration.ofSeconds(3);
+  static final Duration SETTLE_TIME = Duration.ofSeconds(3);
 
   static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
   private static final Duration HEARTBEAT = Duration.ofMillis(1200);
@@ -146,11 +146,11 @@
   }
 
   /** Lets something happen some time from now. */
-  void after(long millis, Runnable action) {
+  void schedule(long millis, Runnable action) {
     due.add(new Due(network.now().plusMillis(millis), order++, action));
   }
 
-  int upTo(int millis) {
+  int randomMillis(int millis) {
     return 1 + random.nextInt(millis);
   }
 
@@ -183,7 +183,7 @@
                   number,
                   told.bornMillis())));
     }
-    after(HEARTBEAT.toMillis(), () -> heartbeat(told, number + 1, isUp));
+    schedule(HEARTBEAT.toMillis(), () -> heartbeat(told, number + 1, isUp));
   }
 
   boolean isAwake(String name) {
@@ -215,7 +215,7 @@
   }
 
   /** Takes note that a daemon is disturbed now; the core's disturbances count for all. */
-  void disturbed(String name) {
+  void markDisturbed(String name) {
     if (controls.contains(name)) {
       coreDisturbedAt = network.now();
     } else {
@@ -223,14 +223,14 @@
     }
   }
 
-  /** Returns whether neither an entry nor the core was disturbed for {@link #CONTACT}. */
-  boolean isInTouch(String entry) {
-    return isCalm(entry) && coreDisturbedAt.isBefore(network.now().minus(CONTACT));
+  /** Returns whether neither an entry nor the core was disturbed for {@link #SETTLE_TIME}. */
+  boolean isSettled(String entry) {
+    return isUndisturbed(entry) && coreDisturbedAt.isBefore(network.now().minus(SETTLE_TIME));
   }
 
-  /** Returns whether an entry itself was not disturbed for {@link #CONTACT}. */
-  boolean isCalm(String entry) {
-    Instant since = network.now().minus(CONTACT);
+  /** Returns whether an entry itself was not disturbed for {@link #SETTLE_TIME}. */
+  boolean isUndisturbed(String entry) {
+    Instant since = network.now().minus(SETTLE_TIME);
     return disturbedAt.getOrDefault(entry, START).isBefore(since);
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedEngine.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedEngine.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import org.jspecify.annotations.Nullable;
-import org.skylarkfork.core.placement.PromptChain;
+import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
  * An engine in virtual time: reads one prompt after the other, the most urgent first, keeps parts
@@ -28,7 +28,7 @@
   private @Nullable Job reading;
   private long keptTokens;
   long tokensRead;
-  long sharedReadAgain;
+  long rereadSharedTokens;
   private final Map<Long, Boolean> everRead;
 
   /** One attempt at the engine. */
@@ -38,7 +38,7 @@
     final int attempt;
     final int urgency;
     final String model;
-    final PromptChain chain;
+    final PromptPrefixes prefixes;
     final int outputTokens;
     boolean cancelled;
     boolean begun;
@@ -50,14 +50,14 @@
         int attempt,
         int urgency,
         String model,
-        PromptChain chain,
+        PromptPrefixes chain,
         int outputTokens) {
       this.entry = entry;
       this.request = request;
       this.attempt = attempt;
       this.urgency = urgency;
       this.model = model;
-      this.chain = chain;
+      this.prefixes = chain;
       this.outputTokens = outputTokens;
     }
   }
@@ -78,7 +78,7 @@
   }
 
   /** Returns the job whose reading begins now, or null if one is read or none waits. */
-  @Nullable Job begin(double now) {
+  @Nullable Job startNext(double now) {
     waiting.removeIf(job -> job.cancelled);
     if (reading != null || waiting.isEmpty()) {
       return null;
@@ -87,11 +87,11 @@
     waiting.remove(next);
     reading = next;
     double pace = paces.get(next.model) * slowness;
-    next.endsReadingAt = now + read(next.chain) * pace / TOKENS_A_MILLI;
+    next.endsReadingAt = now + read(next.prefixes) * pace / TOKENS_A_MILLI;
     return next;
   }
 
-  private int read(PromptChain chain) {
+  private int read(PromptPrefixes chain) {
     int from = 0;
     int place = 0;
     while (place < chain.size() && kept.get(chain.key(place)) != null) {
@@ -103,11 +103,11 @@
       keep(chain.key(place), chain.tokens(place) - before);
       boolean shared = place < chain.sharedSize();
       if (shared && everRead.put(chain.key(place), true) != null) {
-        sharedReadAgain += chain.tokens(place) - before;
+        rereadSharedTokens += chain.tokens(place) - before;
       }
     }
-    tokensRead += chain.total() - from;
-    return chain.total() - from;
+    tokensRead += chain.totalTokens() - from;
+    return chain.totalTokens() - from;
   }
 
   private void keep(long key, int tokens) {
@@ -120,7 +120,7 @@
   }
 
   /** Ends the reading of a job; returns whether it was that one's turn. */
-  boolean end(Job job) {
+  boolean finish(Job job) {
     boolean own = reading == job;
     reading = own ? null : reading;
     return own;
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplay.java
@@ -22,8 +22,8 @@
 import org.skylarkfork.core.event.RelayEvent;
 import org.skylarkfork.core.message.RelayMessage;
 import org.skylarkfork.core.message.RelayMessage.Neighbourhood;
-import org.skylarkfork.core.placement.PromptChain;
 import org.skylarkfork.core.placement.PromptPart;
+import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
  * Replays a load of prompts on entries and engines in virtual time, with the real decisions.
@@ -63,11 +63,16 @@
 
   /** What a replay gave. */
   record Outcome(
-      int asked, double worth, double late, double refused, long readAgain, double p99Millis) {}
+      int requests,
+      double worth,
+      double late,
+      double refused,
+      long rereadTokens,
+      double p99Millis) {}
 
   private record Timed(double at, long order, Runnable action) {}
 
-  private static final class Asked {
+  private static final class Call {
     final Kind kind;
     final double at;
     final double difficulty;
@@ -77,7 +82,7 @@
     boolean refused;
     boolean unended;
 
-    private Asked(Kind kind, double at, double difficulty) {
+    private Call(Kind kind, double at, double difficulty) {
       this.kind = kind;
       this.at = at;
       this.difficulty = difficulty;
@@ -92,7 +97,7 @@
   private final Map<String, EmulatedEngine> engines = new HashMap<>();
   private final Map<String, Neighbourhood> neighbourhoods = new HashMap<>();
   private final Map<Long, Boolean> everRead = new HashMap<>();
-  private final Map<Long, Asked> asked = new HashMap<>();
+  private final Map<Long, Call> asked = new HashMap<>();
   private final Map<Long, RelayRequest> requests = new HashMap<>();
   private final Map<String, EmulatedEngine.Job> jobs = new HashMap<>();
   private double now;
@@ -103,7 +108,7 @@
   private double frozenUntil;
   private final Map<Long, Integer> written = new HashMap<>();
   private @Nullable UniformRandomProvider lengths;
-  private ColdReturn coldReturn = ColdReturn.none();
+  private ColdStartReplay coldReturn = ColdStartReplay.none();
   private LimitedEngines limited = LimitedEngines.none();
 
   /**
@@ -154,7 +159,8 @@
         new RelayRequestPart(
             entry, new RelayRequestSettings("a", 0.7, 0.05, Duration.ofSeconds(8)), counts, seed);
     List<Part> parts =
-        List.of(entry, part, new LoadSharePart(entry, part), new SchedulerPart(entry, name, seed));
+        List.of(
+            entry, part, new LoadExchangePart(entry, part), new SchedulerPart(entry, name, seed));
     entries.put(name, new Reducer(parts));
     Neighbourhood neighbourhood =
         ReplayedDeployment.neighbourhood(number, entryCount, peers, schedulers);
@@ -164,7 +170,7 @@
   }
 
   /** Lets a share of the requests of each kind be for one subject. */
-  void heat(double share) {
+  void concentrateOnOneSubject(double share) {
     hotShare = share;
   }
 
@@ -181,7 +187,7 @@
   }
 
   /** Returns how many callers got the beginning of an answer and not its end. */
-  long unended() {
+  long truncatedCount() {
     return asked.values().stream().filter(one -> one.unended).count();
   }
 
@@ -199,9 +205,10 @@
    * @param atMillis when they come back
    * @param cold what they bear then
    */
-  ColdReturn returnCold(int count, double atMillis, ColdStart cold) {
+  ColdStartReplay returnCold(int count, double atMillis, ColdStart cold) {
     coldReturn =
-        new ColdReturn(engines.keySet().stream().sorted().limit(count).toList(), atMillis, cold);
+        new ColdStartReplay(
+            engines.keySet().stream().sorted().limit(count).toList(), atMillis, cold);
     at(atMillis, () -> entries.keySet().forEach(name -> prove(name, neighbourhoods.get(name))));
     return coldReturn;
   }
@@ -238,7 +245,7 @@
   private void prove(String name, Neighbourhood neighbourhood) {
     List<UpstreamStatus> statuses =
         engines.values().stream()
-            .filter(engine -> coldReturn.isThere(engine.instance.id(), now))
+            .filter(engine -> coldReturn.isUp(engine.instance.id(), now))
             .map(this::status)
             .toList();
     RelayMessage.EntryUpdate update =
@@ -282,7 +289,7 @@
     } else if (effect instanceof RelayEffect.PassAnswer pass) {
       passed(pass);
     } else if (effect instanceof RelayEffect.Refuse refuse) {
-      Asked one = asked.get(refuse.request());
+      Call one = asked.get(refuse.request());
       one.over = true;
       one.refused = true;
     } else if (effect instanceof PeerEffect.SendToPeer send && entries.containsKey(send.node())) {
@@ -294,8 +301,8 @@
     RelayRequest request = requests.get(send.request());
     AttemptTarget target = send.target();
     EmulatedEngine engine = engines.get(target.upstream().id());
-    limited.sent(engine.instance.id(), now);
-    if (!coldReturn.bears(engine.instance.id(), now)) {
+    limited.recordSent(engine.instance.id(), now);
+    if (!coldReturn.recordSend(engine.instance.id(), now)) {
       apply(
           name,
           new RelayEvent.AttemptFailed(
@@ -309,7 +316,7 @@
             send.attempt(),
             target.urgency() == null ? 0 : target.urgency(),
             String.valueOf(target.model()),
-            PromptChain.of(
+            PromptPrefixes.of(
                 String.valueOf(target.model()), request.prompt(), request.promptTokens()),
             written.getOrDefault(send.request(), request.outputTokens()));
     jobs.put(send.request() + "/" + send.attempt(), job);
@@ -318,14 +325,14 @@
   }
 
   private void begin(EmulatedEngine engine) {
-    EmulatedEngine.Job job = engine.begin(now);
+    EmulatedEngine.Job job = engine.startNext(now);
     if (job != null) {
       at(job.endsReadingAt, () -> read(engine, job));
     }
   }
 
   private void read(EmulatedEngine engine, EmulatedEngine.Job job) {
-    engine.end(job);
+    engine.finish(job);
     begin(engine);
     if (!job.cancelled) {
       at(now + engine.firstMillis(), () -> began(engine, job));
@@ -336,7 +343,7 @@
     if (job.cancelled) {
       return;
     }
-    Asked one = asked.get(job.request);
+    Call one = asked.get(job.request);
     double quality = QUALITIES[MODELS.indexOf(job.model)];
     double confidence =
         50
@@ -360,7 +367,7 @@
   }
 
   private void passed(RelayEffect.PassAnswer pass) {
-    Asked one = asked.get(pass.request());
+    Call one = asked.get(pass.request());
     EmulatedEngine.Job job = jobs.get(pass.request() + "/" + pass.attempt());
     double quality = QUALITIES[MODELS.indexOf(job.model)];
     one.firstByte = now - one.at;
@@ -376,7 +383,7 @@
 
   private void arrive(Kind kind, String name) {
     long number = ++order;
-    Asked one = new Asked(kind, now, random.nextDouble());
+    Call one = new Call(kind, now, random.nextDouble());
     int subject = random.nextDouble() < hotShare ? 0 : random.nextInt(kind.subjects());
     int own = (int) (kind.ownTokens() * (0.4 + 1.2 * random.nextDouble()));
     int expectedTokens = kind.outputTokens();
@@ -419,7 +426,7 @@
   }
 
   /** Plays some seconds of the load and tells what became of it. */
-  Outcome play(int seconds) {
+  Outcome run(int seconds) {
     List<String> names = new ArrayList<>(entries.keySet());
     names.sort(null);
     for (Kind kind : kinds) {
@@ -444,7 +451,7 @@
     int late = 0;
     int refused = 0;
     List<Double> firstBytes = new ArrayList<>();
-    for (Asked one : asked.values()) {
+    for (Call one : asked.values()) {
       owed += one.kind.worth();
       earned += one.kind.worth() * one.credit;
       boolean intime = one.firstByte >= 0 && one.firstByte <= one.kind.objectiveMillis();
@@ -453,7 +460,7 @@
       firstBytes.add(one.firstByte < 0 ? one.kind.deadlineMillis() : one.firstByte);
     }
     firstBytes.sort(null);
-    long again = engines.values().stream().mapToLong(engine -> engine.sharedReadAgain).sum();
+    long again = engines.values().stream().mapToLong(engine -> engine.rereadSharedTokens).sum();
     int count = asked.size();
     return new Outcome(
         count,
@@ -468,7 +475,7 @@
   @Nullable Double worth(String kind) {
     double owed = 0;
     double earned = 0;
-    for (Asked one : asked.values()) {
+    for (Call one : asked.values()) {
       owed += one.kind.name().equals(kind) ? 1 : 0;
       earned += one.kind.name().equals(kind) ? one.credit : 0;
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplayTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplayTest.java
@@ -74,9 +74,9 @@
    */
   @Test(dataProvider = "seeds")
   public void entriesThatShareTheirLoadAnswerInTime(long seed) {
-    Outcome alone = replay(seed, false, 1.4).play(SECONDS);
-    Outcome sharing = replay(seed, true, 1.4).play(SECONDS);
-    assertEquals(alone.asked(), sharing.asked());
+    Outcome alone = replay(seed, false, 1.4).run(SECONDS);
+    Outcome sharing = replay(seed, true, 1.4).run(SECONDS);
+    assertEquals(alone.requests(), sharing.requests());
     assertTrue(sharing.late() < 0.015, "late: " + sharing);
     assertTrue(sharing.late() < 0.5 * alone.late(), sharing + " and alone " + alone);
     assertTrue(sharing.worth() > alone.worth(), sharing + " and alone " + alone);
@@ -92,7 +92,7 @@
   @Test(dataProvider = "seeds")
   public void shortQuestionsAreNotHeldUpByLongPrompts(long seed) {
     EngineLoadReplay replay = replay(seed, true, 2.0);
-    Outcome outcome = replay.play(SECONDS);
+    Outcome outcome = replay.run(SECONDS);
     for (String kind : List.of("long", "mid", "short")) {
       Double worth = replay.worth(kind);
       assertNotNull(worth);
@@ -109,7 +109,7 @@
    */
   @Test(dataProvider = "seeds")
   public void fourfoldLoadIsAnsweredBySmallerModels(long seed) {
-    Outcome outcome = replay(seed, true, 4.0).play(SECONDS);
+    Outcome outcome = replay(seed, true, 4.0).run(SECONDS);
     assertTrue(outcome.worth() > 0.6, outcome.toString());
     assertTrue(outcome.late() < 0.15, outcome.toString());
     assertTrue(outcome.refused() < 0.01, outcome.toString());
@@ -124,10 +124,11 @@
    */
   @Test(dataProvider = "seeds")
   public void schedulersReadBeginningsOnceForManyEntries(long seed) {
-    Outcome hearing = many(seed, 8, 0).play(MANY_SECONDS);
-    Outcome scheduled = many(seed, 0, 4).play(MANY_SECONDS);
-    assertEquals(hearing.asked(), scheduled.asked());
-    assertTrue(2.4 * scheduled.readAgain() < hearing.readAgain(), scheduled + " and " + hearing);
+    Outcome hearing = many(seed, 8, 0).run(MANY_SECONDS);
+    Outcome scheduled = many(seed, 0, 4).run(MANY_SECONDS);
+    assertEquals(hearing.requests(), scheduled.requests());
+    assertTrue(
+        2.4 * scheduled.rereadTokens() < hearing.rereadTokens(), scheduled + " and " + hearing);
     assertTrue(1.6 * scheduled.p99Millis() < hearing.p99Millis(), scheduled + " and " + hearing);
     assertTrue(scheduled.refused() == 0, scheduled.toString());
   }
@@ -141,7 +142,7 @@
   public void schedulerThatStandsStillHoldsNobodyUp(long seed) {
     EngineLoadReplay replay = many(seed, 0, 4);
     replay.freeze("entry-1", 5000, 9000);
-    Outcome outcome = replay.play(MANY_SECONDS);
+    Outcome outcome = replay.run(MANY_SECONDS);
     assertTrue(outcome.refused() == 0, outcome.toString());
     assertTrue(outcome.late() < 0.01, outcome.toString());
     assertTrue(outcome.worth() > 0.96, outcome.toString());
@@ -157,10 +158,10 @@
    */
   @Test(dataProvider = "seeds")
   public void burstMakesNoCopiesOfWhatIsKept(long seed) {
-    Outcome outcome = many(seed, 0, 2, 3).play(MANY_SECONDS);
+    Outcome outcome = many(seed, 0, 2, 3).run(MANY_SECONDS);
     assertTrue(outcome.worth() > 0.87, outcome.toString());
     assertTrue(outcome.late() < 0.04, outcome.toString());
-    assertTrue(outcome.readAgain() < 20_000_000, outcome.toString());
+    assertTrue(outcome.rereadTokens() < 20_000_000, outcome.toString());
   }
 
   /**
@@ -175,7 +176,7 @@
   @Test(dataProvider = "seeds")
   public void coldEnginesThatReturnTogetherAreSpared(long seed) {
     Outcome unlimited = coldReturn(seed, new ColdStart(3000, 0), 0);
-    assertTrue(unlimited.asked() > 0);
+    assertTrue(unlimited.requests() > 0);
     Outcome limited = coldReturn(seed, new ColdStart(3000, 18), 18);
     assertTrue(limited.refused() < 0.005, limited.toString());
     assertTrue(limited.late() <= unlimited.late(), limited + " and " + unlimited);
@@ -190,10 +191,10 @@
   public void limitedEnginesAreUsedForWhatTheyTake(long seed) {
     EngineLoadReplay limited = limitedPool(seed, 13);
     final LimitedEngines engines = limited.limit(4, 3000, 3);
-    Outcome outcome = limited.play(24);
-    double used = engines.usedUntil(24_000);
+    Outcome outcome = limited.run(24);
+    double used = engines.usedShare(24_000);
     assertTrue(used > 0.9 && used < 1.1, "used: " + used);
-    Outcome without = limitedPool(seed, 9).play(24);
+    Outcome without = limitedPool(seed, 9).run(24);
     assertTrue(outcome.worth() > without.worth() + 0.03, outcome + " and " + without);
     assertTrue(outcome.late() < without.late(), outcome + " and " + without);
     assertTrue(outcome.refused() < 0.005, outcome.toString());
@@ -225,9 +226,9 @@
     EngineLoadReplay replay =
         new EngineLoadReplay(seed, ENTRIES, Collections.nCopies(12, 1.0), 7, 0, kinds);
     replay.spreadLengths(seed);
-    Outcome outcome = replay.play(SECONDS);
-    long unended = replay.unended();
-    assertTrue(unended < 0.034 * outcome.asked(), unended + " of " + outcome);
+    Outcome outcome = replay.run(SECONDS);
+    long unended = replay.truncatedCount();
+    assertTrue(unended < 0.034 * outcome.requests(), unended + " of " + outcome);
   }
 
   private static Outcome coldReturn(long seed, ColdStart cold, int mostAllowed) {
@@ -238,8 +239,8 @@
             new Kind("mid", 1464, 568, 1800, 21, 1500, 5000, 0, 1.9, 181 * 1.6),
             new Kind("short", 396, 172, 543, 280, 1500, 20_000, 2, 0.95, 42.5 * 1.6));
     EngineLoadReplay replay = new EngineLoadReplay(seed, 55, engines, 0, 2, kinds);
-    ColdReturn engineReturn = replay.returnCold(14, 5000, cold);
-    Outcome outcome = replay.play(9);
+    ColdStartReplay engineReturn = replay.returnCold(14, 5000, cold);
+    Outcome outcome = replay.run(9);
     int most = engineReturn.mostInOneSecond();
     if (mostAllowed > 0) {
       assertTrue(most > 0 && most <= mostAllowed, "in a second: " + most);
@@ -259,8 +260,8 @@
   @Test(dataProvider = "seeds")
   public void hotSubjectIsReadByMoreEngines(long seed) {
     EngineLoadReplay replay = many(seed, 0, 2);
-    replay.heat(0.3);
-    Outcome outcome = replay.play(MANY_SECONDS);
+    replay.concentrateOnOneSubject(0.3);
+    Outcome outcome = replay.run(MANY_SECONDS);
     assertTrue(outcome.worth() > 0.96, outcome.toString());
     assertTrue(outcome.late() < 0.002, outcome.toString());
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LimitedEngines.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LimitedEngines.java
@@ -41,12 +41,12 @@
   }
 
   /** Counts a request that is sent to an engine. */
-  void sent(String engine, double now) {
+  void recordSent(String engine, double now) {
     sends += engines.contains(engine) && now >= from + KNOWN ? 1 : 0;
   }
 
   /** Returns the share of what the engines took until a time that they were sent. */
-  double usedUntil(double millis) {
+  double usedShare(double millis) {
     return sends / (engines.size() * perSecond * (millis - from - KNOWN) / SECOND);
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LimitedRequestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LimitedRequestTest.java
@@ -22,10 +22,10 @@
   }
 
   private void limitUpstreams(int firstIndex) {
-    List<UpstreamTrack> tracks = entry.view.tracks;
+    List<TrackedUpstream> tracks = entry.view.tracks;
     tracks
         .subList(firstIndex, tracks.size())
-        .forEach(track -> track.rate().heard(ONE_PER_TWO_SECONDS, RelayFixture.START));
+        .forEach(track -> track.rate().recordLimit(ONE_PER_TWO_SECONDS, RelayFixture.START));
   }
 
   /**
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadSharePartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadExchangePartTest.java
@@ -18,21 +18,21 @@
 import org.skylarkfork.core.message.RelayMessage.EntryLoads;
 import org.skylarkfork.core.message.RelayMessage.Neighbourhood;
 import org.skylarkfork.core.message.RelayMessage.UpstreamLoad;
-import org.skylarkfork.core.placement.PromptChain;
 import org.skylarkfork.core.placement.PromptPart;
+import org.skylarkfork.core.placement.PromptPrefixes;
 import org.testng.annotations.BeforeMethod;
 import org.testng.annotations.Test;
 
-/** Tests of {@link LoadSharePart}. */
-public final class LoadSharePartTest {
+/** Tests of {@link LoadExchangePart}. */
+public final class LoadExchangePartTest {
 
   private static final String CONTROL = "control-1";
-  private static final PromptChain CHAIN =
-      PromptChain.of("small", List.of(new PromptPart("s", 900), new PromptPart("o", 100)), 1000);
+  private static final PromptPrefixes CHAIN =
+      PromptPrefixes.of("small", List.of(new PromptPart("s", 900), new PromptPart("o", 100)), 1000);
 
   private RelayEntryPart entry = part();
   private Reducer reducer = new Reducer(List.of());
-  private SentPrompts prompts = new SentPrompts();
+  private SentPrefixes prompts = new SentPrefixes();
   private Instant now = RelayFixture.START;
 
   private static RelayEntryPart part() {
@@ -53,7 +53,7 @@
         new RelayRequestPart(
             entry, new RelayRequestSettings("a", 0.7, 0.05, Duration.ofSeconds(8)), counts, 1);
     prompts = requests.prompts();
-    reducer = new Reducer(List.of(entry, new LoadSharePart(entry, requests)));
+    reducer = new Reducer(List.of(entry, new LoadExchangePart(entry, requests)));
     UpstreamStatus status =
         new UpstreamStatus(RelayFixture.instance("up", "v1"), UpstreamCondition.READY);
     receive(
@@ -71,7 +71,7 @@
                 List.of("10.0.0.9:80"),
                 List.of("entry-2", "entry-3"),
                 List.of(),
-                new EntryPlace(0, 3))));
+                new EntryOrdinal(0, 3))));
   }
 
   private void receive(String from, RelayMessage message) {
@@ -90,15 +90,15 @@
     return loads;
   }
 
-  private UpstreamTrack track() {
+  private TrackedUpstream track() {
     return entry.upstreams("service").get(0);
   }
 
   @Test
   public void peersAreToldOfNewLoadOnceAndAgainBeforeItExpires() {
     assertTrue(tick(100).isEmpty(), "there is none");
-    track().sent(250, RelayFixture.START);
-    prompts.sent("up", CHAIN, now);
+    track().recordSent(250, RelayFixture.START);
+    prompts.recordSent("up", CHAIN, now);
     List<SendToPeer> told = tick(100);
     EntryLoads expected =
         new EntryLoads(
@@ -107,7 +107,7 @@
         told, List.of(new SendToPeer("entry-2", expected), new SendToPeer("entry-3", expected)));
     assertTrue(tick(100).isEmpty(), "nothing is new");
     assertEquals(tick(400).size(), 2, "or it would expire");
-    track().ended(250);
+    track().recordEnded(250);
     assertEquals(((EntryLoads) tick(100).get(0).message()).loads(), List.of());
     assertTrue(tick(400).isEmpty());
   }
@@ -117,7 +117,7 @@
   public void tellingsKeepTheirPause() {
     int messages = 0;
     for (int tick = 0; tick < 40; tick++) {
-      track().sent(10, RelayFixture.START);
+      track().recordSent(10, RelayFixture.START);
       messages += tick(25).size();
     }
     assertEquals(messages, 2 * 20);
@@ -130,7 +130,7 @@
     receive("entry-3", new EntryLoads(List.of(new UpstreamLoad("gone", 9, 9)), List.of()));
     assertEquals(track().waitingMillis(now), 700.0);
     assertEquals(track().running(now), 2);
-    assertEquals(track().kept().keptTokens(CHAIN, 100_000), 900);
+    assertEquals(track().prefixCache().cachedTokens(CHAIN, 100_000), 900);
     receive("entry-2", new EntryLoads(List.of(), List.of()));
     assertEquals(track().running(now), 0);
     receive("entry-2", new EntryLoads(List.of(new UpstreamLoad("up", 2, 700)), List.of()));
@@ -139,12 +139,12 @@
 
   @Test
   public void sameUseIsToldAgainOnlyLater() {
-    prompts.sent("up", CHAIN, now);
-    assertEquals(prompts.take(9).size(), 1);
-    prompts.sent("up", CHAIN, now.plusMillis(1000));
-    assertEquals(prompts.take(9).size(), 0);
-    prompts.sent("up", CHAIN, now.plusMillis(1600));
-    assertEquals(prompts.take(9).size(), 1);
+    prompts.recordSent("up", CHAIN, now);
+    assertEquals(prompts.takeUnreported(9).size(), 1);
+    prompts.recordSent("up", CHAIN, now.plusMillis(1000));
+    assertEquals(prompts.takeUnreported(9).size(), 0);
+    prompts.recordSent("up", CHAIN, now.plusMillis(1600));
+    assertEquals(prompts.takeUnreported(9).size(), 1);
   }
 
   /**
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitSimulation.java
@@ -116,7 +116,10 @@
   @Override
   List<Part> parts(String name, RelayEntryPart entry, RelayRequestPart requests, long seed) {
     return List.of(
-        entry, requests, new LoadSharePart(entry, requests), new SchedulerPart(entry, name, seed));
+        entry,
+        requests,
+        new LoadExchangePart(entry, requests),
+        new SchedulerPart(entry, name, seed));
   }
 
   private void startUpstream(int number, int start) {
@@ -156,13 +159,13 @@
     String[] words = upstream.instance.id().substring("up-".length()).split("\\.");
     int number = Integer.parseInt(words[0]);
     int start = Integer.parseInt(words[1]);
-    after(1500, () -> startUpstream(number, start + 1));
+    schedule(1500, () -> startUpstream(number, start + 1));
   }
 
   /** Sends requests to all entries alike for as long as the run lasts. */
   void load(double requestsPerSecond) {
     double pause = -Math.log(1 - random.nextDouble()) * 1000 / requestsPerSecond;
-    after(
+    schedule(
         Math.max(1, Math.round(pause)),
         () -> {
           send();
@@ -205,7 +208,7 @@
   @Override
   void onEffect(String node, Effect effect) {
     if (effect instanceof RelayEffect.SendAttempt sent) {
-      after(1, () -> arrives(node, sent));
+      schedule(1, () -> arrives(node, sent));
     } else if (effect instanceof RelayEffect.Refuse refuse) {
       refused += entryByRequest.remove(refuse.request()) == null ? 0 : 1;
     } else if (effect instanceof RelayEffect.BreakOff broken) {
@@ -228,12 +231,12 @@
       count(upstream, entry);
     }
     if (random.nextDouble() < REJECTED_SHARE) {
-      after(upTo(5), () -> answers(upstream, entry, sent, 503, true));
+      schedule(randomMillis(5), () -> answers(upstream, entry, sent, 503, true));
     } else {
       upstream.running++;
-      int first = engines ? 50 + upTo(FIRST_BYTE_MILLIS) : 30 + upTo(30);
+      int first = engines ? 50 + randomMillis(FIRST_BYTE_MILLIS) : 30 + randomMillis(30);
       int shared = RUNNING_MILLIS * upstream.running;
-      after(first + shared, () -> answers(upstream, entry, sent, 200, false));
+      schedule(first + shared, () -> answers(upstream, entry, sent, 200, false));
     }
   }
 
@@ -259,8 +262,8 @@
         new RelayEvent.AnswerBegan(
             sent.request(), sent.attempt(), status, notRun, confidence, limit));
     if (!notRun) {
-      after(
-          engines ? upTo(ANSWER_MILLIS) : 0,
+      schedule(
+          engines ? randomMillis(ANSWER_MILLIS) : 0,
           () -> {
             upstream.running--;
             entryByRequest.remove(sent.request());
@@ -279,14 +282,14 @@
    * Returns the upstreams that an entry in touch believes to be limited though they have answered
    * without a limit {@link #CONTACT} ago.
    */
-  List<String> staleBeliefs() {
-    Instant since = network.now().minus(CONTACT);
+  List<String> staleLimits() {
+    Instant since = network.now().minus(SETTLE_TIME);
     List<String> stale = new ArrayList<>();
     for (Upstream upstream : running()) {
       Instant free = upstream.freeSince;
       if (free != null && free.isBefore(since)) {
         entries.stream()
-            .filter(entry -> isAwake(entry) && isInTouch(entry) && believesLimited(entry, upstream))
+            .filter(entry -> isAwake(entry) && isSettled(entry) && believesLimited(entry, upstream))
             .forEach(entry -> stale.add(entry + " of " + upstream.instance.id()));
       }
     }
@@ -294,7 +297,7 @@
   }
 
   private boolean believesLimited(String entry, Upstream upstream) {
-    UpstreamTrack track = entryParts.get(entry).track(upstream.instance.id());
+    TrackedUpstream track = entryParts.get(entry).track(upstream.instance.id());
     return track != null && track.rateLimit().isBounded();
   }
 
@@ -302,7 +305,7 @@
     Instant now = network.now();
     Instant told = upstream.toldAt.get(entry);
     boolean knows = told != null && !now.isBefore(told.plus(OBEYED));
-    if (!knows || !isCalm(entry) || now.isBefore(upstream.namedAt.plus(CONTACT))) {
+    if (!knows || !isUndisturbed(entry) || now.isBefore(upstream.namedAt.plus(SETTLE_TIME))) {
       return;
     }
     upstream.counted.addLast(now);
@@ -329,7 +332,7 @@
 
   /** Returns the loosest limit that an entry may still go by. */
   private double loosest(Upstream upstream) {
-    Instant since = network.now().minus(CONTACT).minus(WINDOW);
+    Instant since = network.now().minus(SETTLE_TIME).minus(WINDOW);
     List<Earlier> late = new ArrayList<>();
     upstream.earlier.stream().filter(one -> one.until().isAfter(since)).forEach(late::add);
     upstream.earlier.removeIf(one -> !one.until().isAfter(since));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitTest.java
@@ -63,7 +63,7 @@
     run.run(Duration.ofSeconds(2));
     List<Upstream> limited = run.running().subList(0, (upstreamCount + 1) / 2);
     limited.forEach(upstream -> run.limit(upstream, perSecond));
-    run.run(EmulatedDeployment.CONTACT.plusSeconds(2));
+    run.run(EmulatedDeployment.SETTLE_TIME.plusSeconds(2));
     double rate = run.rate(limited, Duration.ofSeconds(20));
     assertTrue(rate >= 0.5 * perSecond, rate + " a second at a limit of " + perSecond);
     assertTrue(run.refused <= 0.03 * run.requests, run.refused + " refused of " + run.requests);
@@ -71,7 +71,7 @@
     run.run(Duration.ofSeconds(5));
     double free = run.rate(limited, Duration.ofSeconds(10));
     assertTrue(free > 1.5 * perSecond, free + " a second once lifted");
-    assertEquals(run.staleBeliefs(), List.of());
+    assertEquals(run.staleLimits(), List.of());
     assertEquals(run.worst, "");
   }
 
@@ -98,7 +98,7 @@
       randomRun(run);
       assertEquals(run.worst, "", "seed " + seed);
       run.run(Duration.ofSeconds(5));
-      assertEquals(run.staleBeliefs(), List.of(), "seed " + seed);
+      assertEquals(run.staleLimits(), List.of(), "seed " + seed);
       sends += run.limitedSends;
     }
     System.out.println(seeds + " seeds, " + sends + " sends to limited upstreams");
@@ -148,8 +148,8 @@
     for (String name : struck) {
       run.crash(name);
     }
-    everyStruck(run).forEach(run::disturbed);
-    run.disturbed(entry);
+    everyStruck(run).forEach(run::markDisturbed);
+    run.markDisturbed(entry);
     return struck;
   }
 
@@ -160,7 +160,7 @@
   }
 
   private static void recover(RateLimitSimulation run, List<String> struck) {
-    everyStruck(run).forEach(run::disturbed);
+    everyStruck(run).forEach(run::markDisturbed);
     run.network.reconnectAll();
     for (String name : everyStruck(run)) {
       if (run.network.isSuspended(name)) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimiterTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimiterTest.java
@@ -21,20 +21,20 @@
 
   private static RelayFixture.FakeView view(int number, int of, String... schedulers) {
     RelayFixture.FakeView view = new RelayFixture.FakeView();
-    view.place = new EntryPlace(number, of);
+    view.place = new EntryOrdinal(number, of);
     view.schedulers = List.of(schedulers);
     return view;
   }
 
-  private static UpstreamTrack track(String id, double perSecond) {
+  private static TrackedUpstream track(String id, double perSecond) {
     UpstreamStatus status =
         new UpstreamStatus(RelayFixture.instance(id, "v1"), UpstreamCondition.READY);
-    UpstreamTrack track = new UpstreamTrack(status);
-    track.rate().heard(new RateLimit(perSecond), START);
+    TrackedUpstream track = new TrackedUpstream(status);
+    track.rate().recordLimit(new RateLimit(perSecond), START);
     return track;
   }
 
-  private static RateShare schedulersShare(UpstreamTrack track) {
+  private static RateShare schedulersShare(TrackedUpstream track) {
     SchedulerRole role = new SchedulerRole(view(0, 75, SCHEDULER), SCHEDULER);
     role.tick(START);
     return new SchedulerRateDivision(role).share(ENGINES, track, START.plusSeconds(2));
@@ -58,7 +58,7 @@
   /** Guards against parts of daemons that add up to more than an upstream takes. */
   @Test(dataProvider = "limits")
   public void partsAddUpToTheLimit(int entries, boolean scheduled, double perSecond) {
-    UpstreamTrack track = track("up", perSecond);
+    TrackedUpstream track = track("up", perSecond);
     double rates = scheduled ? schedulersShare(track).perSecond() : 0;
     double bursts = scheduled ? schedulersShare(track).burst() : 0;
     for (int number = 0; number < entries; number++) {
@@ -66,9 +66,9 @@
       RateDivision division = new EntryRateDivision(view(number, entries, schedulers));
       RateShare share = division.share(ENGINES, track, START);
       rates += share.perSecond();
-      bursts += share.isNothing() ? 0 : share.burst();
+      bursts += share.isNone() ? 0 : share.burst();
     }
-    double meant = Math.max(perSecond, RateDivision.LEAST_PER_SECOND);
+    double meant = Math.max(perSecond, RateDivision.MIN_PER_SECOND);
     assertEquals(rates, meant, 1e-9 * meant);
     assertTrue(bursts <= (1 + 1e-9) * (4 + 1.5 * perSecond), "at once: " + bursts);
     double inFourSeconds = bursts + 4 * rates;
@@ -78,18 +78,19 @@
   @Test
   public void entryWithoutNumberSendsNothingToLimitedUpstreams() {
     RateLimiter limiter = new RateLimiter(new EntryRateDivision(view(0, 0)));
-    assertFalse(limiter.takes(PLAIN, track("up", 5), START.plusSeconds(60)));
-    assertTrue(limiter.takes(PLAIN, track("up", Double.POSITIVE_INFINITY), START));
+    assertFalse(limiter.allows(PLAIN, track("up", 5), START.plusSeconds(60)));
+    assertTrue(limiter.allows(PLAIN, track("up", Double.POSITIVE_INFINITY), START));
   }
 
   @Test
   public void callersAreToldWhenTheNextRequestIsTaken() {
     RateLimiter limiter = new RateLimiter(new EntryRateDivision(view(0, 1)));
-    UpstreamTrack track = track("up", 0.5);
-    assertEquals(limiter.untilTaken(PLAIN, track, START), Duration.ofSeconds(2));
-    assertEquals(limiter.untilTaken(PLAIN, track, START.plusSeconds(2)), Duration.ZERO);
-    limiter.sent(PLAIN, track, START.plusSeconds(2));
-    assertEquals(limiter.untilTaken(PLAIN, track, START.plusMillis(2500)), Duration.ofMillis(1500));
+    TrackedUpstream track = track("up", 0.5);
+    assertEquals(limiter.timeUntilAllowed(PLAIN, track, START), Duration.ofSeconds(2));
+    assertEquals(limiter.timeUntilAllowed(PLAIN, track, START.plusSeconds(2)), Duration.ZERO);
+    limiter.recordSent(PLAIN, track, START.plusSeconds(2));
+    assertEquals(
+        limiter.timeUntilAllowed(PLAIN, track, START.plusMillis(2500)), Duration.ofMillis(1500));
   }
 
   /** Guards against sends that are allowed twice as a part comes and goes with other entries. */
@@ -97,14 +98,14 @@
   public void partThatComesBackBeginsEmpty() {
     RelayFixture.FakeView view = view(0, 1);
     RateLimiter limiter = new RateLimiter(new EntryRateDivision(view));
-    UpstreamTrack track = track("up", 1);
-    assertFalse(limiter.takes(PLAIN, track, START));
-    assertTrue(limiter.takes(PLAIN, track, START.plusSeconds(9)));
-    view.place = EntryPlace.UNKNOWN;
-    assertFalse(limiter.takes(PLAIN, track, START.plusSeconds(10)));
-    view.place = new EntryPlace(0, 1);
-    assertFalse(limiter.takes(PLAIN, track, START.plusSeconds(11)));
-    assertTrue(limiter.takes(PLAIN, track, START.plusSeconds(12)));
+    TrackedUpstream track = track("up", 1);
+    assertFalse(limiter.allows(PLAIN, track, START));
+    assertTrue(limiter.allows(PLAIN, track, START.plusSeconds(9)));
+    view.place = EntryOrdinal.UNKNOWN;
+    assertFalse(limiter.allows(PLAIN, track, START.plusSeconds(10)));
+    view.place = new EntryOrdinal(0, 1);
+    assertFalse(limiter.allows(PLAIN, track, START.plusSeconds(11)));
+    assertTrue(limiter.allows(PLAIN, track, START.plusSeconds(12)));
   }
 
   private static int entriesOfTwoThatSendAfterSecond(boolean knownFromTheStart) {
@@ -112,13 +113,13 @@
     for (int number = 0; number < 2; number++) {
       RelayFixture.FakeView view = view(0, 0);
       RateLimiter limiter = new RateLimiter(new EntryRateDivision(view));
-      UpstreamTrack track = track("up", 1);
+      TrackedUpstream track = track("up", 1);
       if (!knownFromTheStart) {
-        limiter.takes(PLAIN, track, START);
+        limiter.allows(PLAIN, track, START);
       }
-      view.place = new EntryPlace(number, 2);
-      limiter.takes(PLAIN, track, START);
-      send += limiter.takes(PLAIN, track, START.plusSeconds(1)) ? 1 : 0;
+      view.place = new EntryOrdinal(number, 2);
+      limiter.allows(PLAIN, track, START);
+      send += limiter.allows(PLAIN, track, START.plusSeconds(1)) ? 1 : 0;
     }
     return send;
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayEntryPartTest.java
@@ -65,8 +65,8 @@
     return new UpstreamInstance("up", "service", "10.0.0.1:80", "a", "v1", 1, sequence, bornMillis);
   }
 
-  private UpstreamTrack onlyUpstream() {
-    List<UpstreamTrack> known = entry.upstreams("service");
+  private TrackedUpstream onlyUpstream() {
+    List<TrackedUpstream> known = entry.upstreams("service");
     assertEquals(known.size(), 1);
     return known.get(0);
   }
@@ -78,8 +78,8 @@
   @Test
   public void statisticsOfEarlierRunAreDiscarded() {
     receiveUpdate(List.of(), newInstance(30, 1000));
-    UpstreamTrack first = onlyUpstream();
-    first.failed(true, RelayFixture.START);
+    TrackedUpstream first = onlyUpstream();
+    first.recordFailure(true, RelayFixture.START);
     receiveUpdate(List.of(), newInstance(1, 2000));
     assertNotSame(onlyUpstream(), first);
     assertEquals(onlyUpstream().failureShare(), 0.0);
@@ -88,7 +88,7 @@
   @Test
   public void lateUpdateOfEarlierRunIsIgnored() {
     receiveUpdate(List.of(), newInstance(1, 2000));
-    UpstreamTrack known = onlyUpstream();
+    TrackedUpstream known = onlyUpstream();
     receiveUpdate(List.of(), newInstance(40, 1000));
     assertSame(onlyUpstream(), known);
     assertEquals(known.instance().sequence(), 1);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
@@ -151,12 +151,12 @@
     RouteTable table = new RouteTable(configuration(1, "key"));
     boolean proven = true;
     boolean settled = true;
-    final List<UpstreamTrack> tracks = new ArrayList<>();
+    final List<TrackedUpstream> tracks = new ArrayList<>();
     List<ServiceRollOut> rollOuts = List.of();
     @Nullable String stableVersion;
     List<String> schedulers = List.of();
     int entries = 1;
-    EntryPlace place = new EntryPlace(0, 1);
+    EntryOrdinal place = new EntryOrdinal(0, 1);
     Duration proofAge = Duration.ZERO;
     final Set<RequestKey> quarantined = new HashSet<>();
     @Nullable String leader = "control-1";
@@ -169,7 +169,7 @@
 
     void add(String id, String version) {
       tracks.add(
-          new UpstreamTrack(new UpstreamStatus(instance(id, version), UpstreamCondition.READY)));
+          new TrackedUpstream(new UpstreamStatus(instance(id, version), UpstreamCondition.READY)));
     }
 
     @Override
@@ -198,7 +198,7 @@
     }
 
     @Override
-    public List<UpstreamTrack> upstreams(String service) {
+    public List<TrackedUpstream> upstreams(String service) {
       return tracks;
     }
 
@@ -218,7 +218,7 @@
     }
 
     @Override
-    public EntryPlace place() {
+    public EntryOrdinal place() {
       return place;
     }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
@@ -176,8 +176,8 @@
   @Test
   public void lookupIsRetriedAtTheOnlyRemainingUpstream() {
     fillRetryBudget();
-    entry.view.tracks.get(1).leaves();
-    entry.view.tracks.get(2).leaves();
+    entry.view.tracks.get(1).markLeaving();
+    entry.view.tracks.get(2).markLeaving();
     String only = entry.send(1, "/lookup/x").target().upstream().id();
     RelayEffect.SendAttempt second =
         RelayFixture.only(
@@ -193,8 +193,8 @@
   @Test
   public void requestIsNotRetriedAtFullUpstream() {
     fillRetryBudget();
-    entry.view.tracks.get(1).leaves();
-    entry.view.tracks.get(2).leaves();
+    entry.view.tracks.get(1).markLeaving();
+    entry.view.tracks.get(2).markLeaving();
     entry.send(1, "/lookup/x");
     RelayEffect.Refuse refuse =
         RelayFixture.only(entry.answers(1, 1, 503, true), RelayEffect.Refuse.class);
@@ -208,8 +208,8 @@
   @Test
   public void errorOfTheOnlyUpstreamIsForwarded() {
     fillRetryBudget();
-    entry.view.tracks.get(1).leaves();
-    entry.view.tracks.get(2).leaves();
+    entry.view.tracks.get(1).markLeaving();
+    entry.view.tracks.get(2).markLeaving();
     entry.send(1, "/book/x");
     RelayFixture.only(entry.answers(1, 1, 500, false), RelayEffect.PassAnswer.class);
   }
@@ -221,7 +221,7 @@
   @Test
   public void requestWaitsForFirstUpstreamAfterFullOutage() {
     fillRetryBudget();
-    final List<UpstreamTrack> known = List.copyOf(entry.view.tracks);
+    final List<TrackedUpstream> known = List.copyOf(entry.view.tracks);
     entry.view.tracks.clear();
     entry.view.settled = false;
     assertTrue(entry.arrives(1, "/lookup/x").isEmpty());
@@ -251,8 +251,8 @@
   @Test
   public void requestThatWouldMissItsDeadlineIsRefused() {
     fillRetryBudget();
-    for (UpstreamTrack track : entry.view.tracks) {
-      track.peers().told("entry-2", 600, 0, RelayFixture.START);
+    for (TrackedUpstream track : entry.view.tracks) {
+      track.peerLoads().update("entry-2", 600, 0, RelayFixture.START);
     }
     RelayEffect.Refuse refuse =
         RelayFixture.only(entry.arrives(1, "/lookup/x"), RelayEffect.Refuse.class);
@@ -305,8 +305,8 @@
   @Test
   public void streamStaysIfOtherUpstreamsWouldBeSlower() {
     fillRetryBudget();
-    for (UpstreamTrack track : entry.view.tracks) {
-      track.peers().told("entry-2", 60, 0, RelayFixture.START);
+    for (TrackedUpstream track : entry.view.tracks) {
+      track.peerLoads().update("entry-2", 60, 0, RelayFixture.START);
     }
     entry.send(1, "/stream/x");
     entry.answers(1, 1, 200, false);
@@ -339,7 +339,7 @@
     RelayFixture.only(
         entry.fails(1, 1, AttemptFailure.STALE_CONNECTION, null), RelayEffect.SendAttempt.class);
     assertTrue(entry.counts.allCounts().isEmpty(), entry.counts.allCounts().toString());
-    for (UpstreamTrack track : entry.view.tracks) {
+    for (TrackedUpstream track : entry.view.tracks) {
       assertEquals(track.failureShare(), 0.0, first);
     }
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ReplayedDeployment.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ReplayedDeployment.java
@@ -20,7 +20,7 @@
     for (int number = 0; number < schedulers; number++) {
       placing.add("entry-" + number);
     }
-    return new Neighbourhood(1, List.of(), names, placing, new EntryPlace(own, entryCount));
+    return new Neighbourhood(1, List.of(), names, placing, new EntryOrdinal(own, entryCount));
   }
 
   /** Returns a configuration with one route for each kind of request and one service of engines. */
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/SchedulerTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/SchedulerTest.java
@@ -182,7 +182,7 @@
   @Test
   public void leavingEngineIsNotUsedThoughTheSchedulerNamesIt() {
     PlacementAsk ask = asks(1);
-    view.tracks.get(1).leaves();
+    view.tracks.get(1).markLeaving();
     List<Effect> effects = answered(new PlacementAnswer(ask.number(), "up-2", 0, 20, 40, 1000));
     assertNotEquals(only(effects, SendAttempt.class).target().upstream().id(), "up-2");
     SendToPeer back = only(effects, SendToPeer.class);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UpstreamRegistryTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UpstreamRegistryTest.java
@@ -188,11 +188,11 @@
   }
 
   private boolean reportLimit(double perSecond, long ageMillis, Instant now) {
-    NamedLimit named = new NamedLimit(new RateLimit(perSecond), ageMillis);
+    ReportedLimit named = new ReportedLimit(new RateLimit(perSecond), ageMillis);
     return registry.recordRateLimit(new UpstreamRun("up", 0), named, "entry-1", now);
   }
 
-  private @Nullable NamedLimit sentLimit() {
+  private @Nullable ReportedLimit sentLimit() {
     return registry.all(RelayFixture.START.plusSeconds(9)).get(0).named();
   }
 
@@ -213,7 +213,7 @@
     registry.recordHeartbeat(heartbeat("up", "one", 1), false, RelayFixture.START);
     assertTrue(reportLimit(2, 0, RelayFixture.START.plusSeconds(5)));
     assertFalse(reportLimit(30, 700, RelayFixture.START.plusMillis(5200)));
-    assertEquals(sentLimit(), new NamedLimit(new RateLimit(2), 4000));
+    assertEquals(sentLimit(), new ReportedLimit(new RateLimit(2), 4000));
     assertTrue(reportLimit(Double.POSITIVE_INFINITY, 100, RelayFixture.START.plusSeconds(6)));
     assertEquals(registry.limitedUpstreams(), List.of());
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UrgencyTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/UrgencyTest.java
@@ -21,8 +21,8 @@
             team,
             RelayFixture.START,
             RelayFixture.START.plusSeconds(2));
-    UpstreamTrack track =
-        new UpstreamTrack(
+    TrackedUpstream track =
+        new TrackedUpstream(
             new UpstreamStatus(RelayFixture.instance("up", "v1"), UpstreamCondition.READY));
     return Urgency.of(relay, new Placement(track, 0, workMillis, workMillis, 1, null));
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/RoutingFakes.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/RoutingFakes.java
@@ -20,7 +20,7 @@
 import org.skylarkfork.core.configuration.Team;
 import org.skylarkfork.core.configuration.VersionPolicy;
 import org.skylarkfork.core.quality.AttemptOutcome;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 import org.skylarkfork.core.request.Bytes;
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.RequestKind;
@@ -186,7 +186,7 @@
   }
 
   /** Estimates and suspicions that tests set. */
-  static final class FakeQuality implements QualityBook {
+  static final class FakeQuality implements VersionQuality {
     final Set<ModelVersion> suspects = new HashSet<>();
     final Map<ModelVersion, Estimate> estimates = new HashMap<>();
     final List<AttemptOutcome> recorded = new ArrayList<>();
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
@@ -10,8 +10,8 @@
 import org.skylarkfork.core.Part;
 import org.skylarkfork.core.Reducer;
 import org.skylarkfork.core.admission.AdmissionSettings;
+import org.skylarkfork.core.admission.AnnouncedCapacity;
 import org.skylarkfork.core.admission.FairAdmission;
-import org.skylarkfork.core.admission.KnownCapacity;
 import org.skylarkfork.core.admission.LeasedShares;
 import org.skylarkfork.core.admission.ShareSettings;
 import org.skylarkfork.core.admission.TeamLoad;
@@ -62,7 +62,7 @@
 import org.skylarkfork.core.order.OrderPart;
 import org.skylarkfork.core.order.OrderSettings;
 import org.skylarkfork.core.quality.QualitySettings;
-import org.skylarkfork.core.quality.SharedQualityBook;
+import org.skylarkfork.core.quality.SharedVersionQuality;
 import org.skylarkfork.core.routing.Candidates;
 import org.skylarkfork.core.routing.ChooserSettings;
 import org.skylarkfork.core.routing.CompiledRules;
@@ -75,7 +75,7 @@
 import org.skylarkfork.core.routing.PlannerSettings;
 import org.skylarkfork.core.routing.PowerOfTwoChooser;
 import org.skylarkfork.core.routing.RoutePlanner;
-import org.skylarkfork.core.routing.Versions;
+import org.skylarkfork.core.routing.VersionChooser;
 import org.skylarkfork.core.session.SessionPart;
 import org.skylarkfork.core.session.SessionSettings;
 import org.skylarkfork.core.session.SessionTokens;
@@ -104,7 +104,7 @@
   private final ConfigurationPart configuration;
   private final DirectoryPart directory;
   private final EntryList entries;
-  private final SharedQualityBook quality;
+  private final SharedVersionQuality quality;
   private final SessionPart sessions;
   private final LedgerPart ledger;
   private final OrderPart orders;
@@ -158,7 +158,7 @@
     shares = new LeasedShares(membership, this::load, this::limits, ShareSettings.DEFAULT);
     admission =
         new FairAdmission(
-            new KnownCapacity(directory, this::servingEntries, HEADROOM),
+            new AnnouncedCapacity(directory, this::servingEntries, HEADROOM),
             shares,
             AdmissionSettings.DEFAULT);
     requests = requestPart(planner);
@@ -206,8 +206,8 @@
         settings.entryListLifetime(), EntryListSettings.DEFAULT.propagationMargin());
   }
 
-  private SharedQualityBook qualityBook(long incarnation) {
-    return new SharedQualityBook(
+  private SharedVersionQuality qualityBook(long incarnation) {
+    return new SharedVersionQuality(
         settings.node(),
         incarnation,
         QualitySettings.DEFAULT,
@@ -256,7 +256,7 @@
     Candidates candidates =
         new Candidates(
             configuration,
-            new Versions(configuration, directory, quality, sessions, settings.zone()));
+            new VersionChooser(configuration, directory, quality, sessions, settings.zone()));
     return new RoutePlanner(
         new LeastCostPlanner(candidates, quality, PlannerSettings.DEFAULT, seed),
         new DirectPlanner(candidates),
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayMessages.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayMessages.java
@@ -23,7 +23,7 @@
 import org.skylarkfork.core.message.RelayMessage.UpstreamHeard;
 import org.skylarkfork.core.message.RelayMessage.UpstreamLoad;
 import org.skylarkfork.core.message.RelayMessage.UpstreamRateLimit;
-import org.skylarkfork.core.relay.EntryPlace;
+import org.skylarkfork.core.relay.EntryOrdinal;
 import org.skylarkfork.core.relay.VersionCounts;
 
 /** The messages between entries and control VMs. */
@@ -277,12 +277,12 @@
                 from.list(PackedReader::text),
                 from.list(PackedReader::text),
                 more.next() ? from.list(PackedReader::text) : List.of(),
-                more.next() ? readPlace(from, more) : EntryPlace.UNKNOWN));
+                more.next() ? readPlace(from, more) : EntryOrdinal.UNKNOWN));
   }
 
-  private static EntryPlace readPlace(PackedReader in, PackedReader.Components more) {
+  private static EntryOrdinal readPlace(PackedReader in, PackedReader.Components more) {
     int number = in.smallNumber();
-    return more.next() ? new EntryPlace(number, in.smallNumber()) : EntryPlace.UNKNOWN;
+    return more.next() ? new EntryOrdinal(number, in.smallNumber()) : EntryOrdinal.UNKNOWN;
   }
 
   private static void writeUpdate(EntryUpdate update, PackedWriter out) {
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayValues.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayValues.java
@@ -8,7 +8,6 @@
 import org.skylarkfork.core.relay.EngineProfile;
 import org.skylarkfork.core.relay.Evacuation;
 import org.skylarkfork.core.relay.ModelPrice;
-import org.skylarkfork.core.relay.NamedLimit;
 import org.skylarkfork.core.relay.QuarantinedRequest;
 import org.skylarkfork.core.relay.RateLimit;
 import org.skylarkfork.core.relay.RelayConfiguration;
@@ -16,6 +15,7 @@
 import org.skylarkfork.core.relay.RelayRoute;
 import org.skylarkfork.core.relay.RelayService;
 import org.skylarkfork.core.relay.RelayTeam;
+import org.skylarkfork.core.relay.ReportedLimit;
 import org.skylarkfork.core.relay.RollOutPhase;
 import org.skylarkfork.core.relay.RouteKind;
 import org.skylarkfork.core.relay.ServiceRollOut;
@@ -352,12 +352,12 @@
                 more.next() ? from.optional(RelayValues::readNamed) : null));
   }
 
-  static void writeNamed(NamedLimit named, PackedWriter out) {
+  static void writeNamed(ReportedLimit named, PackedWriter out) {
     out.record(2).real(named.limit().perSecond()).number(named.ageMillis());
   }
 
-  static NamedLimit readNamed(PackedReader in) {
-    return in.record(2, from -> new NamedLimit(new RateLimit(from.real()), from.number()));
+  static ReportedLimit readNamed(PackedReader in) {
+    return in.record(2, from -> new ReportedLimit(new RateLimit(from.real()), from.number()));
   }
 
   static void writeCounts(VersionCounts counts, PackedWriter out) {
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/DecisionMeasure.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/DecisionMeasure.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import java.util.function.BiFunction;
 import java.util.function.LongFunction;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 import org.skylarkfork.core.routing.BestModelPlanner;
 import org.skylarkfork.core.routing.Candidates;
 import org.skylarkfork.core.routing.CheapestModelPlanner;
@@ -50,7 +50,7 @@
   }
 
   private static void planner(
-      String name, BiFunction<Candidates, QualityBook, Planner> make, long seed) {
+      String name, BiFunction<Candidates, VersionQuality, Planner> make, long seed) {
     PlannerMeasure.Result result = new PlannerMeasure(make, seed).run();
     System.out.println(
         String.format(
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/DetectionMeasure.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/DetectionMeasure.java
@@ -13,7 +13,7 @@
 import org.skylarkfork.core.configuration.Price;
 import org.skylarkfork.core.configuration.RollOut;
 import org.skylarkfork.core.quality.AttemptOutcome;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 
 /**
  * Measures how many requests and sessions a version that turns bad gets until it is suspect.
@@ -159,7 +159,7 @@
     private final Decay decay;
     private final int entries;
     private final UniformRandomProvider random;
-    private final List<QualityBook> books = new ArrayList<>();
+    private final List<VersionQuality> books = new ArrayList<>();
     private final @Nullable EntryBooks network;
     private int requests;
     private int sessions;
@@ -207,7 +207,7 @@
     }
 
     private void request(int second, Instant now) {
-      QualityBook book = books.get(random.nextInt(entries));
+      VersionQuality book = books.get(random.nextInt(entries));
       boolean isNew = random.nextBoolean() && !book.isSuspect(NEW);
       boolean begins = random.nextDouble() < NEW_SESSION_SHARE;
       if (isNew && second >= ONSET_SECOND) {
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/EntryBooks.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/EntryBooks.java
@@ -10,16 +10,16 @@
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.LifecycleEvent;
 import org.skylarkfork.core.event.PeerEvent;
-import org.skylarkfork.core.quality.QualityBook;
 import org.skylarkfork.core.quality.QualitySettings;
-import org.skylarkfork.core.quality.SharedQualityBook;
+import org.skylarkfork.core.quality.SharedVersionQuality;
+import org.skylarkfork.core.quality.VersionQuality;
 import org.skylarkfork.core.quality.VersionWithdrawer;
 
 /** The shared books of some entries, with a network whose messages take until the next second. */
 public final class EntryBooks {
 
   private final List<String> names = new ArrayList<>();
-  private final List<SharedQualityBook> books = new ArrayList<>();
+  private final List<SharedVersionQuality> books = new ArrayList<>();
   private final List<Reducer> reducers = new ArrayList<>();
   private List<Sent> inFlight = new ArrayList<>();
 
@@ -35,8 +35,8 @@
       names.add("entry" + i);
     }
     for (int i = 0; i < entries; i++) {
-      SharedQualityBook book =
-          new SharedQualityBook(
+      SharedVersionQuality book =
+          new SharedVersionQuality(
               names.get(i),
               1,
               QualitySettings.DEFAULT,
@@ -50,7 +50,7 @@
   }
 
   /** Returns the book of an entry. */
-  public QualityBook book(int entry) {
+  public VersionQuality book(int entry) {
     return books.get(entry);
   }
 
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/PlannerMeasure.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/PlannerMeasure.java
@@ -17,7 +17,7 @@
 import org.skylarkfork.core.configuration.Rule;
 import org.skylarkfork.core.configuration.Team;
 import org.skylarkfork.core.quality.AttemptOutcome;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 import org.skylarkfork.core.request.Bytes;
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.RequestKind;
@@ -26,7 +26,7 @@
 import org.skylarkfork.core.routing.Plan;
 import org.skylarkfork.core.routing.PlanQuery;
 import org.skylarkfork.core.routing.Planner;
-import org.skylarkfork.core.routing.Versions;
+import org.skylarkfork.core.routing.VersionChooser;
 
 /**
  * Drafts of unlike difficulty on three models of unlike cost, whose quality must be found out.
@@ -55,7 +55,7 @@
 
   private final UniformRandomProvider random;
   private final EntryBooks books;
-  private final QualityBook quality;
+  private final VersionQuality quality;
   private final Planner planner;
   private final Map<String, ModelVersion> pins = new HashMap<>();
   private final Team team;
@@ -75,7 +75,7 @@
    * @param make makes the planner from candidates and the book
    * @param seed seed of requests and answers
    */
-  public PlannerMeasure(BiFunction<Candidates, QualityBook, Planner> make, long seed) {
+  public PlannerMeasure(BiFunction<Candidates, VersionQuality, Planner> make, long seed) {
     random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     List<ModelTruth> models = models(0.55);
     truths = byVersion(models);
@@ -83,8 +83,9 @@
         FixedConfiguration.of(models.stream().map(ModelTruth::configured).toList(), List.of());
     books = new EntryBooks(1, configuration, seed);
     quality = books.book(0);
-    Versions versions =
-        new Versions(configuration, new FixedDirectory(), quality, new MapPins(pins), "wien-halle");
+    VersionChooser versions =
+        new VersionChooser(
+            configuration, new FixedDirectory(), quality, new MapPins(pins), "wien-halle");
     planner = make.apply(new Candidates(configuration, versions), quality);
     team =
         new Team(
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/WindowQualityBook.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/WindowQualityBook.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 import org.skylarkfork.core.configuration.ModelVersion;
 import org.skylarkfork.core.quality.AttemptOutcome;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 
 /** The simplest baseline: each entry alone suspects a version whose last ratings are too low. */
-public final class WindowQualityBook implements QualityBook {
+public final class WindowQualityBook implements VersionQuality {
 
   private final int window;
   private final double threshold;
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/MeasuredDaemon.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/MeasuredDaemon.java
@@ -8,10 +8,10 @@
 import org.skylarkfork.core.Reducer;
 import org.skylarkfork.core.admission.Admission;
 import org.skylarkfork.core.admission.AdmissionSettings;
+import org.skylarkfork.core.admission.AnnouncedCapacity;
 import org.skylarkfork.core.admission.EvenShares;
 import org.skylarkfork.core.admission.FairAdmission;
 import org.skylarkfork.core.admission.FifoAdmission;
-import org.skylarkfork.core.admission.KnownCapacity;
 import org.skylarkfork.core.admission.OpenAdmission;
 import org.skylarkfork.core.attempt.RequestCollaborators;
 import org.skylarkfork.core.attempt.RequestPart;
@@ -33,9 +33,9 @@
 import org.skylarkfork.core.membership.MembershipPart;
 import org.skylarkfork.core.membership.MembershipSettings;
 import org.skylarkfork.core.membership.ServingState;
-import org.skylarkfork.core.quality.QualityBook;
 import org.skylarkfork.core.quality.QualitySettings;
-import org.skylarkfork.core.quality.SharedQualityBook;
+import org.skylarkfork.core.quality.SharedVersionQuality;
+import org.skylarkfork.core.quality.VersionQuality;
 import org.skylarkfork.core.quality.VersionWithdrawer;
 import org.skylarkfork.core.routing.BestModelPlanner;
 import org.skylarkfork.core.routing.Candidates;
@@ -53,7 +53,7 @@
 import org.skylarkfork.core.routing.RoundRobinChooser;
 import org.skylarkfork.core.routing.RoutePlanner;
 import org.skylarkfork.core.routing.UpstreamChooser;
-import org.skylarkfork.core.routing.Versions;
+import org.skylarkfork.core.routing.VersionChooser;
 import org.skylarkfork.core.session.SessionPart;
 import org.skylarkfork.core.session.SessionSettings;
 import org.skylarkfork.core.session.SessionTokens;
@@ -70,7 +70,7 @@
   private final FakeConfiguration configuration;
   private final MembershipPart membership;
   private final DirectoryPart directory;
-  private final SharedQualityBook shared;
+  private final SharedVersionQuality shared;
   private final CountingLedger ledger;
   private final Reducer reducer;
 
@@ -95,7 +95,7 @@
         new MembershipPart(self, List.of(), configuration, MembershipSettings.DEFAULT, seed);
     directory = new DirectoryPart(membership, configuration, DirectorySettings.DEFAULT, seed);
     shared = sharedBook();
-    QualityBook quality = shared;
+    VersionQuality quality = shared;
     Part qualityPart = shared;
     if (policy.detection() != Policy.DetectionKind.SEQUENTIAL) {
       boolean detects = policy.detection() == Policy.DetectionKind.THRESHOLD;
@@ -120,7 +120,8 @@
             new RequestCollaborators(
                 configuration,
                 current -> new CompiledRules(current.rules()),
-                planner(new Versions(configuration, directory, quality, sessions, zone), quality),
+                planner(
+                    new VersionChooser(configuration, directory, quality, sessions, zone), quality),
                 directory,
                 chooser(zone),
                 quality,
@@ -165,7 +166,7 @@
         ServingState.SERVING);
   }
 
-  private SharedQualityBook sharedBook() {
+  private SharedVersionQuality sharedBook() {
     VersionWithdrawer withdrawer =
         policy.detection() == Policy.DetectionKind.SEQUENTIAL
             ? (version, changeId, reason, now, output) ->
@@ -175,11 +176,11 @@
                         "quality",
                         new ConfigurationChange.WithdrawVersion(version, null)))
             : VersionWithdrawer.NONE;
-    return new SharedQualityBook(
+    return new SharedVersionQuality(
         NODE, 1, QualitySettings.DEFAULT, configuration, List::of, withdrawer, seed);
   }
 
-  private Planner planner(Versions versions, QualityBook quality) {
+  private Planner planner(VersionChooser versions, VersionQuality quality) {
     Candidates candidates = new Candidates(configuration, versions);
     Planner cheapest =
         switch (policy.planner()) {
@@ -206,7 +207,7 @@
     return switch (policy.admission()) {
       case FAIR ->
           new FairAdmission(
-              new KnownCapacity(directory, () -> 1, 1),
+              new AnnouncedCapacity(directory, () -> 1, 1),
               new EvenShares(() -> 1),
               AdmissionSettings.DEFAULT);
       case FIFO -> new FifoAdmission(slots(), MOST_WAITING);
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/ThresholdBook.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/ThresholdBook.java
@@ -11,16 +11,16 @@
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.LifecycleEvent;
 import org.skylarkfork.core.quality.AttemptOutcome;
-import org.skylarkfork.core.quality.QualityBook;
+import org.skylarkfork.core.quality.VersionQuality;
 import org.skylarkfork.standin.measure.WindowQualityBook;
 
 /** The usual estimates, but bad versions found by a fixed threshold, or not at all. */
-final class ThresholdBook implements QualityBook, Part {
+final class ThresholdBook implements VersionQuality, Part {
 
   private static final int WINDOW = 200;
   private static final double THRESHOLD = 0.65;
 
-  private final QualityBook estimates;
+  private final VersionQuality estimates;
   private final Part estimating;
   private final boolean detects;
   private final WindowQualityBook window = new WindowQualityBook(WINDOW, THRESHOLD);
@@ -34,7 +34,7 @@
    * @param estimating the same as a part
    * @param detects whether the threshold is looked at
    */
-  ThresholdBook(QualityBook estimates, Part estimating, boolean detects) {
+  ThresholdBook(VersionQuality estimates, Part estimating, boolean detects) {
     this.estimates = estimates;
     this.estimating = estimating;
     this.detects = detects;
