--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/OutgoingPeer.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/OutgoingPeer.java
@@ -19,10 +19,10 @@
 import org.tinylog.Logger;
 
 /**
- * The one outgoing connection to a peer, opened when there is something to send.
+ * The single outgoing connection to a peer, opened when there is a frame to send.
  *
- * <p>A lost connection drops what waits: it was addressed to a moment that has passed, and the
- * protocols above resend what still matters.
+ * <p>The loss of a connection drops the queued frames: they may be outdated, and the protocols
+ * above resend what is still needed.
  */
 final class OutgoingPeer {
 
@@ -49,7 +49,7 @@
   private @Nullable Channel connection;
   private int failures;
   private long attempt;
-  private long startedAt;
+  private long stepStartedAt;
   private volatile long lastReadAt;
   private volatile long keepAliveSentAt;
   private volatile long lastSentAt;
@@ -75,12 +75,12 @@
     return address;
   }
 
-  /** Returns the bytes that wait for this peer. */
+  /** Returns the size in bytes of the frames queued for this peer. */
   int queuedBytes() {
     return queue.bytes();
   }
 
-  /** Queues a frame and connects if need be. */
+  /** Queues a frame and connects if there is no connection. */
   void send(byte[] frame) {
     queue.add(frame);
     synchronized (this) {
@@ -92,7 +92,7 @@
     scheduleDrain();
   }
 
-  /** Keeps the connection alive, or ends it if it is overdue, silent or idle. */
+  /** Sends a keep-alive frame if one is due; disconnects if a timeout has expired. */
   void check(long now) {
     String lost;
     synchronized (this) {
@@ -103,7 +103,7 @@
 
   private @Nullable String checkConnection(long now) {
     TransportSettings.Limits limits = context.settings.limits();
-    if (state == State.CONNECTING && now - startedAt > stepTimeout(limits).toNanos()) {
+    if (state == State.CONNECTING && now - stepStartedAt > stepTimeout(limits).toNanos()) {
       return disconnect("no " + (connection == null ? "connection" : "welcome"), false);
     }
     if (state != State.READY) {
@@ -124,39 +124,45 @@
   }
 
   /**
-   * Returns how long the present step of connecting may take.
+   * Returns the timeout of the current step of connecting.
    *
-   * <p>A connection that is open but not welcomed belongs to a process that has much to do, as all
-   * have after a crash of everything. Closed and opened again, it cost both sides the work twice
-   * and lost the votes that waited: a leader was there 0.7 s later.
+   * <p>A connection that is open but not welcomed belongs to a busy process, as all are at a
+   * restart of the whole deployment after a crash of all daemons. Closing and reopening such a
+   * connection made both sides repeat the work and lost the queued votes, which delayed the
+   * election of a leader by 0.7 s.
    */
   private Duration stepTimeout(TransportSettings.Limits limits) {
     return connection == null ? limits.connectTimeout() : limits.silenceTimeout();
   }
 
-  /** Called without the lock: the reducer may wait for it while its mailbox is full. */
+  /**
+   * Reports a lost connection.
+   *
+   * <p>Must be called without the lock: the call may block while the reducer's mailbox is full.
+   */
   private void reportLost(@Nullable String why) {
     if (why != null) {
       context.reportLost(node, why);
     }
   }
 
-  /** Sends what waits, as far as the connection takes it, and closes for good. */
+  /** Sends the queued frames that the connection accepts, then closes permanently. */
   CompletableFuture<Void> close() {
-    Channel last;
+    Channel channel;
     synchronized (this) {
-      last = state == State.READY ? connection : null;
+      channel = state == State.READY ? connection : null;
     }
-    if (last == null) {
+    if (channel == null) {
       closeNow();
       return CompletableFuture.completedFuture(null);
     }
     CompletableFuture<Void> sent = new CompletableFuture<>();
-    last.eventLoop()
+    channel
+        .eventLoop()
         .execute(
             () -> {
               drain();
-              last.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> sent.complete(null));
+              channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(done -> sent.complete(null));
             });
     return sent.whenComplete((done, failure) -> closeNow());
   }
@@ -169,40 +175,40 @@
 
   private void connect() {
     state = State.CONNECTING;
-    startedAt = System.nanoTime();
+    stepStartedAt = System.nanoTime();
     attempt++;
-    long thisAttempt = attempt;
+    long currentAttempt = attempt;
     client
         .clone()
-        .handler(new ConnectionInitializer(thisAttempt))
+        .handler(new ConnectionInitializer(currentAttempt))
         .connect(address)
         .addListener(
             (ChannelFutureListener)
                 done -> {
                   if (done.isSuccess()) {
-                    onConnected(thisAttempt, done.channel());
+                    onConnected(currentAttempt, done.channel());
                   } else {
-                    onFailure(thisAttempt, done.cause());
+                    onFailure(currentAttempt, done.cause());
                   }
                 });
   }
 
-  private synchronized void onConnected(long ofAttempt, Channel opened) {
-    if (ofAttempt != attempt || state != State.CONNECTING) {
+  private synchronized void onConnected(long attemptNumber, Channel opened) {
+    if (attemptNumber != attempt || state != State.CONNECTING) {
       opened.close();
       return;
     }
     connection = opened;
-    startedAt = System.nanoTime();
-    TransportSettings own = context.settings;
+    stepStartedAt = System.nanoTime();
+    TransportSettings settings = context.settings;
     write(
         context.handshake(
             new Handshake.Greeting(
                 Handshake.VERSION,
                 Handshake.OLDEST_VERSION,
-                own.node(),
-                own.cluster(),
-                own.incarnation())));
+                settings.node(),
+                settings.cluster(),
+                settings.incarnation())));
   }
 
   private void receive(Channel from, ByteBuf buffer) {
@@ -219,7 +225,9 @@
         completeHandshake(from, context.readHandshake(frame));
       } else if (frame.kind() != Frame.Kind.KEEP_ALIVE) {
         throw new TransportException(
-            TransportException.Kind.BAD_FRAME, "a " + frame.kind() + " as an answer", null);
+            TransportException.Kind.BAD_FRAME,
+            "a " + frame.kind() + " frame where only a keep-alive is allowed",
+            null);
       }
     }
     scheduleDrain();
@@ -230,7 +238,7 @@
       throw refused(refusal.reason() + ": " + refusal.detail());
     }
     if (!(handshake instanceof Handshake.Welcome welcome) || !node.equals(welcome.node())) {
-      throw refused("another daemon answers at " + address + ": " + handshake);
+      throw refused("another daemon responds at " + address + ": " + handshake);
     }
     if (!context.hasCertificateOf(from, node)) {
       throw refused("no certificate of " + node + " at " + address);
@@ -246,10 +254,10 @@
     return new TransportException(TransportException.Kind.REFUSED, detail, null);
   }
 
-  private void onFailure(long ofAttempt, @Nullable Throwable error) {
+  private void onFailure(long attemptNumber, @Nullable Throwable error) {
     String lost;
     synchronized (this) {
-      if (ofAttempt != attempt || (state != State.CONNECTING && state != State.READY)) {
+      if (attemptNumber != attempt || (state != State.CONNECTING && state != State.READY)) {
         return;
       }
       if (error != null) {
@@ -265,24 +273,24 @@
     reportLost(lost);
   }
 
-  /** Ends the present attempt or connection; returns why if a greeted connection was lost. */
+  /** Ends the current attempt or connection; returns the reason if it was lost, or null. */
   private @Nullable String disconnect(String why, boolean graceful) {
-    final Channel last = connection;
+    final Channel channel = connection;
     final boolean wasReady = state == State.READY;
     connection = null;
     if (state == State.READY || state == State.CONNECTING) {
       state = State.WAITING;
       scheduler.schedule(this::retry, backoff(graceful), TimeUnit.NANOSECONDS);
     }
-    if (last != null) {
-      last.close();
+    if (channel != null) {
+      channel.close();
     }
     if (graceful) {
       return null;
     }
     queue.clear();
     if (!wasReady && failures == 1) {
-      Logger.info("peer: can't reach {} at {}: {}; trying again", node, address, why);
+      Logger.info("peer: can't reach {} at {}: {}; retrying", node, address, why);
     }
     return wasReady ? why : null;
   }
@@ -296,7 +304,7 @@
     long doubled = shortest.toNanos() << Math.min(failures, MAX_DOUBLINGS);
     failures++;
     long wait = Math.min(doubled, longest.toNanos());
-    // Without the random half all peers of a restarted daemon would come back in one moment.
+    // Without the random half all peers of a restarted daemon would reconnect at the same time.
     return wait / 2 + random.nextLong(wait / 2 + 1);
   }
 
@@ -326,7 +334,7 @@
     }
   }
 
-  /** Writes as long as the connection takes bytes; the rest stays in the bounded queue. */
+  /** Writes queued frames while the connection is writable; the rest stays in the queue. */
   private void drain() {
     drainScheduled.set(false);
     Channel channel;
@@ -350,27 +358,27 @@
     channel.flush();
   }
 
-  /** Sets up the handlers of one attempt to connect. */
+  /** Installs the handlers of one connection attempt. */
   private final class ConnectionInitializer extends ChannelInitializer<Channel> {
-    private final long ofAttempt;
+    private final long attemptNumber;
 
-    private ConnectionInitializer(long ofAttempt) {
-      this.ofAttempt = ofAttempt;
+    private ConnectionInitializer(long attemptNumber) {
+      this.attemptNumber = attemptNumber;
     }
 
     @Override
     protected void initChannel(Channel channel) {
       context.prepare(channel, false);
-      channel.pipeline().addLast(new ResponseHandler(ofAttempt));
+      channel.pipeline().addLast(new ResponseHandler(attemptNumber));
     }
   }
 
-  /** Takes what comes back on a connection, and its end. */
+  /** Handles the frames received on a connection, and its end. */
   private final class ResponseHandler extends SimpleChannelInboundHandler<ByteBuf> {
-    private final long ofAttempt;
+    private final long attemptNumber;
 
-    private ResponseHandler(long ofAttempt) {
-      this.ofAttempt = ofAttempt;
+    private ResponseHandler(long attemptNumber) {
+      this.attemptNumber = attemptNumber;
     }
 
     @Override
@@ -386,12 +394,12 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext handlerContext) {
-      onFailure(ofAttempt, null);
+      onFailure(attemptNumber, null);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable error) {
-      onFailure(ofAttempt, error);
+      onFailure(attemptNumber, error);
       handlerContext.close();
     }
   }
