--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/CommandPacking.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/CommandPacking.java
@@ -130,16 +130,16 @@
       case NO_OPERATION:
         return new GroupCommand.NoOperation();
       case PROBE:
-        components.take(1);
+        components.consume(1);
         return new GroupCommand.Probe(in.text());
       case CHANGE_MEMBERS:
-        components.take(1);
+        components.consume(1);
         return new GroupCommand.ChangeMembers(RaftValues.readMembers(in));
       case ADMIT_MEMBER:
-        components.take(1);
+        components.consume(1);
         return new GroupCommand.AdmitMember(in.text());
       case REMOVE_MEMBER:
-        components.take(1);
+        components.consume(1);
         return new GroupCommand.RemoveMember(in.text());
       default:
         return readRelay(tag, components, in);
@@ -149,38 +149,40 @@
   private static Command readRelay(int tag, PackedReader.Components components, PackedReader in) {
     switch (tag) {
       case PUT_CONFIGURATION:
-        components.take(2);
+        components.consume(2);
         return new RelayCommand.PutConfiguration(RelayValues.readConfiguration(in), in.bytes());
       case READ_CONFIGURATION:
         return new RelayCommand.ReadConfiguration();
       case BEGIN_ROLL_OUT:
-        components.take(3);
+        components.consume(3);
         return new RelayCommand.BeginRollOut(in.text(), in.text(), in.number());
       case ADVANCE_ROLL_OUT:
-        components.take(3);
+        components.consume(3);
         return new RelayCommand.AdvanceRollOut(
             in.text(), in.text(), RelayValues.constant(RollOutPhase.class, in.text()));
       case READ_ROLL_OUT:
-        components.take(1);
+        components.consume(1);
         return new RelayCommand.ReadRollOut(in.text());
       case UPSTREAM_LEAVES:
-        components.take(1);
+        components.consume(1);
         String id = in.text();
         return new RelayCommand.UpstreamLeaves(
-            components.next() ? new UpstreamRun(id, in.number()) : UpstreamRun.everyStartOf(id));
+            components.consumeIfPresent()
+                ? new UpstreamRun(id, in.number())
+                : UpstreamRun.everyStartOf(id));
       case EVACUATE_ZONE:
-        components.take(1);
+        components.consume(1);
         return new RelayCommand.EvacuateZone(in.text());
       case TAKE_ZONE_BACK:
-        components.take(1);
+        components.consume(1);
         return new RelayCommand.TakeZoneBack(in.text());
       case READ_EVACUATIONS:
         return new RelayCommand.ReadEvacuations();
       case QUARANTINE_REQUEST:
-        components.take(1);
+        components.consume(1);
         return new RelayCommand.QuarantineRequest(RelayValues.readKey(in));
       case LIFT_QUARANTINE:
-        components.take(1);
+        components.consume(1);
         return new RelayCommand.LiftQuarantine(RelayValues.readKey(in));
       case READ_QUARANTINE:
         return new RelayCommand.ReadQuarantine();
@@ -219,23 +221,23 @@
       case DONE:
         return new CommandResult.Done();
       case REJECTED:
-        components.take(1);
+        components.consume(1);
         return new CommandResult.Rejected(in.text());
       case CONFIGURATION_ACCEPTED:
-        components.take(1);
+        components.consume(1);
         return new RelayResult.ConfigurationAccepted(in.number());
       case CONFIGURATION_READ:
-        components.take(2);
+        components.consume(2);
         return new RelayResult.ConfigurationRead(in.number(), in.bytes());
       case ROLL_OUT_READ:
-        components.take(1);
+        components.consume(1);
         ServiceRollOut rollOut = in.optional(RelayValues::readRollOut);
         return new RelayResult.RollOutRead(rollOut);
       case EVACUATIONS_READ:
-        components.take(1);
+        components.consume(1);
         return new RelayResult.EvacuationsRead(in.list(RelayValues::readEvacuation));
       case QUARANTINE_READ:
-        components.take(1);
+        components.consume(1);
         return new RelayResult.QuarantineRead(in.list(RelayValues::readQuarantined));
       default:
         throw PackedReader.unknown("result", tag);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/PackedReader.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/PackedReader.java
@@ -72,9 +72,9 @@
    * Reads a record that has got components over time.
    *
    * @param first components that each version of it has
-   * @param body reads these in order, then what {@link Components#next} says is there
+   * @param body reads these in order, then what {@link Components#consumeIfPresent} says is there
    */
-  public <T> T grownRecord(int first, BiFunction<PackedReader, Components, T> body) {
+  public <T> T extensibleRecord(int first, BiFunction<PackedReader, Components, T> body) {
     int present = read(unpacker::unpackArrayHeader);
     if (present < first) {
       throw malformed(present + " components in place of " + first, null);
@@ -122,14 +122,14 @@
     }
 
     /** Returns whether one more component is there, which is to be read next then. */
-    public boolean next() {
+    public boolean consumeIfPresent() {
       boolean there = left > 0;
       left -= there ? 1 : 0;
       return there;
     }
 
     /** Takes note that some components are read next. */
-    public void take(int count) {
+    public void consume(int count) {
       left -= count;
       if (left < 0) {
         throw malformed(-left + " components are missing", null);
@@ -198,7 +198,7 @@
   }
 
   /** Reads a moment. */
-  public Instant moment() {
+  public Instant instant() {
     long nanos = number();
     return Instant.ofEpochSecond(
         Math.floorDiv(nanos, NANOS_A_SECOND), Math.floorMod(nanos, NANOS_A_SECOND));
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/PackedWriter.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/PackedWriter.java
@@ -85,7 +85,7 @@
    *
    * @throws ArithmeticException if it is not between the years 1678 and 2262
    */
-  public PackedWriter moment(Instant value) {
+  public PackedWriter instant(Instant value) {
     long seconds = Math.multiplyExact(value.getEpochSecond(), NANOS_A_SECOND);
     return number(Math.addExact(seconds, value.getNano()));
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RaftMessages.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RaftMessages.java
@@ -55,14 +55,14 @@
           .number(append.previousTerm())
           .list(append.entries(), RaftValues::writeEntry)
           .number(append.commitIndex())
-          .moment(append.sentAt());
+          .instant(append.sentAt());
     } else if (message instanceof RaftMessage.AppendResponse appended) {
       start(APPEND_RESPONSE, 5, appended.group(), out)
           .number(appended.term())
           .number(appended.instance())
           .flag(appended.matched())
           .number(appended.index())
-          .moment(appended.sentAt());
+          .instant(appended.sentAt());
     } else if (message instanceof RaftMessage.SnapshotChunk chunk) {
       start(SNAPSHOT_CHUNK, 6, chunk.group(), out)
           .number(chunk.term())
@@ -70,14 +70,14 @@
           .number(chunk.offset())
           .number(chunk.length())
           .bytes(chunk.data())
-          .moment(chunk.sentAt());
+          .instant(chunk.sentAt());
     } else if (message instanceof RaftMessage.ChunkResponse received) {
       start(CHUNK_RESPONSE, 5, received.group(), out)
           .number(received.term())
           .number(received.instance())
           .number(received.index())
           .number(received.offset())
-          .moment(received.sentAt());
+          .instant(received.sentAt());
     } else {
       writeMembership(message, out);
     }
@@ -128,7 +128,7 @@
   }
 
   static RaftMessage read(int tag, PackedReader.Components components, PackedReader in) {
-    components.take(1);
+    components.consume(1);
     return readLog(tag, RaftValues.readGroup(in), components, in);
   }
 
@@ -136,14 +136,14 @@
       int tag, GroupId group, PackedReader.Components components, PackedReader in) {
     switch (tag) {
       case VOTE_REQUEST:
-        components.take(5);
+        components.consume(5);
         return new RaftMessage.VoteRequest(
             group, in.number(), in.number(), in.number(), in.flag(), in.flag());
       case VOTE_RESPONSE:
-        components.take(4);
+        components.consume(4);
         return new RaftMessage.VoteResponse(group, in.number(), in.number(), in.flag(), in.flag());
       case APPEND_REQUEST:
-        components.take(6);
+        components.consume(6);
         return new RaftMessage.AppendRequest(
             group,
             in.number(),
@@ -151,13 +151,13 @@
             in.number(),
             in.list(RaftValues::readEntry),
             in.number(),
-            in.moment());
+            in.instant());
       case APPEND_RESPONSE:
-        components.take(5);
+        components.consume(5);
         return new RaftMessage.AppendResponse(
-            group, in.number(), in.number(), in.flag(), in.number(), in.moment());
+            group, in.number(), in.number(), in.flag(), in.number(), in.instant());
       case SNAPSHOT_CHUNK:
-        components.take(6);
+        components.consume(6);
         return new RaftMessage.SnapshotChunk(
             group,
             in.number(),
@@ -165,11 +165,11 @@
             in.smallNumber(),
             in.smallNumber(),
             in.bytes(),
-            in.moment());
+            in.instant());
       case CHUNK_RESPONSE:
-        components.take(5);
+        components.consume(5);
         return new RaftMessage.ChunkResponse(
-            group, in.number(), in.number(), in.number(), in.smallNumber(), in.moment());
+            group, in.number(), in.number(), in.number(), in.smallNumber(), in.instant());
       default:
         return readMembership(tag, group, components, in);
     }
@@ -179,19 +179,19 @@
       int tag, GroupId group, PackedReader.Components components, PackedReader in) {
     switch (tag) {
       case FOUNDING_REQUEST:
-        components.take(1);
+        components.consume(1);
         return new RaftMessage.FoundingRequest(group, in.number());
       case FOUNDING_RESPONSE:
-        components.take(3);
+        components.consume(3);
         return new RaftMessage.FoundingResponse(group, in.number(), in.number(), in.flag());
       case CAMPAIGN_NOW:
-        components.take(1);
+        components.consume(1);
         return new RaftMessage.CampaignNow(group, in.number());
       case JOIN_REQUEST:
-        components.take(1);
+        components.consume(1);
         return new RaftMessage.JoinRequest(group, in.number());
       case JOIN_RESPONSE:
-        components.take(1);
+        components.consume(1);
         return new RaftMessage.JoinResponse(group, in.list(PackedReader::text));
       default:
         return readSubmission(tag, group, components, in);
@@ -202,18 +202,18 @@
       int tag, GroupId group, PackedReader.Components components, PackedReader in) {
     switch (tag) {
       case SUBMIT_REQUEST:
-        components.take(3);
+        components.consume(3);
         return new RaftMessage.SubmitRequest(
             group, in.number(), in.number(), CommandPacking.readCommand(in));
       case SUBMIT_ANSWER:
-        components.take(3);
+        components.consume(3);
         return new RaftMessage.SubmitAnswer(
             group, in.number(), in.number(), CommandPacking.readResult(in));
       case SUBMIT_REDIRECT:
-        components.take(3);
+        components.consume(3);
         return new RaftMessage.SubmitRedirect(group, in.number(), in.number(), in.optionalText());
       case SUBMIT_REFUSAL:
-        components.take(3);
+        components.consume(3);
         return new RaftMessage.SubmitRefusal(group, in.number(), in.number(), in.text());
       default:
         throw PackedReader.unknown("message", tag);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RaftValues.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RaftValues.java
@@ -53,7 +53,7 @@
 
   /** Writes an entry of the log. */
   public static void writeEntry(LogEntry entry, PackedWriter out) {
-    out.record(4).number(entry.index()).number(entry.term()).moment(entry.stampedAt());
+    out.record(4).number(entry.index()).number(entry.term()).instant(entry.stampedAt());
     CommandPacking.writeCommand(entry.command(), out);
   }
 
@@ -63,6 +63,6 @@
         4,
         from ->
             new LogEntry(
-                from.number(), from.number(), from.moment(), CommandPacking.readCommand(from)));
+                from.number(), from.number(), from.instant(), CommandPacking.readCommand(from)));
   }
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayMessages.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayMessages.java
@@ -71,7 +71,7 @@
           .number(news.number())
           .text(news.progress().name())
           .number(news.millis())
-          .optional(news.named(), RelayValues::writeNamed);
+          .optional(news.named(), RelayValues::writeReportedLimit);
     }
   }
 
@@ -87,22 +87,22 @@
   static PeerMessage read(int tag, PackedReader.Components components, PackedReader in) {
     switch (tag) {
       case ENTRY_POLL:
-        components.take(POLL_COMPONENTS);
+        components.consume(POLL_COMPONENTS);
         return readPoll(in, components);
       case ENTRY_UPDATE:
-        components.take(UPDATE_COMPONENTS);
+        components.consume(UPDATE_COMPONENTS);
         return readUpdate(in, components);
       case UPSTREAM_HEARD:
-        components.take(1);
+        components.consume(1);
         return new UpstreamHeard(RelayValues.readInstance(in));
       case ENTRY_LOADS:
-        components.take(2);
+        components.consume(2);
         return new EntryLoads(in.list(RelayMessages::readLoad), in.list(RelayMessages::readPrompt));
       case PLACEMENT_ASK:
-        components.take(ASK_COMPONENTS);
+        components.consume(ASK_COMPONENTS);
         return readAsk(in);
       case PLACEMENT_ANSWER:
-        components.take(ANSWER_COMPONENTS);
+        components.consume(ANSWER_COMPONENTS);
         return new PlacementAnswer(
             in.number(),
             in.optionalText(),
@@ -111,17 +111,17 @@
             in.smallNumber(),
             in.smallNumber());
       case PLACEMENT_NEWS:
-        components.take(NEWS_COMPONENTS);
+        components.consume(NEWS_COMPONENTS);
         return new PlacementNews(
             in.number(),
             RelayValues.constant(AttemptProgress.class, in.text()),
             in.smallNumber(),
-            components.next() ? in.optional(RelayValues::readNamed) : null);
+            components.consumeIfPresent() ? in.optional(RelayValues::readReportedLimit) : null);
       case UPSTREAM_ENDED:
-        components.take(2);
+        components.consume(2);
         return new UpstreamEnded(RelayValues.readRun(in), in.list(RelayMessages::readLost));
       case REQUEST_SERVED:
-        components.take(1);
+        components.consume(1);
         return new RequestServed(RelayValues.readKey(in));
       default:
         throw PackedReader.unknown("message", tag);
@@ -179,7 +179,7 @@
         .text(poll.zone())
         .flag(poll.serving())
         .number(poll.incarnation())
-        .moment(poll.sentAt())
+        .instant(poll.sentAt())
         .number(poll.version())
         .number(poll.stateIndex())
         .number(poll.directoryEpoch())
@@ -196,7 +196,7 @@
     String zone = in.text();
     boolean serving = in.flag();
     long incarnation = in.number();
-    Instant sentAt = in.moment();
+    Instant sentAt = in.instant();
     long version = in.number();
     long stateIndex = in.number();
     long directoryEpoch = in.number();
@@ -216,19 +216,19 @@
         directorySequence,
         searching,
         busy,
-        more.next() ? in.number() : 0,
+        more.consumeIfPresent() ? in.number() : 0,
         counts,
-        more.next() ? in.list(RelayMessages::readHeard) : List.of());
+        more.consumeIfPresent() ? in.list(RelayMessages::readHeard) : List.of());
   }
 
   private static void writeHeard(HeardLimit heard, PackedWriter out) {
     RelayValues.writeRun(heard.upstream(), out.record(2));
-    RelayValues.writeNamed(heard.named(), out);
+    RelayValues.writeReportedLimit(heard.named(), out);
   }
 
   private static HeardLimit readHeard(PackedReader in) {
     return in.record(
-        2, from -> new HeardLimit(RelayValues.readRun(from), RelayValues.readNamed(from)));
+        2, from -> new HeardLimit(RelayValues.readRun(from), RelayValues.readReportedLimit(from)));
   }
 
   private static void writeLoad(UpstreamLoad load, PackedWriter out) {
@@ -270,25 +270,27 @@
   }
 
   private static Neighbourhood readNeighbourhood(PackedReader in) {
-    return in.grownRecord(
+    return in.extensibleRecord(
         3,
         (from, more) ->
             new Neighbourhood(
                 from.number(),
                 from.list(PackedReader::text),
                 from.list(PackedReader::text),
-                more.next() ? from.list(PackedReader::text) : List.of(),
-                more.next() ? readPlace(from, more) : EntryOrdinal.UNKNOWN));
+                more.consumeIfPresent() ? from.list(PackedReader::text) : List.of(),
+                more.consumeIfPresent() ? readPlace(from, more) : EntryOrdinal.UNKNOWN));
   }
 
   private static EntryOrdinal readPlace(PackedReader in, PackedReader.Components more) {
     int number = in.smallNumber();
-    return more.next() ? new EntryOrdinal(number, in.smallNumber()) : EntryOrdinal.UNKNOWN;
+    return more.consumeIfPresent()
+        ? new EntryOrdinal(number, in.smallNumber())
+        : EntryOrdinal.UNKNOWN;
   }
 
   private static void writeUpdate(EntryUpdate update, PackedWriter out) {
     out.tagged(ENTRY_UPDATE, UPDATE_COMPONENTS + 1)
-        .optional(update.provenAt(), (moment, to) -> to.moment(moment))
+        .optional(update.provenAt(), (moment, to) -> to.instant(moment))
         .number(update.stateIndex())
         .optional(update.configuration(), RelayValues::writeConfiguration)
         .optional(update.shared(), RelayMessages::writeShared);
@@ -299,14 +301,14 @@
 
   private static EntryUpdate readUpdate(PackedReader in, PackedReader.Components more) {
     return new EntryUpdate(
-        in.optional(PackedReader::moment),
+        in.optional(PackedReader::instant),
         in.number(),
         in.optional(RelayValues::readConfiguration),
         in.optional(RelayMessages::readShared),
         readDirectory(in),
         in.list(PackedReader::text),
         in.smallNumber(),
-        more.next() ? in.optional(RelayMessages::readNeighbourhood) : null);
+        more.consumeIfPresent() ? in.optional(RelayMessages::readNeighbourhood) : null);
   }
 
   private static void writeShared(SharedState shared, PackedWriter out) {
@@ -317,14 +319,14 @@
   }
 
   private static SharedState readShared(PackedReader in) {
-    return in.grownRecord(
+    return in.extensibleRecord(
         2,
         (from, more) ->
             new SharedState(
                 from.list(RelayValues::readRollOut),
                 RelayValues.readRuns(from, more),
-                more.next() ? from.list(PackedReader::text) : List.of(),
-                more.next() ? from.list(RelayValues::readKey) : List.of()));
+                more.consumeIfPresent() ? from.list(PackedReader::text) : List.of(),
+                more.consumeIfPresent() ? from.list(RelayValues::readKey) : List.of()));
   }
 
   private static void writeDirectory(DirectoryChanges changes, PackedWriter out) {
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayValues.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayValues.java
@@ -165,7 +165,7 @@
   }
 
   private static RelayService readService(PackedReader in) {
-    return in.grownRecord(
+    return in.extensibleRecord(
         SERVICE_COMPONENTS,
         (from, more) ->
             new RelayService(
@@ -177,11 +177,11 @@
   }
 
   private static ColdStart readCold(PackedReader in, PackedReader.Components more) {
-    if (!more.next()) {
+    if (!more.consumeIfPresent()) {
       return ColdStart.NONE;
     }
     int millis = in.smallNumber();
-    return new ColdStart(millis, more.next() ? in.real() : 0);
+    return new ColdStart(millis, more.consumeIfPresent() ? in.real() : 0);
   }
 
   private static void writeEngine(EngineProfile engine, PackedWriter out) {
@@ -256,11 +256,11 @@
   }
 
   static void writeEvacuation(Evacuation evacuation, PackedWriter out) {
-    out.record(2).text(evacuation.zone()).moment(evacuation.since());
+    out.record(2).text(evacuation.zone()).instant(evacuation.since());
   }
 
   static Evacuation readEvacuation(PackedReader in) {
-    return in.record(2, from -> new Evacuation(from.text(), from.moment()));
+    return in.record(2, from -> new Evacuation(from.text(), from.instant()));
   }
 
   static void writeKey(RequestKey key, PackedWriter out) {
@@ -273,11 +273,11 @@
 
   static void writeQuarantined(QuarantinedRequest request, PackedWriter out) {
     writeKey(request.key(), out.record(2));
-    out.moment(request.since());
+    out.instant(request.since());
   }
 
   static QuarantinedRequest readQuarantined(PackedReader in) {
-    return in.record(2, from -> new QuarantinedRequest(readKey(from), from.moment()));
+    return in.record(2, from -> new QuarantinedRequest(readKey(from), from.instant()));
   }
 
   static void writeRun(UpstreamRun run, PackedWriter out) {
@@ -302,7 +302,7 @@
   }
 
   static UpstreamInstance readInstance(PackedReader in) {
-    return in.grownRecord(
+    return in.extensibleRecord(
         INSTANCE_COMPONENTS,
         (from, more) ->
             new UpstreamInstance(
@@ -313,8 +313,8 @@
                 from.text(),
                 from.smallNumber(),
                 from.number(),
-                more.next() ? from.number() : 0,
-                more.next() ? from.number() : 0));
+                more.consumeIfPresent() ? from.number() : 0,
+                more.consumeIfPresent() ? from.number() : 0));
   }
 
   /** Writes the ids, as versions without starts read them, and then the starts. */
@@ -325,7 +325,7 @@
 
   static List<UpstreamRun> readRuns(PackedReader in, PackedReader.Components more) {
     List<String> ids = in.list(PackedReader::text);
-    List<Long> starts = more.next() ? in.list(PackedReader::number) : List.of();
+    List<Long> starts = more.consumeIfPresent() ? in.list(PackedReader::number) : List.of();
     List<UpstreamRun> runs = new ArrayList<>();
     for (int place = 0; place < ids.size(); place++) {
       String id = ids.get(place);
@@ -339,24 +339,24 @@
 
   static void writeStatus(UpstreamStatus status, PackedWriter out) {
     writeInstance(status.instance(), out.record(3));
-    out.text(status.condition().name()).optional(status.named(), RelayValues::writeNamed);
+    out.text(status.condition().name()).optional(status.named(), RelayValues::writeReportedLimit);
   }
 
   static UpstreamStatus readStatus(PackedReader in) {
-    return in.grownRecord(
+    return in.extensibleRecord(
         2,
         (from, more) ->
             new UpstreamStatus(
                 readInstance(from),
                 constant(UpstreamCondition.class, from.text()),
-                more.next() ? from.optional(RelayValues::readNamed) : null));
+                more.consumeIfPresent() ? from.optional(RelayValues::readReportedLimit) : null));
   }
 
-  static void writeNamed(ReportedLimit named, PackedWriter out) {
+  static void writeReportedLimit(ReportedLimit named, PackedWriter out) {
     out.record(2).real(named.limit().perSecond()).number(named.ageMillis());
   }
 
-  static ReportedLimit readNamed(PackedReader in) {
+  static ReportedLimit readReportedLimit(PackedReader in) {
     return in.record(2, from -> new ReportedLimit(new RateLimit(from.real()), from.number()));
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/SnapshotPacking.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/SnapshotPacking.java
@@ -20,7 +20,7 @@
 
   @Override
   public void write(Snapshot snapshot, PackedWriter out) {
-    out.record(5).number(snapshot.index()).number(snapshot.term()).moment(snapshot.stampedAt());
+    out.record(5).number(snapshot.index()).number(snapshot.term()).instant(snapshot.stampedAt());
     RaftValues.writeMembers(snapshot.members(), out);
     writeState(snapshot.state(), out);
   }
@@ -33,7 +33,7 @@
             new Snapshot(
                 from.number(),
                 from.number(),
-                from.moment(),
+                from.instant(),
                 RaftValues.readMembers(from),
                 readState(from)));
   }
@@ -63,14 +63,14 @@
       case EMPTY:
         return new GroupState.Empty();
       case RELAY:
-        components.take(4);
+        components.consume(4);
         return new RelayState(
             RelayValues.readConfiguration(in),
             in.bytes(),
             in.list(RelayValues::readRollOut),
             RelayValues.readRuns(in, components),
-            components.next() ? in.list(RelayValues::readEvacuation) : List.of(),
-            components.next() ? in.list(RelayValues::readQuarantined) : List.of());
+            components.consumeIfPresent() ? in.list(RelayValues::readEvacuation) : List.of(),
+            components.consumeIfPresent() ? in.list(RelayValues::readQuarantined) : List.of());
       default:
         throw PackedReader.unknown("state", tag);
     }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/HandshakePacking.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/transport/HandshakePacking.java
@@ -48,13 +48,13 @@
   private static Handshake read(int tag, PackedReader.Components components, PackedReader in) {
     switch (tag) {
       case GREETING:
-        components.take(5);
+        components.consume(5);
         return new Greeting(in.smallNumber(), in.smallNumber(), in.text(), in.text(), in.number());
       case WELCOME:
-        components.take(3);
+        components.consume(3);
         return new Welcome(in.smallNumber(), in.text(), in.number());
       case REFUSAL:
-        components.take(2);
+        components.consume(2);
         return new Refusal(reason(in.text()), in.text());
       default:
         throw PackedReader.unknown("handshake", tag);
