--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/BinaryCodec.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/BinaryCodec.java
@@ -1,21 +1,21 @@
 package org.skylarkfork.runtime.codec;
 
-/** Turns values into bytes for the wire and the disk, and back. Safe for use by several threads. */
+/** Serializes values to bytes for the wire and the disk and deserializes them. Thread-safe. */
 public interface BinaryCodec {
 
   /**
-   * Writes a value.
+   * Serializes a value.
    *
-   * @throws CodecException of kind {@code UNSUPPORTED} if its class can't be written
+   * @throws CodecException of kind {@code UNSUPPORTED} if its class can't be serialized
    */
   byte[] toBytes(Object value);
 
   /**
-   * Reads a value.
+   * Deserializes a value.
    *
-   * @param bytes exactly one value
-   * @param type the record or sealed interface that is expected
-   * @throws CodecException if the bytes aren't such a value
+   * @param bytes exactly one serialized value
+   * @param type the expected record or sealed interface
+   * @throws CodecException if the bytes aren't exactly one value of the type
    */
   <T> T fromBytes(byte[] bytes, Class<T> type);
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/Codec.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/Codec.java
@@ -23,17 +23,17 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /**
- * The one codec for the wire, the disk, golden files and the time line.
+ * Codec for the wire, the disk, golden files and the timeline.
  *
- * <p>It handles records of primitives, strings, enums, byte arrays, {@code Instant}, {@code
- * Duration}, {@code Optional}, {@code List}, {@code Set}, {@code Map} and further records. A member
- * of a sealed family carries its type name, such as {@code RaftMessage.VoteRequest}. Unknown fields
- * are ignored and missing collections are empty, so that processes of neighbouring versions
- * understand each other. Safe for use by several threads.
+ * <p>Supports records of primitives, strings, enums, byte arrays, {@code Instant}, {@code
+ * Duration}, {@code Optional}, {@code List}, {@code Set}, {@code Map} and nested records. A member
+ * of a sealed family is written with its type name, such as {@code RaftMessage.VoteRequest}.
+ * Unknown fields are ignored and missing collections are read as empty, so that processes of
+ * adjacent versions are compatible. Thread-safe.
  */
 public final class Codec implements BinaryCodec {
 
-  private static final int SHOWN_CHARACTERS = 200;
+  private static final int MAX_DETAIL_CHARACTERS = 200;
 
   private final ObjectMapper json;
   private final ObjectMapper messagePack;
@@ -50,9 +50,9 @@
   }
 
   /**
-   * Writes a value as MessagePack.
+   * Serializes a value as MessagePack.
    *
-   * @throws CodecException of kind {@code UNSUPPORTED} if its class can't be written
+   * @throws CodecException of kind {@code UNSUPPORTED} if its class can't be serialized
    */
   @Override
   public byte[] toBytes(Object value) {
@@ -64,11 +64,11 @@
   }
 
   /**
-   * Reads a value from MessagePack.
+   * Deserializes a value from MessagePack.
    *
-   * @param bytes exactly one value
-   * @param type the record or sealed interface that is expected
-   * @throws CodecException if the bytes aren't such a value
+   * @param bytes exactly one serialized value
+   * @param type the expected record or sealed interface
+   * @throws CodecException if the bytes aren't exactly one value of the type
    */
   @Override
   public <T> T fromBytes(byte[] bytes, Class<T> type) {
@@ -76,9 +76,9 @@
   }
 
   /**
-   * Writes a value as one line of JSON, with maps and sets in a stable order.
+   * Serializes a value as one line of JSON, with maps and sets in a stable order.
    *
-   * @throws CodecException of kind {@code UNSUPPORTED} if its class can't be written
+   * @throws CodecException of kind {@code UNSUPPORTED} if its class can't be serialized
    */
   public String toJson(Object value) {
     try {
@@ -89,11 +89,11 @@
   }
 
   /**
-   * Reads a value from JSON.
+   * Deserializes a value from JSON.
    *
-   * @param text exactly one value
-   * @param type the record or sealed interface that is expected
-   * @throws CodecException if the text isn't such a value
+   * @param text exactly one serialized value
+   * @param type the expected record or sealed interface
+   * @throws CodecException if the text isn't exactly one value of the type
    */
   public <T> T fromJson(String text, Class<T> type) {
     return read(type, () -> json.readValue(text, type));
@@ -102,31 +102,34 @@
   private <T> T readWhole(byte[] bytes, Class<T> type) throws IOException {
     try (JsonParser in = messagePack.createParser(bytes)) {
       T value = messagePack.readValue(in, type);
-      long end = in.currentLocation().getCharOffset(); // the library counts bytes as characters
-      if (end != bytes.length) {
-        throw new JsonParseException(in, "bytes after the value, from offset " + end);
+      long endOffset =
+          in.currentLocation()
+              .getCharOffset(); // MessagePack parsers report byte offsets as character offsets
+      if (endOffset != bytes.length) {
+        throw new JsonParseException(
+            in, "trailing bytes after the value, from offset " + endOffset);
       }
       return value;
     }
   }
 
-  private static <T> T read(Class<T> type, Reading<T> reading) {
+  private static <T> T read(Class<T> type, ValueReader<T> reader) {
     T value;
     try {
-      value = reading.read();
+      value = reader.read();
     } catch (InvalidTypeIdException e) {
       throw unreadable(CodecException.Kind.UNKNOWN_TYPE, type, e);
     } catch (InvalidFormatException e) {
-      boolean constant = e.getTargetType() != null && e.getTargetType().isEnum();
+      boolean enumConstant = e.getTargetType() != null && e.getTargetType().isEnum();
       throw unreadable(
-          constant ? CodecException.Kind.UNKNOWN_TYPE : CodecException.Kind.MALFORMED, type, e);
+          enumConstant ? CodecException.Kind.UNKNOWN_TYPE : CodecException.Kind.MALFORMED, type, e);
     } catch (InvalidDefinitionException e) {
       throw unreadable(CodecException.Kind.UNSUPPORTED, type, e);
     } catch (IOException | RuntimeException e) {
       throw unreadable(CodecException.Kind.MALFORMED, type, e);
     } catch (StackOverflowError e) {
-      // A frame of a few kilobytes can nest a recursive record deeper than the stack. The reader's
-      // state is local to this call, so giving the call up leaves nothing half-done behind.
+      // A frame of a few kilobytes can nest a recursive record deeper than the stack allows. The
+      // parser's state is local to this call, so catching the error leaves no inconsistent state.
       throw new CodecException(
           CodecException.Kind.MALFORMED, type.getSimpleName() + " is nested too deeply", e);
     }
@@ -139,10 +142,10 @@
 
   private static CodecException unreadable(
       CodecException.Kind kind, Class<?> type, Exception cause) {
-    String said = cause instanceof JsonProcessingException e ? e.getOriginalMessage() : null;
-    String detail = said == null ? cause.toString() : said;
-    if (detail.length() > SHOWN_CHARACTERS) {
-      detail = detail.substring(0, SHOWN_CHARACTERS) + "...";
+    String message = cause instanceof JsonProcessingException e ? e.getOriginalMessage() : null;
+    String detail = message == null ? cause.toString() : message;
+    if (detail.length() > MAX_DETAIL_CHARACTERS) {
+      detail = detail.substring(0, MAX_DETAIL_CHARACTERS) + "...";
     }
     return new CodecException(
         kind, "can't read " + SealedFamilies.typeName(type) + ": " + detail, cause);
@@ -179,7 +182,7 @@
     return mapper;
   }
 
-  private interface Reading<T> {
+  private interface ValueReader<T> {
     T read() throws IOException;
   }
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/CodecException.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/CodecException.java
@@ -2,18 +2,19 @@
 
 import org.jspecify.annotations.Nullable;
 
-/** A value can't be written, or bytes can't be read as the value that was asked for. */
+/** Thrown when a value can't be serialized or data can't be deserialized as the requested type. */
 public final class CodecException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
 
-  /** What is wrong with the value or the bytes. */
+  /** Category of the failure. */
   public enum Kind {
-    /** The bytes aren't the format, or don't fit the record's components. */
-    MALFORMED("drop the data; if a peer or a file keeps giving it, compare the versions in use"),
-    /** The bytes name a record or an enum constant that this program doesn't have. */
+    /** The data isn't in the expected format or doesn't match the record's components. */
+    MALFORMED(
+        "drop the data; if a peer or a file repeatedly yields it, compare the versions in use"),
+    /** The data names a record or an enum constant that this version doesn't have. */
     UNKNOWN_TYPE("upgrade this process to the version that wrote the data"),
-    /** The value's class can't be written. */
+    /** The value's class can't be serialized. */
     UNSUPPORTED("use records, sealed interfaces and the types that Codec lists");
 
     private final String remedy;
@@ -22,7 +23,7 @@
       this.remedy = remedy;
     }
 
-    /** Returns what the reader of the error can do. */
+    /** Returns the remedy that is suggested to the reader of the error. */
     public String remedy() {
       return remedy;
     }
@@ -31,18 +32,18 @@
   private final Kind kind;
 
   /**
-   * Creates an exception whose message ends in the remedy of its kind.
+   * Creates an exception whose message ends with the remedy of its kind.
    *
-   * @param kind what is wrong
-   * @param detail where and how
-   * @param cause what the library said, or null
+   * @param kind category of the failure
+   * @param detail what failed and where
+   * @param cause the exception of the serialization library, or null
    */
   public CodecException(Kind kind, String detail, @Nullable Throwable cause) {
     super(detail + "; " + kind.remedy(), cause);
     this.kind = kind;
   }
 
-  /** Returns what is wrong. */
+  /** Returns the category of the failure. */
   public Kind kind() {
     return kind;
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/ComponentNaming.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/ComponentNaming.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import org.jspecify.annotations.Nullable;
 
-/** Takes only the components of a record for its fields, never a derived method. */
+/** Serializes only the components of a record as its fields, never its derived methods. */
 final class ComponentNaming extends DefaultAccessorNamingStrategy.Provider {
 
   private static final long serialVersionUID = 1L;
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/RecordKeyModule.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/RecordKeyModule.java
@@ -17,14 +17,14 @@
 import java.io.IOException;
 import org.jspecify.annotations.Nullable;
 
-/** Lets records be keys of maps: such a key is the record's JSON text. */
+/** Supports records as map keys, written as the record's JSON text. */
 final class RecordKeyModule extends SimpleModule {
 
   private static final long serialVersionUID = 1L;
 
   private final transient ObjectMapper json;
 
-  /** Creates the module; {@code json} writes and reads the keys. */
+  /** Creates the module; {@code json} serializes and deserializes the keys. */
   RecordKeyModule(ObjectMapper json) {
     super("record-keys");
     this.json = json;
@@ -38,7 +38,7 @@
           @Override
           public @Nullable JsonSerializer<?> findSerializer(
               SerializationConfig config, JavaType type, BeanDescription description) {
-            return type.getRawClass().isRecord() ? new KeyWriter() : null;
+            return type.getRawClass().isRecord() ? new RecordKeySerializer() : null;
           }
         });
     context.addKeyDeserializers(
@@ -46,12 +46,12 @@
           @Override
           public @Nullable KeyDeserializer findKeyDeserializer(
               JavaType type, DeserializationConfig config, BeanDescription description) {
-            return type.getRawClass().isRecord() ? new KeyReader(type) : null;
+            return type.getRawClass().isRecord() ? new RecordKeyDeserializer(type) : null;
           }
         });
   }
 
-  private final class KeyWriter extends JsonSerializer<Object> {
+  private final class RecordKeySerializer extends JsonSerializer<Object> {
     @Override
     public void serialize(Object value, JsonGenerator out, SerializerProvider provider)
         throws IOException {
@@ -59,10 +59,10 @@
     }
   }
 
-  private final class KeyReader extends KeyDeserializer {
+  private final class RecordKeyDeserializer extends KeyDeserializer {
     private final JavaType type;
 
-    KeyReader(JavaType type) {
+    RecordKeyDeserializer(JavaType type) {
       this.type = type;
     }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/RecordsOnly.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/RecordsOnly.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.ser.BeanSerializerModifier;
 import com.fasterxml.jackson.databind.ser.std.BeanSerializerBase;
 
-/** Refuses classes that would be written but could not be read back. */
+/** Rejects classes that could be serialized as beans but not deserialized. */
 final class RecordsOnly extends BeanSerializerModifier {
 
   private static final long serialVersionUID = 1L;
@@ -17,7 +17,7 @@
     if (serializer instanceof BeanSerializerBase && !description.getBeanClass().isRecord()) {
       throw new CodecException(
           CodecException.Kind.UNSUPPORTED,
-          description.getBeanClass().getName() + " is no record",
+          description.getBeanClass().getName() + " isn't a record",
           null);
     }
     return serializer;
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/SealedFamilies.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/SealedFamilies.java
@@ -1,11 +1,14 @@
 package org.skylarkfork.runtime.codec;
 
-/** Finds the members of a sealed family and their names on the wire. */
+/** Determines whether a class belongs to a sealed family, and its type name on the wire. */
 final class SealedFamilies {
 
   private SealedFamilies() {}
 
-  /** Returns whether values of the class carry a type name. */
+  /**
+   * Returns whether values of the class are written with a type name: the class is sealed or has a
+   * sealed interface among its supertypes, and isn't a class of the JDK.
+   */
   static boolean belongsToFamily(Class<?> type) {
     if (type.getPackageName().startsWith("java.")) {
       return false;
@@ -21,7 +24,7 @@
     return false;
   }
 
-  /** Returns the simple names of the class and of those around it, joined by dots. */
+  /** Returns the simple names of the enclosing classes and of the class, joined by dots. */
   static String typeName(Class<?> type) {
     Class<?> outer = type.getEnclosingClass();
     return outer == null ? type.getSimpleName() : typeName(outer) + "." + type.getSimpleName();
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/SealedTypeIds.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/SealedTypeIds.java
@@ -9,14 +9,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Finds a member of a sealed family by its name, without a look at the others.
+ * Resolves a member of a sealed family by its type name without loading the other members.
  *
- * <p>A family of messages has over a hundred members. Listing them all loaded and inspected each at
- * the first message, 0.2 s of a core at each start of a daemon.
+ * <p>A family of messages has over a hundred members. Enumerating them loads and inspects each of
+ * them at the first message, which takes 0.2 s of CPU time at each start of a daemon.
  */
 final class SealedTypeIds extends TypeIdResolverBase {
 
-  private static final Map<String, Class<?>> FOUND = new ConcurrentHashMap<>();
+  private static final Map<String, Class<?>> RESOLVED = new ConcurrentHashMap<>();
 
   SealedTypeIds(JavaType family) {
     super(family, null);
@@ -32,20 +32,20 @@
     return SealedFamilies.typeName(value == null ? suggested : value.getClass());
   }
 
-  /** Returns the type of that name, or null if the family has none. */
+  /** Returns the family's type with the given name, or null if there is none. */
   @Override
   public @Nullable JavaType typeFromId(DatabindContext context, String id) {
     Class<?> family = _baseType.getRawClass();
-    Class<?> member = FOUND.get(family.getName() + " " + id);
+    Class<?> member = RESOLVED.get(family.getName() + " " + id);
     if (member == null) {
-      member = find(family, id);
+      member = resolve(family, id);
     }
     return member == null ? null : context.constructSpecializedType(_baseType, member);
   }
 
-  private static @Nullable Class<?> find(Class<?> family, String id) {
-    // Members of a sealed family lie in its package, since the program has no named modules. A
-    // name from outside is checked before a class is loaded by it.
+  private static @Nullable Class<?> resolve(Class<?> family, String id) {
+    // All members of a sealed family are in its package, since the program has no named modules.
+    // The name is untrusted input and is validated before a class is loaded by it.
     if (!id.matches("[A-Za-z0-9]+(\\.[A-Za-z0-9]+)*")) {
       return null;
     }
@@ -54,7 +54,7 @@
     if (member == null || member.isInterface() || !family.isAssignableFrom(member)) {
       return null;
     }
-    FOUND.put(family.getName() + " " + id, member);
+    RESOLVED.put(family.getName() + " " + id, member);
     return member;
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/SealedTypeIntrospector.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/SealedTypeIntrospector.java
@@ -10,10 +10,10 @@
 import com.fasterxml.jackson.databind.jsontype.impl.StdTypeResolverBuilder;
 import org.jspecify.annotations.Nullable;
 
-/** Reads from sealed interfaces what annotations would say, so that the core needs none. */
+/** Derives type information from sealed interfaces, so that the core needs no annotations. */
 final class SealedTypeIntrospector extends JacksonAnnotationIntrospector {
 
-  /** Field that names the type; no record component can have this name. */
+  /** Field that holds the type name; no record component can have this name. */
   static final String TYPE_FIELD = "@type";
 
   private static final long serialVersionUID = 1L;
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/StableOrder.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/StableOrder.java
@@ -25,10 +25,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Writes maps and sets in the order of their keys' JSON text.
+ * Serializes maps and sets in the order of the JSON text of their keys or elements.
  *
- * <p>The JDK's unmodifiable maps and sets change their order from one process to the next, so a
- * golden file would differ on each run.
+ * <p>The iteration order of the JDK's unmodifiable maps and sets differs from process to process,
+ * so a golden file would differ on each run.
  */
 final class StableOrder extends BeanSerializerModifier {
 
@@ -36,7 +36,7 @@
 
   private final transient ObjectMapper json;
 
-  /** Creates the modifier; {@code json} gives the text that decides the order. */
+  /** Creates the modifier; {@code json} writes the text that defines the order. */
   StableOrder(ObjectMapper json) {
     this.json = json;
   }
@@ -48,7 +48,7 @@
       MapType type,
       BeanDescription description,
       JsonSerializer<?> serializer) {
-    return new Sorting((JsonSerializer<Object>) serializer);
+    return new SortingSerializer((JsonSerializer<Object>) serializer);
   }
 
   @Override
@@ -58,21 +58,21 @@
       CollectionType type,
       BeanDescription description,
       JsonSerializer<?> serializer) {
-    return new Sorting((JsonSerializer<Object>) serializer);
+    return new SortingSerializer((JsonSerializer<Object>) serializer);
   }
 
   private Object sorted(Object value) throws IOException {
     if (value instanceof Map<?, ?> map && !(value instanceof SortedMap)) {
       Map<Object, Object> ordered = new LinkedHashMap<>();
-      for (Object key : byText(map.keySet())) {
+      for (Object key : sortedByJson(map.keySet())) {
         ordered.put(key, map.get(key));
       }
       return ordered;
     }
-    return value instanceof Set<?> set && !(value instanceof SortedSet) ? byText(set) : value;
+    return value instanceof Set<?> set && !(value instanceof SortedSet) ? sortedByJson(set) : value;
   }
 
-  private List<Object> byText(Collection<?> values) throws IOException {
+  private List<Object> sortedByJson(Collection<?> values) throws IOException {
     Map<String, Object> ordered = new TreeMap<>();
     for (Object value : values) {
       ordered.put(json.writeValueAsString(value), value);
@@ -80,11 +80,12 @@
     return new ArrayList<>(ordered.values());
   }
 
-  private final class Sorting extends JsonSerializer<Object> implements ContextualSerializer {
+  private final class SortingSerializer extends JsonSerializer<Object>
+      implements ContextualSerializer {
 
     private final JsonSerializer<Object> wrapped;
 
-    Sorting(JsonSerializer<Object> wrapped) {
+    SortingSerializer(JsonSerializer<Object> wrapped) {
       this.wrapped = wrapped;
     }
 
@@ -92,7 +93,7 @@
     @SuppressWarnings("unchecked")
     public JsonSerializer<?> createContextual(
         SerializerProvider provider, @Nullable BeanProperty property) throws JsonMappingException {
-      return new Sorting(
+      return new SortingSerializer(
           (JsonSerializer<Object>) provider.handleSecondaryContextualization(wrapped, property));
     }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/TimeModule.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/TimeModule.java
@@ -14,42 +14,43 @@
 import java.time.Instant;
 
 /**
- * Writes points in time and spans as numbers of nanoseconds or as ISO 8601 text.
+ * Serializes instants and durations as nanoseconds or as ISO 8601 text.
  *
- * <p>A value beyond the range of a long (292 years) is text in both formats; readers take both.
+ * <p>A value beyond the range of a long in nanoseconds (292 years) is written as text in both
+ * formats. Both forms are accepted for reading.
  */
 final class TimeModule extends SimpleModule {
 
   private static final long serialVersionUID = 1L;
-  private static final long NANOS_A_SECOND = 1_000_000_000L;
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
-  /** Creates the module; {@code numbers} chooses nanoseconds over text. */
-  TimeModule(boolean numbers) {
-    super(numbers ? "time-as-numbers" : "time-as-text");
-    addSerializer(Instant.class, new InstantSerializer(numbers));
-    addSerializer(Duration.class, new DurationSerializer(numbers));
+  /** Creates the module; {@code asNanos} selects nanoseconds instead of text. */
+  TimeModule(boolean asNanos) {
+    super(asNanos ? "time-as-numbers" : "time-as-text");
+    addSerializer(Instant.class, new InstantSerializer(asNanos));
+    addSerializer(Duration.class, new DurationSerializer(asNanos));
     addDeserializer(Instant.class, new InstantDeserializer());
     addDeserializer(Duration.class, new DurationDeserializer());
   }
 
   private static final class InstantSerializer extends StdSerializer<Instant> {
     private static final long serialVersionUID = 1L;
-    private final boolean numbers;
+    private final boolean asNanos;
 
-    InstantSerializer(boolean numbers) {
+    InstantSerializer(boolean asNanos) {
       super(Instant.class);
-      this.numbers = numbers;
+      this.asNanos = asNanos;
     }
 
     @Override
     public void serialize(Instant value, JsonGenerator out, SerializerProvider provider)
         throws IOException {
-      if (!numbers) {
+      if (!asNanos) {
         out.writeString(value.toString());
         return;
       }
       try {
-        long seconds = Math.multiplyExact(value.getEpochSecond(), NANOS_A_SECOND);
+        long seconds = Math.multiplyExact(value.getEpochSecond(), NANOS_PER_SECOND);
         out.writeNumber(Math.addExact(seconds, value.getNano()));
       } catch (ArithmeticException e) {
         out.writeString(value.toString());
@@ -59,17 +60,17 @@
 
   private static final class DurationSerializer extends StdSerializer<Duration> {
     private static final long serialVersionUID = 1L;
-    private final boolean numbers;
+    private final boolean asNanos;
 
-    DurationSerializer(boolean numbers) {
+    DurationSerializer(boolean asNanos) {
       super(Duration.class);
-      this.numbers = numbers;
+      this.asNanos = asNanos;
     }
 
     @Override
     public void serialize(Duration value, JsonGenerator out, SerializerProvider provider)
         throws IOException {
-      if (!numbers) {
+      if (!asNanos) {
         out.writeString(value.toString());
         return;
       }
@@ -93,13 +94,13 @@
       if (in.currentToken() == JsonToken.VALUE_NUMBER_INT) {
         long nanos = in.getLongValue();
         return Instant.ofEpochSecond(
-            Math.floorDiv(nanos, NANOS_A_SECOND), Math.floorMod(nanos, NANOS_A_SECOND));
+            Math.floorDiv(nanos, NANOS_PER_SECOND), Math.floorMod(nanos, NANOS_PER_SECOND));
       }
       try {
         return Instant.parse(in.getText());
       } catch (DateTimeException e) {
         return (Instant)
-            context.handleWeirdStringValue(Instant.class, in.getText(), "not an ISO 8601 time");
+            context.handleWeirdStringValue(Instant.class, in.getText(), "not an ISO 8601 instant");
       }
     }
   }
@@ -120,7 +121,8 @@
         return Duration.parse(in.getText());
       } catch (DateTimeException e) {
         return (Duration)
-            context.handleWeirdStringValue(Duration.class, in.getText(), "not an ISO 8601 span");
+            context.handleWeirdStringValue(
+                Duration.class, in.getText(), "not an ISO 8601 duration");
       }
     }
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/package-info.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/package-info.java
@@ -1,4 +1,4 @@
-/** Turns records into MessagePack or JSON and back. */
+/** Serializes records to MessagePack or JSON and deserializes them. */
 @NullMarked
 package org.skylarkfork.runtime.codec;
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/CommandPacking.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/CommandPacking.java
@@ -10,10 +10,10 @@
 import org.skylarkfork.core.upstream.UpstreamRun;
 import org.skylarkfork.runtime.codec.CodecException;
 
-/** The commands of the relay's group and what they give. */
+/** Packing of the commands of the relay's group and of their results. */
 public final class CommandPacking implements Packing<Command> {
 
-  // Numbers on the wire and on the disk; each is used once and never for another record.
+  // Tags on the wire and on the disk; a tag is never reused for another record.
   private static final int NO_OPERATION = 1;
   private static final int PROBE = 2;
   private static final int CHANGE_MEMBERS = 3;
@@ -57,9 +57,9 @@
 
   static void writeCommand(Command command, PackedWriter out) {
     if (command instanceof GroupCommand own) {
-      writeOwn(own, out);
+      writeGroupCommand(own, out);
     } else if (command instanceof RelayCommand relay) {
-      writeRelay(relay, out);
+      writeRelayCommand(relay, out);
     } else {
       throw unsupported(command);
     }
@@ -68,11 +68,11 @@
   private static CodecException unsupported(Object value) {
     return new CodecException(
         CodecException.Kind.UNSUPPORTED,
-        value.getClass().getName() + " is none of the relay's",
+        value.getClass().getName() + " isn't a type of the relay",
         null);
   }
 
-  private static void writeOwn(GroupCommand command, PackedWriter out) {
+  private static void writeGroupCommand(GroupCommand command, PackedWriter out) {
     if (command instanceof GroupCommand.NoOperation) {
       out.tagged(NO_OPERATION, 0);
     } else if (command instanceof GroupCommand.Probe probe) {
@@ -86,7 +86,7 @@
     }
   }
 
-  private static void writeRelay(RelayCommand command, PackedWriter out) {
+  private static void writeRelayCommand(RelayCommand command, PackedWriter out) {
     if (command instanceof RelayCommand.PutConfiguration put) {
       RelayValues.writeConfiguration(put.configuration(), out.tagged(PUT_CONFIGURATION, 2));
       out.bytes(put.document());
@@ -142,11 +142,12 @@
         components.consume(1);
         return new GroupCommand.RemoveMember(in.text());
       default:
-        return readRelay(tag, components, in);
+        return readRelayCommand(tag, components, in);
     }
   }
 
-  private static Command readRelay(int tag, PackedReader.Components components, PackedReader in) {
+  private static Command readRelayCommand(
+      int tag, PackedReader.Components components, PackedReader in) {
     switch (tag) {
       case PUT_CONFIGURATION:
         components.consume(2);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/PackedCodec.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/PackedCodec.java
@@ -5,21 +5,21 @@
 import org.skylarkfork.runtime.codec.CodecException;
 
 /**
- * A codec whose code is written out for each record.
+ * A codec with hand-written serialization code for each record.
  *
- * <p>The general one finds a record's components when it first meets it. A control VM with less
- * than half a core spent over a second on that after each start, and callers of all entries wait
- * for it after a crash of everything. Records carry no names of their components, which also takes
- * two thirds off the messages between daemons.
+ * <p>The general {@code Codec} inspects a record's components by reflection at its first use. A
+ * control VM with less than half a core spent over a second on that after each start, a delay for
+ * the callers of all entries after a full outage. Records are written without the names of their
+ * components, which also makes the messages between daemons two thirds smaller.
  */
 public final class PackedCodec implements BinaryCodec {
 
   private final List<Packing<?>> packings;
 
   /**
-   * Makes a codec.
+   * Creates a codec.
    *
-   * @param packings one for each type that is written or read as a whole
+   * @param packings one for each type that is serialized as a top-level value
    */
   public PackedCodec(List<Packing<?>> packings) {
     this.packings = List.copyOf(packings);
@@ -29,13 +29,13 @@
   public byte[] toBytes(Object value) {
     for (Packing<?> packing : packings) {
       if (packing.type().isInstance(value)) {
-        return bytes(packing, value);
+        return pack(packing, value);
       }
     }
     throw unsupported(value.getClass());
   }
 
-  private static <T> byte[] bytes(Packing<T> packing, Object value) {
+  private static <T> byte[] pack(Packing<T> packing, Object value) {
     PackedWriter out = new PackedWriter();
     packing.write(packing.type().cast(value), out);
     return out.toBytes();
@@ -56,6 +56,6 @@
 
   private static CodecException unsupported(Class<?> type) {
     return new CodecException(
-        CodecException.Kind.UNSUPPORTED, "no packing is known for " + type.getName(), null);
+        CodecException.Kind.UNSUPPORTED, "no packing is registered for " + type.getName(), null);
   }
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/PackedReader.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/PackedReader.java
@@ -13,14 +13,14 @@
 import org.skylarkfork.runtime.codec.CodecException;
 
 /**
- * Reads what {@link PackedWriter} wrote.
+ * Reads values that {@link PackedWriter} wrote.
  *
- * <p>A record may have more components than are asked for, as a newer version writes them; the rest
- * is skipped. All failures are {@link CodecException}s.
+ * <p>A record of a newer version may have more components than this version reads; the rest is
+ * skipped. All failures are {@link CodecException}s.
  */
 public final class PackedReader {
 
-  private static final long NANOS_A_SECOND = 1_000_000_000L;
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
   private final MessageUnpacker unpacker;
   private final int size;
@@ -46,7 +46,7 @@
     return new CodecException(CodecException.Kind.MALFORMED, detail, cause);
   }
 
-  /** Returns the failure for a tag that no record of a family has. */
+  /** Returns the exception for a tag that no record of a family has. */
   public static CodecException unknown(String family, int tag) {
     return new CodecException(
         CodecException.Kind.UNKNOWN_TYPE, "no " + family + " has the tag " + tag, null);
@@ -55,13 +55,13 @@
   /**
    * Reads a record.
    *
-   * @param components components that the body reads
-   * @param body reads them in order
+   * @param components number of components that the body reads
+   * @param body reads the components in order
    */
   public <T> T record(int components, Function<PackedReader, T> body) {
     int present = read(unpacker::unpackArrayHeader);
     if (present < components) {
-      throw malformed(present + " components in place of " + components, null);
+      throw malformed(present + " components instead of " + components, null);
     }
     T value = body.apply(this);
     skip(present - components);
@@ -69,15 +69,16 @@
   }
 
   /**
-   * Reads a record that has got components over time.
+   * Reads a record to which later versions have added components.
    *
-   * @param first components that each version of it has
-   * @param body reads these in order, then what {@link Components#consumeIfPresent} says is there
+   * @param first number of components that the record has in each version
+   * @param body reads these in order, then each added component for which {@link
+   *     Components#consumeIfPresent} returns true
    */
   public <T> T extensibleRecord(int first, BiFunction<PackedReader, Components, T> body) {
     int present = read(unpacker::unpackArrayHeader);
     if (present < first) {
-      throw malformed(present + " components in place of " + first, null);
+      throw malformed(present + " components instead of " + first, null);
     }
     Components components = new Components(present - first);
     T value = body.apply(this, components);
@@ -85,11 +86,11 @@
     return value;
   }
 
-  /** Reads a record of a sealed family; the body gets its tag. */
+  /** Reads a record of a sealed family; the body receives its tag. */
   public <T> T tagged(TaggedBody<T> body) {
     int present = read(unpacker::unpackArrayHeader) - 1;
     if (present < 0) {
-      throw malformed("a record without a tag", null);
+      throw malformed("record without a tag", null);
     }
     Components components = new Components(present);
     T value = body.read((int) number(), components);
@@ -98,7 +99,7 @@
   }
 
   /**
-   * Reads one record of a family.
+   * Function that reads one record of a sealed family.
    *
    * @param <T> the family
    */
@@ -107,13 +108,13 @@
     /**
      * Reads the components of a record.
      *
-     * @param tag which record it is
-     * @param components to be told how many are read
+     * @param tag identifies the record type
+     * @param components counts the components; the body consumes each that it reads
      */
     T read(int tag, Components components);
   }
 
-  /** How many components of a record are there still. */
+  /** Counter of the components of a record that are still to be read. */
   public static final class Components {
     private int left;
 
@@ -121,14 +122,22 @@
       this.left = left;
     }
 
-    /** Returns whether one more component is there, which is to be read next then. */
+    /**
+     * Consumes one component if any is left.
+     *
+     * @return whether a component is left, which the caller must read next
+     */
     public boolean consumeIfPresent() {
-      boolean there = left > 0;
-      left -= there ? 1 : 0;
-      return there;
+      boolean available = left > 0;
+      left -= available ? 1 : 0;
+      return available;
     }
 
-    /** Takes note that some components are read next. */
+    /**
+     * Consumes components, which the caller must read next.
+     *
+     * @throws CodecException if fewer are left
+     */
     public void consume(int count) {
       left -= count;
       if (left < 0) {
@@ -145,12 +154,12 @@
         });
   }
 
-  /** Reads a text. */
+  /** Reads a string. */
   public String text() {
     return read(unpacker::unpackString);
   }
 
-  /** Reads a text that may be missing. */
+  /** Reads a string or null. */
   public @Nullable String optionalText() {
     return missing() ? null : text();
   }
@@ -159,69 +168,70 @@
     return read(unpacker::tryUnpackNil);
   }
 
-  /** Reads a whole number. */
+  /** Reads an integer of 64 bits. */
   public long number() {
     return read(unpacker::unpackLong);
   }
 
-  /** Reads a whole number of 32 bits. */
+  /** Reads an integer of 32 bits. */
   public int smallNumber() {
     return read(unpacker::unpackInt);
   }
 
-  /** Reads a number that may be missing. */
+  /** Reads an integer of 32 bits or null. */
   public @Nullable Integer optionalNumber() {
     return missing() ? null : Integer.valueOf(smallNumber());
   }
 
-  /** Reads a number with a fraction. */
+  /** Reads a floating-point number of 64 bits. */
   public double real() {
     return read(unpacker::unpackDouble);
   }
 
-  /** Reads a truth value. */
+  /** Reads a boolean. */
   public boolean flag() {
     return read(unpacker::unpackBoolean);
   }
 
-  /** Reads bytes. */
+  /** Reads a byte array. */
   public byte[] bytes() {
     return read(
         () -> {
           int length = unpacker.unpackBinaryHeader();
-          // Believed, a wrong length would take the memory before the end of the input shows.
+          // Without this check, a corrupt length would exhaust the heap before the input's end is
+          // hit.
           if (length > size) {
-            throw new IOException(length + " bytes are more than there are");
+            throw new IOException(length + " bytes exceed the size of the input");
           }
           return unpacker.readPayload(length);
         });
   }
 
-  /** Reads a moment. */
+  /** Reads an instant, which is written as nanoseconds since 1970. */
   public Instant instant() {
     long nanos = number();
     return Instant.ofEpochSecond(
-        Math.floorDiv(nanos, NANOS_A_SECOND), Math.floorMod(nanos, NANOS_A_SECOND));
+        Math.floorDiv(nanos, NANOS_PER_SECOND), Math.floorMod(nanos, NANOS_PER_SECOND));
   }
 
-  /** Reads values with their count before them. */
+  /** Reads a list: the number of elements, then each element. */
   public <T> List<T> list(Function<PackedReader, T> each) {
     int count = read(unpacker::unpackArrayHeader);
     List<T> values = new ArrayList<>();
-    for (int place = 0; place < count; place++) {
+    for (int index = 0; index < count; index++) {
       values.add(each.apply(this));
     }
     return values;
   }
 
-  /** Reads a value that may be missing. */
+  /** Reads a value or null. */
   public <T> @Nullable T optional(Function<PackedReader, T> one) {
     return missing() ? null : one.apply(this);
   }
 
   void expectEnd() {
     if (read(unpacker::hasNext)) {
-      throw malformed("bytes after the value", null);
+      throw malformed("trailing bytes after the value", null);
     }
   }
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/PeerMessagePacking.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/PeerMessagePacking.java
@@ -6,7 +6,7 @@
 import org.skylarkfork.core.message.RelayMessage;
 import org.skylarkfork.runtime.codec.CodecException;
 
-/** The messages between the relay's daemons. */
+/** Packing of the messages between the relay's daemons. */
 public final class PeerMessagePacking implements Packing<PeerMessage> {
 
   @Override
@@ -24,7 +24,7 @@
       RelayMessages.write(crash, out);
     } else {
       throw new CodecException(
-          CodecException.Kind.UNSUPPORTED, message.getClass() + " is none of the relay's", null);
+          CodecException.Kind.UNSUPPORTED, message.getClass() + " isn't a type of the relay", null);
     }
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RaftMessages.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RaftMessages.java
@@ -3,10 +3,10 @@
 import org.skylarkfork.core.command.GroupId;
 import org.skylarkfork.core.message.RaftMessage;
 
-/** The messages of a replicated group; each carries its group first. */
+/** Packing of the messages of a replicated group; the group is each message's first component. */
 final class RaftMessages {
 
-  // Numbers on the wire; each is used once and never for another record.
+  // Tags on the wire; a tag is never reused for another record.
   private static final int VOTE_REQUEST = 1;
   private static final int VOTE_RESPONSE = 2;
   private static final int APPEND_REQUEST = 3;
@@ -29,27 +29,27 @@
     writeLog(message, out);
   }
 
-  private static PackedWriter start(int tag, int components, GroupId group, PackedWriter out) {
+  private static PackedWriter begin(int tag, int components, GroupId group, PackedWriter out) {
     RaftValues.writeGroup(group, out.tagged(tag, components + 1));
     return out;
   }
 
   private static void writeLog(RaftMessage message, PackedWriter out) {
     if (message instanceof RaftMessage.VoteRequest request) {
-      start(VOTE_REQUEST, 5, request.group(), out)
+      begin(VOTE_REQUEST, 5, request.group(), out)
           .number(request.term())
           .number(request.lastIndex())
           .number(request.lastTerm())
           .flag(request.preVote())
           .flag(request.handover());
     } else if (message instanceof RaftMessage.VoteResponse response) {
-      start(VOTE_RESPONSE, 4, response.group(), out)
+      begin(VOTE_RESPONSE, 4, response.group(), out)
           .number(response.term())
           .number(response.instance())
           .flag(response.granted())
           .flag(response.preVote());
     } else if (message instanceof RaftMessage.AppendRequest append) {
-      start(APPEND_REQUEST, 6, append.group(), out)
+      begin(APPEND_REQUEST, 6, append.group(), out)
           .number(append.term())
           .number(append.previousIndex())
           .number(append.previousTerm())
@@ -57,14 +57,14 @@
           .number(append.commitIndex())
           .instant(append.sentAt());
     } else if (message instanceof RaftMessage.AppendResponse appended) {
-      start(APPEND_RESPONSE, 5, appended.group(), out)
+      begin(APPEND_RESPONSE, 5, appended.group(), out)
           .number(appended.term())
           .number(appended.instance())
           .flag(appended.matched())
           .number(appended.index())
           .instant(appended.sentAt());
     } else if (message instanceof RaftMessage.SnapshotChunk chunk) {
-      start(SNAPSHOT_CHUNK, 6, chunk.group(), out)
+      begin(SNAPSHOT_CHUNK, 6, chunk.group(), out)
           .number(chunk.term())
           .number(chunk.index())
           .number(chunk.offset())
@@ -72,7 +72,7 @@
           .bytes(chunk.data())
           .instant(chunk.sentAt());
     } else if (message instanceof RaftMessage.ChunkResponse received) {
-      start(CHUNK_RESPONSE, 5, received.group(), out)
+      begin(CHUNK_RESPONSE, 5, received.group(), out)
           .number(received.term())
           .number(received.instance())
           .number(received.index())
@@ -85,18 +85,18 @@
 
   private static void writeMembership(RaftMessage message, PackedWriter out) {
     if (message instanceof RaftMessage.FoundingRequest founding) {
-      start(FOUNDING_REQUEST, 1, founding.group(), out).number(founding.instance());
+      begin(FOUNDING_REQUEST, 1, founding.group(), out).number(founding.instance());
     } else if (message instanceof RaftMessage.FoundingResponse founded) {
-      start(FOUNDING_RESPONSE, 3, founded.group(), out)
+      begin(FOUNDING_RESPONSE, 3, founded.group(), out)
           .number(founded.askedBy())
           .number(founded.instance())
           .flag(founded.empty());
     } else if (message instanceof RaftMessage.CampaignNow campaign) {
-      start(CAMPAIGN_NOW, 1, campaign.group(), out).number(campaign.term());
+      begin(CAMPAIGN_NOW, 1, campaign.group(), out).number(campaign.term());
     } else if (message instanceof RaftMessage.JoinRequest join) {
-      start(JOIN_REQUEST, 1, join.group(), out).number(join.instance());
+      begin(JOIN_REQUEST, 1, join.group(), out).number(join.instance());
     } else if (message instanceof RaftMessage.JoinResponse joined) {
-      start(JOIN_RESPONSE, 1, joined.group(), out)
+      begin(JOIN_RESPONSE, 1, joined.group(), out)
           .list(joined.voters(), (node, to) -> to.text(node));
     } else {
       writeSubmission(message, out);
@@ -105,22 +105,22 @@
 
   private static void writeSubmission(RaftMessage message, PackedWriter out) {
     if (message instanceof RaftMessage.SubmitRequest submit) {
-      start(SUBMIT_REQUEST, 3, submit.group(), out)
+      begin(SUBMIT_REQUEST, 3, submit.group(), out)
           .number(submit.session())
           .number(submit.submissionId());
       CommandPacking.writeCommand(submit.command(), out);
     } else if (message instanceof RaftMessage.SubmitAnswer answer) {
-      start(SUBMIT_ANSWER, 3, answer.group(), out)
+      begin(SUBMIT_ANSWER, 3, answer.group(), out)
           .number(answer.session())
           .number(answer.submissionId());
       CommandPacking.writeResult(answer.result(), out);
     } else if (message instanceof RaftMessage.SubmitRedirect redirect) {
-      start(SUBMIT_REDIRECT, 3, redirect.group(), out)
+      begin(SUBMIT_REDIRECT, 3, redirect.group(), out)
           .number(redirect.session())
           .number(redirect.submissionId())
           .optionalText(redirect.leader());
     } else if (message instanceof RaftMessage.SubmitRefusal refusal) {
-      start(SUBMIT_REFUSAL, 3, refusal.group(), out)
+      begin(SUBMIT_REFUSAL, 3, refusal.group(), out)
           .number(refusal.session())
           .number(refusal.submissionId())
           .text(refusal.remedy());
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RaftValues.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RaftValues.java
@@ -6,17 +6,17 @@
 import org.skylarkfork.core.command.Member;
 import org.skylarkfork.core.command.Members;
 
-/** The values that a replicated group writes to its disk and sends to its members. */
+/** Packing of the values that a replicated group stores and sends to its members. */
 public final class RaftValues {
 
   private RaftValues() {}
 
-  /** Writes a group's name. */
+  /** Writes a group's id. */
   public static void writeGroup(GroupId group, PackedWriter out) {
     out.record(2).text(group.name()).number(group.shard());
   }
 
-  /** Reads a group's name. */
+  /** Reads a group's id. */
   public static GroupId readGroup(PackedReader in) {
     return in.record(2, from -> new GroupId(from.text(), from.smallNumber()));
   }
@@ -41,23 +41,23 @@
         from -> new Members(from.list(RaftValues::readMember), from.list(RaftValues::readMember)));
   }
 
-  /** Writes a hard state. */
+  /** Writes the hard state: term, vote and instance. */
   public static void writeHardState(HardState state, PackedWriter out) {
     out.record(3).number(state.term()).optionalText(state.votedFor()).number(state.instance());
   }
 
-  /** Reads a hard state. */
+  /** Reads the hard state: term, vote and instance. */
   public static HardState readHardState(PackedReader in) {
     return in.record(3, from -> new HardState(from.number(), from.optionalText(), from.number()));
   }
 
-  /** Writes an entry of the log. */
+  /** Writes a log entry. */
   public static void writeEntry(LogEntry entry, PackedWriter out) {
     out.record(4).number(entry.index()).number(entry.term()).instant(entry.stampedAt());
     CommandPacking.writeCommand(entry.command(), out);
   }
 
-  /** Reads an entry of the log. */
+  /** Reads a log entry. */
   public static LogEntry readEntry(PackedReader in) {
     return in.record(
         4,
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayMessages.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayMessages.java
@@ -26,13 +26,13 @@
 import org.skylarkfork.core.relay.EntryOrdinal;
 import org.skylarkfork.core.relay.VersionCounts;
 
-/** The messages between entries and control VMs. */
+/** Packing of the messages between entries and control VMs. */
 final class RelayMessages {
 
-  /** Tags from here on are the relay's; those below are the replicated group's. */
+  /** Lowest tag of the relay's messages; lower tags belong to the replicated group. */
   static final int FIRST_TAG = 32;
 
-  // Numbers on the wire; each is used once and never for another record.
+  // Tags on the wire; a tag is never reused for another record.
   private static final int ENTRY_POLL = FIRST_TAG;
   private static final int ENTRY_UPDATE = 33;
   private static final int UPSTREAM_HEARD = 34;
@@ -61,7 +61,7 @@
     } else if (message instanceof EntryLoads loads) {
       out.tagged(ENTRY_LOADS, 2)
           .list(loads.loads(), RelayMessages::writeLoad)
-          .list(loads.prompts(), RelayMessages::writePrompt);
+          .list(loads.prompts(), RelayMessages::writeCachedPrefix);
     } else if (message instanceof PlacementAsk ask) {
       writeAsk(ask, out);
     } else if (message instanceof PlacementAnswer answer) {
@@ -97,7 +97,8 @@
         return new UpstreamHeard(RelayValues.readInstance(in));
       case ENTRY_LOADS:
         components.consume(2);
-        return new EntryLoads(in.list(RelayMessages::readLoad), in.list(RelayMessages::readPrompt));
+        return new EntryLoads(
+            in.list(RelayMessages::readLoad), in.list(RelayMessages::readCachedPrefix));
       case PLACEMENT_ASK:
         components.consume(ASK_COMPONENTS);
         return readAsk(in);
@@ -188,7 +189,7 @@
         .flag(poll.busy())
         .list(poll.counts(), RelayValues::writeCounts)
         .number(poll.neighbourhoodVersion())
-        .list(poll.limits(), RelayMessages::writeHeard);
+        .list(poll.limits(), RelayMessages::writeRateLimit);
   }
 
   private static EntryPoll readPoll(PackedReader in, PackedReader.Components more) {
@@ -218,15 +219,15 @@
         busy,
         more.consumeIfPresent() ? in.number() : 0,
         counts,
-        more.consumeIfPresent() ? in.list(RelayMessages::readHeard) : List.of());
+        more.consumeIfPresent() ? in.list(RelayMessages::readRateLimit) : List.of());
   }
 
-  private static void writeHeard(HeardLimit heard, PackedWriter out) {
+  private static void writeRateLimit(HeardLimit heard, PackedWriter out) {
     RelayValues.writeRun(heard.upstream(), out.record(2));
     RelayValues.writeReportedLimit(heard.named(), out);
   }
 
-  private static HeardLimit readHeard(PackedReader in) {
+  private static HeardLimit readRateLimit(PackedReader in) {
     return in.record(
         2, from -> new HeardLimit(RelayValues.readRun(from), RelayValues.readReportedLimit(from)));
   }
@@ -240,11 +241,11 @@
         3, from -> new UpstreamLoad(from.text(), from.smallNumber(), from.smallNumber()));
   }
 
-  private static void writePrompt(KeptPrompt prompt, PackedWriter out) {
+  private static void writeCachedPrefix(KeptPrompt prompt, PackedWriter out) {
     out.record(2).text(prompt.upstream()).number(prompt.key());
   }
 
-  private static KeptPrompt readPrompt(PackedReader in) {
+  private static KeptPrompt readCachedPrefix(PackedReader in) {
     return in.record(2, from -> new KeptPrompt(from.text(), from.number()));
   }
 
@@ -278,10 +279,10 @@
                 from.list(PackedReader::text),
                 from.list(PackedReader::text),
                 more.consumeIfPresent() ? from.list(PackedReader::text) : List.of(),
-                more.consumeIfPresent() ? readPlace(from, more) : EntryOrdinal.UNKNOWN));
+                more.consumeIfPresent() ? readOrdinal(from, more) : EntryOrdinal.UNKNOWN));
   }
 
-  private static EntryOrdinal readPlace(PackedReader in, PackedReader.Components more) {
+  private static EntryOrdinal readOrdinal(PackedReader in, PackedReader.Components more) {
     int number = in.smallNumber();
     return more.consumeIfPresent()
         ? new EntryOrdinal(number, in.smallNumber())
@@ -290,7 +291,7 @@
 
   private static void writeUpdate(EntryUpdate update, PackedWriter out) {
     out.tagged(ENTRY_UPDATE, UPDATE_COMPONENTS + 1)
-        .optional(update.provenAt(), (moment, to) -> to.instant(moment))
+        .optional(update.provenAt(), (provenAt, to) -> to.instant(provenAt))
         .number(update.stateIndex())
         .optional(update.configuration(), RelayValues::writeConfiguration)
         .optional(update.shared(), RelayMessages::writeShared);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayValues.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayValues.java
@@ -27,24 +27,24 @@
 import org.skylarkfork.core.upstream.UpstreamRun;
 import org.skylarkfork.runtime.codec.CodecException;
 
-/** The values of the relay: configurations, upstreams and roll-outs. */
+/** Packing of the relay's values: configurations, upstreams and roll-outs. */
 final class RelayValues {
 
   private static final int ROUTE_COMPONENTS = 14;
 
-  /** Components of a service in each version; what its cold upstreams bear came later. */
+  /** Components of a service in each version; later versions add its cold-start limit. */
   private static final int SERVICE_COMPONENTS = 4;
 
-  /** Components of an instance in each version; its start and its cold time came later. */
+  /** Components of an instance in each version; later versions add its start and cold time. */
   private static final int INSTANCE_COMPONENTS = 7;
 
   /**
-   * The configuration that was written or read last.
+   * Cache of the configuration that was serialized or deserialized last.
    *
-   * <p>A leader writes the same one to its disk, to each follower and to each entry; with 63
-   * entries and 355 routes each writing of it anew would take seconds of its processor.
+   * <p>A leader writes the same configuration to its disk, to each follower and to each entry. With
+   * 63 entries and 355 routes, serializing it each time would take seconds of CPU time.
    */
-  private static volatile @Nullable Encoded newest;
+  private static volatile @Nullable Encoded lastEncoded;
 
   private RelayValues() {}
 
@@ -54,12 +54,12 @@
     } catch (IllegalArgumentException unknown) {
       throw new CodecException(
           CodecException.Kind.UNKNOWN_TYPE,
-          "no " + type.getSimpleName() + " is called " + name,
+          "no constant of " + type.getSimpleName() + " is named " + name,
           unknown);
     }
   }
 
-  /** A configuration and its bytes. */
+  /** A configuration and its serialized form. */
   private record Encoded(RelayConfiguration configuration, byte[] bytes) {}
 
   static void writeConfiguration(RelayConfiguration configuration, PackedWriter out) {
@@ -67,14 +67,14 @@
   }
 
   private static byte[] encoded(RelayConfiguration configuration) {
-    Encoded known = newest;
-    if (known == null || known.configuration() != configuration) {
+    Encoded cached = lastEncoded;
+    if (cached == null || cached.configuration() != configuration) {
       PackedWriter out = new PackedWriter();
       writeComponents(configuration, out);
-      known = new Encoded(configuration, out.toBytes());
-      newest = known;
+      cached = new Encoded(configuration, out.toBytes());
+      lastEncoded = cached;
     }
-    return known.bytes();
+    return cached.bytes();
   }
 
   static RelayConfiguration readConfiguration(PackedReader in) {
@@ -82,7 +82,7 @@
     PackedReader components = new PackedReader(bytes);
     RelayConfiguration configuration = readComponents(components);
     components.expectEnd();
-    newest = new Encoded(configuration, bytes);
+    lastEncoded = new Encoded(configuration, bytes);
     return configuration;
   }
 
@@ -173,10 +173,10 @@
                 from.text(),
                 from.smallNumber(),
                 from.optional(RelayValues::readEngine),
-                readCold(from, more)));
+                readColdStart(from, more)));
   }
 
-  private static ColdStart readCold(PackedReader in, PackedReader.Components more) {
+  private static ColdStart readColdStart(PackedReader in, PackedReader.Components more) {
     if (!more.consumeIfPresent()) {
       return ColdStart.NONE;
     }
@@ -317,7 +317,7 @@
                 more.consumeIfPresent() ? from.number() : 0));
   }
 
-  /** Writes the ids, as versions without starts read them, and then the starts. */
+  /** Writes the ids as versions without start times read them, then the start times. */
   static void writeRuns(List<UpstreamRun> runs, PackedWriter out) {
     out.list(runs, (run, to) -> to.text(run.id()));
     out.list(runs, (run, to) -> to.number(run.bornMillis()));
@@ -325,13 +325,13 @@
 
   static List<UpstreamRun> readRuns(PackedReader in, PackedReader.Components more) {
     List<String> ids = in.list(PackedReader::text);
-    List<Long> starts = more.consumeIfPresent() ? in.list(PackedReader::number) : List.of();
+    List<Long> startMillis = more.consumeIfPresent() ? in.list(PackedReader::number) : List.of();
     List<UpstreamRun> runs = new ArrayList<>();
-    for (int place = 0; place < ids.size(); place++) {
-      String id = ids.get(place);
+    for (int index = 0; index < ids.size(); index++) {
+      String id = ids.get(index);
       runs.add(
-          place < starts.size()
-              ? new UpstreamRun(id, starts.get(place))
+          index < startMillis.size()
+              ? new UpstreamRun(id, startMillis.get(index))
               : UpstreamRun.everyStartOf(id));
     }
     return runs;
@@ -352,8 +352,8 @@
                 more.consumeIfPresent() ? from.optional(RelayValues::readReportedLimit) : null));
   }
 
-  static void writeReportedLimit(ReportedLimit named, PackedWriter out) {
-    out.record(2).real(named.limit().perSecond()).number(named.ageMillis());
+  static void writeReportedLimit(ReportedLimit reported, PackedWriter out) {
+    out.record(2).real(reported.limit().perSecond()).number(reported.ageMillis());
   }
 
   static ReportedLimit readReportedLimit(PackedReader in) {
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/SnapshotPacking.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/SnapshotPacking.java
@@ -6,10 +6,10 @@
 import org.skylarkfork.core.command.Snapshot;
 import org.skylarkfork.runtime.codec.CodecException;
 
-/** Snapshots of the relay's group. */
+/** Packing of the snapshots of the relay's group. */
 public final class SnapshotPacking implements Packing<Snapshot> {
 
-  // Numbers on the wire and on the disk; each is used once and never for another record.
+  // Tags on the wire and on the disk; a tag is never reused for another record.
   private static final int EMPTY = 1;
   private static final int RELAY = 2;
 
@@ -49,7 +49,7 @@
           .list(relay.quarantined(), RelayValues::writeQuarantined);
     } else {
       throw new CodecException(
-          CodecException.Kind.UNSUPPORTED, state.getClass() + " is none of the relay's", null);
+          CodecException.Kind.UNSUPPORTED, state.getClass() + " isn't a type of the relay", null);
     }
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/package-info.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/package-info.java
@@ -1,4 +1,4 @@
-/** A codec with written-out code for each record, for daemons that must start fast. */
+/** A codec with hand-written code for each record, for daemons that must start fast. */
 @NullMarked
 package org.skylarkfork.runtime.packed;
 
