--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/codec/CodecTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/codec/CodecTest.java
@@ -30,7 +30,7 @@
 public final class CodecTest {
 
   private static final int SAMPLES_PER_RECORD = 30;
-  private static final int FUZZED = 20_000;
+  private static final int FUZZED_INPUTS = 20_000;
 
   private final Codec codec = new Codec();
 
@@ -100,7 +100,7 @@
   }
 
   @Test
-  public void testNamesTypeAndOnlyComponents() {
+  public void testJsonHoldsTypeNameAndOnlyComponents() {
     Shape.Full full =
         new Shape.Full(
             Instant.parse("2026-01-02T03:04:05.000000006Z"),
@@ -121,7 +121,7 @@
   }
 
   @Test
-  public void testTimesBeyondRangeOfNanosSurvive() {
+  public void testTimesBeyondRangeOfNanosRoundTrip() {
     for (Instant at : List.of(Instant.MAX, Instant.MIN, Instant.EPOCH.minusNanos(1))) {
       Shape.Full full =
           new Shape.Full(
@@ -139,14 +139,14 @@
   }
 
   @Test
-  public void testNeighbouringVersions() {
+  public void testAdjacentVersionsAreCompatible() {
     String newer = "{\"@type\":\"CodecTest.Shape.Group\",\"later\":{\"a\":[1]},\"names\":[\"n\"]}";
     Shape.Group read = (Shape.Group) codec.fromJson(newer, Shape.class);
     assertEquals(read, new Shape.Group(List.of(), Set.of("n")));
   }
 
   @Test
-  public void testUnknownTypeAndConstantAreTyped() {
+  public void testUnknownTypeAndConstantAreReportedAsUnknownType() {
     CodecException type =
         expectThrows(
             CodecException.class,
@@ -163,14 +163,14 @@
   }
 
   @Test
-  public void testUnwritableValueIsTyped() {
+  public void testUnserializableValueIsUnsupported() {
     CodecException refused =
         expectThrows(CodecException.class, () -> codec.toBytes(new Thread("never started")));
     assertEquals(refused.kind(), CodecException.Kind.UNSUPPORTED);
   }
 
   @Test
-  public void testBytesAfterValueAreRefused() {
+  public void testTrailingDataIsRejected() {
     byte[] sound = codec.toBytes(new Shape.Dot());
     byte[] longer = Arrays.copyOf(sound, sound.length + 1);
     expectThrows(CodecException.class, () -> codec.fromBytes(longer, Shape.class));
@@ -179,7 +179,7 @@
   }
 
   @Test
-  public void testDeepNestingAndHugeLengthsAreRefused() {
+  public void testDeepNestingAndHugeLengthsAreRejected() {
     String open = "{\"@type\":\"CodecTest.Shape.Group\",\"parts\":[";
     StringBuilder deep = new StringBuilder();
     for (int i = 0; i < 200_000; i++) {
@@ -200,11 +200,11 @@
   }
 
   @Test
-  public void testFuzzedBytesGiveOnlyTypedErrors() {
+  public void testFuzzedBytesThrowOnlyCodecException() {
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(12L);
     byte[] sound = codec.toBytes(new RaftMessage.VoteRequest(GroupId.LEDGER, 7, 8, 9, true, false));
     int refused = 0;
-    for (int i = 0; i < FUZZED; i++) {
+    for (int i = 0; i < FUZZED_INPUTS; i++) {
       byte[] bytes;
       if (i % 2 == 0) {
         bytes = new byte[random.nextInt(64)];
@@ -219,7 +219,7 @@
         refused++;
       }
     }
-    System.out.println("codec: fuzzed " + FUZZED + ", refused " + refused);
-    assertTrue(refused > FUZZED / 2, "refused " + refused);
+    System.out.println("codec: fuzzed " + FUZZED_INPUTS + ", refused " + refused);
+    assertTrue(refused > FUZZED_INPUTS / 2, "refused " + refused);
   }
 }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/codec/ConfigurationExamplesTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/codec/ConfigurationExamplesTest.java
@@ -64,7 +64,7 @@
 
   /** Prints the size of what a daemon sends and gets while nothing changes and for a change. */
   @Test
-  public void messagesAreSmall() throws IOException {
+  public void printsMessageSizes() throws IOException {
     ConfigurationMessage renew =
         new ConfigurationMessage.Renew(16_000, NOW, 16_000, List.of(), 0, false);
     ConfigurationMessage grant =
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/codec/Samples.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/codec/Samples.java
@@ -22,7 +22,7 @@
 public final class Samples {
 
   private static final int MAX_DEPTH = 6;
-  private static final int TRIES = 200;
+  private static final int MAX_ATTEMPTS = 200;
 
   private final UniformRandomProvider random;
 
@@ -103,7 +103,7 @@
 
   private Object record(Class<?> type, int depth) {
     RuntimeException refusal = new IllegalStateException("no try");
-    for (int attempt = 0; attempt < TRIES; attempt++) {
+    for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       try {
         return construct(type, depth);
       } catch (IllegalArgumentException e) {
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/packed/PackedCodecTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/packed/PackedCodecTest.java
@@ -26,8 +26,8 @@
 /** Tests of {@link PackedCodec} with the records of the relay. */
 public final class PackedCodecTest {
 
-  private static final int DRAWS = 60;
-  private static final int CUT_MESSAGES = 300;
+  private static final int SAMPLES_PER_RECORD = 60;
+  private static final int CORRUPTED_MESSAGES = 300;
 
   private final PackedCodec codec =
       new PackedCodec(
@@ -35,8 +35,8 @@
   private final UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(1);
   private final RandomRecords records = new RandomRecords(random);
 
-  private <T> void comesBack(Class<T> family, Class<?> member) throws Exception {
-    for (int draw = 0; draw < DRAWS; draw++) {
+  private <T> void assertRoundTrips(Class<T> family, Class<?> member) throws Exception {
+    for (int draw = 0; draw < SAMPLES_PER_RECORD; draw++) {
       Object value = records.draw(member);
       T read = codec.fromBytes(codec.toBytes(value), family);
       assertTrue(RandomRecords.same(read, value), value + " came back as " + read);
@@ -45,24 +45,24 @@
 
   /** A new record without its packing would be lost on the wire; this fails before. */
   @Test
-  public void eachMessageComesBack() throws Exception {
+  public void eachMessageRoundTrips() throws Exception {
     for (Class<?> family : List.of(RaftMessage.class, RelayMessage.class)) {
       for (Class<?> member : RandomRecords.members(family)) {
-        comesBack(PeerMessage.class, member);
+        assertRoundTrips(PeerMessage.class, member);
       }
     }
   }
 
   @Test
-  public void eachCommandComesBack() throws Exception {
+  public void eachCommandRoundTrips() throws Exception {
     for (Class<?> member : RandomRecords.members(Command.class)) {
-      comesBack(Command.class, member);
+      assertRoundTrips(Command.class, member);
     }
   }
 
   @Test
-  public void snapshotComesBack() throws Exception {
-    comesBack(Snapshot.class, Snapshot.class);
+  public void snapshotRoundTrips() throws Exception {
+    assertRoundTrips(Snapshot.class, Snapshot.class);
   }
 
   /**
@@ -70,11 +70,11 @@
    * messages with a changed byte, neither of which may take memory or end the daemon.
    */
   @Test
-  public void damagedBytesGiveTypedErrors() throws Exception {
+  public void corruptBytesThrowCodecException() throws Exception {
     int refused = 0;
     List<Class<?>> members = new ArrayList<>(RandomRecords.members(RaftMessage.class));
     members.addAll(RandomRecords.members(RelayMessage.class));
-    for (int message = 0; message < CUT_MESSAGES; message++) {
+    for (int message = 0; message < CORRUPTED_MESSAGES; message++) {
       byte[] bytes = codec.toBytes(records.draw(members.get(random.nextInt(members.size()))));
       byte[] cut = Arrays.copyOf(bytes, random.nextInt(bytes.length));
       assertThrows(CodecException.class, () -> codec.fromBytes(cut, PeerMessage.class));
@@ -82,7 +82,7 @@
       changed[random.nextInt(changed.length)] = (byte) random.nextInt();
       refused += isRefused(changed) ? 1 : 0;
     }
-    assertTrue(refused > CUT_MESSAGES / 10, "refused: " + refused);
+    assertTrue(refused > CORRUPTED_MESSAGES / 10, "refused: " + refused);
   }
 
   private boolean isRefused(byte[] bytes) {
@@ -96,7 +96,7 @@
 
   /** A message of a newer version is told from rubbish, so that the connection is kept. */
   @Test
-  public void unknownTagIsAnUnknownType() {
+  public void unknownTagIsReportedAsUnknownType() {
     byte[] bytes = new PackedWriter().tagged(31, 1).number(1).toBytes();
     // The group comes first in each message of a replicated group; this one has it.
     PackedWriter out = new PackedWriter();
@@ -123,7 +123,7 @@
    * it stored of an upstream that leaves holds for each start, as it was meant.
    */
   @Test
-  public void recordsWithoutStartsAreRead() {
+  public void recordsWithoutStartTimesAreRead() {
     PackedWriter command = new PackedWriter();
     command.tagged(21, 1).text("up-1");
     assertEquals(
@@ -139,7 +139,7 @@
   }
 
   @Test
-  public void foreignRecordsAreUnsupported() {
+  public void recordsWithoutPackingAreUnsupported() {
     CodecException unsupported =
         expectThrows(
             CodecException.class,
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/packed/RandomRecords.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/packed/RandomRecords.java
@@ -21,9 +21,9 @@
 /** Draws records of the relay with all their components. */
 final class RandomRecords {
 
-  private static final int MOST_VALUES = 3;
-  private static final long NANOS_A_SECOND = 1_000_000_000L;
-  private static final long MOST_SECONDS = 4_000_000_000L;
+  private static final int MAX_VALUES = 3;
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
+  private static final long MAX_SECONDS = 4_000_000_000L;
 
   private final UniformRandomProvider random;
 
@@ -68,7 +68,7 @@
     } else if (raw == String.class) {
       return "text-" + random.nextInt();
     } else if (raw == Instant.class) {
-      return Instant.ofEpochSecond(random.nextLong(MOST_SECONDS), random.nextLong(NANOS_A_SECOND));
+      return Instant.ofEpochSecond(random.nextLong(MAX_SECONDS), random.nextLong(NANOS_PER_SECOND));
     } else if (raw == byte[].class) {
       byte[] bytes = new byte[random.nextInt(50)];
       random.nextBytes(bytes);
@@ -86,7 +86,7 @@
 
   private List<Object> list(Class<?> element) throws ReflectiveOperationException {
     List<Object> values = new ArrayList<>();
-    int count = random.nextInt(MOST_VALUES + 1);
+    int count = random.nextInt(MAX_VALUES + 1);
     for (int place = 0; place < count; place++) {
       values.add(draw(element));
     }
