--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/Codec.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/Codec.java
@@ -102,9 +102,7 @@
   private <T> T readWhole(byte[] bytes, Class<T> type) throws IOException {
     try (JsonParser in = messagePack.createParser(bytes)) {
       T value = messagePack.readValue(in, type);
-      long endOffset =
-          in.currentLocation()
-              .getCharOffset(); // MessagePack parsers report byte offsets as character offsets
+      long endOffset = in.currentLocation().getCharOffset(); // a byte offset in MessagePack
       if (endOffset != bytes.length) {
         throw new JsonParseException(
             in, "trailing bytes after the value, from offset " + endOffset);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/SealedFamilies.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/codec/SealedFamilies.java
@@ -6,8 +6,9 @@
   private SealedFamilies() {}
 
   /**
-   * Returns whether values of the class are written with a type name: the class is sealed or has a
-   * sealed interface among its supertypes, and isn't a class of the JDK.
+   * Returns whether values of the class are written with a type name: the class is sealed or
+   * implements a sealed interface, directly or through other interfaces. Types in {@code java.*}
+   * packages don't count.
    */
   static boolean belongsToFamily(Class<?> type) {
     if (type.getPackageName().startsWith("java.")) {
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/PackedReader.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/PackedReader.java
@@ -125,7 +125,7 @@
     /**
      * Consumes one component if any is left.
      *
-     * @return whether a component is left, which the caller must read next
+     * @return whether there was one, which the caller must read next
      */
     public boolean consumeIfPresent() {
       boolean available = left > 0;
@@ -198,8 +198,7 @@
     return read(
         () -> {
           int length = unpacker.unpackBinaryHeader();
-          // Without this check, a corrupt length would exhaust the heap before the input's end is
-          // hit.
+          // Without this check, a corrupt length would exhaust the heap before the read fails.
           if (length > size) {
             throw new IOException(length + " bytes exceed the size of the input");
           }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayValues.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayValues.java
@@ -35,7 +35,7 @@
   /** Components of a service in each version; later versions add its cold-start limit. */
   private static final int SERVICE_COMPONENTS = 4;
 
-  /** Components of an instance in each version; later versions add its start and cold time. */
+  /** Components of an instance in each version; later versions add its start time and cold time. */
   private static final int INSTANCE_COMPONENTS = 7;
 
   /**
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/codec/CodecTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/codec/CodecTest.java
@@ -164,15 +164,15 @@
 
   @Test
   public void testUnserializableValueIsUnsupported() {
-    CodecException refused =
+    CodecException rejected =
         expectThrows(CodecException.class, () -> codec.toBytes(new Thread("never started")));
-    assertEquals(refused.kind(), CodecException.Kind.UNSUPPORTED);
+    assertEquals(rejected.kind(), CodecException.Kind.UNSUPPORTED);
   }
 
   @Test
   public void testTrailingDataIsRejected() {
-    byte[] sound = codec.toBytes(new Shape.Dot());
-    byte[] longer = Arrays.copyOf(sound, sound.length + 1);
+    byte[] valid = codec.toBytes(new Shape.Dot());
+    byte[] longer = Arrays.copyOf(valid, valid.length + 1);
     expectThrows(CodecException.class, () -> codec.fromBytes(longer, Shape.class));
     String text = codec.toJson(new Shape.Dot()) + " 1";
     expectThrows(CodecException.class, () -> codec.fromJson(text, Shape.class));
@@ -202,24 +202,24 @@
   @Test
   public void testFuzzedBytesThrowOnlyCodecException() {
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(12L);
-    byte[] sound = codec.toBytes(new RaftMessage.VoteRequest(GroupId.LEDGER, 7, 8, 9, true, false));
-    int refused = 0;
+    byte[] valid = codec.toBytes(new RaftMessage.VoteRequest(GroupId.LEDGER, 7, 8, 9, true, false));
+    int rejected = 0;
     for (int i = 0; i < FUZZED_INPUTS; i++) {
       byte[] bytes;
       if (i % 2 == 0) {
         bytes = new byte[random.nextInt(64)];
         random.nextBytes(bytes);
       } else {
-        bytes = Arrays.copyOf(sound, random.nextInt(sound.length) + 1);
+        bytes = Arrays.copyOf(valid, random.nextInt(valid.length) + 1);
         bytes[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
       }
       try {
         codec.fromBytes(bytes, PeerMessage.class);
       } catch (CodecException e) {
-        refused++;
+        rejected++;
       }
     }
-    System.out.println("codec: fuzzed " + FUZZED_INPUTS + ", refused " + refused);
-    assertTrue(refused > FUZZED_INPUTS / 2, "refused " + refused);
+    System.out.println("codec: fuzzed " + FUZZED_INPUTS + ", rejected " + rejected);
+    assertTrue(rejected > FUZZED_INPUTS / 2, "rejected " + rejected);
   }
 }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/codec/ConfigurationExamplesTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/codec/ConfigurationExamplesTest.java
@@ -23,7 +23,7 @@
 import org.skylarkfork.core.message.ConfigurationMessage;
 import org.testng.annotations.Test;
 
-/** Sends the examples of docs/CONFIGURATION.md in their order. */
+/** Tests that the examples of docs/CONFIGURATION.md are accepted in their order. */
 public class ConfigurationExamplesTest {
 
   private static final Pattern EXAMPLE = Pattern.compile("```json\n(.*?)```", Pattern.DOTALL);
@@ -41,7 +41,7 @@
     return changes;
   }
 
-  /** Each kind of change has an example, and each example is accepted after those before it. */
+  /** Each kind of change has an example, and each example is accepted after the preceding ones. */
   @Test
   public void eachExampleIsAccepted() throws IOException {
     ConfigurationMachine machine = new ConfigurationMachine();
@@ -62,7 +62,7 @@
     assertEquals(machine.configuration().revision(), changes.size());
   }
 
-  /** Prints the size of what a daemon sends and gets while nothing changes and for a change. */
+  /** Prints the sizes of the messages that renew the lease and of those that carry a change. */
   @Test
   public void printsMessageSizes() throws IOException {
     ConfigurationMessage renew =
@@ -75,14 +75,14 @@
             change ->
                 machine.apply(
                     1, NOW, new SubmitChange("c" + change, "anna", null, null, change, "")));
-    int pushed = 0;
+    int pushedBytes = 0;
     for (RevisionEntry entry : machine.history().subList(1, machine.history().size())) {
-      pushed += codec.toBytes(new ConfigurationMessage.Push(List.of(entry.step()))).length;
+      pushedBytes += codec.toBytes(new ConfigurationMessage.Push(List.of(entry.step()))).length;
     }
     System.out.printf(
         "configuration: renew %d bytes, grant %d bytes, push of an example %d bytes in the mean%n",
         codec.toBytes(renew).length,
         codec.toBytes(grant).length,
-        pushed / (machine.history().size() - 1));
+        pushedBytes / (machine.history().size() - 1));
   }
 }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/codec/Samples.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/codec/Samples.java
@@ -18,7 +18,7 @@
 import java.util.Set;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Makes sample values of any record or sealed family from a seeded generator. */
+/** Generates sample values of any record or sealed family from a seeded random source. */
 public final class Samples {
 
   private static final int MAX_DEPTH = 6;
@@ -26,12 +26,12 @@
 
   private final UniformRandomProvider random;
 
-  /** Creates a source of samples. */
+  /** Creates a generator that draws from the given random source. */
   public Samples(UniformRandomProvider random) {
     this.random = random;
   }
 
-  /** Returns the concrete classes of a sealed family. */
+  /** Returns the concrete classes of a sealed family, or the class itself if it isn't sealed. */
   public static List<Class<?>> leaves(Class<?> type) {
     List<Class<?>> leaves = new ArrayList<>();
     if (!type.isSealed()) {
@@ -44,7 +44,7 @@
     return leaves;
   }
 
-  /** Returns a value of the class; records that refuse a sample are tried with others. */
+  /** Returns a value of the class; a record that rejects its components is generated again. */
   public Object sample(Class<?> type) {
     return value(type, 0);
   }
@@ -69,13 +69,13 @@
   private Object leaf(Class<?> family, int depth) {
     List<Class<?>> leaves = leaves(family);
     if (depth > MAX_DEPTH) {
-      leaves.sort((a, b) -> Integer.compare(weight(a), weight(b)));
+      leaves.sort((a, b) -> Integer.compare(componentCount(a), componentCount(b)));
       return value(leaves.get(0), depth + 1);
     }
     return value(leaves.get(random.nextInt(leaves.size())), depth + 1);
   }
 
-  private static int weight(Class<?> type) {
+  private static int componentCount(Class<?> type) {
     return type.isRecord() ? type.getRecordComponents().length : 0;
   }
 
@@ -102,15 +102,15 @@
   }
 
   private Object record(Class<?> type, int depth) {
-    RuntimeException refusal = new IllegalStateException("no try");
+    RuntimeException rejection = new IllegalStateException("no attempt");
     for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       try {
         return construct(type, depth);
       } catch (IllegalArgumentException e) {
-        refusal = e;
+        rejection = e;
       }
     }
-    throw new IllegalStateException("no sample accepted by " + type.getName(), refusal);
+    throw new IllegalStateException("no valid sample found for " + type.getName(), rejection);
   }
 
   private Object construct(Class<?> type, int depth) {
@@ -165,6 +165,7 @@
       random.nextBytes(bytes);
       return bytes;
     }
-    throw new IllegalStateException("teach Samples and Codec the type " + raw.getName());
+    throw new IllegalStateException(
+        "add support to Samples and Codec for the type " + raw.getName());
   }
 }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/packed/PackedCodecTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/packed/PackedCodecTest.java
@@ -36,14 +36,14 @@
   private final RandomRecords records = new RandomRecords(random);
 
   private <T> void assertRoundTrips(Class<T> family, Class<?> member) throws Exception {
-    for (int draw = 0; draw < SAMPLES_PER_RECORD; draw++) {
+    for (int sample = 0; sample < SAMPLES_PER_RECORD; sample++) {
       Object value = records.draw(member);
       T read = codec.fromBytes(codec.toBytes(value), family);
-      assertTrue(RandomRecords.same(read, value), value + " came back as " + read);
+      assertTrue(RandomRecords.same(read, value), value + " was read as " + read);
     }
   }
 
-  /** A new record without its packing would be lost on the wire; this fails before. */
+  /** Fails for a new message type without a packing: it would be lost on the wire. */
   @Test
   public void eachMessageRoundTrips() throws Exception {
     for (Class<?> family : List.of(RaftMessage.class, RelayMessage.class)) {
@@ -66,48 +66,48 @@
   }
 
   /**
-   * A peer's connection is dropped with a typed error, whatever bytes it sends: cut messages and
-   * messages with a changed byte, neither of which may take memory or end the daemon.
+   * Truncated messages and messages with a changed byte cause a {@link CodecException}, on which a
+   * peer's connection is dropped. Neither may exhaust the memory or end the daemon.
    */
   @Test
   public void corruptBytesThrowCodecException() throws Exception {
-    int refused = 0;
+    int rejected = 0;
     List<Class<?>> members = new ArrayList<>(RandomRecords.members(RaftMessage.class));
     members.addAll(RandomRecords.members(RelayMessage.class));
     for (int message = 0; message < CORRUPTED_MESSAGES; message++) {
       byte[] bytes = codec.toBytes(records.draw(members.get(random.nextInt(members.size()))));
-      byte[] cut = Arrays.copyOf(bytes, random.nextInt(bytes.length));
-      assertThrows(CodecException.class, () -> codec.fromBytes(cut, PeerMessage.class));
+      byte[] truncated = Arrays.copyOf(bytes, random.nextInt(bytes.length));
+      assertThrows(CodecException.class, () -> codec.fromBytes(truncated, PeerMessage.class));
       byte[] changed = bytes.clone();
       changed[random.nextInt(changed.length)] = (byte) random.nextInt();
-      refused += isRefused(changed) ? 1 : 0;
+      rejected += isRejected(changed) ? 1 : 0;
     }
-    assertTrue(refused > CORRUPTED_MESSAGES / 10, "refused: " + refused);
+    assertTrue(rejected > CORRUPTED_MESSAGES / 10, "rejected: " + rejected);
   }
 
-  private boolean isRefused(byte[] bytes) {
+  private boolean isRejected(byte[] bytes) {
     try {
       codec.fromBytes(bytes, PeerMessage.class);
       return false;
-    } catch (CodecException typed) {
+    } catch (CodecException malformed) {
       return true;
     }
   }
 
-  /** A message of a newer version is told from rubbish, so that the connection is kept. */
+  /** A message of a newer version is distinct from malformed bytes; the connection is kept. */
   @Test
   public void unknownTagIsReportedAsUnknownType() {
     byte[] bytes = new PackedWriter().tagged(31, 1).number(1).toBytes();
-    // The group comes first in each message of a replicated group; this one has it.
+    // Each message of a replicated group begins with the group, as this one does.
     PackedWriter out = new PackedWriter();
     RaftValues.writeGroup(GroupId.RELAY, out.tagged(31, 1));
-    CodecException unknown =
+    CodecException exception =
         expectThrows(CodecException.class, () -> codec.fromBytes(out.toBytes(), PeerMessage.class));
-    assertEquals(unknown.kind(), CodecException.Kind.UNKNOWN_TYPE);
+    assertEquals(exception.kind(), CodecException.Kind.UNKNOWN_TYPE);
     assertThrows(CodecException.class, () -> codec.fromBytes(bytes, PeerMessage.class));
   }
 
-  /** A record with more components than this version knows is read without them. */
+  /** The components that a newer version added to a record are skipped. */
   @Test
   public void componentsOfNewerVersionsAreSkipped() {
     PackedWriter out = new PackedWriter();
@@ -119,8 +119,8 @@
   }
 
   /**
-   * A control VM of this version starts on the disk of one that kept no starts of upstreams. What
-   * it stored of an upstream that leaves holds for each start, as it was meant.
+   * A control VM of this version reads the disk of an older version, which stored no start times of
+   * upstreams. A stored record of a leaving upstream then applies to all runs of the upstream.
    */
   @Test
   public void recordsWithoutStartTimesAreRead() {
@@ -129,11 +129,18 @@
     assertEquals(
         codec.fromBytes(command.toBytes(), Command.class),
         new RelayCommand.UpstreamLeaves(UpstreamRun.everyStartOf("up-1")));
-    PackedWriter heard = new PackedWriter();
-    heard.tagged(34, 1).record(7).text("up-1").text("s").text("10.0.0.1:80").text("a").text("v1");
-    heard.number(6).number(4);
+    PackedWriter instance = new PackedWriter();
+    instance
+        .tagged(34, 1)
+        .record(7)
+        .text("up-1")
+        .text("s")
+        .text("10.0.0.1:80")
+        .text("a")
+        .text("v1");
+    instance.number(6).number(4);
     assertEquals(
-        codec.fromBytes(heard.toBytes(), PeerMessage.class),
+        codec.fromBytes(instance.toBytes(), PeerMessage.class),
         new RelayMessage.UpstreamHeard(
             new UpstreamInstance("up-1", "s", "10.0.0.1:80", "a", "v1", 6, 4, 0)));
   }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/packed/RandomRecords.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/packed/RandomRecords.java
@@ -18,7 +18,7 @@
 import org.skylarkfork.core.command.RelayResult;
 import org.skylarkfork.core.command.RelayState;
 
-/** Draws records of the relay with all their components. */
+/** Generates random records of the relay, with random values in all their components. */
 final class RandomRecords {
 
   private static final int MAX_VALUES = 3;
@@ -31,7 +31,7 @@
     this.random = random;
   }
 
-  /** Returns the records of a family that the relay uses. */
+  /** Returns the record classes of a family that the relay uses. */
   static List<Class<?>> members(Class<?> family) {
     if (family == Command.class) {
       return joined(members(GroupCommand.class), members(RelayCommand.class));
@@ -87,7 +87,7 @@
   private List<Object> list(Class<?> element) throws ReflectiveOperationException {
     List<Object> values = new ArrayList<>();
     int count = random.nextInt(MAX_VALUES + 1);
-    for (int place = 0; place < count; place++) {
+    for (int index = 0; index < count; index++) {
       values.add(draw(element));
     }
     return values;
@@ -97,11 +97,11 @@
     RecordComponent[] components = type.getRecordComponents();
     Class<?>[] types = new Class<?>[components.length];
     Object[] values = new Object[components.length];
-    for (int place = 0; place < components.length; place++) {
-      RecordComponent component = components[place];
+    for (int index = 0; index < components.length; index++) {
+      RecordComponent component = components[index];
       boolean optional = component.getAnnotatedType().isAnnotationPresent(Nullable.class);
-      types[place] = component.getType();
-      values[place] =
+      types[index] = component.getType();
+      values[index] =
           optional && random.nextInt(3) == 0
               ? null
               : value(component.getGenericType(), component.getType(), optional);
@@ -111,7 +111,7 @@
     return constructor.newInstance(values);
   }
 
-  /** Returns whether two values are equal, arrays by what they hold. */
+  /** Returns whether two values are equal, arrays by their elements. */
   static boolean same(@Nullable Object one, @Nullable Object other)
       throws ReflectiveOperationException {
     if (one == null || other == null) {
@@ -136,8 +136,8 @@
 
   private static boolean sameArrays(Object one, Object other) throws ReflectiveOperationException {
     boolean same = Array.getLength(one) == Array.getLength(other);
-    for (int place = 0; same && place < Array.getLength(one); place++) {
-      same = same(Array.get(one, place), Array.get(other, place));
+    for (int index = 0; same && index < Array.getLength(one); index++) {
+      same = same(Array.get(one, index), Array.get(other, index));
     }
     return same;
   }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/packed/package-info.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/packed/package-info.java
@@ -1,4 +1,4 @@
-/** Tests of the codec with written-out code. */
+/** Tests of the codec with hand-written code for each record. */
 @NullMarked
 package org.skylarkfork.runtime.packed;
 
