--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayMessages.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayMessages.java
@@ -192,7 +192,7 @@
         .list(poll.limits(), RelayMessages::writeRateLimit);
   }
 
-  private static EntryPoll readPoll(PackedReader in, PackedReader.Components more) {
+  private static EntryPoll readPoll(PackedReader in, PackedReader.Components remaining) {
     String callerAddress = in.text();
     String zone = in.text();
     boolean serving = in.flag();
@@ -217,9 +217,9 @@
         directorySequence,
         searching,
         busy,
-        more.consumeIfPresent() ? in.number() : 0,
+        remaining.consumeIfPresent() ? in.number() : 0,
         counts,
-        more.consumeIfPresent() ? in.list(RelayMessages::readRateLimit) : List.of());
+        remaining.consumeIfPresent() ? in.list(RelayMessages::readRateLimit) : List.of());
   }
 
   private static void writeRateLimit(HeardLimit heard, PackedWriter out) {
@@ -273,25 +273,27 @@
   private static Neighbourhood readNeighbourhood(PackedReader in) {
     return in.extensibleRecord(
         3,
-        (from, more) ->
+        (from, remaining) ->
             new Neighbourhood(
                 from.number(),
                 from.list(PackedReader::text),
                 from.list(PackedReader::text),
-                more.consumeIfPresent() ? from.list(PackedReader::text) : List.of(),
-                more.consumeIfPresent() ? readOrdinal(from, more) : EntryOrdinal.UNKNOWN));
+                remaining.consumeIfPresent() ? from.list(PackedReader::text) : List.of(),
+                remaining.consumeIfPresent()
+                    ? readOrdinal(from, remaining)
+                    : EntryOrdinal.UNKNOWN));
   }
 
-  private static EntryOrdinal readOrdinal(PackedReader in, PackedReader.Components more) {
+  private static EntryOrdinal readOrdinal(PackedReader in, PackedReader.Components remaining) {
     int number = in.smallNumber();
-    return more.consumeIfPresent()
+    return remaining.consumeIfPresent()
         ? new EntryOrdinal(number, in.smallNumber())
         : EntryOrdinal.UNKNOWN;
   }
 
   private static void writeUpdate(EntryUpdate update, PackedWriter out) {
     out.tagged(ENTRY_UPDATE, UPDATE_COMPONENTS + 1)
-        .optional(update.provenAt(), (provenAt, to) -> to.instant(provenAt))
+        .optional(update.provenAt(), (time, to) -> to.instant(time))
         .number(update.stateIndex())
         .optional(update.configuration(), RelayValues::writeConfiguration)
         .optional(update.shared(), RelayMessages::writeShared);
@@ -300,7 +302,7 @@
     out.optional(update.neighbourhood(), RelayMessages::writeNeighbourhood);
   }
 
-  private static EntryUpdate readUpdate(PackedReader in, PackedReader.Components more) {
+  private static EntryUpdate readUpdate(PackedReader in, PackedReader.Components remaining) {
     return new EntryUpdate(
         in.optional(PackedReader::instant),
         in.number(),
@@ -309,7 +311,7 @@
         readDirectory(in),
         in.list(PackedReader::text),
         in.smallNumber(),
-        more.consumeIfPresent() ? in.optional(RelayMessages::readNeighbourhood) : null);
+        remaining.consumeIfPresent() ? in.optional(RelayMessages::readNeighbourhood) : null);
   }
 
   private static void writeShared(SharedState shared, PackedWriter out) {
@@ -322,12 +324,12 @@
   private static SharedState readShared(PackedReader in) {
     return in.extensibleRecord(
         2,
-        (from, more) ->
+        (from, remaining) ->
             new SharedState(
                 from.list(RelayValues::readRollOut),
-                RelayValues.readRuns(from, more),
-                more.consumeIfPresent() ? from.list(PackedReader::text) : List.of(),
-                more.consumeIfPresent() ? from.list(RelayValues::readKey) : List.of()));
+                RelayValues.readRuns(from, remaining),
+                remaining.consumeIfPresent() ? from.list(PackedReader::text) : List.of(),
+                remaining.consumeIfPresent() ? from.list(RelayValues::readKey) : List.of()));
   }
 
   private static void writeDirectory(DirectoryChanges changes, PackedWriter out) {
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayValues.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayValues.java
@@ -167,21 +167,21 @@
   private static RelayService readService(PackedReader in) {
     return in.extensibleRecord(
         SERVICE_COMPONENTS,
-        (from, more) ->
+        (from, remaining) ->
             new RelayService(
                 from.text(),
                 from.text(),
                 from.smallNumber(),
                 from.optional(RelayValues::readEngine),
-                readColdStart(from, more)));
+                readColdStart(from, remaining)));
   }
 
-  private static ColdStart readColdStart(PackedReader in, PackedReader.Components more) {
-    if (!more.consumeIfPresent()) {
+  private static ColdStart readColdStart(PackedReader in, PackedReader.Components remaining) {
+    if (!remaining.consumeIfPresent()) {
       return ColdStart.NONE;
     }
     int millis = in.smallNumber();
-    return new ColdStart(millis, more.consumeIfPresent() ? in.real() : 0);
+    return new ColdStart(millis, remaining.consumeIfPresent() ? in.real() : 0);
   }
 
   private static void writeEngine(EngineProfile engine, PackedWriter out) {
@@ -304,7 +304,7 @@
   static UpstreamInstance readInstance(PackedReader in) {
     return in.extensibleRecord(
         INSTANCE_COMPONENTS,
-        (from, more) ->
+        (from, remaining) ->
             new UpstreamInstance(
                 from.text(),
                 from.text(),
@@ -313,8 +313,8 @@
                 from.text(),
                 from.smallNumber(),
                 from.number(),
-                more.consumeIfPresent() ? from.number() : 0,
-                more.consumeIfPresent() ? from.number() : 0));
+                remaining.consumeIfPresent() ? from.number() : 0,
+                remaining.consumeIfPresent() ? from.number() : 0));
   }
 
   /** Writes the ids as versions without start times read them, then the start times. */
@@ -323,9 +323,10 @@
     out.list(runs, (run, to) -> to.number(run.bornMillis()));
   }
 
-  static List<UpstreamRun> readRuns(PackedReader in, PackedReader.Components more) {
+  static List<UpstreamRun> readRuns(PackedReader in, PackedReader.Components remaining) {
     List<String> ids = in.list(PackedReader::text);
-    List<Long> startMillis = more.consumeIfPresent() ? in.list(PackedReader::number) : List.of();
+    List<Long> startMillis =
+        remaining.consumeIfPresent() ? in.list(PackedReader::number) : List.of();
     List<UpstreamRun> runs = new ArrayList<>();
     for (int index = 0; index < ids.size(); index++) {
       String id = ids.get(index);
@@ -345,11 +346,13 @@
   static UpstreamStatus readStatus(PackedReader in) {
     return in.extensibleRecord(
         2,
-        (from, more) ->
+        (from, remaining) ->
             new UpstreamStatus(
                 readInstance(from),
                 constant(UpstreamCondition.class, from.text()),
-                more.consumeIfPresent() ? from.optional(RelayValues::readReportedLimit) : null));
+                remaining.consumeIfPresent()
+                    ? from.optional(RelayValues::readReportedLimit)
+                    : null));
   }
 
   static void writeReportedLimit(ReportedLimit reported, PackedWriter out) {
