--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/ActiveRequest.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/ActiveRequest.java
@@ -14,7 +14,7 @@
 import org.skylarkfork.core.effect.CallerEffect;
 import org.skylarkfork.core.ledger.Bill;
 import org.skylarkfork.core.quality.AttemptOutcome;
-import org.skylarkfork.core.request.AnswerFacts;
+import org.skylarkfork.core.request.AnswerMetadata;
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.RunState;
 import org.skylarkfork.core.routing.Plan;
@@ -202,8 +202,8 @@
     return mayHaveStarted || !running.isEmpty() ? RunState.UNKNOWN : RunState.NOT_RUN;
   }
 
-  AnswerFacts facts(@Nullable ModelVersion version, @Nullable String upstream) {
-    return new AnswerFacts(
+  AnswerMetadata facts(@Nullable ModelVersion version, @Nullable String upstream) {
+    return new AnswerMetadata(
         id(),
         version == null ? null : version.model(),
         version == null ? null : version.version(),
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AttemptOutcomes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/AttemptOutcomes.java
@@ -4,7 +4,7 @@
 import java.time.Instant;
 import java.util.Objects;
 import org.jspecify.annotations.Nullable;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.quality.AttemptOutcome;
 import org.skylarkfork.core.quality.AttemptOutcome.Ending;
 
@@ -45,7 +45,7 @@
   }
 
   /** Returns the ending to record for the version, or null if the failure is due to the VM. */
-  static @Nullable Ending ending(Moment moment) {
+  static @Nullable Ending ending(AttemptStage moment) {
     return switch (moment) {
       case ANSWER_BEGUN -> Ending.CUT;
       case REFUSED_STARTED -> Ending.ERROR;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
@@ -13,10 +13,10 @@
 import org.skylarkfork.core.error.RoutingError;
 import org.skylarkfork.core.event.LedgerEvent;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.ledger.ClaimOutcome;
 import org.skylarkfork.core.ledger.LedgerMachine;
-import org.skylarkfork.core.request.AnswerFacts;
+import org.skylarkfork.core.request.AnswerMetadata;
 import org.skylarkfork.core.request.RunState;
 import org.skylarkfork.core.upstream.Announcement;
 
@@ -125,7 +125,7 @@
       active.ran = true;
       active.costMicros = answered.facts().costMicros();
       active.notice = "recorded answer of request " + answered.facts().requestId();
-      AnswerFacts facts = active.facts(null, answered.facts().upstream());
+      AnswerMetadata facts = active.facts(null, answered.facts().upstream());
       CallerEffect last =
           answered.headers().contains(LedgerMachine.BODY_DROPPED)
               ? new CallerEffect.Refuse(active.id(), BODY_NOT_KEPT, facts)
@@ -275,7 +275,7 @@
     if (event.status() < SERVER_ERROR) {
       active.costMicros = price(active.request.service());
     }
-    AnswerFacts facts = active.facts(null, attempt.upstream);
+    AnswerMetadata facts = active.facts(null, attempt.upstream);
     CallerEffect last =
         new CallerEffect.SendServiceAnswer(
             active.id(), event.status(), event.headers(), event.body(), facts);
@@ -295,7 +295,8 @@
   }
 
   /** Retries a call after a failed attempt, backs off, or fails the call. */
-  void attemptFailed(ActiveRequest active, Moment moment, String detail, EventContext context) {
+  void attemptFailed(
+      ActiveRequest active, AttemptStage moment, String detail, EventContext context) {
     if (RunStates.after(moment) != RunState.NOT_RUN) {
       active.mayHaveStarted = true;
       active.retryForbidden = !active.idempotent;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashGuard.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CrashGuard.java
@@ -10,7 +10,7 @@
 import org.skylarkfork.core.error.ErrorKind;
 import org.skylarkfork.core.error.RoutingError;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.RunState;
 import org.skylarkfork.core.routing.StableHash;
@@ -81,7 +81,8 @@
    *
    * <p>Upstreams that leave or were drained are ignored, since they stop on their own.
    */
-  void attemptLost(ActiveRequest active, Attempt attempt, Moment moment, EventContext context) {
+  void attemptLost(
+      ActiveRequest active, Attempt attempt, AttemptStage moment, EventContext context) {
     if (!mayHaveCrashedUpstream(moment) || isPlannedShutdown(attempt.target.id())) {
       return;
     }
@@ -101,10 +102,10 @@
         context.output());
   }
 
-  private static boolean mayHaveCrashedUpstream(Moment moment) {
-    return moment == Moment.PARTLY_WRITTEN
-        || moment == Moment.WRITTEN
-        || moment == Moment.ANSWER_BEGUN;
+  private static boolean mayHaveCrashedUpstream(AttemptStage moment) {
+    return moment == AttemptStage.PARTLY_WRITTEN
+        || moment == AttemptStage.WRITTEN
+        || moment == AttemptStage.ANSWER_BEGUN;
   }
 
   private boolean isPlannedShutdown(String upstream) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftExecutor.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftExecutor.java
@@ -10,7 +10,7 @@
 import org.skylarkfork.core.error.ErrorKind;
 import org.skylarkfork.core.error.RoutingError;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.quality.AttemptOutcome;
 import org.skylarkfork.core.request.RunState;
 import org.skylarkfork.core.request.Usage;
@@ -220,8 +220,8 @@
   /** Cancels an attempt whose answer is unusable, and continues on another upstream. */
   void abortAttempt(ActiveRequest active, Attempt attempt, String detail, EventContext context) {
     attempts.cancel(active, attempt, false, context);
-    crashGuard.attemptLost(active, attempt, Moment.ANSWER_BEGUN, context);
-    attemptFailed(active, attempt, Moment.ANSWER_BEGUN, detail, context);
+    crashGuard.attemptLost(active, attempt, AttemptStage.ANSWER_BEGUN, context);
+    attemptFailed(active, attempt, AttemptStage.ANSWER_BEGUN, detail, context);
   }
 
   /** Handles the final frame of the running attempt. */
@@ -300,7 +300,11 @@
 
   /** Resumes or retries a draft after a failed attempt, backs off, or ends the draft. */
   void attemptFailed(
-      ActiveRequest active, Attempt attempt, Moment moment, String detail, EventContext context) {
+      ActiveRequest active,
+      Attempt attempt,
+      AttemptStage moment,
+      String detail,
+      EventContext context) {
     if (RunStates.after(moment) != RunState.NOT_RUN) {
       active.mayHaveStarted = true;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCompleter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCompleter.java
@@ -14,7 +14,7 @@
 import org.skylarkfork.core.event.LedgerEvent;
 import org.skylarkfork.core.ledger.Bill;
 import org.skylarkfork.core.ledger.ClaimOutcome;
-import org.skylarkfork.core.request.AnswerFacts;
+import org.skylarkfork.core.request.AnswerMetadata;
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.RunState;
 import org.skylarkfork.core.request.Usage;
@@ -52,7 +52,7 @@
         context);
   }
 
-  private static AnswerFacts emptyFacts(ActiveRequest active) {
+  private static AnswerMetadata emptyFacts(ActiveRequest active) {
     return active.facts(null, null);
   }
 
@@ -214,7 +214,7 @@
       return;
     }
     String what = active.streamStarted ? "request.broken" : "request.refused";
-    context.timeline(what, active, null, error.runState().header() + ": " + error.message());
+    context.timeline(what, active, null, error.runState().headerValue() + ": " + error.message());
     context.count("requests_refused", error.kind().name());
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestPart.java
@@ -15,7 +15,7 @@
 import org.skylarkfork.core.event.LifecycleEvent;
 import org.skylarkfork.core.event.SessionEvent;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 
 /**
  * Processes each request from its arrival to its final answer or refusal.
@@ -215,7 +215,7 @@
       context.count("answers_crossed", attempt.upstream);
       attempts.cancel(active, attempt, false, context);
       handleFailure(
-          active, attempt, Moment.ANSWER_BEGUN, "the answer names another request", context);
+          active, attempt, AttemptStage.ANSWER_BEGUN, "the answer names another request", context);
       return null;
     }
     return new AttemptMatch(active, attempt);
@@ -233,7 +233,11 @@
   }
 
   private void handleFailure(
-      ActiveRequest active, Attempt attempt, Moment moment, String detail, EventContext context) {
+      ActiveRequest active,
+      Attempt attempt,
+      AttemptStage moment,
+      String detail,
+      EventContext context) {
     context.timeline("attempt.failed", active, attempt, moment + ": " + detail);
     context.count("attempts_failed", moment.name());
     crashGuard.attemptLost(active, attempt, moment, context);
@@ -343,7 +347,7 @@
         requests.scheduleCheck(active, attempt.timeoutAt());
       } else if (active.running.containsKey(attempt.id)) {
         attempts.cancel(active, attempt, false, context);
-        Moment moment = attempt.tokens > 0 ? Moment.ANSWER_BEGUN : Moment.WRITTEN;
+        AttemptStage moment = attempt.tokens > 0 ? AttemptStage.ANSWER_BEGUN : AttemptStage.WRITTEN;
         handleFailure(active, attempt, moment, "the upstream was silent for too long", context);
       }
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RetryPolicy.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RetryPolicy.java
@@ -6,7 +6,7 @@
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.error.ErrorKind;
 import org.skylarkfork.core.error.RoutingError;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.request.RunState;
 
 /** Decides whether a request is retried after a failed attempt, and after which backoff. */
@@ -44,7 +44,7 @@
    * @param detail description of the failure
    */
   @Nullable RoutingError retryRefusal(
-      ActiveRequest active, Moment moment, boolean resuming, String detail) {
+      ActiveRequest active, AttemptStage moment, boolean resuming, String detail) {
     if (active.stepAttempts >= settings.maxAttempts()) {
       return failure(active, detail + "; all attempts are used up");
     }
@@ -67,8 +67,8 @@
    *
    * @return whether the request backs off
    */
-  boolean backOffIfBudgetEmpty(ActiveRequest active, Moment moment, Instant now) {
-    return moment == Moment.REFUSED_NOT_STARTED
+  boolean backOffIfBudgetEmpty(ActiveRequest active, AttemptStage moment, Instant now) {
+    return moment == AttemptStage.REFUSED_NOT_STARTED
         && budget.isEmpty()
         && active.stepAttempts < settings.maxAttempts()
         && backOff(active, now);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RunStates.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RunStates.java
@@ -1,6 +1,6 @@
 package org.skylarkfork.core.attempt;
 
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.request.RunState;
 
 /** Derives from the moment of a failure whether the upstream may have run the request. */
@@ -17,7 +17,7 @@
    *
    * @param moment how far the attempt had progressed
    */
-  public static RunState after(Moment moment) {
+  public static RunState after(AttemptStage moment) {
     return switch (moment) {
       case BEFORE_CONNECT, CONNECTED, REFUSED_NOT_STARTED -> RunState.NOT_RUN;
       case PARTLY_WRITTEN, WRITTEN, ANSWER_BEGUN, REFUSED_STARTED -> RunState.UNKNOWN;
@@ -29,7 +29,7 @@
    *
    * @param moment how far the attempt had progressed
    */
-  static boolean reachedUpstream(Moment moment) {
-    return moment != Moment.BEFORE_CONNECT && moment != Moment.CONNECTED;
+  static boolean reachedUpstream(AttemptStage moment) {
+    return moment != AttemptStage.BEFORE_CONNECT && moment != AttemptStage.CONNECTED;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/CompositeMachine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/CompositeMachine.java
@@ -51,9 +51,10 @@
   public void restore(GroupState state) {
     List<GroupState> states =
         state instanceof CompositeState composite ? composite.states() : List.of(state);
-    for (int place = 0; place < routes.size(); place++) {
-      GroupState own = place < states.size() ? states.get(place) : new GroupState.Empty();
-      routes.get(place).machine().restore(own);
+    for (int position = 0; position < routes.size(); position++) {
+      GroupState machineState =
+          position < states.size() ? states.get(position) : new GroupState.Empty();
+      routes.get(position).machine().restore(machineState);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/Members.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/Members.java
@@ -64,17 +64,17 @@
 
   /** Returns these members with the replica as a learner in place of the node's present one. */
   public Members withLearner(Member learner) {
-    Members rest = without(learner.node());
-    List<Member> more = new ArrayList<>(rest.learners);
-    more.add(learner);
-    return new Members(rest.voters, more);
+    Members others = without(learner.node());
+    List<Member> extended = new ArrayList<>(others.learners);
+    extended.add(learner);
+    return new Members(others.voters, extended);
   }
 
   /** Returns these members with the replica as a voter in place of the node's present one. */
   public Members withVoter(Member voter) {
-    Members rest = without(voter.node());
-    List<Member> more = new ArrayList<>(rest.voters);
-    more.add(voter);
-    return new Members(more, rest.learners);
+    Members others = without(voter.node());
+    List<Member> extended = new ArrayList<>(others.voters);
+    extended.add(voter);
+    return new Members(extended, others.learners);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/AppliedConfiguration.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/AppliedConfiguration.java
@@ -13,8 +13,8 @@
 /** The newest configuration applied on this daemon, its index, and the newest steps to it. */
 final class AppliedConfiguration {
 
-  private static final int MOST_STEPS = 512;
-  private static final int MOST_WEIGHT = 20_000;
+  private static final int MAX_STEPS = 512;
+  private static final int MAX_WEIGHT = 20_000;
 
   private final Map<String, Team> teamByKeyHash = new HashMap<>();
   private final Deque<ConfigurationStep> steps = new ArrayDeque<>();
@@ -34,8 +34,8 @@
   }
 
   /** Applies a newer configuration as a whole. */
-  void adopt(Configuration next) {
-    adopt(ConfigurationStep.between(current, next), next);
+  void apply(Configuration next) {
+    apply(ConfigurationStep.between(current, next), next);
   }
 
   /**
@@ -43,11 +43,11 @@
    *
    * @throws IllegalArgumentException if it doesn't fit
    */
-  void adopt(ConfigurationStep step) {
-    adopt(step, step.applyTo(current));
+  void apply(ConfigurationStep step) {
+    apply(step, step.applyTo(current));
   }
 
-  private void adopt(ConfigurationStep step, Configuration next) {
+  private void apply(ConfigurationStep step, Configuration next) {
     Invariants.check(
         next.revision() > current.revision(), "an applied configuration is never reverted");
     current = next;
@@ -56,7 +56,7 @@
         index(team);
       }
     }
-    remember(step);
+    addStep(step);
   }
 
   private void index(TeamDiffers difference) {
@@ -77,10 +77,10 @@
     }
   }
 
-  private void remember(ConfigurationStep step) {
+  private void addStep(ConfigurationStep step) {
     steps.addLast(step);
     weight += step.weight();
-    while (steps.size() > MOST_STEPS || (weight > MOST_WEIGHT && !steps.isEmpty())) {
+    while (steps.size() > MAX_STEPS || (weight > MAX_WEIGHT && !steps.isEmpty())) {
       weight -= steps.removeFirst().weight();
     }
   }
@@ -90,14 +90,14 @@
    *
    * @return no step if the way from that revision isn't known or the first step is too heavy
    */
-  List<ConfigurationStep> stepsFrom(long revision, int mostWeight) {
+  List<ConfigurationStep> stepsFrom(long revision, int maxWeight) {
     List<ConfigurationStep> found = new ArrayList<>();
     int total = 0;
     long next = revision;
     for (ConfigurationStep step : steps) {
       if (step.from() == next) {
         total += step.weight();
-        if (total > mostWeight) {
+        if (total > maxWeight) {
           return found;
         }
         found.add(step);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ChangeApplier.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ChangeApplier.java
@@ -21,21 +21,21 @@
    * @throws InapplicableChangeException if the change names something that isn't there or doesn't
    *     fit the present state
    */
-  Configuration apply(Configuration present, ConfigurationChange change)
+  Configuration apply(Configuration current, ConfigurationChange change)
       throws InapplicableChangeException {
-    ConfigurationDraft draft = new ConfigurationDraft(present);
+    ConfigurationDraft draft = new ConfigurationDraft(current);
     if (change instanceof ConfigurationChange.ReplaceAll replace) {
       draft = new ConfigurationDraft(replace.configuration()).sort();
-      draft.quarantined = present.quarantined();
+      draft.quarantined = current.quarantined();
     } else if (change instanceof ConfigurationChange.RestoreRevision restore) {
-      draft = new RevisionRestorer(history).restore(present, restore.revision());
+      draft = new RevisionRestorer(history).restore(current, restore.revision());
     } else if (!changeTeam(draft, change)
         && !changeModel(draft, change)
         && !changeRule(draft, change)
-        && !RollOutChanges.change(draft, change)) {
+        && !RollOutChanges.apply(draft, change)) {
       changeOther(draft, change);
     }
-    return draft.build(present.revision() + 1);
+    return draft.build(current.revision() + 1);
   }
 
   private static boolean changeTeam(ConfigurationDraft draft, ConfigurationChange change)
@@ -45,13 +45,13 @@
     } else if (change instanceof ConfigurationChange.RemoveTeam remove) {
       draft.teams = remove(draft.teams, remove.name(), Team::name, "team");
     } else if (change instanceof ConfigurationChange.AddTeamKey add) {
-      Team team = present(draft.teams, add.team(), Team::name, "team");
+      Team team = findOrThrow(draft.teams, add.team(), Team::name, "team");
       List<Team.Key> keys = new ArrayList<>(team.keys());
       keys.removeIf(key -> key.id().equals(add.key().id()));
       keys.add(add.key());
       draft.teams = ConfigurationDraft.with(draft.teams, withKeys(team, keys), Team::name);
     } else if (change instanceof ConfigurationChange.RemoveTeamKey remove) {
-      Team team = present(draft.teams, remove.team(), Team::name, "team");
+      Team team = findOrThrow(draft.teams, remove.team(), Team::name, "team");
       List<Team.Key> keys = new ArrayList<>(team.keys());
       if (!keys.removeIf(key -> key.id().equals(remove.keyId()))) {
         throw notFound("key of team " + team.name(), remove.keyId());
@@ -78,10 +78,10 @@
       throws InapplicableChangeException {
     if (change instanceof ConfigurationChange.PutModel put) {
       draft.models = ConfigurationDraft.with(draft.models, put.model(), Model::name);
-      RollOutChanges.forgetMissingVersions(draft);
+      RollOutChanges.removeMissingVersions(draft);
     } else if (change instanceof ConfigurationChange.RemoveModel remove) {
       draft.models = remove(draft.models, remove.name(), Model::name, "model");
-      RollOutChanges.forgetMissingVersions(draft);
+      RollOutChanges.removeMissingVersions(draft);
     } else if (change instanceof ConfigurationChange.PutService put) {
       draft.services =
           ConfigurationDraft.with(draft.services, put.service(), ServiceDefinition::name);
@@ -99,13 +99,15 @@
       draft.rules = put.rules();
     } else if (change instanceof ConfigurationChange.PutRule put) {
       List<Rule> rules = new ArrayList<>(draft.rules);
-      int old = indexOf(rules, put.rule().name());
-      if (old >= 0) {
-        rules.remove(old);
+      int oldIndex = indexOf(rules, put.rule().name());
+      if (oldIndex >= 0) {
+        rules.remove(oldIndex);
       }
-      int place = old >= 0 ? old : rules.size();
-      Integer wanted = put.position();
-      rules.add(wanted == null ? place : place(wanted, rules, put.rule().name()), put.rule());
+      int position = oldIndex >= 0 ? oldIndex : rules.size();
+      Integer requested = put.position();
+      rules.add(
+          requested == null ? position : checkPosition(requested, rules, put.rule().name()),
+          put.rule());
       draft.rules = List.copyOf(rules);
     } else if (change instanceof ConfigurationChange.RemoveRule remove) {
       List<Rule> rules = new ArrayList<>(draft.rules);
@@ -114,7 +116,7 @@
     } else if (change instanceof ConfigurationChange.MoveRule move) {
       List<Rule> rules = new ArrayList<>(draft.rules);
       Rule rule = rules.remove(presentIndex(rules, move.name()));
-      rules.add(place(move.position(), rules, move.name()), rule);
+      rules.add(checkPosition(move.position(), rules, move.name()), rule);
       draft.rules = List.copyOf(rules);
     } else {
       return false;
@@ -122,15 +124,15 @@
     return true;
   }
 
-  private static int place(int wanted, List<Rule> rules, String name)
+  private static int checkPosition(int requested, List<Rule> rules, String name)
       throws InapplicableChangeException {
-    if (wanted < 0 || wanted > rules.size()) {
+    if (requested < 0 || requested > rules.size()) {
       throw new InapplicableChangeException(
           Kind.OUT_OF_RANGE,
           "rule " + name,
-          "position " + wanted + " does not exist; use 0 to " + rules.size());
+          "position " + requested + " does not exist; use 0 to " + rules.size());
     }
-    return wanted;
+    return requested;
   }
 
   private static int presentIndex(List<Rule> rules, String name)
@@ -153,17 +155,17 @@
 
   private static void changeOther(ConfigurationDraft draft, ConfigurationChange change)
       throws InapplicableChangeException {
-    Function<String, String> same = Function.identity();
+    Function<String, String> identity = Function.identity();
     if (change instanceof ConfigurationChange.DrainUpstream drain) {
       draft.drainedUpstreams =
-          ConfigurationDraft.with(draft.drainedUpstreams, drain.upstream(), same);
+          ConfigurationDraft.with(draft.drainedUpstreams, drain.upstream(), identity);
     } else if (change instanceof ConfigurationChange.UndrainUpstream undrain) {
       draft.drainedUpstreams =
-          remove(draft.drainedUpstreams, undrain.upstream(), same, "drained upstream");
+          remove(draft.drainedUpstreams, undrain.upstream(), identity, "drained upstream");
     } else if (change instanceof ConfigurationChange.DrainVm drain) {
-      draft.drainedVms = ConfigurationDraft.with(draft.drainedVms, drain.vm(), same);
+      draft.drainedVms = ConfigurationDraft.with(draft.drainedVms, drain.vm(), identity);
     } else if (change instanceof ConfigurationChange.UndrainVm undrain) {
-      draft.drainedVms = remove(draft.drainedVms, undrain.vm(), same, "drained VM");
+      draft.drainedVms = remove(draft.drainedVms, undrain.vm(), identity, "drained VM");
     } else if (change instanceof ConfigurationChange.PutOperatorKey put) {
       draft.operatorKeys = ConfigurationDraft.with(draft.operatorKeys, put.key(), OperatorKey::id);
     } else if (change instanceof ConfigurationChange.RemoveOperatorKey remove) {
@@ -188,27 +190,28 @@
     return ConfigurationDraft.without(quarantined, request, Function.identity());
   }
 
-  private static <T> List<T> remove(List<T> list, String name, Function<T, String> key, String what)
+  private static <T> List<T> remove(
+      List<T> list, String name, Function<T, String> key, String typeName)
       throws InapplicableChangeException {
-    present(list, name, key, what);
+    findOrThrow(list, name, key, typeName);
     return ConfigurationDraft.without(list, name, key);
   }
 
   /** Returns the item of a key, or says that it isn't there. */
-  static <T> T present(List<T> list, String name, Function<T, String> key, String what)
+  static <T> T findOrThrow(List<T> list, String name, Function<T, String> key, String typeName)
       throws InapplicableChangeException {
-    int place = ConfigurationDraft.find(list, name, key);
-    if (place < 0) {
-      throw notFound(what, name);
+    int position = ConfigurationDraft.find(list, name, key);
+    if (position < 0) {
+      throw notFound(typeName, name);
     }
-    return list.get(place);
+    return list.get(position);
   }
 
   /** Makes the problem of something that isn't there. */
-  static InapplicableChangeException notFound(String what, String name) {
+  static InapplicableChangeException notFound(String typeName, String name) {
     return new InapplicableChangeException(
         Kind.NOT_FOUND,
-        what + " " + name,
-        "there is no " + what + " named " + name + "; read the configuration for the names");
+        typeName + " " + name,
+        "there is no " + typeName + " named " + name + "; read the configuration for the names");
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ChangeTable.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ChangeTable.java
@@ -19,9 +19,9 @@
  */
 final class ChangeTable {
 
-  static final Duration KEPT = Duration.ofHours(24);
-  static final int MOST_ACCEPTED = 20_000;
-  static final int MOST_REFUSED = 2_000;
+  static final Duration RETENTION = Duration.ofHours(24);
+  static final int MAX_ACCEPTED = 20_000;
+  static final int MAX_REFUSED = 2_000;
 
   private final Map<String, RememberedChange> accepted = new LinkedHashMap<>();
   private final Map<String, RememberedChange> refused = new LinkedHashMap<>();
@@ -37,15 +37,15 @@
     } else {
       refused.put(change.changeId(), change);
     }
-    trim(accepted, MOST_ACCEPTED, change.at());
-    trim(refused, MOST_REFUSED, change.at());
+    trim(accepted, MAX_ACCEPTED, change.at());
+    trim(refused, MAX_REFUSED, change.at());
   }
 
-  private static void trim(Map<String, RememberedChange> changes, int most, Instant now) {
+  private static void trim(Map<String, RememberedChange> changes, int maxSize, Instant now) {
     Iterator<RememberedChange> oldestFirst = changes.values().iterator();
     while (oldestFirst.hasNext()) {
       RememberedChange oldest = oldestFirst.next();
-      if (changes.size() <= most && oldest.at().plus(KEPT).isAfter(now)) {
+      if (changes.size() <= maxSize && oldest.at().plus(RETENTION).isAfter(now)) {
         return;
       }
       oldestFirst.remove();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationDraft.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationDraft.java
@@ -72,34 +72,34 @@
 
   /** Returns the list with the item in its sorted place, in place of one with the same key. */
   static <T, K extends Comparable<K>> List<T> with(List<T> list, T item, Function<T, K> key) {
-    int place = find(list, key.apply(item), key);
+    int index = find(list, key.apply(item), key);
     List<T> copy = new ArrayList<>(list);
-    if (place >= 0) {
-      copy.set(place, item);
+    if (index >= 0) {
+      copy.set(index, item);
     } else {
-      copy.add(-place - 1, item);
+      copy.add(-index - 1, item);
     }
     return List.copyOf(copy);
   }
 
   /** Returns the list without the item of a key, or the same list if there is none. */
-  static <T, K extends Comparable<K>> List<T> without(List<T> list, K wanted, Function<T, K> key) {
-    int place = find(list, wanted, key);
-    if (place < 0) {
+  static <T, K extends Comparable<K>> List<T> without(List<T> list, K target, Function<T, K> key) {
+    int index = find(list, target, key);
+    if (index < 0) {
       return list;
     }
     List<T> copy = new ArrayList<>(list);
-    copy.remove(place);
+    copy.remove(index);
     return List.copyOf(copy);
   }
 
   /** Returns the index of a key in a sorted list, or {@code -insertionPoint - 1}. */
-  static <T, K extends Comparable<K>> int find(List<T> list, K wanted, Function<T, K> key) {
+  static <T, K extends Comparable<K>> int find(List<T> list, K target, Function<T, K> key) {
     int low = 0;
     int high = list.size() - 1;
     while (low <= high) {
       int middle = (low + high) >>> 1;
-      int order = key.apply(list.get(middle)).compareTo(wanted);
+      int order = key.apply(list.get(middle)).compareTo(target);
       if (order == 0) {
         return middle;
       }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationHistory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationHistory.java
@@ -10,8 +10,8 @@
 /** The newest accepted changes, bounded by their number and by the objects that they carry. */
 final class ConfigurationHistory {
 
-  static final int MOST_ENTRIES = 2000;
-  static final int MOST_WEIGHT = 60_000;
+  static final int MAX_ENTRIES = 2000;
+  static final int MAX_WEIGHT = 60_000;
 
   private final Deque<RevisionEntry> entries = new ArrayDeque<>();
   private int weight;
@@ -19,7 +19,7 @@
   void add(RevisionEntry entry) {
     entries.addLast(entry);
     weight += entry.step().weight();
-    while (entries.size() > MOST_ENTRIES || (weight > MOST_WEIGHT && entries.size() > 1)) {
+    while (entries.size() > MAX_ENTRIES || (weight > MAX_WEIGHT && entries.size() > 1)) {
       weight -= entries.removeFirst().step().weight();
     }
   }
@@ -35,16 +35,16 @@
   }
 
   /** Returns the oldest revision that can be told from the present one. */
-  long oldest(Configuration present) {
-    return entries.isEmpty() ? present.revision() : entries.getFirst().step().from();
+  long oldest(Configuration current) {
+    return entries.isEmpty() ? current.revision() : entries.getFirst().step().from();
   }
 
   /** Returns the configuration at a revision, worked out backwards from the present one. */
-  Optional<Configuration> at(Configuration present, long revision) {
-    if (revision > present.revision() || revision < oldest(present)) {
+  Optional<Configuration> at(Configuration current, long revision) {
+    if (revision > current.revision() || revision < oldest(current)) {
       return Optional.empty();
     }
-    Configuration found = present;
+    Configuration found = current;
     Iterator<RevisionEntry> newestFirst = entries.descendingIterator();
     while (found.revision() > revision) {
       found = newestFirst.next().step().inverse().applyTo(found);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationMachine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationMachine.java
@@ -24,10 +24,10 @@
     if (!(command instanceof SubmitChange submitted)) {
       return new CommandResult.Rejected("send this command to the group that it belongs to");
     }
-    RememberedChange first = changes.find(submitted.changeId());
-    if (first != null) {
-      return isSame(first, submitted)
-          ? first.answer()
+    RememberedChange remembered = changes.find(submitted.changeId());
+    if (remembered != null) {
+      return isResend(remembered, submitted)
+          ? remembered.answer()
           : new ConfigurationResult.ChangeIdReused(submitted.changeId());
     }
     ConfigurationResult answer = decide(submitted, stampedAt);
@@ -37,13 +37,13 @@
     return answer;
   }
 
-  private static boolean isSame(RememberedChange first, SubmitChange submitted) {
-    return first.operator().equals(submitted.operator())
-        && first.bodyHash().equals(submitted.bodyHash());
+  private static boolean isResend(RememberedChange remembered, SubmitChange submitted) {
+    return remembered.operator().equals(submitted.operator())
+        && remembered.bodyHash().equals(submitted.bodyHash());
   }
 
   private ConfigurationResult decide(SubmitChange submitted, Instant stampedAt) {
-    if (!mayChange(submitted)) {
+    if (!isAuthorized(submitted)) {
       return new ConfigurationResult.UnknownOperator();
     }
     Long expected = submitted.expectedRevision();
@@ -70,7 +70,7 @@
   }
 
   /** Checks the key here too: it may have been removed by a change just before in the log. */
-  private boolean mayChange(SubmitChange submitted) {
+  private boolean isAuthorized(SubmitChange submitted) {
     String hash = submitted.operatorKeyHash();
     return hash == null
         || configuration.operatorKeys().isEmpty()
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationPart.java
@@ -34,12 +34,12 @@
   private final AppliedConfiguration applied = new AppliedConfiguration();
   private final EntryLease lease;
   private final Subscribers subscribers;
-  private final Adoption adoption;
+  private final RevisionApplier revisionApplier;
   private final OperatorCalls calls;
-  private final @Nullable InForce inForce;
+  private final @Nullable InForceTracker inForce;
   private @Nullable Subscription subscription;
   private @Nullable String leader;
-  private Instant latest = Instant.EPOCH;
+  private Instant latestTime = Instant.EPOCH;
   private boolean serving;
 
   /**
@@ -66,12 +66,12 @@
     this.replica = replica;
     this.lease = new EntryLease(settings);
     this.subscribers = new Subscribers(settings, applied, lease);
-    this.adoption = new Adoption(applied, lease, subscribers);
+    this.revisionApplier = new RevisionApplier(applied, lease, subscribers);
     ReplicaReader reader = null;
     if (replica == null) {
       inForce = null;
     } else {
-      inForce = new InForce(settings, replica.machine(), subscribers);
+      inForce = new InForceTracker(settings, replica.machine(), subscribers);
       reader = new ReplicaReader(replica, inForce);
     }
     this.calls = new OperatorCalls(node, settings, applied, submitter, voters, reader);
@@ -107,13 +107,13 @@
         onMessage(received.node(), message, now, output);
       }
     } else if (event instanceof PeerEvent.ConnectionLost lost) {
-      subscription(now).lost(lost.node(), now, output);
+      subscription(now).sourceLost(lost.node(), now, output);
     } else if (event instanceof ConsensusEvent consensus) {
       onConsensus(consensus, now, output);
     } else if (event instanceof OperatorEvent call) {
-      calls.called(call, leader, now, output);
+      calls.callReceived(call, leader, now, output);
     } else if (event instanceof ConfigurationEvent.ChangeProposed proposal) {
-      calls.proposed(proposal, now, output);
+      calls.changeProposed(proposal, now, output);
     }
   }
 
@@ -122,15 +122,15 @@
    * daemon would still serve under an old revision when a newer one is called in force.
    */
   private void checkClock(Instant now, Output output) {
-    if (now.isBefore(latest)) {
-      lease.drop();
+    if (now.isBefore(latestTime)) {
+      lease.invalidate();
       output.effect(new TraceEffect.Count("configuration_clock_steps", "", 1));
     }
-    latest = now;
+    latestTime = now;
   }
 
   private void tick(Instant now, Output output) {
-    boolean leads = extendAsLeader(now);
+    boolean leads = extendLeaseAsLeader(now);
     if (!leads) {
       subscription(now).tick(now, output);
     }
@@ -139,10 +139,10 @@
     if (leads && inForce != null) {
       inForce.tick(now, output);
     }
-    tellServing(now, output);
+    reportServing(now, output);
   }
 
-  private boolean extendAsLeader(Instant now) {
+  private boolean extendLeaseAsLeader(Instant now) {
     if (replica == null || !replica.leaderLease().holds(now)) {
       return false;
     }
@@ -150,7 +150,7 @@
     return true;
   }
 
-  private void tellServing(Instant now, Output output) {
+  private void reportServing(Instant now, Output output) {
     boolean servesNow = mayServe(now);
     if (servesNow == serving) {
       return;
@@ -170,7 +170,8 @@
     Subscription existing = subscription;
     if (existing == null) {
       existing =
-          new Subscription(settings, applied, lease, subscribers, adoption, this::candidates, now);
+          new Subscription(
+              settings, applied, lease, subscribers, revisionApplier, this::candidates, now);
       subscription = existing;
     }
     return existing;
@@ -196,49 +197,49 @@
 
   private void onMessage(String from, ConfigurationMessage message, Instant now, Output output) {
     if (message instanceof ConfigurationMessage.Renew renew) {
-      subscribers.renewed(from, renew, now, output);
+      subscribers.renewalReceived(from, renew, now, output);
     } else if (message instanceof ConfigurationMessage.LeaseGrant grant) {
-      subscription(now).granted(grant, now, output);
+      subscription(now).leaseGranted(grant, now, output);
     } else if (message instanceof ConfigurationMessage.Push push) {
-      subscription(now).pushed(push, now, output);
+      subscription(now).stepsPushed(push, now, output);
     } else if (message instanceof ConfigurationMessage.CopyChunk chunk) {
-      subscription(now).copied(from, chunk, now, output);
+      subscription(now).chunkReceived(from, chunk, now, output);
     } else if (message instanceof ConfigurationMessage.CopyRequest request) {
       subscribers.copyRequested(from, request, now, output);
     } else if (message instanceof ConfigurationMessage.TryOther) {
-      subscription(now).lost(from, now, output);
-    } else if (message instanceof ConfigurationMessage.OperatorCall question) {
-      calls.passedOn(question, leader, now, output);
+      subscription(now).sourceLost(from, now, output);
+    } else if (message instanceof ConfigurationMessage.OperatorCall call) {
+      calls.callForwarded(call, leader, now, output);
     } else if (message instanceof ConfigurationMessage.OperatorAnswer answer) {
-      calls.answerArrived(answer, output);
+      calls.answerReceived(answer, output);
     }
   }
 
   private void onConsensus(ConsensusEvent event, Instant now, Output output) {
     if (event instanceof ConsensusEvent.SubmissionAnswered answered) {
-      calls.answered(answered, output);
+      calls.submissionAnswered(answered, output);
     } else if (event instanceof ConsensusEvent.SubmissionFailed failed) {
-      calls.failed(failed, output);
+      calls.submissionFailed(failed, output);
     } else if (event instanceof ConsensusEvent.CommandCommitted committed) {
-      adoptFromReplica(committed.group(), now, output);
+      applyFromReplica(committed.group(), now, output);
     } else if (event instanceof ConsensusEvent.GroupRestored restored) {
-      adoptFromReplica(restored.group(), now, output);
+      applyFromReplica(restored.group(), now, output);
     } else if (event instanceof ConsensusEvent.LeaderChanged changed
         && changed.group().equals(GroupId.CONFIGURATION)) {
       leaderChanged(changed, now);
     }
   }
 
-  private void adoptFromReplica(GroupId group, Instant now, Output output) {
+  private void applyFromReplica(GroupId group, Instant now, Output output) {
     if (replica != null && group.equals(GroupId.CONFIGURATION)) {
-      adoption.adopt(replica.machine().configuration(), now, output);
+      revisionApplier.apply(replica.machine().configuration(), now, output);
     }
   }
 
   private void leaderChanged(ConsensusEvent.LeaderChanged changed, Instant now) {
     leader = changed.node();
     if (inForce != null && node.equals(leader)) {
-      inForce.tookOffice(now);
+      inForce.leadershipGained(now);
     }
     subscription(now).refresh();
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationSettings.java
@@ -7,21 +7,21 @@
  * Times and bounds of the configuration, the same on each daemon.
  *
  * @param lease how long a daemon may take new work without news of the control group's leader
- * @param renewal time between two renewals
- * @param patience time without an extension after which another source is tried
+ * @param renewalInterval time between two renewals
+ * @param sourceTimeout time without an extension after which another source is tried
  * @param driftPerMille how much faster or slower one daemon's clock may run than another's, in
  *     thousandths
- * @param mostSubscribers most daemons that one daemon serves
+ * @param maxSubscribers most daemons that one daemon serves
  * @param callTimeout how long an operator's call may wait for the control group
  * @param bootstrapKeyHash SHA-256 in lower-case hex of the operator key that is valid while the
  *     configuration has no operator key, or null for none
  */
 public record ConfigurationSettings(
     Duration lease,
-    Duration renewal,
-    Duration patience,
+    Duration renewalInterval,
+    Duration sourceTimeout,
     int driftPerMille,
-    int mostSubscribers,
+    int maxSubscribers,
     Duration callTimeout,
     @Nullable String bootstrapKeyHash) {
 
@@ -33,10 +33,10 @@
    * @throws IllegalArgumentException if a lease would run out between two renewals
    */
   public ConfigurationSettings {
-    if (patience.compareTo(renewal) <= 0) {
+    if (sourceTimeout.compareTo(renewalInterval) <= 0) {
       throw new IllegalArgumentException("configuration: set patience above renewal");
     }
-    if (patience.multipliedBy(2).compareTo(lease) > 0) {
+    if (sourceTimeout.multipliedBy(2).compareTo(lease) > 0) {
       throw new IllegalArgumentException("configuration: set patience to at most half of lease");
     }
     if (driftPerMille < 0 || driftPerMille >= THOUSAND / 2) {
@@ -61,12 +61,12 @@
   }
 
   /** Returns a time as a holder counts it, whose clock may be the slower one. */
-  Duration shortened(Duration time) {
+  Duration shortenedByDrift(Duration time) {
     return time.multipliedBy(THOUSAND - driftPerMille).dividedBy(THOUSAND);
   }
 
   /** Returns the time after which each lease granted by others has run out on this clock. */
-  Duration longestLease() {
+  Duration maxLeaseDuration() {
     return lease.multipliedBy(THOUSAND + driftPerMille).dividedBy(THOUSAND);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationValidator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationValidator.java
@@ -12,20 +12,20 @@
 /** Checks a configuration as a whole before it may replace another. */
 public final class ConfigurationValidator {
 
-  static final int MOST_TEAMS = 10_000;
-  static final int MOST_TEAM_KEYS = 100;
-  static final int MOST_MODELS = 1000;
-  static final int MOST_VERSIONS = 200;
-  static final int MOST_SERVICES = 1000;
-  static final int MOST_RULES = 20_000;
-  static final int MOST_DRAINED = 20_000;
-  static final int MOST_OPERATOR_KEYS = 1000;
-  static final int MOST_QUARANTINED = 256;
-  static final int MOST_STEPS = 100;
-  static final int MOST_WEIGHT = 1000;
-  static final int LONGEST_METHOD = 20;
-  static final long LONGEST_TIMEOUT_MILLIS = 3_600_000;
-  static final long HIGHEST_PRICE = 1_000_000_000_000L;
+  static final int MAX_TEAMS = 10_000;
+  static final int MAX_TEAM_KEYS = 100;
+  static final int MAX_MODELS = 1000;
+  static final int MAX_VERSIONS = 200;
+  static final int MAX_SERVICES = 1000;
+  static final int MAX_RULES = 20_000;
+  static final int MAX_DRAINED = 20_000;
+  static final int MAX_OPERATOR_KEYS = 1000;
+  static final int MAX_QUARANTINED = 256;
+  static final int MAX_STEPS = 100;
+  static final int MAX_TEAM_WEIGHT = 1000;
+  static final int MAX_METHODS = 20;
+  static final long MAX_TIMEOUT_MILLIS = 3_600_000;
+  static final long MAX_PRICE_MICROS = 1_000_000_000_000L;
 
   private final Configuration configuration;
   private final Problems problems = new Problems();
@@ -62,14 +62,15 @@
           "operator keys",
           "nobody could make a change any more; add another operator key first");
     }
-    if (validator.isBounded()) {
-      boolean all = before.revision() == 0 || differences.stream().anyMatch(d -> mayBreakOthers(d));
+    if (validator.checkSizes()) {
+      boolean all =
+          before.revision() == 0 || differences.stream().anyMatch(d -> mayInvalidateOthers(d));
       validator.check(all, differences);
     }
-    return List.copyOf(validator.problems.found());
+    return List.copyOf(validator.problems.collected());
   }
 
-  private static boolean mayBreakOthers(ConfigurationDifference difference) {
+  private static boolean mayInvalidateOthers(ConfigurationDifference difference) {
     if (difference instanceof ConfigurationDifference.TeamDiffers team) {
       return team.after() == null;
     }
@@ -79,18 +80,17 @@
     return difference instanceof ConfigurationDifference.ModelDiffers;
   }
 
-  private boolean isBounded() {
-    return problems.size(configuration.teams(), MOST_TEAMS, "teams")
-        & problems.size(configuration.models(), MOST_MODELS, "models")
-        & problems.size(configuration.services(), MOST_SERVICES, "services")
-        & problems.size(configuration.rules(), MOST_RULES, "rules")
-        & problems.size(configuration.rollOuts(), MOST_MODELS, "roll-outs")
-        & problems.size(
-            configuration.withdrawn(), MOST_MODELS * MOST_VERSIONS, "withdrawn versions")
-        & problems.size(configuration.drainedUpstreams(), MOST_DRAINED, "drained upstreams")
-        & problems.size(configuration.drainedVms(), MOST_DRAINED, "drained VMs")
-        & problems.size(configuration.operatorKeys(), MOST_OPERATOR_KEYS, "operator keys")
-        & problems.size(configuration.quarantined(), MOST_QUARANTINED, "quarantined requests");
+  private boolean checkSizes() {
+    return problems.size(configuration.teams(), MAX_TEAMS, "teams")
+        & problems.size(configuration.models(), MAX_MODELS, "models")
+        & problems.size(configuration.services(), MAX_SERVICES, "services")
+        & problems.size(configuration.rules(), MAX_RULES, "rules")
+        & problems.size(configuration.rollOuts(), MAX_MODELS, "roll-outs")
+        & problems.size(configuration.withdrawn(), MAX_MODELS * MAX_VERSIONS, "withdrawn versions")
+        & problems.size(configuration.drainedUpstreams(), MAX_DRAINED, "drained upstreams")
+        & problems.size(configuration.drainedVms(), MAX_DRAINED, "drained VMs")
+        & problems.size(configuration.operatorKeys(), MAX_OPERATOR_KEYS, "operator keys")
+        & problems.size(configuration.quarantined(), MAX_QUARANTINED, "quarantined requests");
   }
 
   private void check(boolean all, List<ConfigurationDifference> differences) {
@@ -105,22 +105,22 @@
     configuration.rollOuts().forEach(this::checkRollOut);
     checkPolicy();
     configuration.quarantined().forEach(this::checkQuarantined);
-    if (all || differences.stream().anyMatch(d -> concernsKeys(d))) {
+    if (all || differences.stream().anyMatch(d -> affectsKeys(d))) {
       checkKeys();
     }
     checkTeams(all, differences);
-    if (all || differences.stream().anyMatch(d -> concernsDrains(d))) {
+    if (all || differences.stream().anyMatch(d -> affectsDrains(d))) {
       checkDrained();
     }
     checkRules(all, differences);
   }
 
-  private static boolean concernsKeys(ConfigurationDifference difference) {
+  private static boolean affectsKeys(ConfigurationDifference difference) {
     return difference instanceof ConfigurationDifference.TeamDiffers
         || difference instanceof ConfigurationDifference.OperatorKeyDiffers;
   }
 
-  private static boolean concernsDrains(ConfigurationDifference difference) {
+  private static boolean affectsDrains(ConfigurationDifference difference) {
     return difference instanceof ConfigurationDifference.UpstreamDrainDiffers
         || difference instanceof ConfigurationDifference.VmDrainDiffers;
   }
@@ -152,23 +152,23 @@
         Kind.OUT_OF_RANGE,
         subject,
         "it has no version; give it at least one");
-    if (!problems.size(model.versions(), MOST_VERSIONS, subject + " versions")) {
+    if (!problems.size(model.versions(), MAX_VERSIONS, subject + " versions")) {
       return;
     }
     Set<String> names = problems.unique(model.versions(), Model.Version::name, "version");
     versions.put(model.name(), names);
-    problems.known(names, model.current(), "version", subject);
+    problems.reference(names, model.current(), "version", subject);
     for (Model.Version version : model.versions()) {
       String versionSubject = subject + " version " + version.name();
       problems.name(version.name(), versionSubject);
-      problems.share(version.priorQuality(), versionSubject + " priorQuality");
+      problems.fraction(version.priorQuality(), versionSubject + " priorQuality");
       Price price = version.price();
       problems.range(
-          price.promptMicrosPerThousand(), 0, HIGHEST_PRICE, versionSubject + " prompt price");
+          price.promptMicrosPerThousand(), 0, MAX_PRICE_MICROS, versionSubject + " prompt price");
       problems.range(
           price.completionMicrosPerThousand(),
           0,
-          HIGHEST_PRICE,
+          MAX_PRICE_MICROS,
           versionSubject + " completion price");
     }
   }
@@ -176,9 +176,9 @@
   private void checkService(ServiceDefinition service) {
     String subject = "service " + service.name();
     problems.name(service.name(), subject);
-    problems.range(service.timeoutMillis(), 1, LONGEST_TIMEOUT_MILLIS, subject + " timeoutMillis");
-    problems.range(service.callMicros(), 0, HIGHEST_PRICE, subject + " callMicros");
-    if (problems.size(service.nonIdempotentMethods(), LONGEST_METHOD, subject + " methods")) {
+    problems.range(service.timeoutMillis(), 1, MAX_TIMEOUT_MILLIS, subject + " timeoutMillis");
+    problems.range(service.callMicros(), 0, MAX_PRICE_MICROS, subject + " callMicros");
+    if (problems.size(service.nonIdempotentMethods(), MAX_METHODS, subject + " methods")) {
       for (String method : service.nonIdempotentMethods()) {
         problems.require(
             method.matches("[A-Z]{1,20}"),
@@ -231,24 +231,26 @@
   private void checkTeam(Team team) {
     String subject = "team " + team.name();
     problems.name(team.name(), subject);
-    problems.range(team.weight(), 1, MOST_WEIGHT, subject + " weight");
+    problems.range(team.weight(), 1, MAX_TEAM_WEIGHT, subject + " weight");
     checkLimits(team.limits(), subject);
-    if (problems.size(team.keys(), MOST_TEAM_KEYS, subject + " keys")) {
+    if (problems.size(team.keys(), MAX_TEAM_KEYS, subject + " keys")) {
       problems.unique(team.keys(), Team.Key::id, "key of " + subject);
       team.keys().forEach(key -> checkKey(key.id(), key.sha256(), subject));
     }
-    if (problems.size(team.allowedServices(), MOST_SERVICES, subject + " allowedServices")) {
+    if (problems.size(team.allowedServices(), MAX_SERVICES, subject + " allowedServices")) {
       team.allowedServices()
-          .forEach(service -> problems.known(services, service, "service", subject));
+          .forEach(service -> problems.reference(services, service, "service", subject));
     }
-    if (!problems.size(team.allowedModels(), MOST_MODELS, subject + " allowedModels")) {
+    if (!problems.size(team.allowedModels(), MAX_MODELS, subject + " allowedModels")) {
       return;
     }
     for (Team.AllowedModel allowed : team.allowedModels()) {
-      problems.known(versions.keySet(), allowed.model(), "model", subject);
+      problems.reference(versions.keySet(), allowed.model(), "model", subject);
       Set<String> known = versions.getOrDefault(allowed.model(), Set.of());
       if (!known.isEmpty()) {
-        allowed.versions().forEach(version -> problems.known(known, version, "version", subject));
+        allowed
+            .versions()
+            .forEach(version -> problems.reference(known, version, "version", subject));
       }
     }
   }
@@ -275,8 +277,8 @@
     for (ModelVersion version : configuration.withdrawn()) {
       String subject = "withdrawn version " + version;
       problems.require(seen.add(version), Kind.DUPLICATE, subject, "it comes twice; remove one");
-      problems.known(versions.keySet(), version.model(), "model", subject);
-      problems.known(
+      problems.reference(versions.keySet(), version.model(), "model", subject);
+      problems.reference(
           versions.getOrDefault(version.model(), Set.of()), version.version(), "version", subject);
     }
   }
@@ -284,9 +286,9 @@
   private void checkRollOut(RollOut rollOut) {
     String subject = "roll-out of model " + rollOut.model();
     Set<String> known = versions.getOrDefault(rollOut.model(), Set.of());
-    problems.known(versions.keySet(), rollOut.model(), "model", subject);
-    problems.known(known, rollOut.from(), "version", subject);
-    problems.known(known, rollOut.to(), "version", subject);
+    problems.reference(versions.keySet(), rollOut.model(), "model", subject);
+    problems.reference(known, rollOut.from(), "version", subject);
+    problems.reference(known, rollOut.to(), "version", subject);
     problems.require(
         !rollOut.from().equals(rollOut.to()),
         Kind.OUT_OF_RANGE,
@@ -300,7 +302,7 @@
     problems.range(rollOut.step(), 0, rollOut.steps().size(), subject + " step");
     // A closed roll-out is only a record, which must not keep a team from being removed.
     boolean open = RollOutChanges.isOpen(rollOut);
-    if (problems.size(rollOut.steps(), MOST_STEPS, subject + " steps")) {
+    if (problems.size(rollOut.steps(), MAX_STEPS, subject + " steps")) {
       rollOut.steps().forEach(step -> checkStep(step, open, subject));
     }
     if (open) {
@@ -310,10 +312,10 @@
 
   private void checkStep(RollOut.Step step, boolean open, String subject) {
     problems.range(step.percent(), 0, 100, subject + " percent");
-    if (problems.size(step.teams(), MOST_TEAMS, subject + " teams") && open) {
-      step.teams().forEach(team -> problems.known(teams, team, "team", subject));
+    if (problems.size(step.teams(), MAX_TEAMS, subject + " teams") && open) {
+      step.teams().forEach(team -> problems.reference(teams, team, "team", subject));
     }
-    if (problems.size(step.zones(), MOST_MODELS, subject + " zones")) {
+    if (problems.size(step.zones(), MAX_MODELS, subject + " zones")) {
       step.zones().forEach(zone -> problems.name(zone, subject + " zone"));
     }
   }
@@ -342,8 +344,8 @@
   private void checkDrained() {
     problems.unique(configuration.drainedUpstreams(), Function.identity(), "drained upstream");
     problems.unique(configuration.drainedVms(), Function.identity(), "drained VM");
-    configuration.drainedUpstreams().forEach(id -> problems.address(id, "drained upstream"));
-    configuration.drainedVms().forEach(id -> problems.address(id, "drained VM"));
+    configuration.drainedUpstreams().forEach(id -> problems.nodeId(id, "drained upstream"));
+    configuration.drainedVms().forEach(id -> problems.nodeId(id, "drained VM"));
   }
 
   private void checkQuarantined(RequestKey request) {
@@ -352,8 +354,8 @@
 
   private void checkPolicy() {
     VersionPolicy policy = configuration.versionPolicy();
-    problems.share(policy.tolerance(), "versionPolicy tolerance");
-    problems.share(policy.falseAlarmRate(), "versionPolicy falseAlarmRate");
+    problems.fraction(policy.tolerance(), "versionPolicy tolerance");
+    problems.fraction(policy.falseAlarmRate(), "versionPolicy falseAlarmRate");
     problems.require(
         policy.falseAlarmRate() != 0,
         Kind.OUT_OF_RANGE,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Differences.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Differences.java
@@ -62,37 +62,37 @@
   }
 
   /** Makes a difference out of an item's key and its two forms. */
-  private interface Maker<T, K> {
-    ConfigurationDifference make(K key, @Nullable T before, @Nullable T after);
+  private interface DifferenceFactory<T, K> {
+    ConfigurationDifference create(K key, @Nullable T before, @Nullable T after);
   }
 
   private static <T, K extends Comparable<K>> void compare(
       List<T> old,
       List<T> next,
       Function<T, K> key,
-      Maker<T, K> maker,
+      DifferenceFactory<T, K> factory,
       List<ConfigurationDifference> found) {
     if (old == next) {
       return;
     }
-    int oldPlace = 0;
-    int nextPlace = 0;
-    while (oldPlace < old.size() || nextPlace < next.size()) {
-      T before = oldPlace < old.size() ? old.get(oldPlace) : null;
-      T after = nextPlace < next.size() ? next.get(nextPlace) : null;
+    int oldIndex = 0;
+    int nextIndex = 0;
+    while (oldIndex < old.size() || nextIndex < next.size()) {
+      T before = oldIndex < old.size() ? old.get(oldIndex) : null;
+      T after = nextIndex < next.size() ? next.get(nextIndex) : null;
       int order = order(before, after, key);
       if (order < 0) {
-        found.add(maker.make(key.apply(Objects.requireNonNull(before)), before, null));
-        oldPlace++;
+        found.add(factory.create(key.apply(Objects.requireNonNull(before)), before, null));
+        oldIndex++;
       } else if (order > 0) {
-        found.add(maker.make(key.apply(Objects.requireNonNull(after)), null, after));
-        nextPlace++;
+        found.add(factory.create(key.apply(Objects.requireNonNull(after)), null, after));
+        nextIndex++;
       } else {
         if (before != after && !Objects.equals(before, after)) {
-          found.add(maker.make(key.apply(Objects.requireNonNull(after)), before, after));
+          found.add(factory.create(key.apply(Objects.requireNonNull(after)), before, after));
         }
-        oldPlace++;
-        nextPlace++;
+        oldIndex++;
+        nextIndex++;
       }
     }
   }
@@ -126,7 +126,7 @@
     if (start == oldEnd && start == nextEnd) {
       return;
     }
-    addWindow(start, old.subList(start, oldEnd), next.subList(start, nextEnd), found);
+    addReplacement(start, old.subList(start, oldEnd), next.subList(start, nextEnd), found);
   }
 
   private static boolean same(Rule first, Rule second) {
@@ -134,7 +134,7 @@
   }
 
   /** Adds one replacement, or a removal and an insertion if one rule moved past the others. */
-  private static void addWindow(
+  private static void addReplacement(
       int start, List<Rule> old, List<Rule> next, List<ConfigurationDifference> found) {
     int size = old.size();
     if (size > 2 && size == next.size()) {
@@ -203,16 +203,16 @@
 
   private static <T> List<T> replace(
       List<T> list, String name, @Nullable T before, @Nullable T after, Function<T, String> key) {
-    int place = ConfigurationDraft.find(list, name, key);
-    check(Objects.equals(place < 0 ? null : list.get(place), before), name);
+    int index = ConfigurationDraft.find(list, name, key);
+    check(Objects.equals(index < 0 ? null : list.get(index), before), name);
     return after == null
         ? ConfigurationDraft.without(list, name, key)
         : ConfigurationDraft.with(list, after, key);
   }
 
   private static <T extends Comparable<T>> List<T> toggle(List<T> list, T item, boolean present) {
-    int place = ConfigurationDraft.find(list, item, Function.identity());
-    check(place >= 0 != present, item.toString());
+    int index = ConfigurationDraft.find(list, item, Function.identity());
+    check(index >= 0 != present, item.toString());
     return present
         ? ConfigurationDraft.with(list, item, Function.identity())
         : ConfigurationDraft.without(list, item, Function.identity());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/EntryLease.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/EntryLease.java
@@ -17,7 +17,7 @@
  */
 final class EntryLease {
 
-  private static final int MOST_PENDING = 8;
+  private static final int MAX_PENDING = 8;
 
   private final ConfigurationSettings settings;
   private final Deque<LeaseGrant> pending = new ArrayDeque<>();
@@ -45,33 +45,33 @@
   /** Takes a grant, now or once its revision is applied; returns whether the lease got longer. */
   boolean grant(LeaseGrant grant, long revision) {
     if (grant.revision() > revision) {
-      if (pending.size() >= MOST_PENDING) {
+      if (pending.size() >= MAX_PENDING) {
         pending.removeFirst();
       }
       pending.addLast(grant);
       return false;
     }
     Instant before = end;
-    extendTo(grant.requestSentAt().plus(settings.shortened(grant.remaining())));
+    extendTo(grant.requestSentAt().plus(settings.shortenedByDrift(grant.remaining())));
     return end.isAfter(before);
   }
 
   /** Takes the grants that waited for a revision; returns whether the lease got longer. */
-  boolean applied(long revision) {
-    boolean longer = false;
+  boolean revisionApplied(long revision) {
+    boolean extended = false;
     Iterator<LeaseGrant> waiting = pending.iterator();
     while (waiting.hasNext()) {
       LeaseGrant grant = waiting.next();
       if (grant.revision() <= revision) {
         waiting.remove();
-        longer |= grant(grant, revision);
+        extended |= grant(grant, revision);
       }
     }
-    return longer;
+    return extended;
   }
 
   /** Ends the lease, since the clock can't be trusted to have measured it. */
-  void drop() {
+  void invalidate() {
     end = Instant.EPOCH;
     pending.clear();
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/FullCopy.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/FullCopy.java
@@ -8,12 +8,12 @@
 /** A configuration cut into parts that fit into a frame each. */
 final class FullCopy {
 
-  static final int CHUNK_WEIGHT = 500;
+  static final int MAX_CHUNK_WEIGHT = 500;
 
   private final long revision;
   private final List<List<ConfigurationDifference>> chunks = new ArrayList<>();
-  private List<ConfigurationDifference> open = new ArrayList<>();
-  private int openWeight;
+  private List<ConfigurationDifference> currentChunk = new ArrayList<>();
+  private int currentWeight;
 
   FullCopy(Configuration configuration) {
     revision = configuration.revision();
@@ -25,8 +25,8 @@
         add(difference);
       }
     }
-    if (!open.isEmpty() || chunks.isEmpty()) {
-      chunks.add(open);
+    if (!currentChunk.isEmpty() || chunks.isEmpty()) {
+      chunks.add(currentChunk);
     }
   }
 
@@ -35,7 +35,7 @@
     int weight = 0;
     for (int index = 0; index < rules.size(); index++) {
       weight += Differences.weight(rules.get(index));
-      if (weight >= CHUNK_WEIGHT || index == rules.size() - 1) {
+      if (weight >= MAX_CHUNK_WEIGHT || index == rules.size() - 1) {
         add(new RulesDiffer(start, List.of(), rules.subList(start, index + 1)));
         start = index + 1;
         weight = 0;
@@ -45,13 +45,13 @@
 
   private void add(ConfigurationDifference difference) {
     int weight = Differences.weight(difference);
-    if (openWeight + weight > CHUNK_WEIGHT && !open.isEmpty()) {
-      chunks.add(open);
-      open = new ArrayList<>();
-      openWeight = 0;
+    if (currentWeight + weight > MAX_CHUNK_WEIGHT && !currentChunk.isEmpty()) {
+      chunks.add(currentChunk);
+      currentChunk = new ArrayList<>();
+      currentWeight = 0;
     }
-    open.add(difference);
-    openWeight += weight;
+    currentChunk.add(difference);
+    currentWeight += weight;
   }
 
   long revision() {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/InForce.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/InForceTracker.java
@@ -18,36 +18,37 @@
  * earlier leader granted aren't known here; all of them were granted before this leader took
  * office, so they have ended one longest lease after it.
  */
-final class InForce {
+final class InForceTracker {
 
-  private static final int MOST_AWAITED = 50;
-  private static final double MILLIS = 1000.0;
+  private static final int MAX_AWAITED = 50;
+  private static final double MILLIS_PER_SECOND = 1000.0;
 
   private final ConfigurationSettings settings;
   private final ConfigurationMachine machine;
   private final Subscribers subscribers;
-  private Instant knowsAllAt = Instant.MAX;
-  private long told;
+  private Instant earlierLeasesEndAt = Instant.MAX;
+  private long reportedRevision;
 
-  InForce(ConfigurationSettings settings, ConfigurationMachine machine, Subscribers subscribers) {
+  InForceTracker(
+      ConfigurationSettings settings, ConfigurationMachine machine, Subscribers subscribers) {
     this.settings = settings;
     this.machine = machine;
     this.subscribers = subscribers;
   }
 
   /** Takes note that this daemon leads from now on; older revisions aren't told of again. */
-  void tookOffice(Instant now) {
-    told = machine.configuration().revision();
-    knowsAllAt = now.plus(settings.longestLease());
+  void leadershipGained(Instant now) {
+    reportedRevision = machine.configuration().revision();
+    earlierLeasesEndAt = now.plus(settings.maxLeaseDuration());
   }
 
   SendInForce status(String callId, long revision, Instant now) {
     List<LaggingEntry> lagging = subscribers.lagging(revision, now);
     List<AwaitedEntry> awaited = new ArrayList<>();
-    for (LaggingEntry entry : lagging.subList(0, Math.min(MOST_AWAITED, lagging.size()))) {
+    for (LaggingEntry entry : lagging.subList(0, Math.min(MAX_AWAITED, lagging.size()))) {
       awaited.add(new AwaitedEntry(entry.node(), entry.revision(), now.plus(entry.leaseLeft())));
     }
-    @Nullable Instant unknownUntil = now.isBefore(knowsAllAt) ? knowsAllAt : null;
+    @Nullable Instant unknownUntil = now.isBefore(earlierLeasesEndAt) ? earlierLeasesEndAt : null;
     return new SendInForce(
         callId,
         revision,
@@ -59,21 +60,23 @@
 
   /** Puts revisions that came into force since the last time on the time line. */
   void tick(Instant now, Output output) {
-    if (now.isBefore(knowsAllAt)) {
+    if (now.isBefore(earlierLeasesEndAt)) {
       return;
     }
     long reached = Math.min(machine.configuration().revision(), subscribers.floor(now));
-    if (reached <= told) {
+    if (reached <= reportedRevision) {
       return;
     }
     machine
         .entry(reached)
         .ifPresent(
             entry -> {
-              Duration taken = Duration.between(entry.acceptedAt(), now);
+              Duration elapsed = Duration.between(entry.acceptedAt(), now);
               output.effect(
                   new TraceEffect.Observe(
-                      "configuration_in_force_seconds", "", taken.toMillis() / MILLIS));
+                      "configuration_in_force_seconds",
+                      "",
+                      elapsed.toMillis() / MILLIS_PER_SECOND));
               output.effect(
                   new TraceEffect.TimelineEntry(
                       now,
@@ -82,8 +85,8 @@
                       null,
                       null,
                       null,
-                      "revision " + reached + " after " + taken.toMillis() + " ms"));
+                      "revision " + reached + " after " + elapsed.toMillis() + " ms"));
             });
-    told = reached;
+    reportedRevision = reached;
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/MissingValues.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/MissingValues.java
@@ -14,7 +14,7 @@
  */
 final class MissingValues {
 
-  private static final int MOST_TOLD = 20;
+  private static final int MAX_REPORTED = 20;
 
   private static final ClassValue<List<Component>> COMPONENTS =
       new ClassValue<>() {
@@ -31,7 +31,7 @@
   /** Returns what is missing in a change, as problems. */
   static List<ConfigurationProblem> problems(ConfigurationChange change) {
     List<ConfigurationProblem> problems = new ArrayList<>();
-    for (String path : in((Record) change, "change")) {
+    for (String path : find((Record) change, "change")) {
       problems.add(
           new ConfigurationProblem(
               ConfigurationProblem.Kind.MALFORMED, path, path + " is missing; give it a value"));
@@ -40,25 +40,25 @@
   }
 
   /** Returns paths such as {@code change.team.limits}, at most 20. */
-  private static List<String> in(Record value, String name) {
+  private static List<String> find(Record value, String name) {
     MissingValues search = new MissingValues();
-    search.look(value, name);
+    search.collect(value, name);
     return search.missing;
   }
 
-  private void look(@Nullable Object value, String path) {
-    if (missing.size() >= MOST_TOLD) {
+  private void collect(@Nullable Object value, String path) {
+    if (missing.size() >= MAX_REPORTED) {
       return;
     }
     if (value instanceof List<?> list) {
       for (int index = 0; index < list.size(); index++) {
-        look(list.get(index), path + "[" + index + "]");
+        collect(list.get(index), path + "[" + index + "]");
       }
     } else if (value instanceof Record record) {
       for (Component component : COMPONENTS.get(record.getClass())) {
-        Object part = component.read(record);
-        if (part != null) {
-          look(part, path + "." + component.name);
+        Object child = component.read(record);
+        if (child != null) {
+          collect(child, path + "." + component.name);
         } else if (!component.nullable) {
           missing.add(path + "." + component.name);
         }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/OperatorAnswers.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/OperatorAnswers.java
@@ -12,11 +12,11 @@
 /** Puts results of the configuration group into words for operators. */
 final class OperatorAnswers {
 
-  private static final long RETRY_MILLIS = 1000;
+  private static final long RETRY_AFTER_MILLIS = 1000;
 
   private OperatorAnswers() {}
 
-  static OperatorEffect toChange(String callId, String changeId, CommandResult result) {
+  static OperatorEffect forChange(String callId, String changeId, CommandResult result) {
     if (result instanceof ConfigurationResult.Accepted accepted) {
       return new OperatorEffect.ChangeAccepted(
           callId, changeId, accepted.revision(), accepted.acceptedAt());
@@ -67,19 +67,20 @@
     return new OperatorEffect.RefuseOperator(callId, RoutingError.notRun(kind, message));
   }
 
-  static OperatorEffect notNow(String callId, String message) {
+  static OperatorEffect retryLater(String callId, String message) {
     return new OperatorEffect.RefuseOperator(
-        callId, RoutingError.notRunRetry(ErrorKind.NOT_SERVING, message, RETRY_MILLIS));
+        callId, RoutingError.notRunRetry(ErrorKind.NOT_SERVING, message, RETRY_AFTER_MILLIS));
   }
 
   /** Tells that a change got no result in time. */
-  static OperatorEffect changeLost(String callId, boolean mayHaveApplied, String remedy) {
+  static OperatorEffect changeUnanswered(String callId, boolean mayHaveApplied, String remedy) {
     if (!mayHaveApplied) {
-      return notNow(callId, "the change was not accepted: " + remedy);
+      return retryLater(callId, "the change was not accepted: " + remedy);
     }
     String message =
         "the change may or may not be accepted; send it again with the same change id: " + remedy;
     return new OperatorEffect.RefuseOperator(
-        callId, new RoutingError(ErrorKind.NOT_SERVING, message, RunState.UNKNOWN, RETRY_MILLIS));
+        callId,
+        new RoutingError(ErrorKind.NOT_SERVING, message, RunState.UNKNOWN, RETRY_AFTER_MILLIS));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/OperatorCalls.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/OperatorCalls.java
@@ -27,8 +27,8 @@
 
   private static final Pattern CHANGE_ID = Pattern.compile("[\\x21-\\x7e]{1,128}");
   private static final String BOOTSTRAP = "bootstrap";
-  private static final int MOST_HOPS = 2;
-  private static final int MOST_OPEN = 1000;
+  private static final int MAX_HOPS = 2;
+  private static final int MAX_PENDING = 1000;
 
   private final String node;
   private final ConfigurationSettings settings;
@@ -36,8 +36,8 @@
   private final Submitter submitter;
   private final List<String> voters;
   private final @Nullable ReplicaReader reader;
-  private final Map<Long, OpenChange> openChanges = new HashMap<>();
-  private final Map<String, Instant> openQuestions = new HashMap<>();
+  private final Map<Long, PendingChange> pendingChanges = new HashMap<>();
+  private final Map<String, Instant> pendingQueries = new HashMap<>();
   private int nextVoter;
 
   OperatorCalls(
@@ -56,9 +56,9 @@
   }
 
   /** A submitted change; its call id is null if a part of this daemon asked for it. */
-  private record OpenChange(@Nullable String callId, String changeId) {}
+  private record PendingChange(@Nullable String callId, String changeId) {}
 
-  void called(OperatorEvent call, @Nullable String leader, Instant now, Output output) {
+  void callReceived(OperatorEvent call, @Nullable String leader, Instant now, Output output) {
     if (call instanceof OperatorEvent.DryRun || call instanceof OperatorEvent.ControlVmRequested) {
       // Other parts answer these, and the listener has checked the key. Answered here as well, the
       // operator would read that the key is unknown while the other part carries the call out.
@@ -72,7 +72,7 @@
     } else if (call instanceof OperatorEvent.ConfigurationRequested) {
       output.effect(new OperatorEffect.SendConfiguration(call.callId(), applied.current()));
     } else {
-      ask(call, leader, now, output);
+      query(call, leader, now, output);
     }
   }
 
@@ -80,20 +80,20 @@
     if (call instanceof OperatorEvent.ChangeRequested change) {
       return change.operatorKeyHash();
     }
-    if (call instanceof OperatorEvent.ConfigurationRequested wanted) {
-      return wanted.operatorKeyHash();
+    if (call instanceof OperatorEvent.ConfigurationRequested requested) {
+      return requested.operatorKeyHash();
     }
-    if (call instanceof OperatorEvent.RevisionRequested wanted) {
-      return wanted.operatorKeyHash();
+    if (call instanceof OperatorEvent.RevisionRequested requested) {
+      return requested.operatorKeyHash();
     }
-    if (call instanceof OperatorEvent.HistoryRequested wanted) {
-      return wanted.operatorKeyHash();
+    if (call instanceof OperatorEvent.HistoryRequested requested) {
+      return requested.operatorKeyHash();
     }
-    if (call instanceof OperatorEvent.DifferenceRequested wanted) {
-      return wanted.operatorKeyHash();
+    if (call instanceof OperatorEvent.DifferenceRequested requested) {
+      return requested.operatorKeyHash();
     }
-    if (call instanceof OperatorEvent.InForceRequested wanted) {
-      return wanted.operatorKeyHash();
+    if (call instanceof OperatorEvent.InForceRequested requested) {
+      return requested.operatorKeyHash();
     }
     return "";
   }
@@ -123,9 +123,9 @@
       output.effect(OperatorAnswers.invalid(call.callId(), missing));
       return;
     }
-    if (openChanges.size() >= MOST_OPEN) {
+    if (pendingChanges.size() >= MAX_PENDING) {
       output.effect(
-          OperatorAnswers.notNow(call.callId(), "too many changes are waiting; send it later"));
+          OperatorAnswers.retryLater(call.callId(), "too many changes are waiting; send it later"));
       return;
     }
     SubmitChange command =
@@ -143,7 +143,7 @@
     return Sha256.hex(change + "|" + expectedRevision);
   }
 
-  void proposed(ChangeProposed proposal, Instant now, Output output) {
+  void changeProposed(ChangeProposed proposal, Instant now, Output output) {
     SubmitChange command =
         new SubmitChange(
             proposal.changeId(),
@@ -157,34 +157,35 @@
 
   private void submit(SubmitChange command, @Nullable String callId, Instant now, Output output) {
     long submission = submitter.newSubmissionId();
-    openChanges.put(submission, new OpenChange(callId, command.changeId()));
+    pendingChanges.put(submission, new PendingChange(callId, command.changeId()));
     submitter.submit(
         GroupId.CONFIGURATION, command, submission, now.plus(settings.callTimeout()), now, output);
   }
 
-  void answered(ConsensusEvent.SubmissionAnswered event, Output output) {
-    OpenChange open = openChanges.remove(event.submissionId());
-    if (open == null) {
+  void submissionAnswered(ConsensusEvent.SubmissionAnswered event, Output output) {
+    PendingChange pending = pendingChanges.remove(event.submissionId());
+    if (pending == null) {
       return;
     }
-    String callId = open.callId();
+    String callId = pending.callId();
     if (callId != null) {
-      output.effect(OperatorAnswers.toChange(callId, open.changeId(), event.result()));
+      output.effect(OperatorAnswers.forChange(callId, pending.changeId(), event.result()));
     } else {
-      log("proposed change " + open.changeId() + ": " + event.result(), output);
+      log("proposed change " + pending.changeId() + ": " + event.result(), output);
     }
   }
 
-  void failed(ConsensusEvent.SubmissionFailed event, Output output) {
-    OpenChange open = openChanges.remove(event.submissionId());
-    if (open == null) {
+  void submissionFailed(ConsensusEvent.SubmissionFailed event, Output output) {
+    PendingChange pending = pendingChanges.remove(event.submissionId());
+    if (pending == null) {
       return;
     }
-    String callId = open.callId();
+    String callId = pending.callId();
     if (callId != null) {
-      output.effect(OperatorAnswers.changeLost(callId, event.mayHaveApplied(), event.remedy()));
+      output.effect(
+          OperatorAnswers.changeUnanswered(callId, event.mayHaveApplied(), event.remedy()));
     } else {
-      log("proposed change " + open.changeId() + " got no answer: " + event.remedy(), output);
+      log("proposed change " + pending.changeId() + " got no answer: " + event.remedy(), output);
     }
   }
 
@@ -192,19 +193,19 @@
     output.effect(new TraceEffect.LogLine(true, "configuration", sentence));
   }
 
-  private void ask(OperatorEvent call, @Nullable String leader, Instant now, Output output) {
+  private void query(OperatorEvent call, @Nullable String leader, Instant now, Output output) {
     OperatorEffect answer = reader == null ? null : reader.answer(call, leader == null, now);
     if (answer != null) {
       output.effect(answer);
       return;
     }
     String target = reader == null ? anyVoter() : leader;
-    if (target == null || target.equals(node) || openQuestions.size() >= MOST_OPEN) {
+    if (target == null || target.equals(node) || pendingQueries.size() >= MAX_PENDING) {
       output.effect(
-          OperatorAnswers.notNow(call.callId(), "the control group has no leader; ask again"));
+          OperatorAnswers.retryLater(call.callId(), "the control group has no leader; ask again"));
       return;
     }
-    openQuestions.put(call.callId(), now.plus(settings.callTimeout()));
+    pendingQueries.put(call.callId(), now.plus(settings.callTimeout()));
     output.effect(new PeerEffect.SendToPeer(target, new OperatorCall(node, 0, call)));
   }
 
@@ -217,8 +218,8 @@
   }
 
   /** Answers a question that another daemon passed on, or passes it on to the leader. */
-  void passedOn(OperatorCall question, @Nullable String leader, Instant now, Output output) {
-    OperatorEvent call = question.call();
+  void callForwarded(OperatorCall query, @Nullable String leader, Instant now, Output output) {
+    OperatorEvent call = query.call();
     OperatorEffect answer = null;
     if (operator(keyHash(call)) == null) {
       answer = OperatorAnswers.unknownKey(call.callId());
@@ -226,40 +227,41 @@
       answer = reader.answer(call, leader == null, now);
     }
     if (answer != null) {
-      output.effect(new PeerEffect.SendToPeer(question.origin(), new OperatorAnswer(answer)));
-    } else if (leader != null && !leader.equals(node) && question.hops() < MOST_HOPS) {
-      OperatorCall next = new OperatorCall(question.origin(), question.hops() + 1, call);
-      output.effect(new PeerEffect.SendToPeer(leader, next));
+      output.effect(new PeerEffect.SendToPeer(query.origin(), new OperatorAnswer(answer)));
+    } else if (leader != null && !leader.equals(node) && query.hops() < MAX_HOPS) {
+      OperatorCall forwarded = new OperatorCall(query.origin(), query.hops() + 1, call);
+      output.effect(new PeerEffect.SendToPeer(leader, forwarded));
     } else {
       OperatorEffect refusal =
-          OperatorAnswers.notNow(call.callId(), "the control group has no leader; ask again");
-      output.effect(new PeerEffect.SendToPeer(question.origin(), new OperatorAnswer(refusal)));
+          OperatorAnswers.retryLater(call.callId(), "the control group has no leader; ask again");
+      output.effect(new PeerEffect.SendToPeer(query.origin(), new OperatorAnswer(refusal)));
     }
   }
 
-  void answerArrived(OperatorAnswer message, Output output) {
-    if (openQuestions.remove(message.answer().callId()) != null) {
+  void answerReceived(OperatorAnswer message, Output output) {
+    if (pendingQueries.remove(message.answer().callId()) != null) {
       output.effect(message.answer());
     }
   }
 
   /** Gives up questions that nobody answered. */
   void tick(Instant now, Output output) {
-    if (openQuestions.isEmpty()) {
+    if (pendingQueries.isEmpty()) {
       return;
     }
-    List<String> late = new ArrayList<>();
-    Iterator<Map.Entry<String, Instant>> open = openQuestions.entrySet().iterator();
-    while (open.hasNext()) {
-      Map.Entry<String, Instant> question = open.next();
-      if (!now.isBefore(question.getValue())) {
-        late.add(question.getKey());
-        open.remove();
+    List<String> expired = new ArrayList<>();
+    Iterator<Map.Entry<String, Instant>> pending = pendingQueries.entrySet().iterator();
+    while (pending.hasNext()) {
+      Map.Entry<String, Instant> query = pending.next();
+      if (!now.isBefore(query.getValue())) {
+        expired.add(query.getKey());
+        pending.remove();
       }
     }
-    late.sort(null);
-    for (String callId : late) {
-      output.effect(OperatorAnswers.notNow(callId, "no control VM answered in time; ask again"));
+    expired.sort(null);
+    for (String callId : expired) {
+      output.effect(
+          OperatorAnswers.retryLater(callId, "no control VM answered in time; ask again"));
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Problems.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Problems.java
@@ -12,30 +12,30 @@
 final class Problems {
 
   /** Most problems told at once; the rest come to light after these are mended. */
-  static final int MOST_TOLD = 20;
+  static final int MAX_PROBLEMS = 20;
 
-  private static final int MOST_SHOWN = 80;
+  private static final int MAX_QUOTED_CHARACTERS = 80;
   private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._/@+-]{0,127}");
-  private static final Pattern TITLE =
+  private static final Pattern RULE_NAME =
       Pattern.compile("[\\p{L}\\p{N}][\\p{L}\\p{N} ._/@+:,-]{0,127}");
-  private static final Pattern ADDRESS =
+  private static final Pattern NODE_ID =
       Pattern.compile("[A-Za-z0-9\\[][A-Za-z0-9._/@+:\\[\\]-]{0,255}");
   private static final Pattern HASH = Pattern.compile("[0-9a-f]{64}");
 
-  private final List<ConfigurationProblem> found = new ArrayList<>();
+  private final List<ConfigurationProblem> collected = new ArrayList<>();
 
-  List<ConfigurationProblem> found() {
-    return found;
+  List<ConfigurationProblem> collected() {
+    return collected;
   }
 
   void add(Kind kind, String subject, String message) {
-    if (found.size() < MOST_TOLD) {
-      found.add(new ConfigurationProblem(kind, subject, message));
+    if (collected.size() < MAX_PROBLEMS) {
+      collected.add(new ConfigurationProblem(kind, subject, message));
     }
   }
 
-  void require(boolean holds, Kind kind, String subject, String message) {
-    if (!holds) {
+  void require(boolean valid, Kind kind, String subject, String message) {
+    if (!valid) {
       add(kind, subject, message);
     }
   }
@@ -50,18 +50,18 @@
   }
 
   /** Checks the name of a rule, which may have spaces and letters of any language. */
-  void title(String name, String subject) {
+  void ruleName(String name, String subject) {
     require(
-        TITLE.matcher(name).matches(),
+        RULE_NAME.matcher(name).matches(),
         Kind.MALFORMED,
         subject,
         quote(name) + " is no rule name; use 1 to 128 letters, digits, spaces and . _ / @ + : , -");
   }
 
   /** Checks the id of an upstream or VM. */
-  void address(String id, String subject) {
+  void nodeId(String id, String subject) {
     require(
-        ADDRESS.matcher(id).matches(),
+        NODE_ID.matcher(id).matches(),
         Kind.MALFORMED,
         subject,
         quote(id) + " is no id; use up to 256 letters, digits and . _ / @ + : [ ] -");
@@ -75,22 +75,22 @@
         "the key's hash must be SHA-256 in 64 lower-case hex digits; hash the key before sending");
   }
 
-  void text(String text, int most, String subject) {
+  void text(String text, int max, String subject) {
     require(
-        text.length() <= most,
+        text.length() <= max,
         Kind.TOO_LARGE,
         subject,
-        "the text has " + text.length() + " characters; shorten it to " + most);
+        "the text has " + text.length() + " characters; shorten it to " + max);
   }
 
   /** Checks the number of something; returns whether it is within the bound. */
-  boolean size(List<?> list, int most, String subject) {
-    boolean fits = list.size() <= most;
-    require(fits, Kind.TOO_LARGE, subject, "there are " + list.size() + "; keep at most " + most);
+  boolean size(List<?> list, int max, String subject) {
+    boolean fits = list.size() <= max;
+    require(fits, Kind.TOO_LARGE, subject, "there are " + list.size() + "; keep at most " + max);
     return fits;
   }
 
-  void share(double value, String subject) {
+  void fraction(double value, String subject) {
     require(
         value >= 0 && value <= 1,
         Kind.OUT_OF_RANGE,
@@ -98,36 +98,36 @@
         value + " is out of range; use a value from 0 to 1");
   }
 
-  void range(long value, long least, long most, String subject) {
+  void range(long value, long min, long max, String subject) {
     require(
-        value >= least && value <= most,
+        value >= min && value <= max,
         Kind.OUT_OF_RANGE,
         subject,
-        value + " is out of range; use a value from " + least + " to " + most);
+        value + " is out of range; use a value from " + min + " to " + max);
   }
 
   /** Collects the keys of a list and tells of those that come twice. */
-  <T> Set<String> unique(List<T> list, Function<T, String> key, String what) {
+  <T> Set<String> unique(List<T> list, Function<T, String> key, String typeName) {
     Set<String> seen = new HashSet<>(list.size() * 2);
     for (T item : list) {
       String name = key.apply(item);
       if (!seen.add(name)) {
         add(
             Kind.DUPLICATE,
-            what + " " + name,
-            "the " + what + " comes twice; rename or remove one");
+            typeName + " " + name,
+            "the " + typeName + " comes twice; rename or remove one");
       }
     }
     return seen;
   }
 
-  void known(Set<String> names, String name, String what, String subject) {
+  void reference(Set<String> names, String name, String typeName, String subject) {
     if (!names.contains(name)) {
       add(
           Kind.UNKNOWN_REFERENCE,
           subject,
           "there is no "
-              + what
+              + typeName
               + " "
               + quote(name)
               + "; add it first, or take it out of "
@@ -136,6 +136,10 @@
   }
 
   static String quote(String text) {
-    return "'" + (text.length() <= MOST_SHOWN ? text : text.substring(0, MOST_SHOWN) + "…") + "'";
+    return "'"
+        + (text.length() <= MAX_QUOTED_CHARACTERS
+            ? text
+            : text.substring(0, MAX_QUOTED_CHARACTERS) + "…")
+        + "'";
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ReplicaReader.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ReplicaReader.java
@@ -13,12 +13,12 @@
 /** Answers operators' questions from the replica on this daemon. */
 final class ReplicaReader {
 
-  private static final int MOST_SUMMARIES = 200;
+  private static final int MAX_SUMMARIES = 200;
 
   private final LocalReplica replica;
-  private final InForce inForce;
+  private final InForceTracker inForce;
 
-  ReplicaReader(LocalReplica replica, InForce inForce) {
+  ReplicaReader(LocalReplica replica, InForceTracker inForce) {
     this.replica = replica;
     this.inForce = inForce;
   }
@@ -26,33 +26,33 @@
   /**
    * Returns the answer, or null if the leader must give it.
    *
-   * @param mayBeOld whether an answer without the newest changes will do, as when nobody leads
+   * @param allowStale whether an answer without the newest changes will do, as when nobody leads
    */
-  @Nullable OperatorEffect answer(OperatorEvent call, boolean mayBeOld, Instant now) {
-    if (call instanceof OperatorEvent.InForceRequested wanted) {
-      return inForce(wanted, now);
+  @Nullable OperatorEffect answer(OperatorEvent call, boolean allowStale, Instant now) {
+    if (call instanceof OperatorEvent.InForceRequested requested) {
+      return inForce(requested, now);
     }
-    return mayBeOld || replica.leaderLease().holds(now) ? read(call) : null;
+    return allowStale || replica.leaderLease().holds(now) ? read(call) : null;
   }
 
   private OperatorEffect read(OperatorEvent call) {
-    if (call instanceof OperatorEvent.RevisionRequested wanted) {
-      return revision(wanted);
+    if (call instanceof OperatorEvent.RevisionRequested requested) {
+      return revision(requested);
     }
-    if (call instanceof OperatorEvent.HistoryRequested wanted) {
-      return history(wanted);
+    if (call instanceof OperatorEvent.HistoryRequested requested) {
+      return history(requested);
     }
-    if (call instanceof OperatorEvent.DifferenceRequested wanted) {
-      return difference(wanted);
+    if (call instanceof OperatorEvent.DifferenceRequested requested) {
+      return difference(requested);
     }
     return OperatorAnswers.refuse(call.callId(), ErrorKind.BAD_REQUEST, "send this to any entry");
   }
 
-  private OperatorEffect revision(OperatorEvent.RevisionRequested wanted) {
-    Optional<Configuration> found = replica.machine().at(wanted.revision());
+  private OperatorEffect revision(OperatorEvent.RevisionRequested requested) {
+    Optional<Configuration> found = replica.machine().at(requested.revision());
     return found.isPresent()
-        ? new OperatorEffect.SendConfiguration(wanted.callId(), found.get())
-        : missing(wanted.callId(), wanted.revision());
+        ? new OperatorEffect.SendConfiguration(requested.callId(), found.get())
+        : missing(requested.callId(), requested.revision());
   }
 
   private OperatorEffect missing(String callId, long revision) {
@@ -68,13 +68,13 @@
             + machine.configuration().revision());
   }
 
-  private OperatorEffect history(OperatorEvent.HistoryRequested wanted) {
+  private OperatorEffect history(OperatorEvent.HistoryRequested requested) {
     List<RevisionEntry> entries = replica.machine().history();
-    int most = Math.max(1, Math.min(wanted.most(), MOST_SUMMARIES));
+    int limit = Math.max(1, Math.min(requested.most(), MAX_SUMMARIES));
     List<RevisionSummary> found = new ArrayList<>();
-    for (int index = entries.size() - 1; index >= 0 && found.size() < most; index--) {
+    for (int index = entries.size() - 1; index >= 0 && found.size() < limit; index--) {
       RevisionEntry entry = entries.get(index);
-      if (wanted.before() <= 0 || entry.revision() < wanted.before()) {
+      if (requested.before() <= 0 || entry.revision() < requested.before()) {
         found.add(
             new RevisionSummary(
                 entry.revision(),
@@ -85,26 +85,27 @@
       }
     }
     return new OperatorEffect.SendHistory(
-        wanted.callId(), found, replica.machine().oldestRevision());
+        requested.callId(), found, replica.machine().oldestRevision());
   }
 
-  private OperatorEffect difference(OperatorEvent.DifferenceRequested wanted) {
-    Optional<Configuration> from = replica.machine().at(wanted.from());
-    Optional<Configuration> to = replica.machine().at(wanted.to());
+  private OperatorEffect difference(OperatorEvent.DifferenceRequested requested) {
+    Optional<Configuration> from = replica.machine().at(requested.from());
+    Optional<Configuration> to = replica.machine().at(requested.to());
     if (from.isEmpty() || to.isEmpty()) {
-      return missing(wanted.callId(), from.isEmpty() ? wanted.from() : wanted.to());
+      return missing(requested.callId(), from.isEmpty() ? requested.from() : requested.to());
     }
     return new OperatorEffect.SendDifference(
-        wanted.callId(), ConfigurationStep.between(from.get(), to.get()));
+        requested.callId(), ConfigurationStep.between(from.get(), to.get()));
   }
 
-  private @Nullable OperatorEffect inForce(OperatorEvent.InForceRequested wanted, Instant now) {
+  private @Nullable OperatorEffect inForce(OperatorEvent.InForceRequested requested, Instant now) {
     if (!replica.leaderLease().holds(now)) {
       return null;
     }
-    if (wanted.revision() < 0 || wanted.revision() > replica.machine().configuration().revision()) {
-      return missing(wanted.callId(), wanted.revision());
+    if (requested.revision() < 0
+        || requested.revision() > replica.machine().configuration().revision()) {
+      return missing(requested.callId(), requested.revision());
     }
-    return inForce.status(wanted.callId(), wanted.revision(), now);
+    return inForce.status(requested.callId(), requested.revision(), now);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Adoption.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RevisionApplier.java
@@ -6,26 +6,26 @@
 import org.skylarkfork.core.event.ConfigurationEvent;
 
 /** Applies newer revisions and tells everybody whom it concerns. */
-final class Adoption {
+final class RevisionApplier {
 
   private final AppliedConfiguration applied;
   private final EntryLease lease;
   private final Subscribers subscribers;
 
-  Adoption(AppliedConfiguration applied, EntryLease lease, Subscribers subscribers) {
+  RevisionApplier(AppliedConfiguration applied, EntryLease lease, Subscribers subscribers) {
     this.applied = applied;
     this.lease = lease;
     this.subscribers = subscribers;
   }
 
   /** Applies a whole configuration if it is newer; returns whether it was. */
-  boolean adopt(Configuration next, Instant now, Output output) {
+  boolean apply(Configuration next, Instant now, Output output) {
     long before = applied.revision();
     if (next.revision() <= before) {
       return false;
     }
-    applied.adopt(next);
-    tell(before, now, output);
+    applied.apply(next);
+    publish(before, now, output);
     return true;
   }
 
@@ -34,13 +34,13 @@
    *
    * @throws IllegalArgumentException if it doesn't fit
    */
-  void adopt(ConfigurationStep step, Instant now, Output output) {
+  void apply(ConfigurationStep step, Instant now, Output output) {
     long before = applied.revision();
-    applied.adopt(step);
-    tell(before, now, output);
+    applied.apply(step);
+    publish(before, now, output);
   }
 
-  private void tell(long before, Instant now, Output output) {
+  private void publish(long before, Instant now, Output output) {
     long revision = applied.revision();
     output.raise(new ConfigurationEvent.ConfigurationApplied(before, revision));
     output.effect(
@@ -53,7 +53,7 @@
             null,
             "revision " + revision + " after " + before));
     subscribers.pushAll(now, output);
-    if (lease.applied(revision)) {
+    if (lease.revisionApplied(revision)) {
       subscribers.grantAll(now, output);
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RevisionRestorer.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RevisionRestorer.java
@@ -22,38 +22,38 @@
     this.history = history;
   }
 
-  ConfigurationDraft restore(Configuration present, long revision)
+  ConfigurationDraft restore(Configuration current, long revision)
       throws InapplicableChangeException {
-    Optional<Configuration> old = history.at(present, revision);
+    Optional<Configuration> old = history.at(current, revision);
     if (old.isEmpty()) {
       throw new InapplicableChangeException(
           Kind.NOT_FOUND,
           "revision " + revision,
           "the history holds revisions "
-              + history.oldest(present)
+              + history.oldest(current)
               + " to "
-              + present.revision()
+              + current.revision()
               + "; choose one of these");
     }
     ConfigurationDraft draft = new ConfigurationDraft(old.get());
-    draft.drainedUpstreams = present.drainedUpstreams();
-    draft.drainedVms = present.drainedVms();
-    draft.operatorKeys = present.operatorKeys();
-    draft.quarantined = present.quarantined();
-    keepTeamKeys(draft, present);
+    draft.drainedUpstreams = current.drainedUpstreams();
+    draft.drainedVms = current.drainedVms();
+    draft.operatorKeys = current.operatorKeys();
+    draft.quarantined = current.quarantined();
+    keepTeamKeys(draft, current);
     TreeSet<ModelVersion> withdrawn = new TreeSet<>(old.get().withdrawn());
-    withdrawn.addAll(present.withdrawn());
+    withdrawn.addAll(current.withdrawn());
     draft.withdrawn = List.copyOf(withdrawn);
     pauseRollOuts(draft);
-    RollOutChanges.forgetMissingVersions(draft);
+    RollOutChanges.removeMissingVersions(draft);
     return draft;
   }
 
-  private static void keepTeamKeys(ConfigurationDraft draft, Configuration present) {
+  private static void keepTeamKeys(ConfigurationDraft draft, Configuration current) {
     List<Team> teams = new ArrayList<>();
     for (Team team : draft.teams) {
-      int place = ConfigurationDraft.find(present.teams(), team.name(), Team::name);
-      teams.add(place < 0 ? team : ChangeApplier.withKeys(team, present.teams().get(place).keys()));
+      int index = ConfigurationDraft.find(current.teams(), team.name(), Team::name);
+      teams.add(index < 0 ? team : ChangeApplier.withKeys(team, current.teams().get(index).keys()));
     }
     draft.teams = List.copyOf(teams);
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RollOutChanges.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RollOutChanges.java
@@ -13,21 +13,21 @@
   private RollOutChanges() {}
 
   /** Returns whether the change was one of these, and then has applied it. */
-  static boolean change(ConfigurationDraft draft, ConfigurationChange change)
+  static boolean apply(ConfigurationDraft draft, ConfigurationChange change)
       throws InapplicableChangeException {
     if (change instanceof ConfigurationChange.StartRollOut start) {
       start(draft, start);
     } else if (change instanceof ConfigurationChange.AdvanceRollOut advance) {
       advance(draft, advance);
     } else if (change instanceof ConfigurationChange.PauseRollOut pause) {
-      RollOut rollOut = inState(draft, pause.model(), "pause", RollOut.State.RUNNING);
+      RollOut rollOut = requireState(draft, pause.model(), "pause", RollOut.State.RUNNING);
       put(draft, rollOut, rollOut.step(), RollOut.State.PAUSED);
     } else if (change instanceof ConfigurationChange.ResumeRollOut resume) {
-      RollOut rollOut = inState(draft, resume.model(), "resume", RollOut.State.PAUSED);
+      RollOut rollOut = requireState(draft, resume.model(), "resume", RollOut.State.PAUSED);
       put(draft, rollOut, rollOut.step(), RollOut.State.RUNNING);
     } else if (change instanceof ConfigurationChange.AbortRollOut abort) {
       RollOut rollOut =
-          inState(draft, abort.model(), "abort", RollOut.State.RUNNING, RollOut.State.PAUSED);
+          requireState(draft, abort.model(), "abort", RollOut.State.RUNNING, RollOut.State.PAUSED);
       put(draft, rollOut, rollOut.step(), RollOut.State.ABORTED);
     } else if (change instanceof ConfigurationChange.WithdrawVersion withdraw) {
       withdraw(draft, withdraw);
@@ -58,7 +58,7 @@
 
   private static void advance(ConfigurationDraft draft, ConfigurationChange.AdvanceRollOut advance)
       throws InapplicableChangeException {
-    RollOut rollOut = inState(draft, advance.model(), "advance", RollOut.State.RUNNING);
+    RollOut rollOut = requireState(draft, advance.model(), "advance", RollOut.State.RUNNING);
     int last = rollOut.steps().size();
     if (advance.step() < 0 || advance.step() > last) {
       throw new InapplicableChangeException(
@@ -77,7 +77,7 @@
       ConfigurationDraft draft, ConfigurationChange.WithdrawVersion withdraw)
       throws InapplicableChangeException {
     ModelVersion version = withdraw.version();
-    Model model = ChangeApplier.present(draft.models, version.model(), Model::name, "model");
+    Model model = ChangeApplier.findOrThrow(draft.models, version.model(), Model::name, "model");
     if (model.version(version.version()).isEmpty()) {
       throw ChangeApplier.notFound("version of model " + model.name(), version.version());
     }
@@ -95,7 +95,7 @@
       close(draft, rollOut.get(), version, replacement);
     }
     if (replacement == null) {
-      replacement = versionBefore(draft, model, version, rollOut);
+      replacement = predecessor(draft, model, version, rollOut);
     }
     if (replacement != null) {
       setCurrent(draft, model.name(), replacement);
@@ -120,17 +120,17 @@
     }
   }
 
-  private static @Nullable String versionBefore(
+  private static @Nullable String predecessor(
       ConfigurationDraft draft, Model model, ModelVersion version, Optional<RollOut> rollOut) {
     if (rollOut.isEmpty() || !model.current().equals(version.version())) {
       return null;
     }
-    String before = rollOut.get().from();
+    String predecessor = rollOut.get().from();
     boolean usable =
         rollOut.get().state() == RollOut.State.FINISHED
             && rollOut.get().to().equals(version.version())
-            && !draft.withdrawn.contains(new ModelVersion(model.name(), before));
-    return usable ? before : null;
+            && !draft.withdrawn.contains(new ModelVersion(model.name(), predecessor));
+    return usable ? predecessor : null;
   }
 
   private static void reinstate(ConfigurationDraft draft, ModelVersion version)
@@ -143,7 +143,7 @@
   }
 
   /** Drops withdrawals and closed roll-outs whose versions no model has any more. */
-  static void forgetMissingVersions(ConfigurationDraft draft) {
+  static void removeMissingVersions(ConfigurationDraft draft) {
     List<ModelVersion> withdrawn = new ArrayList<>(draft.withdrawn);
     if (withdrawn.removeIf(version -> !exists(draft, version.model(), version.version()))) {
       draft.withdrawn = List.copyOf(withdrawn);
@@ -160,14 +160,14 @@
   }
 
   private static boolean exists(ConfigurationDraft draft, String model, String version) {
-    int place = ConfigurationDraft.find(draft.models, model, Model::name);
-    return place >= 0 && draft.models.get(place).version(version).isPresent();
+    int index = ConfigurationDraft.find(draft.models, model, Model::name);
+    return index >= 0 && draft.models.get(index).version(version).isPresent();
   }
 
-  private static RollOut inState(
+  private static RollOut requireState(
       ConfigurationDraft draft, String model, String verb, RollOut.State... allowed)
       throws InapplicableChangeException {
-    RollOut rollOut = ChangeApplier.present(draft.rollOuts, model, RollOut::model, "roll-out");
+    RollOut rollOut = ChangeApplier.findOrThrow(draft.rollOuts, model, RollOut::model, "roll-out");
     for (RollOut.State state : allowed) {
       if (rollOut.state() == state) {
         return rollOut;
@@ -187,9 +187,9 @@
   }
 
   private static void setCurrent(ConfigurationDraft draft, String model, String version) {
-    int place = ConfigurationDraft.find(draft.models, model, Model::name);
-    if (place >= 0) {
-      Model changed = new Model(model, draft.models.get(place).versions(), version);
+    int index = ConfigurationDraft.find(draft.models, model, Model::name);
+    if (index >= 0) {
+      Model changed = new Model(model, draft.models.get(index).versions(), version);
       draft.models = ConfigurationDraft.with(draft.models, changed, Model::name);
     }
   }
@@ -200,7 +200,7 @@
   }
 
   private static Optional<RollOut> find(ConfigurationDraft draft, String model) {
-    int place = ConfigurationDraft.find(draft.rollOuts, model, RollOut::model);
-    return place < 0 ? Optional.empty() : Optional.of(draft.rollOuts.get(place));
+    int index = ConfigurationDraft.find(draft.rollOuts, model, RollOut::model);
+    return index < 0 ? Optional.empty() : Optional.of(draft.rollOuts.get(index));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RuleValidator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RuleValidator.java
@@ -9,11 +9,11 @@
 /** Checks the rules of a configuration. */
 final class RuleValidator {
 
-  static final int MOST_VALUES = 1000;
-  static final int MOST_HEADERS = 20;
-  static final int LONGEST_TEXT = 500;
-  static final int LEAST_URGENT = 9;
-  static final int MINUTES_OF_DAY = 1440;
+  static final int MAX_VALUES = 1000;
+  static final int MAX_HEADERS = 20;
+  static final int MAX_TEXT_LENGTH = 500;
+  static final int LOWEST_PRIORITY = 9;
+  static final int MINUTES_PER_DAY = 1440;
 
   private final Problems problems;
   private final Set<String> teams;
@@ -37,51 +37,51 @@
 
   private void check(Rule rule) {
     String subject = "rule " + rule.name();
-    problems.title(rule.name(), subject);
+    problems.ruleName(rule.name(), subject);
     checkCondition(rule.when(), subject);
     if (rule.then() instanceof Rule.Decision.Route route) {
       checkRoute(route, subject);
     } else if (rule.then() instanceof Rule.Decision.Refuse refuse) {
-      problems.text(refuse.reason(), LONGEST_TEXT, subject + " reason");
+      problems.text(refuse.reason(), MAX_TEXT_LENGTH, subject + " reason");
     }
   }
 
   private void checkCondition(Rule.Condition when, String subject) {
-    if (problems.size(when.teams(), MOST_VALUES, subject + " teams")) {
-      when.teams().forEach(team -> problems.known(teams, team, "team", subject));
+    if (problems.size(when.teams(), MAX_VALUES, subject + " teams")) {
+      when.teams().forEach(team -> problems.reference(teams, team, "team", subject));
     }
-    if (problems.size(when.services(), MOST_VALUES, subject + " services")) {
-      when.services().forEach(service -> problems.known(services, service, "service", subject));
+    if (problems.size(when.services(), MAX_VALUES, subject + " services")) {
+      when.services().forEach(service -> problems.reference(services, service, "service", subject));
     }
     // A caller may ask for a name that is no model, so any text may be matched here.
-    if (problems.size(when.models(), MOST_VALUES, subject + " models")) {
-      when.models().forEach(model -> problems.text(model, LONGEST_TEXT, subject + " models"));
+    if (problems.size(when.models(), MAX_VALUES, subject + " models")) {
+      when.models().forEach(model -> problems.text(model, MAX_TEXT_LENGTH, subject + " models"));
     }
-    if (problems.size(when.headers(), MOST_HEADERS, subject + " headers")) {
+    if (problems.size(when.headers(), MAX_HEADERS, subject + " headers")) {
       when.headers()
           .forEach(
               header -> {
-                problems.text(header.name(), LONGEST_TEXT, subject + " header");
-                problems.text(header.value(), LONGEST_TEXT, subject + " header");
+                problems.text(header.name(), MAX_TEXT_LENGTH, subject + " header");
+                problems.text(header.value(), MAX_TEXT_LENGTH, subject + " header");
               });
     }
     checkBound(when.minPromptTokens(), Integer.MAX_VALUE, subject + " minPromptTokens");
     checkBound(when.maxPromptTokens(), Integer.MAX_VALUE, subject + " maxPromptTokens");
-    checkBound(when.maxPriority(), LEAST_URGENT, subject + " maxPriority");
-    checkBound(when.fromMinute(), MINUTES_OF_DAY - 1, subject + " fromMinute");
-    checkBound(when.toMinute(), MINUTES_OF_DAY, subject + " toMinute");
-    Integer least = when.minPromptTokens();
-    Integer most = when.maxPromptTokens();
+    checkBound(when.maxPriority(), LOWEST_PRIORITY, subject + " maxPriority");
+    checkBound(when.fromMinute(), MINUTES_PER_DAY - 1, subject + " fromMinute");
+    checkBound(when.toMinute(), MINUTES_PER_DAY, subject + " toMinute");
+    Integer min = when.minPromptTokens();
+    Integer max = when.maxPromptTokens();
     problems.require(
-        least == null || most == null || least <= most,
+        min == null || max == null || min <= max,
         Kind.OUT_OF_RANGE,
         subject,
         "minPromptTokens is above maxPromptTokens, so it never holds; swap them");
   }
 
-  private void checkBound(@Nullable Integer value, int most, String subject) {
+  private void checkBound(@Nullable Integer value, int max, String subject) {
     if (value != null) {
-      problems.range(value, 0, most, subject);
+      problems.range(value, 0, max, subject);
     }
   }
 
@@ -91,10 +91,10 @@
         Kind.OUT_OF_RANGE,
         subject,
         "it names no model; name at least one");
-    if (problems.size(route.models(), MOST_VALUES, subject + " models")) {
+    if (problems.size(route.models(), MAX_VALUES, subject + " models")) {
       Set<String> seen = new HashSet<>();
       for (String model : route.models()) {
-        problems.known(models, model, "model", subject);
+        problems.reference(models, model, "model", subject);
         problems.require(
             seen.add(model),
             Kind.DUPLICATE,
@@ -102,7 +102,7 @@
             "model " + model + " comes twice; remove one");
       }
     }
-    problems.share(route.qualityTarget(), subject + " qualityTarget");
-    checkBound(route.priority(), LEAST_URGENT, subject + " priority");
+    problems.fraction(route.qualityTarget(), subject + " qualityTarget");
+    checkBound(route.priority(), LOWEST_PRIORITY, subject + " priority");
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscriber.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscriber.java
@@ -14,46 +14,46 @@
   final String node;
   Instant sentAt = Instant.EPOCH;
   Instant receivedAt = Instant.EPOCH;
-  long haveRevision;
+  long reportedRevision;
   long floor;
   List<LaggingEntry> lagging = List.of();
   int laggingCount;
   long pushedRevision;
   Instant pushedAt = Instant.EPOCH;
-  private final Deque<Granted> grants = new ArrayDeque<>();
+  private final Deque<Grant> grants = new ArrayDeque<>();
 
   Subscriber(String node) {
     this.node = node;
   }
 
   /** Leases granted until an end while the granter was at a revision. */
-  private record Granted(long revision, Instant end) {}
+  private record Grant(long revision, Instant end) {}
 
-  void renewed(Renew renew, Instant now) {
+  void updateFrom(Renew renew, Instant now) {
     sentAt = renew.sentAt();
     receivedAt = now;
-    haveRevision = renew.haveRevision();
+    reportedRevision = renew.haveRevision();
     floor = renew.floor();
     lagging = renew.lagging();
     laggingCount = renew.laggingCount();
   }
 
   /** Notes a grant; ends never decrease, so one entry a revision is enough. */
-  void granted(long revision, Instant end) {
-    Granted last = grants.peekLast();
+  void recordGrant(long revision, Instant end) {
+    Grant last = grants.peekLast();
     if (last != null && last.revision() == revision) {
       grants.removeLast();
     }
-    grants.addLast(new Granted(revision, end));
+    grants.addLast(new Grant(revision, end));
   }
 
   /** Returns when the last grant ends, or the epoch if there is none. */
-  Instant end() {
-    Granted last = grants.peekLast();
+  Instant lastGrantEnd() {
+    Grant last = grants.peekLast();
     return last == null ? Instant.EPOCH : last.end();
   }
 
-  void forgetEnded(Instant now) {
+  void removeEndedGrants(Instant now) {
     while (!grants.isEmpty() && !now.isBefore(grants.getFirst().end())) {
       grants.removeFirst();
     }
@@ -63,18 +63,18 @@
    * Returns the oldest revision under which this daemon, or one with a lease from it, may serve by
    * grants given here; the greatest number if none may.
    */
-  long lowest(Instant now) {
-    forgetEnded(now);
+  long oldestServedRevision(Instant now) {
+    removeEndedGrants(now);
     return grants.isEmpty() ? Long.MAX_VALUE : Math.max(floor, grants.getFirst().revision());
   }
 
   /** Returns until when it may serve below a revision by grants given here, or null if it can't. */
-  @Nullable Instant mayServeBelow(long revision, Instant now) {
-    if (lowest(now) >= revision) {
+  @Nullable Instant leaseEndBelow(long revision, Instant now) {
+    if (oldestServedRevision(now) >= revision) {
       return null;
     }
     Instant end = null;
-    for (Granted grant : grants) {
+    for (Grant grant : grants) {
       if (grant.revision() < revision) {
         end = grant.end();
       }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscribers.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscribers.java
@@ -18,9 +18,9 @@
 /** The daemons that take configuration and leases from this one. */
 final class Subscribers {
 
-  static final int MOST_PUSHED_WEIGHT = 2000;
-  static final Duration RESEND = Duration.ofMillis(500);
-  static final Duration LEAST_EXTENSION = Duration.ofMillis(200);
+  static final int MAX_PUSH_WEIGHT = 2000;
+  static final Duration RESEND_INTERVAL = Duration.ofMillis(500);
+  static final Duration MIN_EXTENSION = Duration.ofMillis(200);
 
   private final ConfigurationSettings settings;
   private final AppliedConfiguration applied;
@@ -34,21 +34,21 @@
     this.lease = lease;
   }
 
-  void renewed(String node, Renew renew, Instant now, Output output) {
+  void renewalReceived(String node, Renew renew, Instant now, Output output) {
     Subscriber subscriber = byNode.get(node);
     if (subscriber == null) {
-      if (byNode.size() >= settings.mostSubscribers()) {
+      if (byNode.size() >= settings.maxSubscribers()) {
         send(node, new ConfigurationMessage.TryOther(), output);
         return;
       }
       subscriber = new Subscriber(node);
       byNode.put(node, subscriber);
     }
-    if (renew.sentAt().isBefore(subscriber.sentAt) && now.isBefore(subscriber.end())) {
+    if (renew.sentAt().isBefore(subscriber.sentAt) && now.isBefore(subscriber.lastGrantEnd())) {
       return;
     }
-    subscriber.renewed(renew, now);
-    bringUpToDate(subscriber, renew.repair(), now, output);
+    subscriber.updateFrom(renew, now);
+    sendMissingRevisions(subscriber, renew.repair(), now, output);
     if (lease.isValid(now)) {
       grant(subscriber, output);
     } else {
@@ -56,16 +56,17 @@
     }
   }
 
-  private void bringUpToDate(Subscriber subscriber, boolean repair, Instant now, Output output) {
-    long have = subscriber.haveRevision;
-    boolean wantsMore =
+  private void sendMissingRevisions(
+      Subscriber subscriber, boolean repair, Instant now, Output output) {
+    long reported = subscriber.reportedRevision;
+    boolean sendNow =
         repair
-            || have == subscriber.pushedRevision
-            || !now.isBefore(subscriber.pushedAt.plus(RESEND));
-    if (have < applied.revision() && wantsMore) {
-      List<ConfigurationStep> steps = applied.stepsFrom(have, MOST_PUSHED_WEIGHT);
+            || reported == subscriber.pushedRevision
+            || !now.isBefore(subscriber.pushedAt.plus(RESEND_INTERVAL));
+    if (reported < applied.revision() && sendNow) {
+      List<ConfigurationStep> steps = applied.stepsFrom(reported, MAX_PUSH_WEIGHT);
       if (steps.isEmpty()) {
-        beginCopy(subscriber, now, output);
+        startCopy(subscriber, now, output);
       } else {
         push(subscriber, steps, now, output);
       }
@@ -79,46 +80,45 @@
     send(subscriber.node, new ConfigurationMessage.Push(steps), output);
   }
 
-  private void beginCopy(Subscriber subscriber, Instant now, Output output) {
-    FullCopy useful = copy;
-    if (useful == null
-        || useful.revision() <= subscriber.haveRevision
-        || !leadsToPresent(useful.revision())) {
-      useful = new FullCopy(applied.current());
-      copy = useful;
+  private void startCopy(Subscriber subscriber, Instant now, Output output) {
+    FullCopy reusable = copy;
+    if (reusable == null
+        || reusable.revision() <= subscriber.reportedRevision
+        || !stepsReachCurrent(reusable.revision())) {
+      reusable = new FullCopy(applied.current());
+      copy = reusable;
     }
-    subscriber.pushedRevision = useful.revision();
+    subscriber.pushedRevision = reusable.revision();
     subscriber.pushedAt = now;
     output.effect(new TraceEffect.Count("configuration_full_copies", "", 1));
-    send(subscriber.node, useful.chunk(0), output);
+    send(subscriber.node, reusable.chunk(0), output);
   }
 
-  private boolean leadsToPresent(long revision) {
+  private boolean stepsReachCurrent(long revision) {
     return revision == applied.revision()
-        || !applied.stepsFrom(revision, MOST_PUSHED_WEIGHT).isEmpty();
+        || !applied.stepsFrom(revision, MAX_PUSH_WEIGHT).isEmpty();
   }
 
   void copyRequested(
       String node, ConfigurationMessage.CopyRequest request, Instant now, Output output) {
     Subscriber subscriber = byNode.get(node);
-    FullCopy present = copy;
+    FullCopy currentCopy = copy;
     if (subscriber == null) {
       return;
     }
-    if (present == null || present.revision() != request.revision()) {
-      beginCopy(subscriber, now, output);
+    if (currentCopy == null || currentCopy.revision() != request.revision()) {
+      startCopy(subscriber, now, output);
       return;
     }
     subscriber.pushedAt = now;
-    send(node, present.chunk(request.index()), output);
+    send(node, currentCopy.chunk(request.index()), output);
   }
 
   /** Pushes newly applied steps to each subscriber that was up to date. */
   void pushAll(Instant now, Output output) {
     for (Subscriber subscriber : byNode.values()) {
-      List<ConfigurationStep> steps =
-          applied.stepsFrom(subscriber.pushedRevision, MOST_PUSHED_WEIGHT);
-      if (isListening(subscriber, now) && !steps.isEmpty()) {
+      List<ConfigurationStep> steps = applied.stepsFrom(subscriber.pushedRevision, MAX_PUSH_WEIGHT);
+      if (isActive(subscriber, now) && !steps.isEmpty()) {
         push(subscriber, steps, now, output);
       }
     }
@@ -127,23 +127,23 @@
   /** Passes an extension of this daemon's own lease on. */
   void grantAll(Instant now, Output output) {
     for (Subscriber subscriber : byNode.values()) {
-      if (isListening(subscriber, now)) {
+      if (isActive(subscriber, now)) {
         grant(subscriber, output);
       }
     }
   }
 
-  private boolean isListening(Subscriber subscriber, Instant now) {
+  private boolean isActive(Subscriber subscriber, Instant now) {
     return now.isBefore(subscriber.receivedAt.plus(settings.lease()));
   }
 
   private void grant(Subscriber subscriber, Output output) {
     Instant end = lease.end();
     Duration remaining = Duration.between(subscriber.receivedAt, end);
-    if (remaining.isNegative() || end.isBefore(subscriber.end().plus(LEAST_EXTENSION))) {
+    if (remaining.isNegative() || end.isBefore(subscriber.lastGrantEnd().plus(MIN_EXTENSION))) {
       return;
     }
-    subscriber.granted(applied.revision(), end);
+    subscriber.recordGrant(applied.revision(), end);
     send(subscriber.node, new LeaseGrant(subscriber.sentAt, remaining, applied.revision()), output);
   }
 
@@ -151,14 +151,15 @@
   void tick(Instant now) {
     byNode
         .values()
-        .removeIf(subscriber -> !now.isBefore(subscriber.end()) && !isListening(subscriber, now));
+        .removeIf(
+            subscriber -> !now.isBefore(subscriber.lastGrantEnd()) && !isActive(subscriber, now));
   }
 
   /** Returns the revision that all daemons with leases from here have reached. */
   long floor(Instant now) {
     long floor = applied.revision();
     for (Subscriber subscriber : byNode.values()) {
-      floor = Math.min(floor, subscriber.lowest(now));
+      floor = Math.min(floor, subscriber.oldestServedRevision(now));
     }
     return floor;
   }
@@ -167,7 +168,7 @@
   List<LaggingEntry> lagging(long revision, Instant now) {
     List<LaggingEntry> found = new ArrayList<>();
     for (Subscriber subscriber : byNode.values()) {
-      Instant end = subscriber.mayServeBelow(revision, now);
+      Instant end = subscriber.leaseEndBelow(revision, now);
       if (end != null) {
         addLagging(subscriber, revision, end, now, found);
       }
@@ -177,17 +178,18 @@
 
   private static void addLagging(
       Subscriber subscriber, long revision, Instant end, Instant now, List<LaggingEntry> found) {
-    int before = found.size();
-    for (LaggingEntry below : subscriber.lagging) {
-      Instant belowEnd = subscriber.receivedAt.plus(below.leaseLeft());
-      if (below.revision() < revision && now.isBefore(belowEnd)) {
+    int sizeBefore = found.size();
+    for (LaggingEntry downstream : subscriber.lagging) {
+      Instant downstreamEnd = subscriber.receivedAt.plus(downstream.leaseLeft());
+      if (downstream.revision() < revision && now.isBefore(downstreamEnd)) {
         found.add(
-            new LaggingEntry(below.node(), below.revision(), Duration.between(now, belowEnd)));
+            new LaggingEntry(
+                downstream.node(), downstream.revision(), Duration.between(now, downstreamEnd)));
       }
     }
-    if (subscriber.haveRevision < revision || found.size() == before) {
+    if (subscriber.reportedRevision < revision || found.size() == sizeBefore) {
       Duration left = Duration.between(now, end);
-      found.add(new LaggingEntry(subscriber.node, subscriber.haveRevision, left));
+      found.add(new LaggingEntry(subscriber.node, subscriber.reportedRevision, left));
     }
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscription.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Subscription.java
@@ -18,50 +18,50 @@
 /** Takes configuration and leases from another daemon, and finds another one when it fails. */
 final class Subscription {
 
-  private static final Duration SPACING = Duration.ofMillis(100);
-  private static final Duration SWITCH_SPACING = Duration.ofMillis(200);
-  private static final Duration NEXT_ROUND = Duration.ofMillis(500);
-  private static final Duration RETURN_TO_PREFERRED = Duration.ofSeconds(30);
-  private static final Duration REFRESH = Duration.ofSeconds(1);
-  private static final int MOST_LAGGING = 8;
-  private static final int MOST_CHUNKS = 10_000;
+  private static final Duration MIN_SEND_INTERVAL = Duration.ofMillis(100);
+  private static final Duration MIN_SEND_INTERVAL_AFTER_SWITCH = Duration.ofMillis(200);
+  private static final Duration NEXT_ROUND_DELAY = Duration.ofMillis(500);
+  private static final Duration PREFERRED_RETRY_INTERVAL = Duration.ofSeconds(30);
+  private static final Duration REFRESH_INTERVAL = Duration.ofSeconds(1);
+  private static final int MAX_LAGGING = 8;
+  private static final int MAX_CHUNKS = 10_000;
 
   private final ConfigurationSettings settings;
   private final AppliedConfiguration applied;
   private final EntryLease lease;
   private final Subscribers subscribers;
-  private final Adoption adoption;
+  private final RevisionApplier revisionApplier;
   private final ConfigurationSources sources;
   private final Instant startedAt;
 
   private List<String> candidates = List.of();
   private Instant refreshAt = Instant.EPOCH;
   private @Nullable String source;
-  private int cursor;
+  private int sourceIndex;
   private Instant sourceSince = Instant.EPOCH;
   private Instant extendedAt = Instant.EPOCH;
   private Instant sentAt = Instant.EPOCH;
   private Instant nextSendAt = Instant.EPOCH;
   private long reportedFloor;
-  private boolean misfit;
-  private boolean repairWanted;
+  private boolean stepRejected;
+  private boolean repairPending;
   private @Nullable CopyChunk lastChunk;
   private Instant lastChunkAt = Instant.EPOCH;
-  private final List<ConfigurationDifference> gathered = new ArrayList<>();
+  private final List<ConfigurationDifference> copiedDifferences = new ArrayList<>();
 
   Subscription(
       ConfigurationSettings settings,
       AppliedConfiguration applied,
       EntryLease lease,
       Subscribers subscribers,
-      Adoption adoption,
+      RevisionApplier revisionApplier,
       ConfigurationSources sources,
       Instant startedAt) {
     this.settings = settings;
     this.applied = applied;
     this.lease = lease;
     this.subscribers = subscribers;
-    this.adoption = adoption;
+    this.revisionApplier = revisionApplier;
     this.sources = sources;
     this.startedAt = startedAt;
   }
@@ -78,56 +78,57 @@
     if (candidates.isEmpty()) {
       return;
     }
-    Instant heard = extendedAt.isAfter(sourceSince) ? extendedAt : sourceSince;
-    if (!now.isBefore(heard.plus(settings.patience()))) {
+    Instant lastExtension = extendedAt.isAfter(sourceSince) ? extendedAt : sourceSince;
+    if (!now.isBefore(lastExtension.plus(settings.sourceTimeout()))) {
       switchSource(now, output);
-    } else if (cursor > 0 && !now.isBefore(sourceSince.plus(RETURN_TO_PREFERRED))) {
-      choose(0, now);
+    } else if (sourceIndex > 0 && !now.isBefore(sourceSince.plus(PREFERRED_RETRY_INTERVAL))) {
+      select(0, now);
     }
-    if (repairWanted && !now.isBefore(sentAt.plus(SPACING))) {
+    if (repairPending && !now.isBefore(sentAt.plus(MIN_SEND_INTERVAL))) {
       repair(now, output);
     }
-    boolean mayAcknowledge = !now.isBefore(sentAt.plus(SPACING)) && floor(now) > reportedFloor;
+    boolean mayAcknowledge =
+        !now.isBefore(sentAt.plus(MIN_SEND_INTERVAL)) && floor(now) > reportedFloor;
     if (!now.isBefore(nextSendAt) || mayAcknowledge) {
       renew(false, now, output);
     }
   }
 
   private void refreshCandidates(Instant now) {
-    refreshAt = now.plus(REFRESH);
+    refreshAt = now.plus(REFRESH_INTERVAL);
     candidates = sources.candidates();
-    int place = source == null ? -1 : candidates.indexOf(source);
-    boolean preferredChanged = cursor == 0 && place > 0;
+    int index = source == null ? -1 : candidates.indexOf(source);
+    boolean preferredChanged = sourceIndex == 0 && index > 0;
     if (candidates.isEmpty()) {
       source = null;
-    } else if (place < 0 || preferredChanged) {
-      choose(0, now);
+    } else if (index < 0 || preferredChanged) {
+      select(0, now);
     } else {
-      cursor = place;
+      sourceIndex = index;
     }
   }
 
-  private void choose(int place, Instant now) {
-    cursor = place;
-    source = candidates.get(place);
+  private void select(int index, Instant now) {
+    sourceIndex = index;
+    source = candidates.get(index);
     sourceSince = now;
     reportedFloor = 0;
     lastChunk = null;
-    Instant earliest = sentAt.plus(SWITCH_SPACING);
+    Instant earliest = sentAt.plus(MIN_SEND_INTERVAL_AFTER_SWITCH);
     nextSendAt = earliest.isAfter(now) ? earliest : now;
   }
 
   private void switchSource(Instant now, Output output) {
     output.effect(new TraceEffect.Count("configuration_source_changes", "", 1));
-    boolean last = cursor + 1 >= candidates.size();
-    choose(last ? 0 : cursor + 1, now);
-    if (last) {
-      nextSendAt = now.plus(NEXT_ROUND);
+    boolean lastCandidate = sourceIndex + 1 >= candidates.size();
+    select(lastCandidate ? 0 : sourceIndex + 1, now);
+    if (lastCandidate) {
+      nextSendAt = now.plus(NEXT_ROUND_DELAY);
     }
   }
 
   /** Leaves the present source if it is the one that is gone or doesn't serve. */
-  void lost(String node, Instant now, Output output) {
+  void sourceLost(String node, Instant now, Output output) {
     if (node.equals(source) && !candidates.isEmpty()) {
       switchSource(now, output);
     }
@@ -139,23 +140,23 @@
       return;
     }
     sentAt = now;
-    repairWanted = false;
-    nextSendAt = now.plus(settings.renewal());
+    repairPending = false;
+    nextSendAt = now.plus(settings.renewalInterval());
     long revision = applied.revision();
     long floor = floor(now);
     reportedFloor = floor;
     List<LaggingEntry> lagging = floor < revision ? subscribers.lagging(revision, now) : List.of();
-    boolean wantsFirst = revision == 0 && lastChunk == null;
+    boolean needsFirstCopy = revision == 0 && lastChunk == null;
     output.effect(
         new PeerEffect.SendToPeer(
             to,
             new Renew(
-                misfit ? 0 : revision,
+                stepRejected ? 0 : revision,
                 now,
                 floor,
-                lagging.subList(0, Math.min(MOST_LAGGING, lagging.size())),
+                lagging.subList(0, Math.min(MAX_LAGGING, lagging.size())),
                 lagging.size(),
-                repair || misfit || wantsFirst)));
+                repair || stepRejected || needsFirstCopy)));
   }
 
   /**
@@ -166,13 +167,13 @@
    * an older one; so it reports nothing until the longest of them must have ended.
    */
   private long floor(Instant now) {
-    if (now.isBefore(startedAt.plus(settings.longestLease()))) {
+    if (now.isBefore(startedAt.plus(settings.maxLeaseDuration()))) {
       return 0;
     }
     return subscribers.floor(now);
   }
 
-  void granted(LeaseGrant grant, Instant now, Output output) {
+  void leaseGranted(LeaseGrant grant, Instant now, Output output) {
     boolean ownRequest =
         !grant.requestSentAt().isAfter(now) && !grant.requestSentAt().isBefore(startedAt);
     if (ownRequest && lease.grant(grant, applied.revision())) {
@@ -181,7 +182,7 @@
     }
   }
 
-  void pushed(Push push, Instant now, Output output) {
+  void stepsPushed(Push push, Instant now, Output output) {
     for (ConfigurationStep step : push.steps()) {
       if (step.to() <= applied.revision()) {
         output.effect(new TraceEffect.Count("configuration_stale_pushes", "", 1));
@@ -196,11 +197,11 @@
 
   private boolean applyStep(ConfigurationStep step, Instant now, Output output) {
     try {
-      adoption.adopt(step, now, output);
+      revisionApplier.apply(step, now, output);
       return true;
     } catch (IllegalArgumentException e) {
       output.effect(new TraceEffect.LogLine(true, "configuration", e.getMessage()));
-      misfit = true;
+      stepRejected = true;
       repair(now, output);
       return false;
     }
@@ -208,32 +209,33 @@
 
   /** Asks for what is missing, at once or as soon as the last message is long enough ago. */
   private void repair(Instant now, Output output) {
-    boolean copying = lastChunk != null && now.isBefore(lastChunkAt.plus(settings.renewal()));
-    if (copying) {
+    boolean copyInProgress =
+        lastChunk != null && now.isBefore(lastChunkAt.plus(settings.renewalInterval()));
+    if (copyInProgress) {
       return;
     }
-    if (now.isBefore(sentAt.plus(SPACING))) {
-      repairWanted = true;
+    if (now.isBefore(sentAt.plus(MIN_SEND_INTERVAL))) {
+      repairPending = true;
       return;
     }
     output.effect(new TraceEffect.Count("configuration_repairs", "", 1));
     renew(true, now, output);
   }
 
-  void copied(String from, CopyChunk chunk, Instant now, Output output) {
-    if (chunk.revision() <= applied.revision() || chunk.count() > MOST_CHUNKS) {
+  void chunkReceived(String from, CopyChunk chunk, Instant now, Output output) {
+    if (chunk.revision() <= applied.revision() || chunk.count() > MAX_CHUNKS) {
       output.effect(new TraceEffect.Count("configuration_stale_pushes", "", 1));
       return;
     }
-    CopyChunk before = lastChunk;
+    CopyChunk previous = lastChunk;
     if (chunk.index() == 0) {
-      gathered.clear();
-    } else if (before == null
-        || before.revision() != chunk.revision()
-        || before.index() + 1 != chunk.index()) {
+      copiedDifferences.clear();
+    } else if (previous == null
+        || previous.revision() != chunk.revision()
+        || previous.index() + 1 != chunk.index()) {
       return;
     }
-    gathered.addAll(chunk.differences());
+    copiedDifferences.addAll(chunk.differences());
     lastChunk = chunk;
     lastChunkAt = now;
     if (chunk.index() + 1 < chunk.count()) {
@@ -247,14 +249,14 @@
   private void finishCopy(long revision, Instant now, Output output) {
     lastChunk = null;
     try {
-      Configuration whole = Differences.apply(Configuration.EMPTY, gathered, revision);
-      misfit = false;
-      adoption.adopt(whole, now, output);
+      Configuration complete = Differences.apply(Configuration.EMPTY, copiedDifferences, revision);
+      stepRejected = false;
+      revisionApplier.apply(complete, now, output);
       renew(true, now, output);
     } catch (IllegalArgumentException e) {
       output.effect(new TraceEffect.LogLine(true, "configuration", e.getMessage()));
     } finally {
-      gathered.clear();
+      copiedDifferences.clear();
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ZoneTree.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ZoneTree.java
@@ -15,7 +15,7 @@
 public final class ZoneTree implements ConfigurationSources {
 
   /** Daemons of a zone that subscribe to the control voters. */
-  public static final int HEADS = 3;
+  public static final int ROOTS = 3;
 
   /** Daemons that subscribe to one of their zone. */
   public static final int FAN_OUT = 8;
@@ -46,18 +46,18 @@
       others.add(node);
     }
     others.sort(null);
-    int place = others.indexOf(node);
+    int position = others.indexOf(node);
     List<String> candidates = new ArrayList<>();
-    if (place >= HEADS) {
-      int parent = (place - HEADS) / FAN_OUT;
+    if (position >= ROOTS) {
+      int parent = (position - ROOTS) / FAN_OUT;
       candidates.add(others.get(parent));
       candidates.add(others.get(parent == 0 ? 1 : parent - 1));
     }
-    addRotated(voterNames, candidates);
+    addVotersRotated(voterNames, candidates);
     return candidates;
   }
 
-  private void addRotated(List<String> voterNames, List<String> candidates) {
+  private void addVotersRotated(List<String> voterNames, List<String> candidates) {
     int start = Math.floorMod(node.hashCode(), Math.max(1, voterNames.size()));
     for (int index = 0; index < voterNames.size(); index++) {
       String voter = voterNames.get((start + index) % voterNames.size());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/CallerEffect.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/effect/CallerEffect.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.skylarkfork.core.error.RoutingError;
-import org.skylarkfork.core.request.AnswerFacts;
+import org.skylarkfork.core.request.AnswerMetadata;
 import org.skylarkfork.core.request.Bytes;
 import org.skylarkfork.core.request.Header;
 import org.skylarkfork.core.request.Usage;
@@ -19,7 +19,7 @@
    * @param requestId id of the request
    * @param facts what the headers say
    */
-  record BeginStream(String requestId, AnswerFacts facts) implements CallerEffect {}
+  record BeginStream(String requestId, AnswerMetadata facts) implements CallerEffect {}
 
   /**
    * Sends tokens of a streamed answer.
@@ -37,7 +37,7 @@
    * @param usage tokens that the caller is told
    * @param facts final facts, sent as a last comment of the stream
    */
-  record EndStream(String requestId, String finishReason, Usage usage, AnswerFacts facts)
+  record EndStream(String requestId, String finishReason, Usage usage, AnswerMetadata facts)
       implements CallerEffect {}
 
   /**
@@ -47,7 +47,7 @@
    * @param error what the caller is told
    * @param facts final facts
    */
-  record BreakStream(String requestId, RoutingError error, AnswerFacts facts)
+  record BreakStream(String requestId, RoutingError error, AnswerMetadata facts)
       implements CallerEffect {}
 
   /**
@@ -60,7 +60,7 @@
    * @param facts what the headers say
    */
   record SendDraft(
-      String requestId, String text, String finishReason, Usage usage, AnswerFacts facts)
+      String requestId, String text, String finishReason, Usage usage, AnswerMetadata facts)
       implements CallerEffect {}
 
   /**
@@ -73,7 +73,7 @@
    * @param facts what the headers say
    */
   record SendServiceAnswer(
-      String requestId, int status, List<Header> headers, Bytes body, AnswerFacts facts)
+      String requestId, int status, List<Header> headers, Bytes body, AnswerMetadata facts)
       implements CallerEffect {
 
     /** Copies the headers. */
@@ -89,5 +89,6 @@
    * @param error what the caller is told
    * @param facts what the headers say
    */
-  record Refuse(String requestId, RoutingError error, AnswerFacts facts) implements CallerEffect {}
+  record Refuse(String requestId, RoutingError error, AnswerMetadata facts)
+      implements CallerEffect {}
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/event/UpstreamEvent.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/event/UpstreamEvent.java
@@ -73,10 +73,11 @@
    * @param moment how far it had got
    * @param detail what the connection or the upstream said
    */
-  record AttemptFailed(String attemptId, Moment moment, String detail) implements UpstreamEvent {}
+  record AttemptFailed(String attemptId, AttemptStage moment, String detail)
+      implements UpstreamEvent {}
 
   /** How far an attempt had got when it failed, as the sender knows for certain. */
-  enum Moment {
+  enum AttemptStage {
     /** No connection stood, so no byte was sent. */
     BEFORE_CONNECT,
     /** A connection stood and no byte of the request was handed to it. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/HeldBills.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/BackupBillStore.java
@@ -24,7 +24,7 @@
  *
  * <p>An owner that is only slow may submit the same bills; their numbers make them count once.
  */
-final class HeldBills {
+final class BackupBillStore {
 
   private static final Duration BATCH_TRY = Duration.ofSeconds(5);
 
@@ -33,7 +33,7 @@
   private final Map<HeldKey, Held> all = new LinkedHashMap<>();
   private final Map<Long, Adopted> inFlight = new HashMap<>();
 
-  HeldBills(LedgerSettings settings, Submitter submitter) {
+  BackupBillStore(LedgerSettings settings, Submitter submitter) {
     this.settings = settings;
     this.submitter = submitter;
   }
@@ -49,7 +49,7 @@
     held.settle(message.settledUpTo());
     held.heardAt = now;
     if (message.bills().isEmpty()
-        || held.bills.size() + message.bills().size() > settings.bufferedBills()) {
+        || held.bills.size() + message.bills().size() > settings.maxBufferedBills()) {
       return;
     }
     for (NumberedBill numbered : message.bills()) {
@@ -82,7 +82,7 @@
     for (Map.Entry<HeldKey, Held> entry : new ArrayList<>(all.entrySet())) {
       Held held = entry.getValue();
       HeldKey key = entry.getKey();
-      boolean isSilent = !now.isBefore(held.heardAt.plus(settings.adoptAfter()));
+      boolean isSilent = !now.isBefore(held.heardAt.plus(settings.takeoverTimeout()));
       boolean isLost = held.isOrphaned || isSilent || peers.isGone(key.owner, now);
       if (isLost && held.bills.isEmpty()) {
         all.remove(key);
@@ -93,7 +93,7 @@
   }
 
   private void submit(HeldKey key, Held held, Instant now, Output output) {
-    List<NumberedBill> batch = held.first(settings.batchBills());
+    List<NumberedBill> batch = held.first(settings.maxBatchBills());
     held.isSubmitted = true;
     long id = submitter.newSubmissionId();
     inFlight.put(id, new Adopted(key, batch));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/BillBook.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/BillAggregator.java
@@ -21,7 +21,7 @@
  * next to nothing however many lookups there are. The keys that callers gave make a resend through
  * another entry harmless.
  */
-final class BillBook {
+final class BillAggregator {
 
   private static final int MONTH_LENGTH = "2026-12".length();
 
@@ -32,10 +32,10 @@
   private final Map<LineKey, Sum> lines = new TreeMap<>();
   private final Map<String, Sum> totals = new TreeMap<>();
 
-  BillBook(LedgerBounds bounds) {
+  BillAggregator(LedgerBounds bounds) {
     this.bounds = bounds;
-    keys = new BilledKeys(bounds.billKeys(), bounds.keysKept());
-    lookupKeys = new BilledKeys(bounds.billKeys(), bounds.lookupKeysKept());
+    keys = new BilledKeys(bounds.maxBilledKeys(), bounds.keyRetention());
+    lookupKeys = new BilledKeys(bounds.maxBilledKeys(), bounds.lookupKeyRetention());
   }
 
   /** Counts those bills that were not counted before. */
@@ -78,7 +78,7 @@
   void expire(Instant time) {
     keys.expire(time);
     lookupKeys.expire(time);
-    Instant oldest = time.minus(bounds.keysKept());
+    Instant oldest = time.minus(bounds.keyRetention());
     var inOrder = runs.values().iterator();
     while (inOrder.hasNext() && inOrder.next().countedAt.isBefore(oldest)) {
       inOrder.remove();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/SteppedTime.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/BoundedStepClock.java
@@ -11,7 +11,7 @@
  * #LONGEST_STEP}, so it runs with the leader's clock while there is work and lags when there is
  * none: claims are kept longer than the stated time, never shorter by more than one step a jump.
  */
-final class SteppedTime {
+final class BoundedStepClock {
 
   /** Most that one command moves the time. */
   static final Duration LONGEST_STEP = Duration.ofMinutes(1);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/ClaimOutcome.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/ClaimOutcome.java
@@ -1,7 +1,7 @@
 package org.skylarkfork.core.ledger;
 
 import java.util.List;
-import org.skylarkfork.core.request.AnswerFacts;
+import org.skylarkfork.core.request.AnswerMetadata;
 import org.skylarkfork.core.request.Bytes;
 import org.skylarkfork.core.request.Header;
 
@@ -16,7 +16,7 @@
    * @param body whole body; empty if it was over the bound for recorded answers
    * @param facts what the first answer's headers said
    */
-  record Answered(int status, List<Header> headers, Bytes body, AnswerFacts facts)
+  record Answered(int status, List<Header> headers, Bytes body, AnswerMetadata facts)
       implements ClaimOutcome {
 
     /** Copies the headers. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/ClaimTable.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/ClaimTable.java
@@ -55,7 +55,7 @@
     ClaimKey claimKey = new ClaimKey(claim.team(), claim.key());
     ClaimRecord known = records.get(claimKey);
     if (known == null) {
-      return records.size() < bounds.claims()
+      return records.size() < bounds.maxClaims()
           ? grant(claimKey, claim, List.of(), time)
           : new ClaimsFull(FULL_REMEDY);
     }
@@ -98,7 +98,7 @@
             claim.entry(),
             unknownFrom,
             null,
-            unknownFrom.plus(bounds.claimsKept()),
+            unknownFrom.plus(bounds.claimRetention()),
             released));
     return new ClaimDecided(ClaimState.GRANTED, null);
   }
@@ -115,7 +115,7 @@
           "the request does not hold the claim; record outcomes of granted claims only");
     }
     if (known.outcome() == null || isSettled(known.outcome(), command.outcome())) {
-      put(withOutcome(known, command.outcome(), time.plus(bounds.claimsKept())));
+      put(withOutcome(known, command.outcome(), time.plus(bounds.claimRetention())));
       limitBodies();
       return new CommandResult.Done();
     }
@@ -130,7 +130,7 @@
 
   private CommandResult release(
       ClaimKey claimKey, @Nullable ClaimRecord known, RecordOutcome command, Instant time) {
-    Instant expiresAt = time.plus(bounds.freeClaimsKept());
+    Instant expiresAt = time.plus(bounds.releasedClaimRetention());
     if (known == null) {
       put(
           new ClaimRecord(
@@ -192,7 +192,7 @@
 
   private ClaimOutcome bounded(ClaimOutcome outcome) {
     return outcome instanceof ClaimOutcome.Answered answered
-            && answered.body().value().length > bounds.bodyBytes()
+            && answered.body().value().length > bounds.maxBodyBytes()
         ? withoutBody(answered)
         : outcome;
   }
@@ -205,7 +205,7 @@
   }
 
   private void limitBodies() {
-    while (bodyBytes > bounds.totalBodyBytes()) {
+    while (bodyBytes > bounds.maxTotalBodyBytes()) {
       ClaimKey oldest = withBody.iterator().next();
       ClaimRecord known = records.get(oldest);
       if (known.outcome() instanceof ClaimOutcome.Answered answered) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/EntryBills.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/EntryBills.java
@@ -98,7 +98,7 @@
    */
   private void await(long number, Bill bill, boolean hasBackup, Instant now) {
     boolean first = bill.lookup() && hasBackup;
-    Duration patience = first ? settings.lookupWait() : settings.billWait();
+    Duration patience = first ? settings.backupTimeout() : settings.billTimeout();
     isUrgent |= bill.lookup() && !hasBackup;
     waiting.put(number, new Waiting(bill.requestId(), now.plus(patience), bill.lookup(), first));
   }
@@ -111,7 +111,7 @@
   void drain(boolean hasBackup, Instant now, Output output) {
     answered.forEach(output::raise);
     answered.clear();
-    while (inFlight.size() < settings.batchesInFlight() && isDue(hasBackup, now)) {
+    while (inFlight.size() < settings.maxBatchesInFlight() && isDue(hasBackup, now)) {
       List<NumberedBill> batch = again.isEmpty() ? nextBatch() : again.removeFirst();
       submit(batch, now, output);
     }
@@ -126,12 +126,12 @@
     }
     return isUrgent
         || !hasBackup
-        || lastNumber - submittedUpTo >= settings.batchBills()
-        || !now.isBefore(oldestUnsubmitted.plus(settings.lookupWindow()));
+        || lastNumber - submittedUpTo >= settings.maxBatchBills()
+        || !now.isBefore(oldestUnsubmitted.plus(settings.lookupBatchWindow()));
   }
 
   private List<NumberedBill> nextBatch() {
-    List<NumberedBill> batch = after(submittedUpTo, settings.batchBills());
+    List<NumberedBill> batch = after(submittedUpTo, settings.maxBatchBills());
     submittedUpTo = batch.get(batch.size() - 1).number();
     if (submittedUpTo == lastNumber) {
       isUrgent = false;
@@ -215,7 +215,7 @@
       Map.Entry<Long, Waiting> next = inOrder.next();
       Waiting one = next.getValue();
       if (!now.isBefore(one.until) && one.isForBackup) {
-        next.setValue(one.forCommit(now.plus(settings.billWait())));
+        next.setValue(one.forCommit(now.plus(settings.billTimeout())));
         isUrgent |= submittedUpTo < lastNumber;
       } else if (!now.isBefore(one.until)) {
         inOrder.remove();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/EntryClaims.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/EntryClaims.java
@@ -50,7 +50,7 @@
 
   /** Takes an outcome, to be submitted by the next call of {@link #drain}. */
   void recordOutcome(RecordOutcome command, Instant now) {
-    newOutcomes.add(new PendingOutcome(command, now.plus(settings.resubmitFor()), true));
+    newOutcomes.add(new PendingOutcome(command, now.plus(settings.resubmitTimeout()), true));
   }
 
   /**
@@ -73,9 +73,9 @@
   }
 
   private void submit(Claim claim, Instant now, Output output) {
-    Instant latest = now.plus(settings.claimWait());
+    Instant latest = now.plus(settings.claimTimeout());
     Instant deadline = claimDeadlines.remove(claim.requestId());
-    if (claims.size() >= settings.pendingClaims()) {
+    if (claims.size() >= settings.maxPendingClaims()) {
       answer(claim, new ClaimDecided(ClaimState.UNAVAILABLE, null), output);
       return;
     }
@@ -92,7 +92,7 @@
 
   private void submit(PendingOutcome pending, Instant now, Output output) {
     RecordOutcome command = pending.command;
-    Duration patience = pending.isAwaited ? settings.outcomeWait() : OUTCOME_TRY;
+    Duration patience = pending.isAwaited ? settings.outcomeTimeout() : OUTCOME_TRY;
     long id = submitter.newSubmissionId();
     outcomes.put(id, pending);
     submitter.submit(
@@ -167,7 +167,7 @@
   private void giveUp(Claim claim, Instant now) {
     RecordOutcome release =
         new RecordOutcome(claim.team(), claim.key(), claim.requestId(), GIVEN_UP);
-    laterOutcomes.add(new PendingOutcome(release, now.plus(settings.resubmitFor()), false));
+    laterOutcomes.add(new PendingOutcome(release, now.plus(settings.resubmitTimeout()), false));
   }
 
   /** Returns whether nothing is on its way. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerBounds.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerBounds.java
@@ -5,25 +5,26 @@
 /**
  * What a ledger group keeps and for how long; the same on every replica, or they would diverge.
  *
- * @param claims most claims kept; further ones are refused before they run
- * @param bodyBytes largest recorded answer body, in bytes
- * @param totalBodyBytes most bytes of recorded bodies; beyond it the oldest bodies are dropped
- * @param claimsKept how long a claim is kept after its outcome, or after it became unknown
- * @param freeClaimsKept how long a claim that was given up as not run is kept, which is longer than
- *     a message can be late
- * @param billKeys most billed keys kept for each of drafts and lookups; the oldest go first
- * @param keysKept how long billed keys of drafts and unsafe calls, and numbers of bills, are kept
- * @param lookupKeysKept how long billed keys of lookups are kept
+ * @param maxClaims most claims kept; further ones are refused before they run
+ * @param maxBodyBytes largest recorded answer body, in bytes
+ * @param maxTotalBodyBytes most bytes of recorded bodies; beyond it the oldest bodies are dropped
+ * @param claimRetention how long a claim is kept after its outcome, or after it became unknown
+ * @param releasedClaimRetention how long a claim that was given up as not run is kept, which is
+ *     longer than a message can be late
+ * @param maxBilledKeys most billed keys kept for each of drafts and lookups; the oldest go first
+ * @param keyRetention how long billed keys of drafts and unsafe calls, and numbers of bills, are
+ *     kept
+ * @param lookupKeyRetention how long billed keys of lookups are kept
  */
 public record LedgerBounds(
-    int claims,
-    int bodyBytes,
-    long totalBodyBytes,
-    Duration claimsKept,
-    Duration freeClaimsKept,
-    int billKeys,
-    Duration keysKept,
-    Duration lookupKeysKept) {
+    int maxClaims,
+    int maxBodyBytes,
+    long maxTotalBodyBytes,
+    Duration claimRetention,
+    Duration releasedClaimRetention,
+    int maxBilledKeys,
+    Duration keyRetention,
+    Duration lookupKeyRetention) {
 
   /** The bounds that daemons use. */
   public static final LedgerBounds DEFAULT =
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerMachine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerMachine.java
@@ -17,9 +17,9 @@
   /** Header of a recorded answer whose body was dropped; such an answer is not whole. */
   public static final Header BODY_DROPPED = new Header("skylarkfork-recorded-body", "dropped");
 
-  private final SteppedTime time = new SteppedTime();
+  private final BoundedStepClock time = new BoundedStepClock();
   private final ClaimTable claims;
-  private final BillBook bills;
+  private final BillAggregator bills;
 
   /**
    * Makes an empty ledger.
@@ -28,7 +28,7 @@
    */
   public LedgerMachine(LedgerBounds bounds) {
     claims = new ClaimTable(bounds);
-    bills = new BillBook(bounds);
+    bills = new BillAggregator(bounds);
   }
 
   @Override
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerPart.java
@@ -36,7 +36,7 @@
   private final LedgerShards shards;
   private final LivePeers peers;
   private final EntryClaims claims;
-  private final HeldBills held;
+  private final BackupBillStore held;
   private final Map<GroupId, Shard> byGroup = new LinkedHashMap<>();
 
   /**
@@ -61,10 +61,10 @@
     this.shards = shards;
     this.peers = peers;
     claims = new EntryClaims(settings, shards, submitter);
-    held = new HeldBills(settings, submitter);
+    held = new BackupBillStore(settings, submitter);
     for (GroupId group : shards.all()) {
       EntryBills bills = new EntryBills(settings, node, incarnation, group, submitter);
-      BackupSender backups = new BackupSender(group, incarnation, settings.batchBills(), bills);
+      BackupSender backups = new BackupSender(group, incarnation, settings.maxBatchBills(), bills);
       byGroup.put(group, new Shard(bills, backups));
     }
   }
@@ -83,7 +83,7 @@
       String requestId, String team, String key, ClaimOutcome outcome, Instant now) {
     ClaimOutcome bounded =
         outcome instanceof ClaimOutcome.Answered answered
-                && answered.body().value().length > LedgerBounds.DEFAULT.bodyBytes()
+                && answered.body().value().length > LedgerBounds.DEFAULT.maxBodyBytes()
             ? ClaimTable.withoutBody(answered)
             : outcome;
     claims.recordOutcome(new RecordOutcome(team, key, requestId, bounded), now);
@@ -97,7 +97,7 @@
 
   @Override
   public boolean acceptsWork() {
-    return unsettledBills() < settings.bufferedBills();
+    return unsettledBills() < settings.maxBufferedBills();
   }
 
   @Override
@@ -106,7 +106,7 @@
   }
 
   /** Returns how many bills of other entries are kept here. */
-  public int heldBills() {
+  public int backupBillCount() {
     return held.size();
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerSettings.java
@@ -5,32 +5,33 @@
 /**
  * How an entry uses the ledger.
  *
- * @param claimWait how long a claim may take before it is given up and the request refused
+ * @param claimTimeout how long a claim may take before it is given up and the request refused
  * @param holdGrace how long after the caller's deadline a claim may still get its outcome
- * @param outcomeWait how long an answer waits until its outcome is recorded
- * @param billWait how long the last frame of a draft waits until its bill is committed
- * @param lookupWait how long a lookup waits for a backup before it waits for the commit
- * @param lookupWindow how long bills of lookups are collected before they are submitted
- * @param resubmitFor how long outcomes are submitted again while the group is out of reach
- * @param adoptAfter silence of an entry after which its backups submit the bills that they keep
- * @param pendingClaims most claims that wait at the same time; further ones are refused
- * @param bufferedBills most bills that wait for a commit; beyond it no new work is taken
- * @param batchBills most bills of one command
- * @param batchesInFlight most commands with bills that wait for their commit
+ * @param outcomeTimeout how long an answer waits until its outcome is recorded
+ * @param billTimeout how long the last frame of a draft waits until its bill is committed
+ * @param backupTimeout how long a lookup waits for a backup before it waits for the commit
+ * @param lookupBatchWindow how long bills of lookups are collected before they are submitted
+ * @param resubmitTimeout how long outcomes are submitted again while the group is out of reach
+ * @param takeoverTimeout silence of an entry after which its backups submit the bills that they
+ *     keep
+ * @param maxPendingClaims most claims that wait at the same time; further ones are refused
+ * @param maxBufferedBills most bills that wait for a commit; beyond it no new work is taken
+ * @param maxBatchBills most bills of one command
+ * @param maxBatchesInFlight most commands with bills that wait for their commit
  */
 public record LedgerSettings(
-    Duration claimWait,
+    Duration claimTimeout,
     Duration holdGrace,
-    Duration outcomeWait,
-    Duration billWait,
-    Duration lookupWait,
-    Duration lookupWindow,
-    Duration resubmitFor,
-    Duration adoptAfter,
-    int pendingClaims,
-    int bufferedBills,
-    int batchBills,
-    int batchesInFlight) {
+    Duration outcomeTimeout,
+    Duration billTimeout,
+    Duration backupTimeout,
+    Duration lookupBatchWindow,
+    Duration resubmitTimeout,
+    Duration takeoverTimeout,
+    int maxPendingClaims,
+    int maxBufferedBills,
+    int maxBatchBills,
+    int maxBatchesInFlight) {
 
   /** The settings that daemons use unless told otherwise. */
   public static final LedgerSettings DEFAULT =
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/ChangeDisseminator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/ChangeDisseminator.java
@@ -44,7 +44,7 @@
   void add(UpstreamRecord record) {
     urgent.remove(record.id());
     regular.remove(record.id());
-    (record.takesWork() ? regular : urgent).put(record.id(), record);
+    (record.acceptsWork() ? regular : urgent).put(record.id(), record);
   }
 
   void tick(Instant now, Output output) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamTable.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/UpstreamTable.java
@@ -102,7 +102,7 @@
     }
     Announcement announcement = withLoad(existing.announcement(), load);
     records.put(id, existing.with(announcement));
-    if (existing.takesWork()) {
+    if (existing.acceptsWork()) {
       pools(announcement).forEach(pool -> pool.replace(announcement));
     }
   }
@@ -180,7 +180,7 @@
     // Only live records are hashed: daemons remove a lost upstream at different times, and their
     // tables would differ for minutes without anything to repair.
     bucketHashes[bucketOf(record.id())] ^= hash(record);
-    if (!record.takesWork()) {
+    if (!record.acceptsWork()) {
       return;
     }
     pools(announcement).forEach(pool -> pool.add(announcement));
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/message/RelayMessage.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/message/RelayMessage.java
@@ -50,7 +50,7 @@
       boolean busy,
       long neighbourhoodVersion,
       List<VersionCounts> counts,
-      List<HeardLimit> limits)
+      List<UpstreamRateLimit> limits)
       implements RelayMessage {
 
     /** Copies the lists. */
@@ -66,7 +66,7 @@
    * @param upstream the start of it that answered
    * @param named what it said
    */
-  record HeardLimit(UpstreamRun upstream, ReportedLimit named) {}
+  record UpstreamRateLimit(UpstreamRun upstream, ReportedLimit named) {}
 
   /**
    * What a leader tells an entry.
@@ -150,7 +150,7 @@
       String service,
       String model,
       String zone,
-      List<PromptBeginning> beginnings,
+      List<PromptPrefix> beginnings,
       int promptTokens,
       int objectiveMillis,
       List<String> versions,
@@ -172,7 +172,7 @@
    * @param key key of the beginning, which names the model too
    * @param tokens its length in tokens
    */
-  record PromptBeginning(long key, int tokens) {}
+  record PromptPrefix(long key, int tokens) {}
 
   /**
    * A scheduler's answer. An engine that it names counts as taken until the asking entry tells of
@@ -232,7 +232,7 @@
    * @param loads its load at each upstream where it has any
    * @param prompts shared beginnings of prompts that it has sent since it told last
    */
-  record EntryLoads(List<UpstreamLoad> loads, List<KeptPrompt> prompts) implements RelayMessage {
+  record EntryLoads(List<UpstreamLoad> loads, List<CachedPrefix> prompts) implements RelayMessage {
 
     /** Copies the lists. */
     public EntryLoads {
@@ -256,7 +256,7 @@
    * @param upstream id of the engine
    * @param key key of the beginning, which names the model too
    */
-  record KeptPrompt(String upstream, long key) {}
+  record CachedPrefix(String upstream, long key) {}
 
   /**
    * Agreed state beside the configuration.
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/CautiousClock.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/BoundedElapsedTime.java
@@ -10,7 +10,7 @@
  * a lease seem valid for longer. The time between two looks counts up to {@link #LONGEST_STEP}
  * only, so a jump shortens a wait by at most that.
  */
-final class CautiousClock {
+final class BoundedElapsedTime {
 
   /** Most that passes between two looks. */
   static final Duration LONGEST_STEP = Duration.ofMillis(100);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/RollOutView.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/EngineView.java
@@ -17,15 +17,15 @@
  * @param busy ids of engines with an open order
  * @param isPassedOver tells which engines refused an order a short while ago
  */
-record RollOutView(List<Announcement> engines, Set<String> busy, Predicate<String> isPassedOver) {
+record EngineView(List<Announcement> engines, Set<String> busy, Predicate<String> isPassedOver) {
 
   /** Picks the engines that may be ordered something. */
-  static RollOutView of(
+  static EngineView of(
       List<Announcement> all,
       List<String> drained,
       Set<String> busy,
       Predicate<String> isPassedOver) {
-    return new RollOutView(
+    return new EngineView(
         all.stream()
             .filter(one -> one.kind() == UpstreamKind.ENGINE)
             .filter(one -> !one.leaving() && !one.gone() && !drained.contains(one.id()))
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/LeaseKeeper.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/LeaseHolder.java
@@ -13,7 +13,7 @@
 import org.skylarkfork.core.effect.TraceEffect;
 
 /** This daemon's hold on the lease for orders. */
-final class LeaseKeeper {
+final class LeaseHolder {
 
   private static final Duration PAUSE = Duration.ofSeconds(1);
   private static final long NO_LEASE = 0;
@@ -23,7 +23,7 @@
   private final String holder;
   private final OrderMachine machine;
   private final Submitter submitter;
-  private final CautiousClock clock = new CautiousClock();
+  private final BoundedElapsedTime clock = new BoundedElapsedTime();
   private long number = NO_LEASE;
   private Instant validUntil = Instant.MIN;
   private Duration safeAt = Duration.ZERO;
@@ -34,7 +34,7 @@
   private @Nullable OrderLease seen;
   private Duration seenAt = Duration.ZERO;
 
-  LeaseKeeper(OrderSettings settings, String holder, OrderMachine machine, Submitter submitter) {
+  LeaseHolder(OrderSettings settings, String holder, OrderMachine machine, Submitter submitter) {
     this.settings = settings;
     this.holder = holder;
     this.machine = machine;
@@ -105,7 +105,7 @@
       return false;
     }
     pending = NO_SUBMISSION;
-    sendNextAt = now.plus(settings.renewAfter());
+    sendNextAt = now.plus(settings.renewalInterval());
     if (result instanceof LeaseGranted granted) {
       hold(granted, output);
     } else if (result instanceof StaleLease) {
@@ -122,7 +122,7 @@
 
   private void hold(LeaseGranted granted, Output output) {
     number = granted.fencingNumber();
-    long unsafeMillis = (long) Math.ceil(granted.unsafeMillis() * (1 + settings.drift()));
+    long unsafeMillis = (long) Math.ceil(granted.unsafeMillis() * (1 + settings.maxClockDrift()));
     safeAt = clock.passed().plusMillis(unsafeMillis);
     prolong();
     output.effect(new TraceEffect.LogLine(false, "order", "holds the lease with number " + number));
@@ -132,7 +132,7 @@
   // here first, by the margin even if this clock is the slower one.
   private void prolong() {
     if (sentAt != null) {
-      long millis = (long) (settings.leaseDuration().toMillis() * (1 - settings.drift()));
+      long millis = (long) (settings.leaseDuration().toMillis() * (1 - settings.maxClockDrift()));
       validUntil = sentAt.plusMillis(millis);
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderDispatcher.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderDispatcher.java
@@ -32,7 +32,7 @@
   }
 
   /** What is known of an open order now. */
-  enum Verdict {
+  enum OrderState_ {
     /** It has to be waited for. */
     WAIT,
     /** Its engine announces that it is carried out. */
@@ -48,30 +48,31 @@
    * @param engine its engine's newest announcement, if the engine is known
    * @param lease the lease, which is valid
    */
-  Verdict see(Order order, Optional<Announcement> engine, LeaseKeeper lease, Output output) {
+  OrderState_ see(Order order, Optional<Announcement> engine, LeaseHolder lease, Output output) {
     Duration passed = lease.passed();
     if (engine.isEmpty()) {
       Duration since = missingSince.computeIfAbsent(order.orderId(), unused -> passed);
-      return passed.compareTo(since.plus(settings.goneAfter())) >= 0
-          ? Verdict.FAILED
-          : Verdict.WAIT;
+      return passed.compareTo(since.plus(settings.unknownEngineTimeout())) >= 0
+          ? OrderState_.FAILED
+          : OrderState_.WAIT;
     }
     missingSince.remove(order.orderId());
     if (isCarriedOut(order, engine.get())) {
-      return Verdict.DONE;
+      return OrderState_.DONE;
     }
     Sent before = sent.get(order.orderId());
     if (before != null && before.isRefused) {
-      return Verdict.FAILED;
+      return OrderState_.FAILED;
     }
-    boolean isDue = before == null || passed.compareTo(before.at.plus(settings.resendAfter())) >= 0;
+    boolean isDue =
+        before == null || passed.compareTo(before.at.plus(settings.resendInterval())) >= 0;
     if (isDue && (engine.get().checksFencing() || lease.isPastOldOrders())) {
       send(order, engine.get(), lease, output);
     }
-    return Verdict.WAIT;
+    return OrderState_.WAIT;
   }
 
-  private void send(Order order, Announcement engine, LeaseKeeper lease, Output output) {
+  private void send(Order order, Announcement engine, LeaseHolder lease, Output output) {
     Invariants.check(
         engine.checksFencing() || lease.isPastOldOrders(),
         "an engine that ignores fencing numbers gets orders of one holder at a time");
@@ -91,7 +92,7 @@
   }
 
   private static boolean isCarriedOut(Order order, Announcement engine) {
-    boolean isLoaded = RollOutView.hasLoaded(engine, order.version());
+    boolean isLoaded = EngineView.hasLoaded(engine, order.version());
     return switch (order.kind()) {
       case LOAD -> isLoaded && (order.argument().isEmpty() || hasAdapter(order, engine));
       case UNLOAD -> !isLoaded;
@@ -115,7 +116,7 @@
     boolean isRefused = answered.outcome() == OrderOutcome.REFUSED;
     sent.put(answered.orderId(), new Sent(before.at, isRefused, false));
     if (isRefused) {
-      passedOverUntil.put(upstream, passed.plus(settings.refusedPause()));
+      passedOverUntil.put(upstream, passed.plus(settings.refusalBackoff()));
     }
     return answered.outcome() == OrderOutcome.STALE;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderPart.java
@@ -27,9 +27,9 @@
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.LifecycleEvent.Tick;
 import org.skylarkfork.core.event.UpstreamEvent.OrderAnswered;
-import org.skylarkfork.core.order.OrderDispatcher.Verdict;
-import org.skylarkfork.core.order.RollOutPlanner.Need;
-import org.skylarkfork.core.order.RollOutPlanner.Wish;
+import org.skylarkfork.core.order.OrderDispatcher.OrderState_;
+import org.skylarkfork.core.order.RollOutPlanner.PlannedOrder;
+import org.skylarkfork.core.order.RollOutPlanner.RequiredWork;
 import org.skylarkfork.core.upstream.UpstreamDirectory;
 
 /**
@@ -49,7 +49,7 @@
   private final ConfigurationView configuration;
   private final UpstreamDirectory directory;
   private final Submitter submitter;
-  private final LeaseKeeper lease;
+  private final LeaseHolder lease;
   private final RollOutPlanner planner;
   private final OrderDispatcher dispatcher;
   private final Map<Long, OrderCommand> submitted = new HashMap<>();
@@ -80,7 +80,7 @@
     this.configuration = configuration;
     this.directory = directory;
     this.submitter = submitter;
-    lease = new LeaseKeeper(settings, holder, machine, submitter);
+    lease = new LeaseHolder(settings, holder, machine, submitter);
     planner = new RollOutPlanner(settings);
     dispatcher = new OrderDispatcher(settings);
   }
@@ -139,9 +139,9 @@
     for (OrderIntent intent : machine.openIntents()) {
       Order order = intent.order();
       open.add(order.orderId());
-      Verdict verdict = dispatcher.see(order, directory.find(order.upstream()), lease, output);
-      if (verdict != Verdict.WAIT) {
-        boolean isDone = verdict == Verdict.DONE;
+      OrderState_ verdict = dispatcher.see(order, directory.find(order.upstream()), lease, output);
+      if (verdict != OrderState_.WAIT) {
+        boolean isDone = verdict == OrderState_.DONE;
         submitOnce(
             new OrderCommand.Conclude(
                 lease.number(), order.orderId(), isDone, isDone ? "announced" : "refused or gone"),
@@ -155,12 +155,12 @@
   private void planRollOuts(Instant now, Output output) {
     Configuration current = configuration.current();
     endedSince.keySet().retainAll(current.rollOuts());
-    RollOutView view =
-        RollOutView.of(directory.all(), current.drainedUpstreams(), busy(), this::isPassedOver);
+    EngineView view =
+        EngineView.of(directory.all(), current.drainedUpstreams(), busy(), this::isPassedOver);
     for (RollOut rollOut : current.rollOuts()) {
       Optional<RollOutProgress> known = machine.progress(rollOut.model());
       if (!RollOutPlanner.isOver(rollOut, known)) {
-        Need need = planner.plan(rollOut, known, current, view, mayUnload(rollOut));
+        RequiredWork need = planner.plan(rollOut, known, current, view, mayUnload(rollOut));
         if (!known.equals(Optional.of(need.progress()))) {
           submitOnce(new OrderCommand.RecordProgress(lease.number(), need.progress()), now, output);
         }
@@ -176,11 +176,11 @@
     return lease.passed().compareTo(since.plus(settings.unloadDelay())) >= 0;
   }
 
-  private void intend(Wish wish, Instant now, Output output) {
+  private void intend(PlannedOrder wish, Instant now, Output output) {
     boolean mustWait = wish.kind() == OrderKind.LOAD && lease.passed().compareTo(nextLoadAt) < 0;
     if (mustWait
         || busy().contains(wish.upstream())
-        || machine.openIntents().size() + openSubmissions() >= settings.openOrders()) {
+        || machine.openIntents().size() + openSubmissions() >= settings.maxOpenOrders()) {
       return;
     }
     orders++;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/RollOutPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/RollOutPlanner.java
@@ -31,10 +31,10 @@
    * @param orders what engines are to do
    * @param progress how far it has got
    */
-  record Need(List<Wish> orders, RollOutProgress progress) {}
+  record RequiredWork(List<PlannedOrder> orders, RollOutProgress progress) {}
 
   /** Something to order, which has no id yet. */
-  record Wish(OrderKind kind, String upstream, ModelVersion version) {}
+  record PlannedOrder(OrderKind kind, String upstream, ModelVersion version) {}
 
   /** Returns whether a roll-out has anything left to do. */
   static boolean isOver(RollOut rollOut, Optional<RollOutProgress> progress) {
@@ -57,11 +57,11 @@
    * @param view the engines
    * @param mayUnload whether sessions had their time on the version that is no longer needed
    */
-  Need plan(
+  RequiredWork plan(
       RollOut rollOut,
       Optional<RollOutProgress> known,
       Configuration configuration,
-      RollOutView view,
+      EngineView view,
       boolean mayUnload) {
     ModelVersion from = new ModelVersion(rollOut.model(), rollOut.from());
     ModelVersion to = new ModelVersion(rollOut.model(), rollOut.to());
@@ -73,14 +73,14 @@
       case RUNNING -> prepare(rollOut, progress, view, from, to);
       case FINISHED -> clear(progress, configuration, view, to, from, mayUnload);
       case ABORTED -> clear(progress, configuration, view, from, to, mayUnload);
-      case PAUSED -> new Need(List.of(), progress);
+      case PAUSED -> new RequiredWork(List.of(), progress);
     };
   }
 
-  private Need prepare(
+  private RequiredWork prepare(
       RollOut rollOut,
       RollOutProgress progress,
-      RollOutView view,
+      EngineView view,
       ModelVersion from,
       ModelVersion to) {
     List<Announcement> hosts = view.withEither(from, to);
@@ -98,26 +98,26 @@
     RollOutProgress next =
         new RollOutProgress(
             progress.model(), progress.from(), progress.to(), prepared, progress.isCleared());
-    return new Need(loads(view, hosts, to, wanted - loaded), next);
+    return new RequiredWork(loads(view, hosts, to, wanted - loaded), next);
   }
 
   private int engines(int percent, int hosts) {
     int share = (hosts * percent + WHOLE - 1) / WHOLE;
-    return Math.min(hosts, Math.max(settings.leastEngines(), share));
+    return Math.min(hosts, Math.max(settings.minEngines(), share));
   }
 
-  private static List<Wish> loads(
-      RollOutView view, List<Announcement> hosts, ModelVersion version, int most) {
+  private static List<PlannedOrder> loads(
+      EngineView view, List<Announcement> hosts, ModelVersion version, int most) {
     return view.without(version, hosts).stream()
         .limit(Math.max(0, most))
-        .map(engine -> new Wish(OrderKind.LOAD, engine.id(), version))
+        .map(engine -> new PlannedOrder(OrderKind.LOAD, engine.id(), version))
         .toList();
   }
 
-  private Need clear(
+  private RequiredWork clear(
       RollOutProgress progress,
       Configuration configuration,
-      RollOutView view,
+      EngineView view,
       ModelVersion kept,
       ModelVersion unneeded,
       boolean mayUnload) {
@@ -125,18 +125,18 @@
     boolean isKeptEverywhere = view.with(kept).size() == hosts.size();
     List<Announcement> stillLoaded = view.with(unneeded);
     if (stillLoaded.isEmpty() || isStillUsed(configuration, kept, unneeded)) {
-      return new Need(List.of(), cleared(progress));
+      return new RequiredWork(List.of(), cleared(progress));
     }
-    List<Wish> wishes = new ArrayList<>(loads(view, hosts, kept, hosts.size()));
+    List<PlannedOrder> wishes = new ArrayList<>(loads(view, hosts, kept, hosts.size()));
     if (mayUnload) {
       Predicate<Announcement> canUnload =
-          isKeptEverywhere ? engine -> true : engine -> RollOutView.hasLoaded(engine, kept);
+          isKeptEverywhere ? engine -> true : engine -> EngineView.hasLoaded(engine, kept);
       stillLoaded.stream()
           .filter(canUnload)
-          .map(engine -> new Wish(OrderKind.UNLOAD, engine.id(), unneeded))
+          .map(engine -> new PlannedOrder(OrderKind.UNLOAD, engine.id(), unneeded))
           .forEach(wishes::add);
     }
-    return new Need(wishes, progress);
+    return new RequiredWork(wishes, progress);
   }
 
   private static RollOutProgress cleared(RollOutProgress progress) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadExchangePart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadExchangePart.java
@@ -12,8 +12,8 @@
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.LifecycleEvent;
 import org.skylarkfork.core.event.PeerEvent;
+import org.skylarkfork.core.message.RelayMessage.CachedPrefix;
 import org.skylarkfork.core.message.RelayMessage.EntryLoads;
-import org.skylarkfork.core.message.RelayMessage.KeptPrompt;
 import org.skylarkfork.core.message.RelayMessage.UpstreamLoad;
 
 /**
@@ -74,7 +74,7 @@
       return;
     }
     List<UpstreamLoad> loads = loads();
-    List<KeptPrompt> sent = prompts.takeUnreported(MAX_PROMPTS);
+    List<CachedPrefix> sent = prompts.takeUnreported(MAX_PROMPTS);
     boolean repeat = !loads.isEmpty() && !now.isBefore(reportedAt.plus(REPEAT_INTERVAL));
     if (repeat || !sent.isEmpty() || !loads.equals(reportedLoads)) {
       reportedLoads = loads;
@@ -103,7 +103,7 @@
       int running = load == null ? 0 : load.running();
       tracked.peerLoads().update(peer, running, load == null ? 0 : load.waitingMillis(), now);
     }
-    for (KeptPrompt prompt : message.prompts()) {
+    for (CachedPrefix prompt : message.prompts()) {
       TrackedUpstream tracked = entry.track(prompt.upstream());
       if (tracked != null) {
         tracked.prefixCache().recordUse(prompt.key());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayControlPart.java
@@ -25,7 +25,7 @@
 import org.skylarkfork.core.message.CrashMessage;
 import org.skylarkfork.core.message.RelayMessage;
 import org.skylarkfork.core.message.RelayMessage.EntryPoll;
-import org.skylarkfork.core.message.RelayMessage.HeardLimit;
+import org.skylarkfork.core.message.RelayMessage.UpstreamRateLimit;
 
 /**
  * Runs a control VM's part of the relay: operators' commands, and the directory of upstreams with
@@ -322,7 +322,7 @@
     for (VersionCounts counts : poll.counts()) {
       evaluator.add(counts, find(before, counts));
     }
-    for (HeardLimit reported : poll.limits()) {
+    for (UpstreamRateLimit reported : poll.limits()) {
       onRateLimit(entry, reported, now, output);
     }
     if (leads()) {
@@ -332,7 +332,7 @@
     }
   }
 
-  private void onRateLimit(String entry, HeardLimit reported, Instant now, Output output) {
+  private void onRateLimit(String entry, UpstreamRateLimit reported, Instant now, Output output) {
     if (upstreams.recordRateLimit(reported.upstream(), reported.named(), entry, now)) {
       hasChanges = true;
       String facts =
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
@@ -17,7 +17,7 @@
 import org.skylarkfork.core.message.RelayMessage.PlacementAnswer;
 import org.skylarkfork.core.message.RelayMessage.PlacementAsk;
 import org.skylarkfork.core.message.RelayMessage.PlacementNews;
-import org.skylarkfork.core.message.RelayMessage.PromptBeginning;
+import org.skylarkfork.core.message.RelayMessage.PromptPrefix;
 import org.skylarkfork.core.placement.EngineGroups;
 import org.skylarkfork.core.placement.PromptPrefixes;
 
@@ -135,9 +135,9 @@
 
   private PlacementAsk message(
       ActiveRelay relay, PlacementQuery query, PromptPrefixes prefixes, int group, Instant now) {
-    List<PromptBeginning> beginnings = new ArrayList<>();
+    List<PromptPrefix> beginnings = new ArrayList<>();
     for (int index = 0; index < prefixes.size(); index++) {
-      beginnings.add(new PromptBeginning(prefixes.key(index), prefixes.tokens(index)));
+      beginnings.add(new PromptPrefix(prefixes.key(index), prefixes.tokens(index)));
     }
     Set<String> versions = versions(query);
     return new PlacementAsk(
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
@@ -17,7 +17,7 @@
 import org.skylarkfork.core.message.RelayMessage.PlacementAnswer;
 import org.skylarkfork.core.message.RelayMessage.PlacementAsk;
 import org.skylarkfork.core.message.RelayMessage.PlacementNews;
-import org.skylarkfork.core.message.RelayMessage.PromptBeginning;
+import org.skylarkfork.core.message.RelayMessage.PromptPrefix;
 import org.skylarkfork.core.placement.EngineGroups;
 import org.skylarkfork.core.placement.PromptPrefixes;
 
@@ -151,9 +151,9 @@
   }
 
   private static PromptPrefixes prefixes(PlacementAsk ask) {
-    List<PromptBeginning> beginnings = ask.beginnings();
-    long[] keys = beginnings.stream().mapToLong(PromptBeginning::key).toArray();
-    int[] tokens = beginnings.stream().mapToInt(PromptBeginning::tokens).toArray();
+    List<PromptPrefix> beginnings = ask.beginnings();
+    long[] keys = beginnings.stream().mapToLong(PromptPrefix::key).toArray();
+    int[] tokens = beginnings.stream().mapToInt(PromptPrefix::tokens).toArray();
     return PromptPrefixes.ofKeys(keys, tokens, ask.promptTokens());
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SentPrefixes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SentPrefixes.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.skylarkfork.core.message.RelayMessage.KeptPrompt;
+import org.skylarkfork.core.message.RelayMessage.CachedPrefix;
 import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
@@ -30,13 +30,13 @@
   /** Maximum number of prefixes whose last report is remembered. */
   private static final int MAX_REPORTED = 4096;
 
-  private final Map<KeptPrompt, Instant> reportedAt = new LinkedHashMap<>();
-  private final List<KeptPrompt> unreported = new ArrayList<>();
+  private final Map<CachedPrefix, Instant> reportedAt = new LinkedHashMap<>();
+  private final List<CachedPrefix> unreported = new ArrayList<>();
 
   /** Records a prompt that was sent to an engine. */
   void recordSent(String upstream, PromptPrefixes prefixes, Instant now) {
     for (int index = 0; index < prefixes.sharedSize(); index++) {
-      KeptPrompt prompt = new KeptPrompt(upstream, prefixes.key(index));
+      CachedPrefix prompt = new CachedPrefix(upstream, prefixes.key(index));
       Instant lastReport = reportedAt.get(prompt);
       boolean due = lastReport == null || !now.isBefore(lastReport.plus(REPEAT_INTERVAL));
       if (due && unreported.size() < MAX_UNREPORTED) {
@@ -46,7 +46,7 @@
     }
   }
 
-  private void rememberReport(KeptPrompt prompt, Instant now) {
+  private void rememberReport(CachedPrefix prompt, Instant now) {
     reportedAt.remove(prompt);
     reportedAt.put(prompt, now);
     if (reportedAt.size() > MAX_REPORTED) {
@@ -55,9 +55,9 @@
   }
 
   /** Removes and returns the oldest unreported prefixes, up to a number. */
-  List<KeptPrompt> takeUnreported(int limit) {
-    List<KeptPrompt> taken = unreported.subList(0, Math.min(limit, unreported.size()));
-    List<KeptPrompt> copy = List.copyOf(taken);
+  List<CachedPrefix> takeUnreported(int limit) {
+    List<CachedPrefix> taken = unreported.subList(0, Math.min(limit, unreported.size()));
+    List<CachedPrefix> copy = List.copyOf(taken);
     taken.clear();
     return copy;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
@@ -14,7 +14,7 @@
 import org.skylarkfork.core.Output;
 import org.skylarkfork.core.effect.TraceEffect;
 import org.skylarkfork.core.message.RelayMessage.DirectoryChanges;
-import org.skylarkfork.core.message.RelayMessage.HeardLimit;
+import org.skylarkfork.core.message.RelayMessage.UpstreamRateLimit;
 import org.skylarkfork.core.upstream.UpstreamRun;
 
 /** An entry's replica of the leader's directory of upstreams. */
@@ -208,13 +208,13 @@
    * Returns the rate limits that upstreams reported to this entry and that the leader does not
    * know.
    */
-  List<HeardLimit> limitsUnknownToLeader(Instant now) {
-    List<HeardLimit> limits = new ArrayList<>();
+  List<UpstreamRateLimit> limitsUnknownToLeader(Instant now) {
+    List<UpstreamRateLimit> limits = new ArrayList<>();
     for (TrackedUpstream track : byId.values()) {
       TrackedRateLimit rate = track.rate();
       ReportedLimit named = rate.differsFromLeader() ? rate.toReport(now) : null;
       if (named != null && limits.size() < MAX_LIMITS) {
-        limits.add(new HeardLimit(track.instance().run(), named));
+        limits.add(new UpstreamRateLimit(track.instance().run(), named));
       }
     }
     return limits;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/request/AnswerFacts.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/request/AnswerMetadata.java
@@ -14,7 +14,7 @@
  * @param sessionToken signed pin for the caller to send back, or null
  * @param notice something the caller should know, such as a session that had to move, or null
  */
-public record AnswerFacts(
+public record AnswerMetadata(
     String requestId,
     @Nullable String model,
     @Nullable String version,
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/request/RunState.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/request/RunState.java
@@ -10,7 +10,7 @@
   UNKNOWN;
 
   /** Returns the form used in headers, such as {@code not-run}. */
-  public String header() {
+  public String headerValue() {
     return switch (this) {
       case NOT_RUN -> "not-run";
       case RAN -> "ran";
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/BestModelPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/BestModelPlanner.java
@@ -25,16 +25,17 @@
 
   @Override
   public Optional<Plan> plan(PlanQuery query, Instant now) {
-    double target = Candidates.target(query);
+    double target = Candidates.qualityTarget(query);
     return candidates.of(query, now).stream()
-        .max(Comparator.comparingDouble(candidate -> chance(candidate, query, target)))
+        .max(Comparator.comparingDouble(candidate -> successProbability(candidate, query, target)))
         .map(
             best ->
                 FixedOrderPlanner.cascade(
                     List.of(best), target, "model with the best expected answers"));
   }
 
-  private double chance(Candidates.Candidate candidate, PlanQuery query, double target) {
+  private double successProbability(
+      Candidates.Candidate candidate, PlanQuery query, double target) {
     return quality
         .estimate(
             candidate.choice().version(),
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/Candidates.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/Candidates.java
@@ -15,7 +15,7 @@
 public final class Candidates {
 
   private final ConfigurationView configuration;
-  private final Versions versions;
+  private final VersionChooser versions;
 
   /**
    * Makes a lister.
@@ -23,7 +23,7 @@
    * @param configuration the configuration in force
    * @param versions chooses the version of each model
    */
-  public Candidates(ConfigurationView configuration, Versions versions) {
+  public Candidates(ConfigurationView configuration, VersionChooser versions) {
     this.configuration = configuration;
     this.versions = versions;
   }
@@ -39,7 +39,8 @@
    */
   public List<Candidate> of(PlanQuery query, Instant now) {
     for (String model : models(query)) {
-      if (versions.waitsForEngine(query.request(), query.team(), model, query.pinned(), now)) {
+      if (versions.pinnedVersionLacksEngine(
+          query.request(), query.team(), model, query.pinned(), now)) {
         return List.of();
       }
     }
@@ -48,28 +49,28 @@
   }
 
   /** Returns the quality target of a query, the greater of the rule's and the caller's. */
-  public static double target(PlanQuery query) {
-    Double asked = query.request().qualityTarget();
-    double ruled = query.route().qualityTarget();
-    return asked == null ? ruled : Math.max(asked, ruled);
+  public static double qualityTarget(PlanQuery query) {
+    Double callerTarget = query.request().qualityTarget();
+    double ruleTarget = query.route().qualityTarget();
+    return callerTarget == null ? ruleTarget : Math.max(callerTarget, ruleTarget);
   }
 
-  private List<Candidate> list(PlanQuery query, boolean suspectToo, Instant now) {
+  private List<Candidate> list(PlanQuery query, boolean includeSuspect, Instant now) {
     List<Candidate> candidates = new ArrayList<>();
     for (String name : models(query)) {
-      candidate(query, name, suspectToo, now).ifPresent(candidates::add);
+      candidate(query, name, includeSuspect, now).ifPresent(candidates::add);
     }
     return candidates;
   }
 
   private Optional<Candidate> candidate(
-      PlanQuery query, String name, boolean suspectToo, Instant now) {
+      PlanQuery query, String name, boolean includeSuspect, Instant now) {
     Optional<Model> model = configuration.current().model(name);
     if (model.isEmpty()) {
       return Optional.empty();
     }
     Optional<VersionChoice> choice =
-        versions.choose(query.request(), query.team(), name, query.pinned(), suspectToo, now);
+        versions.choose(query.request(), query.team(), name, query.pinned(), includeSuspect, now);
     return choice.flatMap(
         chosen ->
             model
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CheapestModelPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CheapestModelPlanner.java
@@ -26,6 +26,8 @@
         .map(
             cheapest ->
                 FixedOrderPlanner.cascade(
-                    List.of(cheapest), Candidates.target(query), "model with the least price"));
+                    List.of(cheapest),
+                    Candidates.qualityTarget(query),
+                    "model with the least price"));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/ChooserSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/ChooserSettings.java
@@ -5,27 +5,27 @@
 /**
  * How the main chooser weighs upstreams.
  *
- * @param sampled how many upstreams are compared for one pick
- * @param otherZoneFactor factor by which an upstream in another zone looks busier, at least 1
+ * @param sampleSize how many upstreams are compared for one pick
+ * @param crossZoneFactor factor by which an upstream in another zone looks busier, at least 1
  * @param prefixBonus load per capacity by which an upstream that may hold the prefix looks less
  *     busy
- * @param prefixBelowLoad load per capacity from which a held prefix no longer counts
- * @param fullFactor load per capacity from which an upstream is full
+ * @param maxPrefixLoad load per capacity from which a held prefix no longer counts
+ * @param saturationLoad load per capacity from which an upstream is full
  * @param reportHalfLife age at which a load report is half forgotten
- * @param failuresUntilOut failures in a row after which an upstream is taken out
- * @param firstOut time for which it is out at first; doubled with each failed probe
- * @param longestOut bound for that time
+ * @param ejectionThreshold failures in a row after which an upstream is taken out
+ * @param baseEjectionTime time for which it is out at first; doubled with each failed probe
+ * @param maxEjectionTime bound for that time
  */
 public record ChooserSettings(
-    int sampled,
-    double otherZoneFactor,
+    int sampleSize,
+    double crossZoneFactor,
     double prefixBonus,
-    double prefixBelowLoad,
-    double fullFactor,
+    double maxPrefixLoad,
+    double saturationLoad,
     Duration reportHalfLife,
-    int failuresUntilOut,
-    Duration firstOut,
-    Duration longestOut) {
+    int ejectionThreshold,
+    Duration baseEjectionTime,
+    Duration maxEjectionTime) {
 
   /** Settings for reports about each second and zones less than a millisecond apart. */
   public static final ChooserSettings DEFAULT =
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CompiledRules.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CompiledRules.java
@@ -46,7 +46,7 @@
 
   @Override
   public Optional<Rule> match(CallerRequest request, String team, Instant now) {
-    Merge merge = candidates(request, team);
+    PositionMerger merge = candidates(request, team);
     for (int position = merge.next(); position >= 0; position = merge.next()) {
       Rule rule = rules.get(position);
       if (Conditions.holds(rule.when(), request, team, now)) {
@@ -60,17 +60,17 @@
   public String explain(CallerRequest request, String team, Instant now) {
     StringBuilder text = new StringBuilder();
     for (Rule rule : rules) {
-      String failure = Conditions.failure(rule.when(), request, team, now);
-      if (failure == null) {
+      String mismatch = Conditions.mismatch(rule.when(), request, team, now);
+      if (mismatch == null) {
         return text.append(rule.name()).append(": matches").toString();
       }
-      text.append(rule.name()).append(": ").append(failure).append('\n');
+      text.append(rule.name()).append(": ").append(mismatch).append('\n');
     }
     return text.append("no rule matches").toString();
   }
 
-  private Merge candidates(CallerRequest request, String team) {
-    Merge merge = new Merge();
+  private PositionMerger candidates(CallerRequest request, String team) {
+    PositionMerger merge = new PositionMerger();
     for (String teamKey : new String[] {ANY, team}) {
       for (String model : new String[] {ANY, request.model()}) {
         for (String service : new String[] {ANY, request.service()}) {
@@ -113,7 +113,7 @@
   private record Key(String team, String model, String service) {}
 
   /** Merges sorted lists of positions; a position may come twice, which does no harm. */
-  private static final class Merge {
+  private static final class PositionMerger {
     private static final int MAX_LISTS = 8;
 
     private final int[][] lists = new int[MAX_LISTS][];
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/Conditions.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/Conditions.java
@@ -16,11 +16,11 @@
 
   /** Returns whether a condition holds. */
   static boolean holds(Rule.Condition condition, CallerRequest request, String team, Instant now) {
-    return failure(condition, request, team, now) == null;
+    return mismatch(condition, request, team, now) == null;
   }
 
   /** Returns why a condition doesn't hold, or null if it holds. */
-  static @Nullable String failure(
+  static @Nullable String mismatch(
       Rule.Condition condition, CallerRequest request, String team, Instant now) {
     if (!condition.teams().isEmpty() && !condition.teams().contains(team)) {
       return "the team is not in its list";
@@ -48,28 +48,29 @@
     if (condition.inSession() != null && condition.inSession() != (request.session() != null)) {
       return condition.inSession() ? "there is no session" : "there is a session";
     }
-    return holdsAt(condition, now) ? null : "it is another time of day";
+    return matchesTimeOfDay(condition, now) ? null : "it is another time of day";
   }
 
   private static boolean hasHeaders(Rule.Condition condition, CallerRequest request) {
-    for (Header wanted : condition.headers()) {
-      if (!hasHeader(request, wanted)) {
+    for (Header required : condition.headers()) {
+      if (!hasHeader(request, required)) {
         return false;
       }
     }
     return true;
   }
 
-  private static boolean hasHeader(CallerRequest request, Header wanted) {
+  private static boolean hasHeader(CallerRequest request, Header required) {
     for (Header header : request.headers()) {
-      if (header.name().equalsIgnoreCase(wanted.name()) && header.value().equals(wanted.value())) {
+      if (header.name().equalsIgnoreCase(required.name())
+          && header.value().equals(required.value())) {
         return true;
       }
     }
     return false;
   }
 
-  private static boolean holdsAt(Rule.Condition condition, Instant now) {
+  private static boolean matchesTimeOfDay(Rule.Condition condition, Instant now) {
     Integer from = condition.fromMinute();
     Integer to = condition.toMinute();
     if (from == null && to == null) {
