--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CurrentRules.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/CurrentRules.java
@@ -11,7 +11,7 @@
 public final class CurrentRules implements RuleBook {
 
   private final ConfigurationView configuration;
-  private List<Rule> compiledFrom = List.of();
+  private List<Rule> sourceRules = List.of();
   private RuleBook compiled = new CompiledRules(List.of());
 
   /**
@@ -25,19 +25,19 @@
 
   @Override
   public Optional<Rule> match(CallerRequest request, String team, Instant now) {
-    return refreshed().match(request, team, now);
+    return currentMatcher().match(request, team, now);
   }
 
   @Override
   public String explain(CallerRequest request, String team, Instant now) {
-    return refreshed().explain(request, team, now);
+    return currentMatcher().explain(request, team, now);
   }
 
-  private RuleBook refreshed() {
+  private RuleBook currentMatcher() {
     List<Rule> rules = configuration.current().rules();
-    if (rules != compiledFrom) {
+    if (rules != sourceRules) {
       compiled = new CompiledRules(rules);
-      compiledFrom = rules;
+      sourceRules = rules;
     }
     return compiled;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/DirectPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/DirectPlanner.java
@@ -30,7 +30,7 @@
             first ->
                 FixedOrderPlanner.cascade(
                     List.of(first),
-                    Candidates.target(query),
+                    Candidates.qualityTarget(query),
                     "first model of the rule that can take it"));
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/FixedOrderPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/FixedOrderPlanner.java
@@ -25,7 +25,8 @@
     List<Candidates.Candidate> listed = candidates.of(query, now);
     return listed.isEmpty()
         ? Optional.empty()
-        : Optional.of(cascade(listed, Candidates.target(query), "cascade in the rule's order"));
+        : Optional.of(
+            cascade(listed, Candidates.qualityTarget(query), "cascade in the rule's order"));
   }
 
   /** Makes a plan that runs the candidates in order and costs the first one's cost at least. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/LeastCostPlanner.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/LeastCostPlanner.java
@@ -23,8 +23,8 @@
  */
 public final class LeastCostPlanner implements Planner {
 
-  private static final int MOST_STEPS = 3;
-  private static final int MOST_CANDIDATES = 8;
+  private static final int MAX_STEPS = 3;
+  private static final int MAX_CANDIDATES = 8;
 
   private final Candidates candidates;
   private final VersionQuality quality;
@@ -49,25 +49,25 @@
 
   @Override
   public Optional<Plan> plan(PlanQuery query, Instant now) {
-    double target = Candidates.target(query);
+    double target = Candidates.qualityTarget(query);
     List<Option> options = options(query, target, now);
     if (options.isEmpty()) {
       return Optional.empty();
     }
-    double millisLeft = Duration.between(now, query.request().deadline()).toMillis();
+    double remainingMillis = Duration.between(now, query.request().deadline()).toMillis();
     List<Option> pinned = options.stream().filter(Option::isPinned).toList();
     if (!pinned.isEmpty()) {
       // A session shows its user one version's answers, so it doesn't take part in cascades.
-      Combination kept = best(singles(pinned), target, millisLeft);
-      return Optional.of(toPlan(kept, target, "version that the session keeps"));
+      Combination pinnedBest = best(singles(pinned), target, remainingMillis);
+      return Optional.of(toPlan(pinnedBest, target, "version that the session keeps"));
     }
     boolean inSession = query.request().session() != null;
     List<Combination> all = inSession ? singles(options) : combinations(options);
-    Combination best = best(all, target, millisLeft);
+    Combination best = best(all, target, remainingMillis);
     if (!inSession) {
-      Optional<Combination> exploring = exploring(options, best, millisLeft);
-      if (exploring.isPresent()) {
-        return Optional.of(toPlan(exploring.get(), target, "explores a cheaper version first"));
+      Optional<Combination> exploration = exploration(options, best, remainingMillis);
+      if (exploration.isPresent()) {
+        return Optional.of(toPlan(exploration.get(), target, "explores a cheaper version first"));
       }
     }
     return Optional.of(toPlan(best, target, reason(best, target)));
@@ -75,7 +75,7 @@
 
   private List<Option> options(PlanQuery query, double target, Instant now) {
     return candidates.of(query, now).stream()
-        .limit(MOST_CANDIDATES)
+        .limit(MAX_CANDIDATES)
         .map(candidate -> option(candidate, query, target))
         .sorted(Comparator.comparingDouble(Option::costMicros))
         .toList();
@@ -86,13 +86,16 @@
     int promptTokens = request.promptTokens();
     var version = candidate.choice().version();
     String team = query.team().name();
-    double tokens = quality.expectedTokens(version, promptTokens);
-    int completion = tokens > 0 ? (int) Math.min(tokens, request.maxTokens()) : request.maxTokens();
+    double expectedTokens = quality.expectedTokens(version, promptTokens);
+    int completionTokens =
+        expectedTokens > 0
+            ? (int) Math.min(expectedTokens, request.maxTokens())
+            : request.maxTokens();
     double millis = quality.expectedMillis(version, promptTokens);
     return new Option(
         candidate,
-        candidate.version().price().costMicros(new Usage(promptTokens, completion, 0)),
-        millis > 0 ? millis : settings.usualMillis(),
+        candidate.version().price().costMicros(new Usage(promptTokens, completionTokens, 0)),
+        millis > 0 ? millis : settings.defaultLatencyMillis(),
         quality.estimate(version, team, promptTokens, target),
         quality.estimateEscalated(version, team, promptTokens, target));
   }
@@ -107,53 +110,56 @@
     return all;
   }
 
-  private static void extend(List<Option> begun, List<Option> left, List<Combination> all) {
+  private static void extend(List<Option> prefix, List<Option> left, List<Combination> all) {
     for (int i = 0; i < left.size(); i++) {
-      List<Option> longer = new ArrayList<>(begun);
-      longer.add(left.get(i));
-      all.add(new Combination(longer));
-      if (longer.size() < MOST_STEPS) {
-        extend(longer, left.subList(i + 1, left.size()), all);
+      List<Option> extended = new ArrayList<>(prefix);
+      extended.add(left.get(i));
+      all.add(new Combination(extended));
+      if (extended.size() < MAX_STEPS) {
+        extend(extended, left.subList(i + 1, left.size()), all);
       }
     }
   }
 
   /** Returns the cheapest that is enough and in time, else the one that is most likely enough. */
-  private Combination best(List<Combination> all, double target, double millisLeft) {
+  private Combination best(List<Combination> all, double target, double remainingMillis) {
     Comparator<Combination> cheapest =
         Comparator.comparingDouble(combination -> combination.cost(settings));
-    Comparator<Combination> likeliest =
-        Comparator.comparingDouble(combination -> combination.chance(settings.caution()));
+    Comparator<Combination> mostLikely =
+        Comparator.comparingDouble(
+            combination -> combination.successProbability(settings.uncertaintyMargin()));
     List<Combination> inTime =
-        all.stream().filter(combination -> fits(combination, millisLeft)).toList();
-    List<Combination> left = inTime.isEmpty() ? singlesOf(all) : inTime;
+        all.stream().filter(combination -> meetsDeadline(combination, remainingMillis)).toList();
+    List<Combination> left = inTime.isEmpty() ? singleStepOnly(all) : inTime;
     return left.stream()
-        .filter(combination -> combination.chance(settings.caution()) >= target)
+        .filter(
+            combination -> combination.successProbability(settings.uncertaintyMargin()) >= target)
         .min(cheapest)
-        .orElseGet(() -> left.stream().max(likeliest).orElseThrow());
+        .orElseGet(() -> left.stream().max(mostLikely).orElseThrow());
   }
 
-  private static List<Combination> singlesOf(List<Combination> all) {
+  private static List<Combination> singleStepOnly(List<Combination> all) {
     return all.stream().filter(combination -> combination.options().size() == 1).toList();
   }
 
-  private boolean fits(Combination combination, double millisLeft) {
-    return combination.longestMillis(settings) * settings.deadlineFactor() <= millisLeft;
+  private boolean meetsDeadline(Combination combination, double remainingMillis) {
+    return combination.worstCaseMillis(settings) * settings.deadlineFactor() <= remainingMillis;
   }
 
   /** Puts a cheaper and little known version before a plan, for a share of the requests. */
-  private Optional<Combination> exploring(
-      List<Option> options, Combination best, double millisLeft) {
-    if (best.options().size() >= MOST_STEPS || random.nextDouble() >= settings.exploreShare()) {
+  private Optional<Combination> exploration(
+      List<Option> options, Combination best, double remainingMillis) {
+    if (best.options().size() >= MAX_STEPS || random.nextDouble() >= settings.explorationShare()) {
       return Optional.empty();
     }
     Option first = best.options().get(0);
     return options.stream()
         .filter(option -> option.costMicros() < first.costMicros())
-        .filter(option -> option.estimate().standardDeviation() >= settings.exploreDeviation())
+        .filter(
+            option -> option.estimate().standardDeviation() >= settings.minExplorationDeviation())
         .max(Comparator.comparingDouble(option -> option.estimate().standardDeviation()))
-        .map(option -> best.after(option))
-        .filter(combination -> fits(combination, millisLeft));
+        .map(option -> best.precededBy(option))
+        .filter(combination -> meetsDeadline(combination, remainingMillis));
   }
 
   private Plan toPlan(Combination combination, double target, String reason) {
@@ -164,16 +170,16 @@
   }
 
   private String reason(Combination best, double target) {
-    double chance = best.chance(settings.caution());
-    String what = chance >= target ? "least cost that is enough" : "most likely to be enough";
-    return String.format(Locale.ROOT, "%s: chance %.2f for target %.2f", what, chance, target);
+    double probability = best.successProbability(settings.uncertaintyMargin());
+    String what = probability >= target ? "least cost that is enough" : "most likely to be enough";
+    return String.format(Locale.ROOT, "%s: chance %.2f for target %.2f", what, probability, target);
   }
 
   /** One version with what is expected of it. */
   private record Option(
       Candidates.Candidate candidate,
       double costMicros,
-      double millis,
+      double expectedMillis,
       VersionQuality.Estimate estimate,
       VersionQuality.Estimate escalated) {
 
@@ -182,7 +188,7 @@
     }
 
     /** Returns the chance that its answer is good enough, taken with caution. */
-    double chance(boolean first, double caution) {
+    double successProbability(boolean first, double caution) {
       VersionQuality.Estimate from = first ? estimate : escalated;
       return Math.max(0, from.mean() - caution * from.standardDeviation());
     }
@@ -191,37 +197,39 @@
   /** Versions in the order in which they run. */
   private record Combination(List<Option> options) {
 
-    Combination after(Option first) {
-      List<Option> longer = new ArrayList<>();
-      longer.add(first);
-      longer.addAll(options);
-      return new Combination(longer);
+    Combination precededBy(Option first) {
+      List<Option> extended = new ArrayList<>();
+      extended.add(first);
+      extended.addAll(options);
+      return new Combination(extended);
     }
 
-    double chance(double caution) {
-      double falling = 1;
+    double successProbability(double caution) {
+      double failureProbability = 1;
       for (int i = 0; i < options.size(); i++) {
-        falling *= 1 - options.get(i).chance(i == 0, caution);
+        failureProbability *= 1 - options.get(i).successProbability(i == 0, caution);
       }
-      return 1 - falling;
+      return 1 - failureProbability;
     }
 
     /** Returns the expected cost, with that of the steps that fall short and of the ratings. */
     double cost(PlannerSettings settings) {
-      double reached = 1;
+      double reachProbability = 1;
       double cost = 0;
       for (int i = 0; i < options.size(); i++) {
         boolean last = i == options.size() - 1;
-        cost += reached * (options.get(i).costMicros() + (last ? 0 : settings.ratingMicros()));
-        reached *= 1 - options.get(i).chance(i == 0, 0);
+        cost +=
+            reachProbability
+                * (options.get(i).costMicros() + (last ? 0 : settings.ratingCostMicros()));
+        reachProbability *= 1 - options.get(i).successProbability(i == 0, 0);
       }
       return cost;
     }
 
     /** Returns the time if each step falls short but the last. */
-    double longestMillis(PlannerSettings settings) {
-      double steps = options.stream().mapToDouble(Option::millis).sum();
-      return steps + (options.size() - 1) * settings.ratingMillis();
+    double worstCaseMillis(PlannerSettings settings) {
+      double steps = options.stream().mapToDouble(Option::expectedMillis).sum();
+      return steps + (options.size() - 1) * settings.ratingLatencyMillis();
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PowerOfTwoChooser.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PowerOfTwoChooser.java
@@ -22,16 +22,17 @@
  */
 public final class PowerOfTwoChooser implements UpstreamChooser {
 
-  private static final int MOST_DRAWS = 12;
-  private static final int MOST_SCANNED = 256;
-  private static final int MOST_TRACKED = 4_096;
-  private static final double NEWEST_WEIGHT = 0.05;
+  private static final int MAX_DRAWS = 12;
+  private static final int MAX_SCANNED = 256;
+  private static final int MAX_TRACKED = 4_096;
+  private static final double SMOOTHING_FACTOR = 0.05;
 
   private final String zone;
   private final ChooserSettings settings;
   private final UniformRandomProvider random;
-  private final Map<String, UpstreamTrack> tracks = new LinkedHashMap<>(16, 0.75f, true);
-  private final Map<String, Group> groups = new HashMap<>();
+  private final Map<String, TrackedUpstream> trackedUpstreams =
+      new LinkedHashMap<>(16, 0.75f, true);
+  private final Map<String, ServiceStatistics> statisticsByService = new HashMap<>();
   private final PrefixHints hints = new PrefixHints();
 
   /**
@@ -53,64 +54,67 @@
     if (candidates.isEmpty()) {
       return Optional.empty();
     }
-    Pick pick = new Pick(group(request), excluded, now);
-    considerHolder(candidates, request, pick);
+    Selection selection = new Selection(statistics(request), excluded, now);
+    considerPrefixHolder(candidates, request, selection);
     int considered = 0;
-    for (int draw = 0; draw < MOST_DRAWS && considered < settings.sampled(); draw++) {
+    for (int draw = 0; draw < MAX_DRAWS && considered < settings.sampleSize(); draw++) {
       Announcement drawn = candidates.get(random.nextInt(candidates.size()));
-      if (drawn != pick.best && accepts(drawn, pick.group) && pick.consider(drawn, 0)) {
+      if (drawn != selection.best
+          && acceptsByCapacity(drawn, selection.statistics)
+          && selection.consider(drawn, 0)) {
         considered++;
       }
     }
-    if (pick.best == null) {
-      scan(candidates, pick);
+    if (selection.best == null) {
+      scan(candidates, selection);
     }
-    return Optional.ofNullable(pick.best);
+    return Optional.ofNullable(selection.best);
   }
 
   @Override
   public void dispatched(String upstream, CallerRequest request, Instant now) {
-    track(upstream).dispatched(request.requestId(), now);
+    tracked(upstream).recordDispatch(request.requestId(), now);
     if (request.kind().isDraft()) {
-      hints.routed(request, upstream);
+      hints.recordDispatch(request, upstream);
     }
   }
 
   @Override
   public void ended(String upstream, CallerRequest request, boolean healthy, Instant now) {
-    long millis = track(upstream).ended(request.requestId(), healthy, now);
+    long millis = tracked(upstream).recordEnd(request.requestId(), healthy, now);
     if (healthy && millis >= 0) {
-      group(request).ended(millis);
+      statistics(request).recordLatency(millis);
     }
   }
 
-  private void considerHolder(List<Announcement> candidates, CallerRequest request, Pick pick) {
+  private void considerPrefixHolder(
+      List<Announcement> candidates, CallerRequest request, Selection selection) {
     if (!request.kind().isDraft()) {
       return;
     }
     Optional<String> holder = hints.holder(request, candidates.get(0));
     Announcement found = holder.map(id -> find(candidates, id)).orElse(null);
-    if (found != null && pick.load(found) < settings.prefixBelowLoad()) {
-      pick.consider(found, settings.prefixBonus());
+    if (found != null && selection.load(found) < settings.maxPrefixLoad()) {
+      selection.consider(found, settings.prefixBonus());
     }
   }
 
   /** Draws upstreams in proportion to their capacity, without a look at all of them. */
-  private boolean accepts(Announcement drawn, Group group) {
-    group.largestCapacity = Math.max(group.largestCapacity, drawn.capacity());
-    return random.nextInt(group.largestCapacity) < Math.max(1, drawn.capacity());
+  private boolean acceptsByCapacity(Announcement drawn, ServiceStatistics statistics) {
+    statistics.largestCapacity = Math.max(statistics.largestCapacity, drawn.capacity());
+    return random.nextInt(statistics.largestCapacity) < Math.max(1, drawn.capacity());
   }
 
   /** Looks at upstreams in turn where most are excluded, out or full. */
-  private void scan(List<Announcement> candidates, Pick pick) {
+  private void scan(List<Announcement> candidates, Selection selection) {
     int start = random.nextInt(candidates.size());
-    int count = Math.min(MOST_SCANNED, candidates.size());
+    int count = Math.min(MAX_SCANNED, candidates.size());
     for (int i = 0; i < count; i++) {
-      pick.consider(candidates.get((start + i) % candidates.size()), 0);
+      selection.consider(candidates.get((start + i) % candidates.size()), 0);
     }
-    if (pick.best == null) {
+    if (selection.best == null) {
       for (int i = 0; i < count; i++) {
-        pick.considerOut(candidates.get((start + i) % candidates.size()));
+        selection.considerEjected(candidates.get((start + i) % candidates.size()));
       }
     }
   }
@@ -131,71 +135,71 @@
     return null;
   }
 
-  private UpstreamTrack track(String upstream) {
-    UpstreamTrack track = tracks.get(upstream);
-    if (track == null) {
-      track = new UpstreamTrack(settings);
-      tracks.put(upstream, track);
-      forgetOldest();
+  private TrackedUpstream tracked(String upstream) {
+    TrackedUpstream tracked = trackedUpstreams.get(upstream);
+    if (tracked == null) {
+      tracked = new TrackedUpstream(settings);
+      trackedUpstreams.put(upstream, tracked);
+      evictOldest();
     }
-    return track;
+    return tracked;
   }
 
-  private void forgetOldest() {
-    if (tracks.size() > MOST_TRACKED) {
-      Map.Entry<String, UpstreamTrack> oldest = tracks.entrySet().iterator().next();
+  private void evictOldest() {
+    if (trackedUpstreams.size() > MAX_TRACKED) {
+      Map.Entry<String, TrackedUpstream> oldest = trackedUpstreams.entrySet().iterator().next();
       if (oldest.getValue().isIdle()) {
-        tracks.remove(oldest.getKey());
+        trackedUpstreams.remove(oldest.getKey());
       }
     }
   }
 
-  private Group group(CallerRequest request) {
-    return groups.computeIfAbsent(request.service(), unused -> new Group());
+  private ServiceStatistics statistics(CallerRequest request) {
+    return statisticsByService.computeIfAbsent(
+        request.service(), unused -> new ServiceStatistics());
   }
 
   /** What is usual among the upstreams of one service, or of drafts. */
-  private static final class Group {
-    private double usualMillis;
-    private double usualOthersPerCapacity;
+  private static final class ServiceStatistics {
+    private double meanMillis;
+    private double meanExternalLoad;
     private int largestCapacity = 1;
 
-    void ended(long millis) {
-      usualMillis =
-          usualMillis <= 0 ? millis : usualMillis + NEWEST_WEIGHT * (millis - usualMillis);
+    void recordLatency(long millis) {
+      meanMillis = meanMillis <= 0 ? millis : meanMillis + SMOOTHING_FACTOR * (millis - meanMillis);
     }
 
-    void reported(double othersPerCapacity) {
-      usualOthersPerCapacity += NEWEST_WEIGHT * (othersPerCapacity - usualOthersPerCapacity);
+    void recordExternalLoad(double externalLoad) {
+      meanExternalLoad += SMOOTHING_FACTOR * (externalLoad - meanExternalLoad);
     }
   }
 
   /** The best upstream so far for one request. */
-  private final class Pick {
-    private final Group group;
+  private final class Selection {
+    private final ServiceStatistics statistics;
     private final Set<String> excluded;
     private final Instant now;
     private @Nullable Announcement best;
     private double bestDelay;
 
-    Pick(Group group, Set<String> excluded, Instant now) {
-      this.group = group;
+    Selection(ServiceStatistics statistics, Set<String> excluded, Instant now) {
+      this.statistics = statistics;
       this.excluded = excluded;
       this.now = now;
     }
 
     /** Compares an upstream and returns whether it could take the request. */
     boolean consider(Announcement candidate, double bonus) {
-      if (excluded.contains(candidate.id()) || !track(candidate.id()).isUsable(now)) {
+      if (excluded.contains(candidate.id()) || !tracked(candidate.id()).isUsable(now)) {
         return false;
       }
       double load = load(candidate);
-      if (load >= settings.fullFactor()) {
+      if (load >= settings.saturationLoad()) {
         return false;
       }
       double delay = load + 1.0 / capacity(candidate);
-      delay *= track(candidate.id()).slowness(group.usualMillis, now);
-      delay *= candidate.zone().equals(zone) ? 1 : settings.otherZoneFactor();
+      delay *= tracked(candidate.id()).latencyRatio(statistics.meanMillis, now);
+      delay *= candidate.zone().equals(zone) ? 1 : settings.crossZoneFactor();
       delay -= bonus;
       if (best == null || delay < bestDelay) {
         best = candidate;
@@ -208,11 +212,11 @@
      * Takes an upstream that is out, the one whose time is up first; where all are out, the cause
      * is often elsewhere, and to refuse everything would make a short fault a long one.
      */
-    void considerOut(Announcement candidate) {
-      if (excluded.contains(candidate.id()) || load(candidate) >= settings.fullFactor()) {
+    void considerEjected(Announcement candidate) {
+      if (excluded.contains(candidate.id()) || load(candidate) >= settings.saturationLoad()) {
         return;
       }
-      double from = track(candidate.id()).usableFrom().getEpochSecond();
+      double from = tracked(candidate.id()).usableFrom().getEpochSecond();
       if (best == null || from < bestDelay) {
         best = candidate;
         bestDelay = from;
@@ -221,13 +225,13 @@
 
     /** Returns the estimated load of an upstream as a share of its capacity. */
     double load(Announcement candidate) {
-      UpstreamTrack track = track(candidate.id());
+      TrackedUpstream tracked = tracked(candidate.id());
       int capacity = capacity(candidate);
-      if (track.reported(candidate.load(), now)) {
-        group.reported(track.othersReported() / capacity);
-        hints.learn(candidate);
+      if (tracked.recordReport(candidate.load(), now)) {
+        statistics.recordExternalLoad(tracked.reportedExternalRequests() / capacity);
+        hints.recordCacheEvents(candidate);
       }
-      return track.load(group.usualOthersPerCapacity * capacity, now) / capacity;
+      return tracked.load(statistics.meanExternalLoad * capacity, now) / capacity;
     }
 
     private int capacity(Announcement candidate) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PrefixHints.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PrefixHints.java
@@ -12,9 +12,9 @@
 /** Remembers which engine may hold a prompt's prefix; a hint that may be wrong at any time. */
 final class PrefixHints {
 
-  private static final int MOST_REMEMBERED = 8_192;
-  private static final int MOST_BLOCKS = 8;
-  private static final String OWN = "routed here";
+  private static final int MAX_PREFIXES = 8_192;
+  private static final int MAX_BLOCKS = 8;
+  private static final String DISPATCHED_KEY = "routed here";
 
   private final Map<String, String> holders =
       new LinkedHashMap<>(16, 0.75f, true) {
@@ -22,12 +22,12 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, String> eldest) {
-          return size() > MOST_REMEMBERED;
+          return size() > MAX_PREFIXES;
         }
       };
 
   /** Takes in an engine's cache events. */
-  void learn(Announcement announcement) {
+  void recordCacheEvents(Announcement announcement) {
     for (CacheEvent event : announcement.cacheEvents()) {
       if (event.stored()) {
         holders.put(event.prefix(), announcement.id());
@@ -38,8 +38,8 @@
   }
 
   /** Takes note that a request was sent to an upstream, which caches its prefixes by that. */
-  void routed(CallerRequest request, String upstream) {
-    for (String prefix : PromptPrefixes.of(OWN, request.prompt(), MOST_BLOCKS)) {
+  void recordDispatch(CallerRequest request, String upstream) {
+    for (String prefix : PromptPrefixes.of(DISPATCHED_KEY, request.prompt(), MAX_BLOCKS)) {
       holders.put(prefix, upstream);
     }
   }
@@ -50,21 +50,22 @@
    * @param candidate any candidate, for the names of the models that may be meant
    */
   Optional<String> holder(CallerRequest request, Announcement candidate) {
-    Optional<String> own = longest(OWN, request);
-    if (own.isPresent()) {
-      return own;
+    Optional<String> dispatched = longestPrefixHolder(DISPATCHED_KEY, request);
+    if (dispatched.isPresent()) {
+      return dispatched;
     }
     for (LoadedModel model : candidate.models()) {
-      Optional<String> told = longest(model.model() + ":" + model.version(), request);
-      if (told.isPresent()) {
-        return told;
+      Optional<String> reported =
+          longestPrefixHolder(model.model() + ":" + model.version(), request);
+      if (reported.isPresent()) {
+        return reported;
       }
     }
     return Optional.empty();
   }
 
-  private Optional<String> longest(String modelKey, CallerRequest request) {
-    List<String> prefixes = PromptPrefixes.of(modelKey, request.prompt(), MOST_BLOCKS);
+  private Optional<String> longestPrefixHolder(String modelKey, CallerRequest request) {
+    List<String> prefixes = PromptPrefixes.of(modelKey, request.prompt(), MAX_BLOCKS);
     for (int i = prefixes.size() - 1; i >= 0; i--) {
       String holder = holders.get(prefixes.get(i));
       if (holder != null) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PromptPrefixes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/PromptPrefixes.java
@@ -25,15 +25,15 @@
    *
    * @param modelKey model and version with a colon between, or any other text to tell uses apart
    * @param prompt the prompt
-   * @param most bound for the number of prefixes
+   * @param limit bound for the number of prefixes
    * @return the names, the shortest prefix first
    */
-  public static List<String> of(String modelKey, String prompt, int most) {
-    List<String> names = new ArrayList<>(most);
+  public static List<String> of(String modelKey, String prompt, int limit) {
+    List<String> names = new ArrayList<>(limit);
     long hash = extend(OFFSET_BASIS, modelKey + "\n");
     int words = 0;
     int position = 0;
-    while (names.size() < most) {
+    while (names.size() < limit) {
       int begin = skip(prompt, position, true);
       if (begin == prompt.length()) {
         break;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/RandomChooser.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/RandomChooser.java
@@ -26,9 +26,11 @@
   @Override
   public Optional<Announcement> choose(
       List<Announcement> candidates, CallerRequest request, Set<String> excluded, Instant now) {
-    List<Announcement> left =
+    List<Announcement> remaining =
         candidates.stream().filter(candidate -> !excluded.contains(candidate.id())).toList();
-    return left.isEmpty() ? Optional.empty() : Optional.of(left.get(random.nextInt(left.size())));
+    return remaining.isEmpty()
+        ? Optional.empty()
+        : Optional.of(remaining.get(random.nextInt(remaining.size())));
   }
 
   @Override
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/RoundRobinChooser.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/RoundRobinChooser.java
@@ -10,14 +10,14 @@
 /** Picks the upstreams in turn. */
 public final class RoundRobinChooser implements UpstreamChooser {
 
-  private int turn;
+  private int nextIndex;
 
   @Override
   public Optional<Announcement> choose(
       List<Announcement> candidates, CallerRequest request, Set<String> excluded, Instant now) {
     for (int tried = 0; tried < candidates.size(); tried++) {
-      Announcement candidate = candidates.get(Math.floorMod(turn, candidates.size()));
-      turn++;
+      Announcement candidate = candidates.get(Math.floorMod(nextIndex, candidates.size()));
+      nextIndex++;
       if (!excluded.contains(candidate.id())) {
         return Optional.of(candidate);
       }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/Versions.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/routing/VersionChooser.java
@@ -22,9 +22,9 @@
  *
  * <p>The team's allowed list and withdrawals narrow every choice, pins included.
  */
-public final class Versions {
+public final class VersionChooser {
 
-  private static final int ALL = 100;
+  private static final int ALL_PERCENT = 100;
 
   private final ConfigurationView configuration;
   private final UpstreamDirectory upstreams;
@@ -41,7 +41,7 @@
    * @param pins the sessions' pins
    * @param zone availability zone of this entry
    */
-  public Versions(
+  public VersionChooser(
       ConfigurationView configuration,
       UpstreamDirectory upstreams,
       VersionQuality quality,
@@ -60,14 +60,14 @@
    * @param request the request
    * @param team its team
    * @param modelName name of the model
-   * @param suspectToo whether a suspect version is better than none
+   * @param includeSuspect whether a suspect version is better than none
    * @param now the present time
    * @return the version, or empty if no allowed one has an engine that may take new work, or if the
    *     session's own version has none for the moment
    */
   public Optional<VersionChoice> choose(
-      CallerRequest request, Team team, String modelName, boolean suspectToo, Instant now) {
-    return choose(request, team, modelName, null, suspectToo, now);
+      CallerRequest request, Team team, String modelName, boolean includeSuspect, Instant now) {
+    return choose(request, team, modelName, null, includeSuspect, now);
   }
 
   /**
@@ -78,22 +78,23 @@
       CallerRequest request,
       Team team,
       String modelName,
-      @Nullable ModelVersion known,
-      boolean suspectToo,
+      @Nullable ModelVersion knownPin,
+      boolean includeSuspect,
       Instant now) {
     Configuration current = configuration.current();
     Optional<Model> model = current.model(modelName);
     if (model.isEmpty()) {
       return Optional.empty();
     }
-    Optional<ModelVersion> pinned = pinned(request, team, modelName, known);
-    if (pinned.isPresent() && mayRun(current, model.get(), team, pinned.get())) {
+    Optional<ModelVersion> pinned = pinned(request, team, modelName, knownPin);
+    if (pinned.isPresent() && isAllowed(current, model.get(), team, pinned.get())) {
       return hasEngine(pinned.get(), now)
           ? Optional.of(new VersionChoice(pinned.get(), true, null))
           : Optional.empty();
     }
-    Optional<ModelVersion> fresh = fresh(current, model.get(), request, team, suspectToo, now);
-    return fresh.map(
+    Optional<ModelVersion> chosen =
+        chooseUnpinned(current, model.get(), request, team, includeSuspect, now);
+    return chosen.map(
         version -> new VersionChoice(version, false, movedNotice(pinned.orElse(null), version)));
   }
 
@@ -103,44 +104,44 @@
    * <p>Such a request is refused as not run. To move the session would show its user another
    * version's answers half-way through a case, and engines that restart are back soon.
    */
-  boolean waitsForEngine(
+  boolean pinnedVersionLacksEngine(
       CallerRequest request,
       Team team,
       String modelName,
-      @Nullable ModelVersion known,
+      @Nullable ModelVersion knownPin,
       Instant now) {
     Configuration current = configuration.current();
     Optional<Model> model = current.model(modelName);
-    Optional<ModelVersion> pinned = pinned(request, team, modelName, known);
+    Optional<ModelVersion> pinned = pinned(request, team, modelName, knownPin);
     return model.isPresent()
         && pinned.isPresent()
-        && mayRun(current, model.get(), team, pinned.get())
+        && isAllowed(current, model.get(), team, pinned.get())
         && !hasEngine(pinned.get(), now);
   }
 
   private Optional<ModelVersion> pinned(
-      CallerRequest request, Team team, String model, @Nullable ModelVersion known) {
+      CallerRequest request, Team team, String model, @Nullable ModelVersion knownPin) {
     if (request.session() == null) {
       return Optional.empty();
     }
-    if (known != null && known.model().equals(model)) {
-      return Optional.of(known);
+    if (knownPin != null && knownPin.model().equals(model)) {
+      return Optional.of(knownPin);
     }
     return pins.pinned(team.name(), request.session(), model);
   }
 
-  private Optional<ModelVersion> fresh(
+  private Optional<ModelVersion> chooseUnpinned(
       Configuration current,
       Model model,
       CallerRequest request,
       Team team,
-      boolean suspectToo,
+      boolean includeSuspect,
       Instant now) {
     for (String name : preferences(current, model, request, team)) {
       ModelVersion version = new ModelVersion(model.name(), name);
-      if (mayRun(current, model, team, version)
+      if (isAllowed(current, model, team, version)
           && hasEngine(version, now)
-          && (suspectToo || !quality.isSuspect(version))) {
+          && (includeSuspect || !quality.isSuspect(version))) {
         return Optional.of(version);
       }
     }
@@ -153,7 +154,7 @@
     Set<String> names = new LinkedHashSet<>();
     Optional<RollOut> rollOut = current.rollOut(model.name());
     if (rollOut.isPresent()) {
-      names.add(shared(rollOut.get(), request, team));
+      names.add(rollOutVersion(rollOut.get(), request, team));
       names.add(rollOut.get().from());
       if (rollOut.get().state() != RollOut.State.ABORTED) {
         names.add(rollOut.get().to());
@@ -166,27 +167,27 @@
     return names;
   }
 
-  private String shared(RollOut rollOut, CallerRequest request, Team team) {
-    int share = share(rollOut, team.name());
+  private String rollOutVersion(RollOut rollOut, CallerRequest request, Team team) {
+    int percent = rollOutPercent(rollOut, team.name());
     int percentile =
         request.session() == null
             ? StableHash.percentile(rollOut.model(), rollOut.to(), request.requestId())
             : StableHash.percentile(rollOut.model(), rollOut.to(), team.name(), request.session());
-    return percentile < share ? rollOut.to() : rollOut.from();
+    return percentile < percent ? rollOut.to() : rollOut.from();
   }
 
   /** Returns the percentage of a team's new work that the new version gets on this entry. */
-  private int share(RollOut rollOut, String team) {
+  private int rollOutPercent(RollOut rollOut, String team) {
     return switch (rollOut.state()) {
-      case FINISHED -> ALL;
+      case FINISHED -> ALL_PERCENT;
       case ABORTED -> 0;
-      case RUNNING, PAUSED -> runningShare(rollOut, team);
+      case RUNNING, PAUSED -> runningPercent(rollOut, team);
     };
   }
 
-  private int runningShare(RollOut rollOut, String team) {
+  private int runningPercent(RollOut rollOut, String team) {
     if (rollOut.step() >= rollOut.steps().size()) {
-      return ALL;
+      return ALL_PERCENT;
     }
     List<RollOut.Step> reached = rollOut.steps().subList(0, rollOut.step() + 1);
     // The greatest share reached so far: a wider step with a smaller share must not take back
@@ -199,7 +200,7 @@
         .orElse(0);
   }
 
-  private static boolean mayRun(
+  private static boolean isAllowed(
       Configuration current, Model model, Team team, ModelVersion version) {
     return team.allows(version)
         && !current.isWithdrawn(version)
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/Handover.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/PinHandover.java
@@ -16,32 +16,32 @@
  * <p>Without it the loss of a session's second owner, hours after that of the first, would lose the
  * pin: the caller would see its session change its version.
  */
-final class Handover {
+final class PinHandover {
 
-  private static final Duration ROUND = Duration.ofMillis(100);
-  private static final int ROUNDS_A_SECOND = 10;
+  private static final Duration ROUND_INTERVAL = Duration.ofMillis(100);
+  private static final int ROUNDS_PER_SECOND = 10;
 
   private final String self;
   private final PinStore owned;
-  private final int perRound;
-  private SessionOwners before;
-  private SessionOwners after;
+  private final int sessionsPerRound;
+  private SessionOwners previousOwners;
+  private SessionOwners currentOwners;
   private List<SessionKey> keys = List.of();
   private int position;
   private Instant nextRound = Instant.MIN;
 
-  Handover(String self, PinStore owned, int perSecond, SessionOwners owners) {
+  PinHandover(String self, PinStore owned, int sessionsPerSecond, SessionOwners owners) {
     this.self = self;
     this.owned = owned;
-    perRound = Math.max(1, perSecond / ROUNDS_A_SECOND);
-    before = owners;
-    after = owners;
+    sessionsPerRound = Math.max(1, sessionsPerSecond / ROUNDS_PER_SECOND);
+    previousOwners = owners;
+    currentOwners = owners;
   }
 
   /** Starts over, from the owners before the first change that isn't yet handled. */
   void ownersChanged(SessionOwners owners, String restarted) {
-    before = (position < keys.size() ? before : after).without(restarted);
-    after = owners;
+    previousOwners = (position < keys.size() ? previousOwners : currentOwners).without(restarted);
+    currentOwners = owners;
     keys = owned.keys();
     position = 0;
   }
@@ -50,9 +50,9 @@
     if (position >= keys.size() || now.isBefore(nextRound)) {
       return;
     }
-    nextRound = now.plus(ROUND);
+    nextRound = now.plus(ROUND_INTERVAL);
     Map<String, List<SessionPin>> batches = new TreeMap<>();
-    int end = Math.min(keys.size(), position + perRound);
+    int end = Math.min(keys.size(), position + sessionsPerRound);
     for (; position < end; position++) {
       collect(keys.get(position), batches);
     }
@@ -67,9 +67,9 @@
     if (session == null || session.isEmpty()) {
       return;
     }
-    List<String> former = before.of(key);
-    for (String owner : after.of(key)) {
-      if (!owner.equals(self) && !former.contains(owner)) {
+    List<String> previous = previousOwners.of(key);
+    for (String owner : currentOwners.of(key)) {
+      if (!owner.equals(self) && !previous.contains(owner)) {
         batches.computeIfAbsent(owner, node -> new ArrayList<>()).addAll(session.pins());
       }
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/PinStore.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/PinStore.java
@@ -12,24 +12,24 @@
 /** Sessions in the order of their last use, bounded in number and in age. */
 final class PinStore {
 
-  private final int bound;
+  private final int maxSessions;
   private final Duration expiry;
   private final LinkedHashMap<SessionKey, PinnedSession> sessions =
       new LinkedHashMap<>(16, 0.75f, true);
 
-  PinStore(int bound, Duration expiry) {
-    this.bound = bound;
+  PinStore(int maxSessions, Duration expiry) {
+    this.maxSessions = maxSessions;
     this.expiry = expiry;
   }
 
   /** Returns a session, new if need be, and makes it the one used last. */
-  PinnedSession useOrAdd(SessionKey key, Instant now) {
-    PinnedSession session = sessions.computeIfAbsent(key, added -> new PinnedSession());
+  PinnedSession getOrCreate(SessionKey key, Instant now) {
+    PinnedSession session = sessions.computeIfAbsent(key, unused -> new PinnedSession());
     session.lastUsed = now;
-    if (sessions.size() > bound) {
-      Iterator<SessionKey> longestUnused = sessions.keySet().iterator();
-      longestUnused.next();
-      longestUnused.remove();
+    if (sessions.size() > maxSessions) {
+      Iterator<SessionKey> leastRecentlyUsed = sessions.keySet().iterator();
+      leastRecentlyUsed.next();
+      leastRecentlyUsed.remove();
     }
     return session;
   }
@@ -48,9 +48,9 @@
   }
 
   void expire(Instant now) {
-    Iterator<Map.Entry<SessionKey, PinnedSession>> it = sessions.entrySet().iterator();
-    while (it.hasNext() && it.next().getValue().lastUsed.plus(expiry).isBefore(now)) {
-      it.remove();
+    Iterator<Map.Entry<SessionKey, PinnedSession>> iterator = sessions.entrySet().iterator();
+    while (iterator.hasNext() && iterator.next().getValue().lastUsed.plus(expiry).isBefore(now)) {
+      iterator.remove();
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/PinnedSession.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/PinnedSession.java
@@ -11,13 +11,13 @@
 final class PinnedSession {
 
   /** Most daemons that an owner tells of changes; a caller seldom uses more entries at a time. */
-  private static final int MOST_ASKERS = 4;
+  private static final int MAX_SUBSCRIBERS = 4;
 
-  final Set<String> askers = new LinkedHashSet<>();
+  final Set<String> subscribers = new LinkedHashSet<>();
   Instant lastUsed = Instant.MIN;
-  Instant askedAt = Instant.MIN;
+  Instant confirmedAt = Instant.MIN;
   Instant storedAt = Instant.MIN;
-  long askedEpoch = -1;
+  long confirmedEpoch = -1;
   long storedEpoch = -1;
   private final TreeMap<String, SessionPin> byModel = new TreeMap<>();
 
@@ -36,18 +36,18 @@
   /** Takes a pin if it prevails, and returns whether it did. */
   boolean merge(SessionPin pin) {
     SessionPin known = byModel.get(pin.model());
-    if (known != null && !pin.prevailsOver(known)) {
+    if (known != null && !pin.overrides(known)) {
       return false;
     }
     byModel.put(pin.model(), pin);
     return true;
   }
 
-  void addAsker(String node) {
-    askers.remove(node);
-    askers.add(node);
-    if (askers.size() > MOST_ASKERS) {
-      askers.remove(askers.iterator().next());
+  void addSubscriber(String node) {
+    subscribers.remove(node);
+    subscribers.add(node);
+    if (subscribers.size() > MAX_SUBSCRIBERS) {
+      subscribers.remove(subscribers.iterator().next());
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionOwners.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionOwners.java
@@ -37,7 +37,7 @@
         candidates.stream().filter(candidate -> !candidate.name.equals(name)).toList());
   }
 
-  boolean sameAs(SessionOwners other) {
+  boolean hasSameCandidates(SessionOwners other) {
     return candidates.equals(other.candidates);
   }
 
@@ -48,8 +48,8 @@
     Candidate first = best(hash, null, null);
     if (first != null) {
       owners.add(first.name);
-      Candidate elsewhere = best(hash, null, first.zone);
-      Candidate second = elsewhere == null ? best(hash, first, null) : elsewhere;
+      Candidate inOtherZone = best(hash, null, first.zone);
+      Candidate second = inOtherZone == null ? best(hash, first, null) : inOtherZone;
       if (second != null) {
         owners.add(second.name);
       }
@@ -57,11 +57,12 @@
     return owners;
   }
 
-  private @Nullable Candidate best(long key, @Nullable Candidate but, @Nullable String butZone) {
+  private @Nullable Candidate best(
+      long key, @Nullable Candidate excluded, @Nullable String excludedZone) {
     Candidate best = null;
     long bestWeight = Long.MIN_VALUE;
     for (Candidate candidate : candidates) {
-      if (candidate == but || candidate.zone.equals(butZone)) {
+      if (candidate == excluded || candidate.zone.equals(excludedZone)) {
         continue;
       }
       long weight = Hashes.mix(key ^ candidate.hash);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionPart.java
@@ -36,7 +36,7 @@
 public final class SessionPart implements Part, SessionPins {
 
   private static final int STORES_PER_EXPIRY = 4;
-  private static final long NEVER = -1;
+  private static final long NO_EPOCH = -1;
 
   private final Members members;
   private final ConfigurationView configuration;
@@ -44,9 +44,9 @@
   private final SessionTokens tokens;
   private final PinStore owned;
   private final PinStore cache;
-  private final Handover handover;
-  private final Map<SessionKey, Ask> asks = new LinkedHashMap<>();
-  private final List<Effect> unsent = new ArrayList<>();
+  private final PinHandover handover;
+  private final Map<SessionKey, OwnerQuery> queries = new LinkedHashMap<>();
+  private final List<Effect> pendingEffects = new ArrayList<>();
   private SessionOwners owners;
   private long ownersEpoch;
 
@@ -67,27 +67,27 @@
     this.configuration = configuration;
     this.settings = settings;
     this.tokens = tokens;
-    owned = new PinStore(settings.ownedSessions(), settings.expiry());
-    cache = new PinStore(settings.cachedSessions(), settings.expiry());
+    owned = new PinStore(settings.maxOwnedSessions(), settings.expiry());
+    cache = new PinStore(settings.maxCachedSessions(), settings.expiry());
     owners = new SessionOwners(members.live(), members.self().region());
-    handover = new Handover(self(), owned, settings.handoverPerSecond(), owners);
+    handover = new PinHandover(self(), owned, settings.handoverRate(), owners);
   }
 
   @Override
   public void apply(Event event, Instant now, Output output) {
     if (event instanceof PeerEvent.MessageReceived received
         && received.message() instanceof SessionMessage message) {
-      received(received.node(), message, now, output);
+      handleMessage(received.node(), message, now, output);
     } else if (event instanceof MembershipEvent change) {
       membersChanged(change);
     } else if (event instanceof LifecycleEvent.Tick) {
-      endAsks(now, output);
+      expireQueries(now, output);
       owned.expire(now);
       cache.expire(now);
       handover.tick(now, output);
     }
-    unsent.forEach(output::effect);
-    unsent.clear();
+    pendingEffects.forEach(output::effect);
+    pendingEffects.clear();
   }
 
   @Override
@@ -96,13 +96,13 @@
       return Lookup.KNOWN;
     }
     SessionKey key = new SessionKey(team, request.session());
-    PinnedSession session = cache.useOrAdd(key, now);
-    takeToken(request, key, session, now);
-    if (isTrusted(session, now)) {
-      keepAtOwners(key, session, now);
+    PinnedSession session = cache.getOrCreate(key, now);
+    mergeToken(request, key, session, now);
+    if (isConfirmed(session, now)) {
+      storeAtOwners(key, session, now);
       return Lookup.KNOWN;
     }
-    return ask(request.requestId(), key, session, now);
+    return queryOwners(request.requestId(), key, session, now);
   }
 
   @Override
@@ -115,17 +115,17 @@
   @Override
   public String pin(String team, String session, ModelVersion version, Instant now) {
     SessionKey key = new SessionKey(team, session);
-    PinnedSession known = cache.useOrAdd(key, now);
-    SessionPin standing = known.pin(version.model());
-    if (standing == null || !standing.version().equals(version)) {
-      long generation = standing == null ? 0 : standing.generation() + 1;
+    PinnedSession known = cache.getOrCreate(key, now);
+    SessionPin current = known.pin(version.model());
+    if (current == null || !current.version().equals(version)) {
+      long generation = current == null ? 0 : current.generation() + 1;
       known.merge(new SessionPin(key, version, generation, now.toEpochMilli(), self()));
-      known.storedEpoch = NEVER;
+      known.storedEpoch = NO_EPOCH;
     }
-    keepAtOwners(key, known, now);
+    storeAtOwners(key, known, now);
     // Where this daemon owns the session, a pin that came before may hold against the new one.
-    SessionPin holding = Objects.requireNonNull(known.pin(version.model()));
-    return tokens.sign(holding, now.plus(settings.tokenLifetime()));
+    SessionPin effective = Objects.requireNonNull(known.pin(version.model()));
+    return tokens.sign(effective, now.plus(settings.tokenLifetime()));
   }
 
   /** Returns how many sessions are kept here for others. */
@@ -138,7 +138,7 @@
   }
 
   /** Takes the pin in the caller's token, which counts until the owners know better. */
-  private void takeToken(
+  private void mergeToken(
       CallerRequest request, SessionKey key, PinnedSession session, Instant now) {
     String token = request.sessionToken();
     if (token == null) {
@@ -146,20 +146,20 @@
     }
     SessionPin pin = tokens.verify(token, now).filter(read -> read.key().equals(key)).orElse(null);
     if (pin == null) {
-      unsent.add(new TraceEffect.Count("session_tokens_refused", "", 1));
+      pendingEffects.add(new TraceEffect.Count("session_tokens_refused", "", 1));
     } else if (!configuration.current().isWithdrawn(pin.version()) && session.merge(pin)) {
-      session.storedEpoch = NEVER;
+      session.storedEpoch = NO_EPOCH;
     }
   }
 
   /** Returns whether the owners have told of this session and tell of changes. */
-  private boolean isTrusted(PinnedSession session, Instant now) {
-    Duration trust = session.isEmpty() ? settings.emptyTrust() : settings.expiry();
-    return session.askedEpoch == ownersEpoch && session.askedAt.plus(trust).isAfter(now);
+  private boolean isConfirmed(PinnedSession session, Instant now) {
+    Duration lifetime = session.isEmpty() ? settings.emptyAnswerLifetime() : settings.expiry();
+    return session.confirmedEpoch == ownersEpoch && session.confirmedAt.plus(lifetime).isAfter(now);
   }
 
   /** Sends pins to their owners if that is new to them, or long enough ago to keep them alive. */
-  private void keepAtOwners(SessionKey key, PinnedSession session, Instant now) {
+  private void storeAtOwners(SessionKey key, PinnedSession session, Instant now) {
     boolean recent =
         session.storedAt.isAfter(now.minus(settings.expiry().dividedBy(STORES_PER_EXPIRY)));
     if (session.isEmpty() || recent && session.storedEpoch == ownersEpoch) {
@@ -176,119 +176,120 @@
     }
   }
 
-  private Lookup ask(String requestId, SessionKey key, PinnedSession session, Instant now) {
+  private Lookup queryOwners(String requestId, SessionKey key, PinnedSession session, Instant now) {
     List<String> others = new ArrayList<>(owners.of(key));
     if (others.remove(self())) {
-      PinnedSession here = owned.useOrAdd(key, now);
-      here.addAsker(self());
-      here.pins().forEach(session::merge);
-      if (others.isEmpty() || !here.isEmpty()) {
-        settled(key, session, now);
+      PinnedSession ownedSession = owned.getOrCreate(key, now);
+      ownedSession.addSubscriber(self());
+      ownedSession.pins().forEach(session::merge);
+      if (others.isEmpty() || !ownedSession.isEmpty()) {
+        confirm(key, session, now);
         return Lookup.KNOWN;
       }
     }
     if (others.isEmpty()) {
       return Lookup.KNOWN;
     }
-    Ask ask = asks.get(key);
-    if (ask == null) {
-      ask = new Ask(now.plus(settings.askTimeout()), others);
-      asks.put(key, ask);
+    OwnerQuery query = queries.get(key);
+    if (query == null) {
+      query = new OwnerQuery(now.plus(settings.queryTimeout()), others);
+      queries.put(key, query);
       others.forEach(owner -> send(owner, new SessionMessage.AskPins(key)));
     }
-    ask.requests.add(requestId);
+    query.requests.add(requestId);
     return Lookup.PENDING;
   }
 
-  private void settled(SessionKey key, PinnedSession session, Instant now) {
-    session.askedAt = now;
-    session.askedEpoch = ownersEpoch;
-    keepAtOwners(key, session, now);
+  private void confirm(SessionKey key, PinnedSession session, Instant now) {
+    session.confirmedAt = now;
+    session.confirmedEpoch = ownersEpoch;
+    storeAtOwners(key, session, now);
   }
 
-  private void received(String node, SessionMessage message, Instant now, Output output) {
+  private void handleMessage(String node, SessionMessage message, Instant now, Output output) {
     if (message instanceof SessionMessage.StorePins stored) {
       store(node, stored.pins(), stored.follow(), now);
-    } else if (message instanceof SessionMessage.AskPins asked) {
-      PinnedSession session = owned.useOrAdd(asked.key(), now);
-      session.addAsker(node);
-      send(node, new SessionMessage.PinsAnswer(asked.key(), session.pins()));
+    } else if (message instanceof SessionMessage.AskPins question) {
+      PinnedSession session = owned.getOrCreate(question.key(), now);
+      session.addSubscriber(node);
+      send(node, new SessionMessage.PinsAnswer(question.key(), session.pins()));
     } else if (message instanceof SessionMessage.PinsAnswer answer) {
-      answered(node, answer, now, output);
+      handleAnswer(node, answer, now, output);
     }
   }
 
   private void store(String writer, List<SessionPin> pins, boolean follow, Instant now) {
     Set<SessionKey> changed = new LinkedHashSet<>();
     for (SessionPin pin : pins) {
-      PinnedSession session = owned.useOrAdd(pin.key(), now);
+      PinnedSession session = owned.getOrCreate(pin.key(), now);
       if (session.merge(pin)) {
         changed.add(pin.key());
       } else if (!pin.equals(session.pin(pin.model()))) {
-        tell(writer, pin.key(), session, now);
+        sendPins(writer, pin.key(), session, now);
       }
       if (follow) {
-        session.addAsker(writer);
+        session.addSubscriber(writer);
       }
     }
     for (SessionKey key : changed) {
-      PinnedSession session = owned.useOrAdd(key, now);
-      for (String asker : session.askers) {
-        if (!asker.equals(writer)) {
-          tell(asker, key, session, now);
+      PinnedSession session = owned.getOrCreate(key, now);
+      for (String subscriber : session.subscribers) {
+        if (!subscriber.equals(writer)) {
+          sendPins(subscriber, key, session, now);
         }
       }
     }
   }
 
-  private void tell(String node, SessionKey key, PinnedSession session, Instant now) {
+  private void sendPins(String node, SessionKey key, PinnedSession session, Instant now) {
     if (node.equals(self())) {
-      PinnedSession cached = cache.useOrAdd(key, now);
+      PinnedSession cached = cache.getOrCreate(key, now);
       session.pins().forEach(cached::merge);
     } else {
       send(node, new SessionMessage.PinsAnswer(key, session.pins()));
     }
   }
 
-  private void answered(String node, SessionMessage.PinsAnswer answer, Instant now, Output output) {
-    PinnedSession session = cache.useOrAdd(answer.key(), now);
+  private void handleAnswer(
+      String node, SessionMessage.PinsAnswer answer, Instant now, Output output) {
+    PinnedSession session = cache.getOrCreate(answer.key(), now);
     answer.pins().forEach(session::merge);
     if (owners.of(answer.key()).contains(self())) {
       store(node, answer.pins(), false, now);
     }
-    Ask ask = asks.get(answer.key());
-    if (ask == null) {
+    OwnerQuery query = queries.get(answer.key());
+    if (query == null) {
       return;
     }
-    ask.waitingFor.remove(node);
+    query.waitingFor.remove(node);
     // One owner may have started a moment ago and know nothing, so its "none" doesn't settle it.
-    if (ask.waitingFor.isEmpty() || !answer.pins().isEmpty()) {
-      ask.answered = true;
-      resolve(answer.key(), ask, now, output);
+    if (query.waitingFor.isEmpty() || !answer.pins().isEmpty()) {
+      query.answered = true;
+      resolve(answer.key(), query, now, output);
     }
   }
 
-  private void resolve(SessionKey key, Ask ask, Instant now, Output output) {
-    asks.remove(key);
-    PinnedSession session = cache.useOrAdd(key, now);
-    if (ask.answered) {
-      settled(key, session, now);
+  private void resolve(SessionKey key, OwnerQuery query, Instant now, Output output) {
+    queries.remove(key);
+    PinnedSession session = cache.getOrCreate(key, now);
+    if (query.answered) {
+      confirm(key, session, now);
     }
-    ask.requests.forEach(id -> output.raise(new SessionEvent.PinsResolved(id)));
+    query.requests.forEach(id -> output.raise(new SessionEvent.PinsResolved(id)));
   }
 
-  private void endAsks(Instant now, Output output) {
-    Map<SessionKey, Ask> late = new LinkedHashMap<>();
-    asks.forEach(
-        (key, ask) -> {
-          if (!now.isBefore(ask.deadline)) {
-            late.put(key, ask);
+  private void expireQueries(Instant now, Output output) {
+    Map<SessionKey, OwnerQuery> expired = new LinkedHashMap<>();
+    queries.forEach(
+        (key, query) -> {
+          if (!now.isBefore(query.deadline)) {
+            expired.put(key, query);
           }
         });
-    late.forEach(
-        (key, ask) -> {
+    expired.forEach(
+        (key, query) -> {
           output.effect(new TraceEffect.Count("session_owners_silent", "", 1));
-          resolve(key, ask, now, output);
+          resolve(key, query, now, output);
         });
   }
 
@@ -296,7 +297,7 @@
     SessionOwners now = new SessionOwners(members.live(), members.self().region());
     String restarted =
         change instanceof MembershipEvent.MemberJoined joined ? joined.member().name() : "";
-    if (restarted.isEmpty() && now.sameAs(owners)) {
+    if (restarted.isEmpty() && now.hasSameCandidates(owners)) {
       return;
     }
     owners = now;
@@ -305,18 +306,18 @@
   }
 
   private void send(String node, SessionMessage message) {
-    unsent.add(new PeerEffect.SendToPeer(node, message));
+    pendingEffects.add(new PeerEffect.SendToPeer(node, message));
   }
 
-  private static final class Ask {
+  private static final class OwnerQuery {
     private final Instant deadline;
     private final Set<String> waitingFor;
     private final Set<String> requests = new TreeSet<>();
     private boolean answered;
 
-    private Ask(Instant deadline, List<String> asked) {
+    private OwnerQuery(Instant deadline, List<String> question) {
       this.deadline = deadline;
-      waitingFor = new TreeSet<>(asked);
+      waitingFor = new TreeSet<>(question);
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionPin.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionPin.java
@@ -26,7 +26,7 @@
    * orders. As each owner compares the same numbers, all keep the same pin: of the same generation
    * the one that was written first, and for equal times the one of the lesser writer.
    */
-  public boolean prevailsOver(SessionPin other) {
+  public boolean overrides(SessionPin other) {
     if (generation != other.generation) {
       return generation > other.generation;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionSettings.java
@@ -5,22 +5,22 @@
 /**
  * How sessions' pins are kept.
  *
- * @param askTimeout longest wait for the owners of a session
+ * @param queryTimeout longest wait for the owners of a session
  * @param expiry time since the last use after which a pin is forgotten
  * @param tokenLifetime how long a token is accepted
- * @param ownedSessions most sessions kept for others; the longest unused go first
- * @param cachedSessions most sessions remembered for this daemon's own callers
- * @param emptyTrust how long the owners' answer that there is no pin is believed
- * @param handoverPerSecond most sessions a second that are looked at and sent to new owners
+ * @param maxOwnedSessions most sessions kept for others; the longest unused go first
+ * @param maxCachedSessions most sessions remembered for this daemon's own callers
+ * @param emptyAnswerLifetime how long the owners' answer that there is no pin is believed
+ * @param handoverRate most sessions a second that are looked at and sent to new owners
  */
 public record SessionSettings(
-    Duration askTimeout,
+    Duration queryTimeout,
     Duration expiry,
     Duration tokenLifetime,
-    int ownedSessions,
-    int cachedSessions,
-    Duration emptyTrust,
-    int handoverPerSecond) {
+    int maxOwnedSessions,
+    int maxCachedSessions,
+    Duration emptyAnswerLifetime,
+    int handoverRate) {
 
   /**
    * Settings for everyday use.
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionTokens.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/session/SessionTokens.java
@@ -20,12 +20,12 @@
 public final class SessionTokens {
 
   /** Least length of a key in bytes. */
-  public static final int KEY_BYTES = 16;
+  public static final int MIN_KEY_BYTES = 16;
 
   private static final String FORMAT = "session1";
   private static final String ALGORITHM = "HmacSHA256";
-  private static final int FIELDS = 8;
-  private static final int LONGEST = 4096;
+  private static final int FIELD_COUNT = 8;
+  private static final int MAX_TOKEN_LENGTH = 4096;
 
   private final List<SecretKeySpec> keys;
 
@@ -36,9 +36,11 @@
    * @throws IllegalArgumentException if there is no key or one is too short
    */
   public SessionTokens(List<byte[]> keys) {
-    if (keys.isEmpty() || keys.stream().anyMatch(key -> key.length < KEY_BYTES)) {
+    if (keys.isEmpty() || keys.stream().anyMatch(key -> key.length < MIN_KEY_BYTES)) {
       throw new IllegalArgumentException(
-          "session keys need at least " + KEY_BYTES + " bytes each; make one with a random source");
+          "session keys need at least "
+              + MIN_KEY_BYTES
+              + " bytes each; make one with a random source");
     }
     this.keys = keys.stream().map(key -> new SecretKeySpec(key, ALGORITHM)).toList();
   }
@@ -62,19 +64,19 @@
 
   /** Returns the pin in a token, or empty if it is malformed, forged or expired. */
   public Optional<SessionPin> verify(String token, Instant now) {
-    int end = token.lastIndexOf('.');
-    if (end < 0 || token.length() > LONGEST) {
+    int signatureStart = token.lastIndexOf('.');
+    if (signatureStart < 0 || token.length() > MAX_TOKEN_LENGTH) {
       return Optional.empty();
     }
-    String payload = token.substring(0, end);
-    byte[] signature = token.substring(end + 1).getBytes(StandardCharsets.UTF_8);
-    boolean signed = false;
+    String payload = token.substring(0, signatureStart);
+    byte[] signature = token.substring(signatureStart + 1).getBytes(StandardCharsets.UTF_8);
+    boolean isSigned = false;
     for (SecretKeySpec key : keys) {
-      signed |=
+      isSigned |=
           MessageDigest.isEqual(mac(key, payload).getBytes(StandardCharsets.UTF_8), signature);
     }
     try {
-      return signed ? parse(payload, now) : Optional.empty();
+      return isSigned ? parse(payload, now) : Optional.empty();
     } catch (IllegalArgumentException e) {
       // Only the holder of a key can sign such fields, as an older program might have.
       return Optional.empty();
@@ -83,7 +85,7 @@
 
   private static Optional<SessionPin> parse(String payload, Instant now) {
     List<String> fields = new ArrayList<>(List.of(payload.split("\\.", -1)));
-    if (!fields.remove(0).equals(FORMAT) || fields.size() != FIELDS) {
+    if (!fields.remove(0).equals(FORMAT) || fields.size() != FIELD_COUNT) {
       return Optional.empty();
     }
     if (!now.isBefore(Instant.ofEpochMilli(Long.parseLong(fields.get(7))))) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/UpstreamRecord.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/UpstreamRecord.java
@@ -43,7 +43,7 @@
   }
 
   /** Returns whether the upstream is there and takes new work, drained ones included. */
-  public boolean takesWork() {
+  public boolean acceptsWork() {
     return state == UpstreamState.LIVE && !announcement.leaving();
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/UpstreamRun.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/upstream/UpstreamRun.java
@@ -12,11 +12,11 @@
 public record UpstreamRun(String id, long bornMillis) {
 
   /** Start that is later than each one: stands for all starts of an id. */
-  private static final long EVERY_START = Long.MAX_VALUE;
+  private static final long AFTER_EVERY_RUN = Long.MAX_VALUE;
 
   /** Returns what stands for all starts of an id, as records without a start meant it. */
-  public static UpstreamRun everyStartOf(String id) {
-    return new UpstreamRun(id, EVERY_START);
+  public static UpstreamRun allRunsOf(String id) {
+    return new UpstreamRun(id, AFTER_EVERY_RUN);
   }
 
   /** Returns whether what is said of this start holds for another one too: the same or earlier. */
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/LeasedSharesTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/LeasedSharesTest.java
@@ -39,8 +39,8 @@
     int granted = 0;
     for (long seed = 0; seed < 20; seed++) {
       ShareSimulation simulation = new ShareSimulation(seed, 5, limits);
-      simulation.network.weather(0.1, 0.1, 800);
-      simulation.network.check(
+      simulation.network.setMessageFaults(0.1, 0.1, 800);
+      simulation.network.setCheck(
           () -> limits.forEach((team, limit) -> assertWithin(simulation.total(team), limit)));
       for (int round = 0; round < 12; round++) {
         injectFault(simulation, simulation.network.random());
@@ -66,7 +66,7 @@
   private static void injectFault(ShareSimulation simulation, UniformRandomProvider random) {
     List<String> names = new ArrayList<>(simulation.entries.keySet());
     names.stream().filter(name -> !simulation.network.isUp(name)).forEach(simulation::restart);
-    simulation.network.heal();
+    simulation.network.reconnectAll();
     List<String> one = List.copyOf(names);
     List<String> other = List.of();
     int kind = random.nextInt(4);
@@ -80,7 +80,7 @@
       one = side;
     }
     for (String here : one) {
-      other.forEach(there -> simulation.network.cut(here, there));
+      other.forEach(there -> simulation.network.disconnect(here, there));
     }
     for (List<String> side : List.of(one, other)) {
       for (String entry : side) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/ShareSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/admission/ShareSimulation.java
@@ -13,17 +13,17 @@
 import org.skylarkfork.core.membership.Member;
 import org.skylarkfork.core.membership.Members;
 import org.skylarkfork.core.membership.ServingState;
-import org.skylarkfork.core.testing.MiniNetwork;
+import org.skylarkfork.core.testing.SimulatedNetwork;
 
 /** Entries that lease shares from each other over a network with faults. */
 final class ShareSimulation {
 
-  final MiniNetwork network;
+  final SimulatedNetwork network;
   final TreeMap<String, Entry> entries = new TreeMap<>();
   private final Map<String, Limits> limits;
 
   ShareSimulation(long seed, int count, Map<String, Limits> limits) {
-    this.network = new MiniNetwork(seed);
+    this.network = new SimulatedNetwork(seed);
     this.limits = limits;
     for (int i = 1; i <= count; i++) {
       entries.put("entry-" + i, new Entry("entry-" + i));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CallTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CallTest.java
@@ -17,10 +17,10 @@
 import org.skylarkfork.core.event.LedgerEvent;
 import org.skylarkfork.core.event.LifecycleEvent;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.ledger.ClaimOutcome;
 import org.skylarkfork.core.ledger.LedgerMachine;
-import org.skylarkfork.core.request.AnswerFacts;
+import org.skylarkfork.core.request.AnswerMetadata;
 import org.skylarkfork.core.request.Bytes;
 import org.skylarkfork.core.request.RunState;
 import org.testng.annotations.Test;
@@ -28,12 +28,13 @@
 /** Tests of calls to services: at most once if not idempotent, with retries and hedges if so. */
 public class CallTest {
 
-  private static final Set<Moment> NOT_STARTED =
-      EnumSet.of(Moment.BEFORE_CONNECT, Moment.CONNECTED, Moment.REFUSED_NOT_STARTED);
+  private static final Set<AttemptStage> NOT_STARTED =
+      EnumSet.of(
+          AttemptStage.BEFORE_CONNECT, AttemptStage.CONNECTED, AttemptStage.REFUSED_NOT_STARTED);
 
   @Test
   public void derivesRunStateFromMomentOfFailure() {
-    for (Moment moment : Moment.values()) {
+    for (AttemptStage moment : AttemptStage.values()) {
       RunState expected = NOT_STARTED.contains(moment) ? RunState.NOT_RUN : RunState.UNKNOWN;
       assertEquals(RunStates.after(moment), expected, moment.name());
     }
@@ -44,7 +45,7 @@
     // An attempt to issue a certificate fails. If a byte may have reached the service, a retry
     // could
     // issue the certificate twice, so the refusal and the recorded outcome must say "unknown".
-    for (Moment moment : Moment.values()) {
+    for (AttemptStage moment : AttemptStage.values()) {
       RequestFixture fixture = new RequestFixture();
       fixture.send("r", RequestFixture.call("POST", "k"));
       assertTrue(fixture.dispatchedAttempts().isEmpty(), "nothing is sent before the claim");
@@ -90,7 +91,7 @@
     // The answer of the first call exceeded the size limit for recorded bodies. The resend must be
     // refused with "ran", instead of getting an empty answer with status 201.
     RequestFixture fixture = new RequestFixture();
-    AnswerFacts facts = new AnswerFacts("o", null, null, "s", 1, 50, null, null);
+    AnswerMetadata facts = new AnswerMetadata("o", null, null, "s", 1, 50, null, null);
     fixture.ledger.owners.put("jury/k", "request of another entry");
     fixture.ledger.outcomes.put(
         "jury/k",
@@ -187,7 +188,7 @@
     RequestFixture fixture = new RequestFixture();
     fixture.ledger.reachable = false;
     fixture.send("r", RequestFixture.call("GET", null));
-    fixture.fail("r.1", Moment.WRITTEN);
+    fixture.fail("r.1", AttemptStage.WRITTEN);
     fixture.answer("r.2", 200, "12:03");
     fixture.settleLedger();
     assertEquals(fixture.lastEffect(CallerEffect.Refuse.class).error().runState(), RunState.RAN);
@@ -231,7 +232,7 @@
     fixture.send("r", RequestFixture.call("GET", null));
     for (int round = 0; round < 40 && fixture.finalEffectCount("r") == 0; round++) {
       List<String> ids = fixture.dispatchedAttempts();
-      fixture.fail(ids.get(ids.size() - 1), Moment.REFUSED_NOT_STARTED);
+      fixture.fail(ids.get(ids.size() - 1), AttemptStage.REFUSED_NOT_STARTED);
       fixture.advance(Duration.ofMillis(100));
     }
     CallerEffect.Refuse refuse = fixture.lastEffect(CallerEffect.Refuse.class);
@@ -248,7 +249,7 @@
     RequestFixture fixture =
         new RequestFixture(RequestFixture.settings(0, 0, 0), new OpenAdmission(), 1);
     fixture.send("r", RequestFixture.call("GET", null));
-    fixture.fail("r.1", Moment.REFUSED_NOT_STARTED);
+    fixture.fail("r.1", AttemptStage.REFUSED_NOT_STARTED);
     assertEquals(fixture.dispatchedAttempts(), List.of("r.1"));
     fixture.advance(Duration.ofMillis(60));
     fixture.answer("r.2", 200, "12:03");
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftSimulation.java
@@ -45,7 +45,7 @@
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.OperatorEvent;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.request.Bytes;
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.RequestKind;
@@ -53,7 +53,7 @@
 import org.skylarkfork.core.request.Usage;
 import org.skylarkfork.core.routing.Plan;
 import org.skylarkfork.core.routing.UpstreamChooser;
-import org.skylarkfork.core.testing.MiniNetwork;
+import org.skylarkfork.core.testing.SimulatedNetwork;
 import org.skylarkfork.core.upstream.Announcement;
 
 /** Simulates three voters, four entries and engines in virtual time, with crashing drafts. */
@@ -73,7 +73,7 @@
 
   final List<String> voters = List.of("v1", "v2", "v3");
   final List<String> entries = List.of("e1", "e2", "e3", "e4");
-  final MiniNetwork network;
+  final SimulatedNetwork network;
   final UniformRandomProvider random;
 
   /** Times at which engines crashed, by crashing prompt. */
@@ -110,9 +110,9 @@
   private record Attempt(String entry, String engine, String prompt) {}
 
   CrashingDraftSimulation(long seed, int engineCount) {
-    network = new MiniNetwork(seed);
+    network = new SimulatedNetwork(seed);
     random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-    network.listen(this::handleEffect);
+    network.setEffectListener(this::handleEffect);
     for (int engine = 0; engine < engineCount; engine++) {
       startEngine();
     }
@@ -250,7 +250,7 @@
     String id = "r" + ++lastRequest;
     String entry = entries.get(random.nextInt(entries.size()));
     prompts.put(id, prompt);
-    if (!network.isUp(entry) || network.isFrozen(entry)) {
+    if (!network.isUp(entry) || network.isSuspended(entry)) {
       return;
     }
     CallerRequest request =
@@ -313,7 +313,7 @@
     String prompt = draft.request().prompt();
     String attempt = draft.attemptId();
     if (!engines.contains(draft.upstream())) {
-      schedule(1, () -> inject(entry, failed(attempt, Moment.BEFORE_CONNECT)));
+      schedule(1, () -> inject(entry, failed(attempt, AttemptStage.BEFORE_CONNECT)));
       return;
     }
     startedRequests.add(draft.request().requestId());
@@ -356,7 +356,7 @@
         enginesLost.merge(lost.getValue().prompt, 1, Integer::sum);
         String entry = lost.getValue().entry;
         String attempt = lost.getKey().substring(entry.length());
-        inject(entry, failed(attempt, Moment.ANSWER_BEGUN));
+        inject(entry, failed(attempt, AttemptStage.ANSWER_BEGUN));
       }
     }
     schedule(1000 + random.nextInt(2000), this::startEngine);
@@ -371,7 +371,7 @@
     }
   }
 
-  private static Event failed(String attempt, Moment moment) {
+  private static Event failed(String attempt, AttemptStage moment) {
     return new UpstreamEvent.AttemptFailed(attempt, moment, "the connection was cut");
   }
 
@@ -385,7 +385,7 @@
   }
 
   private void inject(String entry, Event event) {
-    if (network.isUp(entry) && !network.isFrozen(entry)) {
+    if (network.isUp(entry) && !network.isSuspended(entry)) {
       network.inject(entry, event);
     }
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CrashingDraftTest.java
@@ -107,7 +107,7 @@
 
   private static CrashingDraftSimulation randomRun(long seed) {
     CrashingDraftSimulation simulation = startSimulation(seed);
-    simulation.network.weather(0.01, 0.01, 3);
+    simulation.network.setMessageFaults(0.01, 0.01, 3);
     for (int round = 1; round <= 4; round++) {
       simulation.sendCrashingDrafts("-" + round, 700);
       simulation.run(Duration.ofMillis(simulation.random.nextInt(1500)));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/DraftTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/DraftTest.java
@@ -14,7 +14,7 @@
 import org.skylarkfork.core.event.CallerEvent;
 import org.skylarkfork.core.event.SessionEvent;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.quality.AttemptOutcome;
 import org.skylarkfork.core.request.RunState;
 import org.skylarkfork.core.routing.Plan;
@@ -86,7 +86,7 @@
     RequestFixture fixture = new RequestFixture();
     fixture.send("r", RequestFixture.stream());
     fixture.tokens("r.1", 0, 3);
-    fixture.fail("r.1", Moment.ANSWER_BEGUN);
+    fixture.fail("r.1", AttemptStage.ANSWER_BEGUN);
     UpstreamEffect.DispatchDraft resumed = fixture.lastEffect(UpstreamEffect.DispatchDraft.class);
     assertEquals(resumed.resumeOffset(), 3);
     assertEquals(resumed.upstream(), "e2");
@@ -114,7 +114,7 @@
     fixture.send("r", RequestFixture.stream());
     fixture.tokens("r.1", 0, 1);
     for (int attempt = 1; attempt <= RequestFixture.SETTINGS.maxAttempts(); attempt++) {
-      fixture.fail("r." + attempt, Moment.ANSWER_BEGUN);
+      fixture.fail("r." + attempt, AttemptStage.ANSWER_BEGUN);
       fixture.advance(Duration.ofSeconds(1));
     }
     assertEquals(fixture.effectsOf(CallerEffect.BreakStream.class).size(), 1);
@@ -216,7 +216,7 @@
     for (int request = 0; request < 50; request++) {
       fixture.send("r" + request, RequestFixture.chat());
       for (int attempt = 1; attempt <= 5; attempt++) {
-        fixture.fail("r" + request + "." + attempt, Moment.WRITTEN);
+        fixture.fail("r" + request + "." + attempt, AttemptStage.WRITTEN);
         fixture.advance(Duration.ofSeconds(1));
       }
       assertEquals(fixture.finalEffectCount("r" + request), 1);
@@ -424,7 +424,7 @@
         UpstreamEffect.DispatchDraft sent = fixture.lastEffect(UpstreamEffect.DispatchDraft.class);
         fixture.upstreams.remove(sent.upstream());
         fixture.addEngine("e" + ++engines);
-        fixture.fail(attempt, Moment.ANSWER_BEGUN);
+        fixture.fail(attempt, AttemptStage.ANSWER_BEGUN);
         fixture.advance(Duration.ofSeconds(1));
         attempt = newestAttempt(fixture).equals(attempt) ? "" : newestAttempt(fixture);
       }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/QuarantinedDraftTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/QuarantinedDraftTest.java
@@ -15,7 +15,7 @@
 import org.skylarkfork.core.error.RoutingError;
 import org.skylarkfork.core.event.ConfigurationEvent;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.request.RunState;
 import org.skylarkfork.core.routing.Plan;
 import org.skylarkfork.core.upstream.Announcement;
@@ -68,7 +68,7 @@
     UpstreamEffect.DispatchDraft sent = fixture.lastEffect(UpstreamEffect.DispatchDraft.class);
     fixture.upstreams.remove(sent.upstream());
     fixture.addEngine("e" + ++engines);
-    fixture.fail(attempt, Moment.ANSWER_BEGUN);
+    fixture.fail(attempt, AttemptStage.ANSWER_BEGUN);
     fixture.advance(Duration.ofSeconds(1));
   }
 
@@ -96,7 +96,7 @@
   public void doesNotRetry() {
     fixture.send("r1", RequestFixture.chat());
     quarantine(keyOf("r1"));
-    RoutingError error = refusal(fixture.fail("r1.1", Moment.WRITTEN));
+    RoutingError error = refusal(fixture.fail("r1.1", AttemptStage.WRITTEN));
     assertEquals(error.kind(), ErrorKind.QUARANTINED);
     assertEquals(error.runState(), RunState.UNKNOWN);
     assertEquals(fixture.dispatchedAttempts(), List.of("r1.1"));
@@ -108,7 +108,7 @@
     fixture.send("r1", RequestFixture.stream());
     fixture.tokens("r1.1", 0, 2);
     quarantine(keyOf("r1"));
-    fixture.fail("r1.1", Moment.ANSWER_BEGUN);
+    fixture.fail("r1.1", AttemptStage.ANSWER_BEGUN);
     assertEquals(fixture.dispatchedAttempts(), List.of("r1.1"));
     assertEquals(fixture.effectsOf(CallerEffect.BreakStream.class).size(), 1);
   }
@@ -134,7 +134,7 @@
       fixture.send("r" + request, RequestFixture.stream());
       UpstreamEffect.DispatchDraft sent = fixture.lastEffect(UpstreamEffect.DispatchDraft.class);
       fixture.upstreams.put(sent.upstream(), leaving(fixture.upstreams.get(sent.upstream())));
-      fixture.fail("r" + request + ".1", Moment.ANSWER_BEGUN);
+      fixture.fail("r" + request + ".1", AttemptStage.ANSWER_BEGUN);
       fixture.advance(Duration.ofSeconds(1));
     }
     assertEquals(fixture.effectsOf(UpstreamEffect.ProbeUpstream.class), List.of());
@@ -165,7 +165,7 @@
   public void doesNotCountReachableEngines() {
     for (int request = 1; request <= 5; request++) {
       fixture.send("r" + request, RequestFixture.stream());
-      fixture.fail("r" + request + ".1", Moment.ANSWER_BEGUN);
+      fixture.fail("r" + request + ".1", AttemptStage.ANSWER_BEGUN);
       fixture.advance(Duration.ofSeconds(1));
     }
     assertTrue(fixture.effectsOf(UpstreamEffect.ProbeUpstream.class).size() > 0);
@@ -212,7 +212,7 @@
     fixture.apply(
         new ConfigurationEvent.ChangeProposed(
             "id", "operator", new ConfigurationChange.QuarantineRequest(key)));
-    assertEquals(refusal(fixture.fail("c1.1", Moment.WRITTEN)).kind(), ErrorKind.QUARANTINED);
+    assertEquals(refusal(fixture.fail("c1.1", AttemptStage.WRITTEN)).kind(), ErrorKind.QUARANTINED);
     assertEquals(fixture.dispatchedAttempts(), List.of("c1.1"));
   }
 
@@ -224,7 +224,7 @@
       fixture.settleLedger();
       String upstream = fixture.lastEffect(UpstreamEffect.DispatchCall.class).upstream();
       fixture.upstreams.remove(upstream);
-      fixture.fail("c" + call + ".1", Moment.WRITTEN);
+      fixture.fail("c" + call + ".1", AttemptStage.WRITTEN);
       fixture.settleLedger();
       fixture.advance(Duration.ofSeconds(1));
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RandomFaultsTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RandomFaultsTest.java
@@ -31,7 +31,7 @@
 import org.skylarkfork.core.event.CallerEvent;
 import org.skylarkfork.core.event.SessionEvent;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.request.Bytes;
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.RequestKind;
@@ -230,7 +230,7 @@
     }
 
     private void failAttempt(DispatchedAttempt attempt) {
-      Moment moment = Moment.values()[random.nextInt(Moment.values().length)];
+      AttemptStage moment = AttemptStage.values()[random.nextInt(AttemptStage.values().length)];
       boolean notStarted = RunStates.after(moment) == RunState.NOT_RUN;
       if (!notStarted) {
         mayHaveRun(attempt);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RequestFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/RequestFixture.java
@@ -328,7 +328,7 @@
         new UpstreamEvent.DraftFinished(attempt, id, "stop", new Usage(10, completionTokens, 0)));
   }
 
-  List<Effect> fail(String attempt, UpstreamEvent.Moment moment) {
+  List<Effect> fail(String attempt, UpstreamEvent.AttemptStage moment) {
     return apply(new UpstreamEvent.AttemptFailed(attempt, moment, "broken"));
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationCostTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationCostTest.java
@@ -19,10 +19,10 @@
 
   /** Changes of each kind at 1,000 teams and 10,000 rules. */
   @Test
-  public void changesAtSize() {
+  public void costOfChangesAtScale() {
     ConfigurationMachine machine = Samples.machine(Samples.configuration(TEAMS, RULES));
     AppliedConfiguration entry = new AppliedConfiguration();
-    entry.adopt(machine.configuration());
+    entry.apply(machine.configuration());
     measure(machine, entry, "PutRule", n -> new ConfigurationChange.PutRule(rule(n), null));
     measure(
         machine, entry, "MoveRule", n -> new ConfigurationChange.MoveRule("rule" + n, RULES - 1));
@@ -46,23 +46,23 @@
       AppliedConfiguration entry,
       String kind,
       IntFunction<ConfigurationChange> changes) {
-    long[] accepting = new long[ROUNDS];
-    long[] applying = new long[ROUNDS];
+    long[] acceptNanos = new long[ROUNDS];
+    long[] applyNanos = new long[ROUNDS];
     for (int round = 0; round < ROUNDS; round++) {
       ConfigurationChange change = changes.apply(round);
       long start = System.nanoTime();
       Object result = Samples.apply(machine, Samples.submit(kind + round, "anna", null, change));
-      accepting[round] = System.nanoTime() - start;
+      acceptNanos[round] = System.nanoTime() - start;
       assertTrue(result instanceof Accepted, result.toString());
       List<RevisionEntry> history = machine.history();
       ConfigurationStep step = history.get(history.size() - 1).step();
       start = System.nanoTime();
-      entry.adopt(step);
-      applying[round] = System.nanoTime() - start;
+      entry.apply(step);
+      applyNanos[round] = System.nanoTime() - start;
     }
     System.out.printf(
         "configuration: %s at %d teams, %d rules: accepted in %.0f us, applied in %.0f us%n",
-        kind, TEAMS, RULES, median(accepting), median(applying));
+        kind, TEAMS, RULES, median(acceptNanos), median(applyNanos));
   }
 
   private static double median(long[] nanos) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationSpreadTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationDisseminationTest.java
@@ -10,7 +10,7 @@
 import org.testng.annotations.Test;
 
 /** Long random runs of several daemons, with invariants asserted at each tick. */
-public class ConfigurationSpreadTest {
+public class ConfigurationDisseminationTest {
 
   private static final int ENTRIES = 14;
   private static final int ROUNDS = 120;
@@ -31,46 +31,50 @@
    * older than one called in force. Once all is well again, all serve under the newest.
    */
   @Test(dataProvider = "seeds")
-  public void neverRevertsAndNeverServesBelowWhatIsInForce(long seed) {
-    Daemons daemons = new Daemons(seed, ENTRIES);
-    daemons.byName.values().forEach(d -> d.rate = 0.9955 + daemons.random.nextDouble() * 0.009);
+  public void neverRevertsAndNeverServesBelowRevisionInForce(long seed) {
+    SimulatedDaemons daemons = new SimulatedDaemons(seed, ENTRIES);
+    daemons
+        .byName
+        .values()
+        .forEach(d -> d.clockRate = 0.9955 + daemons.random.nextDouble() * 0.009);
     daemons.change("load", new ConfigurationChange.ReplaceAll(Samples.configuration(4, 4)));
-    daemons.loss = 0.05;
+    daemons.lossRate = 0.05;
     List<String> names = new ArrayList<>(daemons.byName.keySet());
     int changes = 0;
     for (int round = 0; round < ROUNDS; round++) {
       daemons.run(Duration.ofMillis(200 + daemons.random.nextInt(1500)));
       String name = names.get(daemons.random.nextInt(names.size()));
-      int what = daemons.random.nextInt(10);
-      if (what < 5 && daemons.leader() != null) {
+      int action = daemons.random.nextInt(10);
+      if (action < 5 && daemons.leader() != null) {
         changes++;
         daemons.change("c" + changes, new ConfigurationChange.DrainUpstream("u" + changes));
-      } else if (what == 5 && !name.equals(daemons.leader())) {
-        daemons.cutOff.add(name);
-      } else if (what == 6) {
-        daemons.cutOff.clear();
-      } else if (what == 7 && !daemons.byName.get(name).voter) {
+      } else if (action == 5 && !name.equals(daemons.leader())) {
+        daemons.isolated.add(name);
+      } else if (action == 6) {
+        daemons.isolated.clear();
+      } else if (action == 7 && !daemons.byName.get(name).voter) {
         daemons.byName.get(name).restart();
-      } else if (what == 8) {
+      } else if (action == 8) {
         changeLeader(daemons);
       }
     }
-    daemons.cutOff.clear();
-    daemons.loss = 0;
+    daemons.isolated.clear();
+    daemons.lossRate = 0;
     changeLeader(daemons);
     daemons.run(Duration.ofSeconds(12));
     assertEquals(daemons.inForce, changes + 1);
-    for (Daemons.Daemon daemon : daemons.byName.values()) {
+    for (SimulatedDaemons.Daemon daemon : daemons.byName.values()) {
       assertTrue(daemon.serves(), daemon.name);
       assertEquals(daemon.revision(), changes + 1, daemon.name);
     }
   }
 
-  private static void changeLeader(Daemons daemons) {
+  private static void changeLeader(SimulatedDaemons daemons) {
     daemons.lead(null);
     daemons.run(Duration.ofMillis(300));
-    String next = Daemons.VOTERS.get(daemons.random.nextInt(Daemons.VOTERS.size()));
-    if (!daemons.cutOff.contains(next)) {
+    String next =
+        SimulatedDaemons.VOTERS.get(daemons.random.nextInt(SimulatedDaemons.VOTERS.size()));
+    if (!daemons.isolated.contains(next)) {
       daemons.lead(next);
     }
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationMachineTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationMachineTest.java
@@ -110,7 +110,7 @@
    * would hold a refusal for a change that is in force.
    */
   @Test
-  public void refusalStaysTrueWhenCommandIsAppendedTwice() {
+  public void refusalIsRepeatedWhenCommandIsAppendedTwice() {
     ConfigurationChange remove = new ConfigurationChange.RemoveTeam("team0");
     SubmitChange refused = Samples.submit("r", "anna", null, remove);
     CommandResult first = Samples.apply(machine, refused);
@@ -123,7 +123,7 @@
 
   /** An operator's key is removed while a change of that operator is on its way. */
   @Test
-  public void removedOperatorKeyChangesNothing() {
+  public void changeByRemovedOperatorKeyIsRejected() {
     change(new ConfigurationChange.RemoveOperatorKey("ben"));
     assertEquals(
         Samples.apply(machine, Samples.submit("b", "ben", null, DRAIN)), new UnknownOperator());
@@ -174,7 +174,7 @@
 
   /** Each refusal is typed and says what to do. */
   @Test(dataProvider = "refused")
-  public void wrongChangeIsRefusedWithRemedy(ConfigurationChange change, Kind kind) {
+  public void invalidChangeIsRejectedWithRemedy(ConfigurationChange change, Kind kind) {
     assertEquals(refusal(change), kind);
     Invalid invalid = (Invalid) change(change);
     assertTrue(invalid.problems().get(0).message().matches(".*[;,] .*"));
@@ -216,9 +216,9 @@
     ModelVersion old = new ModelVersion("draft", "1");
     assertEquals(refusal(new ConfigurationChange.WithdrawVersion(old, "1")), Kind.WITHDRAWN);
     change(new ConfigurationChange.WithdrawVersion(old, "2"));
-    Configuration present = machine.configuration();
-    assertEquals(present.rollOut("draft").orElseThrow().state(), RollOut.State.FINISHED);
-    assertEquals(present.model("draft").orElseThrow().current(), "2");
+    Configuration current = machine.configuration();
+    assertEquals(current.rollOut("draft").orElseThrow().state(), RollOut.State.FINISHED);
+    assertEquals(current.model("draft").orElseThrow().current(), "2");
   }
 
   private ConfigurationMachine restored() {
@@ -237,18 +237,18 @@
     change(new ConfigurationChange.WithdrawVersion(Samples.DRAFT_2, null));
     change(new ConfigurationChange.RemoveTeamKey("team0", "main"));
     change(new ConfigurationChange.RestoreRevision(1));
-    Configuration present = machine.configuration();
-    assertEquals(present.revision(), 5);
-    assertEquals(present.rules(), Samples.configuration(3, 3).rules());
-    assertTrue(present.isWithdrawn(Samples.DRAFT_2));
-    assertTrue(present.team("team0").orElseThrow().keys().isEmpty());
+    Configuration current = machine.configuration();
+    assertEquals(current.revision(), 5);
+    assertEquals(current.rules(), Samples.configuration(3, 3).rules());
+    assertTrue(current.isWithdrawn(Samples.DRAFT_2));
+    assertTrue(current.team("team0").orElseThrow().keys().isEmpty());
   }
 
   /** The history gives each revision that it still holds, and nothing for older ones. */
   @Test
-  public void historyGivesOldRevisionsUpToItsBound() {
+  public void historyReturnsOldRevisionsUpToItsLimit() {
     Configuration first = machine.configuration();
-    for (int number = 0; number < ConfigurationHistory.MOST_ENTRIES; number++) {
+    for (int number = 0; number < ConfigurationHistory.MAX_ENTRIES; number++) {
       change(new ConfigurationChange.MoveRule("rule" + number % 3, number % 2));
     }
     assertEquals(machine.at(1), Optional.of(first));
@@ -267,11 +267,11 @@
     ChangeTable table = new ChangeTable();
     table.add(
         new RememberedChange("ok", "anna", "h", Samples.START, new Accepted(1, Samples.START)));
-    Instant later = Samples.START.plus(ChangeTable.KEPT).minus(Duration.ofSeconds(1));
-    for (int number = 0; number < 3 * ChangeTable.MOST_REFUSED; number++) {
+    Instant later = Samples.START.plus(ChangeTable.RETENTION).minus(Duration.ofSeconds(1));
+    for (int number = 0; number < 3 * ChangeTable.MAX_REFUSED; number++) {
       table.add(new RememberedChange("r" + number, "ben", "h", later, new UnknownOperator()));
     }
-    assertEquals(table.refused().size(), ChangeTable.MOST_REFUSED);
+    assertEquals(table.refused().size(), ChangeTable.MAX_REFUSED);
     assertTrue(table.find("ok") != null);
     table.add(new RememberedChange("x", "ben", "h", later.plusSeconds(1), new UnknownOperator()));
     assertTrue(table.find("ok") == null);
@@ -280,27 +280,27 @@
 
   /** The check of what differs finds a problem whenever the check of everything does. */
   @Test
-  public void partialCheckAgreesWithWholeCheck() {
+  public void partialValidationAgreesWithFullValidation() {
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(11);
     int refused = 0;
     for (int round = 0; round < 2000; round++) {
       Configuration before = machine.configuration();
       ConfigurationDraft draft = new ConfigurationDraft(before);
-      scramble(draft, random);
+      mutate(draft, random);
       Configuration after = draft.build(before.revision() + 1);
-      boolean wholeFits = ConfigurationValidator.problems(Configuration.EMPTY, after).isEmpty();
-      boolean partFits = ConfigurationValidator.problems(before, after).isEmpty();
-      boolean keyLeft = !after.operatorKeys().isEmpty();
-      assertEquals(partFits, wholeFits && keyLeft, after.toString());
-      refused += partFits ? 0 : 1;
-      if (partFits) {
+      boolean fullValid = ConfigurationValidator.problems(Configuration.EMPTY, after).isEmpty();
+      boolean partialValid = ConfigurationValidator.problems(before, after).isEmpty();
+      boolean operatorKeyRemains = !after.operatorKeys().isEmpty();
+      assertEquals(partialValid, fullValid && operatorKeyRemains, after.toString());
+      refused += partialValid ? 0 : 1;
+      if (partialValid) {
         change(new ConfigurationChange.ReplaceAll(after));
       }
     }
     assertTrue(refused > 200 && refused < 1800, "refused " + refused);
   }
 
-  private static void scramble(ConfigurationDraft draft, UniformRandomProvider random) {
+  private static void mutate(ConfigurationDraft draft, UniformRandomProvider random) {
     String team = "team" + random.nextInt(5);
     String rule = "rule" + random.nextInt(4);
     switch (random.nextInt(10)) {
@@ -311,7 +311,9 @@
       case 4 -> draft.rules = List.of(Samples.rule(rule, team));
       case 5 -> draft.rules = List.of(Samples.rule(rule, team), Samples.rule("rule1", "team1"));
       case 6 -> draft.drainedVms = List.of(random.nextBoolean() ? "entry-1" : "a b");
-      case 7 -> draft.teams = ConfigurationDraft.with(draft.teams, twin(team), Team::name);
+      case 7 ->
+          draft.teams =
+              ConfigurationDraft.with(draft.teams, teamWithDuplicateKey(team), Team::name);
       case 8 ->
           draft.drainedUpstreams =
               random.nextBoolean() ? List.of("gpu-1") : List.of("gpu-1", "gpu-1");
@@ -320,7 +322,7 @@
   }
 
   /** Returns a team with the key of another one. */
-  private static Team twin(String name) {
+  private static Team teamWithDuplicateKey(String name) {
     return ChangeApplier.withKeys(Samples.team(name), Samples.team("team1").keys());
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationOverLogTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationOverLogTest.java
@@ -26,7 +26,7 @@
 import org.skylarkfork.core.effect.OperatorEffect.RefuseOperator;
 import org.skylarkfork.core.event.OperatorEvent;
 import org.skylarkfork.core.request.RunState;
-import org.skylarkfork.core.testing.MiniNetwork;
+import org.skylarkfork.core.testing.SimulatedNetwork;
 import org.testng.annotations.DataProvider;
 import org.testng.annotations.Test;
 
@@ -41,15 +41,15 @@
   private final Map<String, ConsensusPart> groups = new HashMap<>();
   private final Map<String, OperatorEffect> answers = new HashMap<>();
   private final List<Snapshot> snapshots = new ArrayList<>();
-  private MiniNetwork network;
+  private SimulatedNetwork network;
   private int calls;
 
   private void start(int snapshotEntries) {
     parts.clear();
     answers.clear();
     snapshots.clear();
-    network = new MiniNetwork(5);
-    network.listen(
+    network = new SimulatedNetwork(5);
+    network.setEffectListener(
         (node, effect) -> {
           if (effect instanceof OperatorEffect answer) {
             answers.put(answer.callId(), answer);
@@ -80,7 +80,7 @@
     ConfigurationPart part =
         new ConfigurationPart(
             name,
-            Daemons.SETTINGS,
+            SimulatedDaemons.SETTINGS,
             new ZoneTree(name, () -> VOTERS, () -> ALL),
             VOTERS,
             consensus.submitter(),
@@ -91,24 +91,24 @@
   }
 
   private static RaftSettings settings(int snapshotEntries) {
-    RaftSettings usual = RaftSettings.defaults();
+    RaftSettings defaults = RaftSettings.defaults();
     return new RaftSettings(
-        usual.electionMin(),
-        usual.electionMax(),
-        usual.heartbeat(),
-        usual.lease(),
-        usual.storageStallTimeout(),
-        usual.resendInterval(),
+        defaults.electionMin(),
+        defaults.electionMax(),
+        defaults.heartbeat(),
+        defaults.lease(),
+        defaults.storageStallTimeout(),
+        defaults.resendInterval(),
         snapshotEntries,
         16,
-        usual.maxAppendEntries(),
-        usual.maxAppendBytes(),
-        usual.maxInFlightEntries(),
-        usual.maxChunkBytes(),
-        usual.maxUncommittedEntries(),
-        usual.maxUncommittedBytes(),
-        usual.maxPendingSubmissions(),
-        usual.maxRestartWait());
+        defaults.maxAppendEntries(),
+        defaults.maxAppendBytes(),
+        defaults.maxInFlightEntries(),
+        defaults.maxChunkBytes(),
+        defaults.maxUncommittedEntries(),
+        defaults.maxUncommittedBytes(),
+        defaults.maxPendingSubmissions(),
+        defaults.maxRestartWait());
   }
 
   private String send(
@@ -159,7 +159,7 @@
    * the log; or a resend would be applied again, and a return to an old revision be impossible.
    */
   @Test(dataProvider = "snapshotEntries")
-  public void everythingIsThereAfterRestartOfAll(int snapshotEntries) {
+  public void stateSurvivesRestartOfAllProcesses(int snapshotEntries) {
     start(snapshotEntries);
     final ChangeAccepted first =
         accept("e1", "first", new ConfigurationChange.MoveRule("rule2", 0));
@@ -183,7 +183,7 @@
 
   /** Two operators race through two entries with the same revision: one wins, one is told why. */
   @Test
-  public void racingOperatorsGetOneAcceptanceAndOneConflict() {
+  public void concurrentChangesGetOneAcceptanceAndOneConflict() {
     start(1000);
     network.run(Duration.ofSeconds(2));
     String one = send("e1", "one", 1L, new ConfigurationChange.DrainVm("e1"));
@@ -204,39 +204,39 @@
    * in force. After the cut, the operator who got no answer sends the change again and gets one.
    */
   @Test
-  public void leaderCutOffWhileOperatorsWriteToBothSides() {
+  public void isolatedLeaderAcceptsNothingWhileOperatorsWriteToBothSides() {
     start(1000);
     network.run(Duration.ofSeconds(2));
     String old = leader();
     for (String name : ALL) {
       if (!name.equals(old) && !name.equals("e1")) {
-        network.cut(name, old);
-        network.cut(name, "e1");
+        network.disconnect(name, old);
+        network.disconnect(name, "e1");
       }
     }
     ConfigurationChange drain = new ConfigurationChange.DrainUpstream("gpu-1");
-    final String cutOff = send("e1", "cut-off", null, drain);
+    final String isolatedCall = send("e1", "cut-off", null, drain);
     ConfigurationChange withdraw = new ConfigurationChange.WithdrawVersion(Samples.DRAFT_2, null);
     assertEquals(accept("e2", "free", withdraw).revision(), 2);
     assertTrue(parts.get("e1").mayServe(network.now()));
-    String question = "f";
-    while (!inForce(question)) {
-      question = question + "f";
-      network.inject("e2", new OperatorEvent.InForceRequested(question, Samples.hash("anna"), 2));
+    String query = "f";
+    while (!inForce(query)) {
+      query = query + "f";
+      network.inject("e2", new OperatorEvent.InForceRequested(query, Samples.hash("anna"), 2));
       network.run(Duration.ofMillis(100));
     }
     assertFalse(parts.get("e1").mayServe(network.now()));
     assertFalse(parts.get(old).mayServe(network.now()));
     assertTrue(parts.get("e2").mayServe(network.now()));
-    RefuseOperator lost = (RefuseOperator) await(cutOff);
+    RefuseOperator lost = (RefuseOperator) await(isolatedCall);
     assertEquals(lost.error().runState(), RunState.UNKNOWN);
-    network.heal();
+    network.reconnectAll();
     assertEquals(accept("e1", "cut-off", drain).revision(), 3);
     assertTrue(network.runUntil(Duration.ofSeconds(10), () -> allServeAt(3)));
   }
 
-  private boolean inForce(String question) {
-    return answers.get(question) instanceof OperatorEffect.SendInForce status && status.inForce();
+  private boolean inForce(String query) {
+    return answers.get(query) instanceof OperatorEffect.SendInForce status && status.inForce();
   }
 
   /** Keeps snapshots in memory under a number. */
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/ConfigurationPartTest.java
@@ -27,18 +27,18 @@
   private static final ConfigurationChange LOAD =
       new ConfigurationChange.ReplaceAll(Samples.configuration(4, 4));
 
-  private Daemons daemons;
+  private SimulatedDaemons daemons;
 
   /** Starts three voters and six entries, and loads a configuration. */
   @BeforeMethod
   public void start() {
-    daemons = new Daemons(7, 6);
+    daemons = new SimulatedDaemons(7, 6);
     daemons.run(Duration.ofSeconds(6));
     daemons.change("load", LOAD);
-    daemons.untilInForce(1);
+    daemons.awaitInForce(1);
   }
 
-  private Daemons.Daemon daemon(String name) {
+  private SimulatedDaemons.Daemon daemon(String name) {
     return daemons.byName.get(name);
   }
 
@@ -47,15 +47,15 @@
   public void changeIsInForceOnceAllAcknowledged() {
     daemons.byName.values().forEach(daemon -> assertTrue(daemon.serves(), daemon.name));
     daemons.change("w", WITHDRAW);
-    Duration taken = daemons.untilInForce(2);
-    assertTrue(taken.compareTo(Duration.ofMillis(500)) < 0, taken.toString());
+    Duration elapsed = daemons.awaitInForce(2);
+    assertTrue(elapsed.compareTo(Duration.ofMillis(500)) < 0, elapsed.toString());
     daemons.byName.values().forEach(daemon -> assertEquals(daemon.revision(), 2, daemon.name));
     assertTrue(daemon("e15").part.teamByKeyHash(Samples.hash("team3")).isPresent());
   }
 
   /** A daemon takes no new work before it has a configuration and a lease. */
   @Test
-  public void restartedEntryWaitsForFreshRevision() {
+  public void restartedEntryServesOnlyWithCurrentRevision() {
     daemon("e12").restart();
     daemons.change("w", WITHDRAW);
     assertFalse(daemon("e12").serves());
@@ -70,11 +70,11 @@
    * and must be told which entry is awaited and until when. Daemons checks the order at each tick.
    */
   @Test
-  public void entryCutOffStopsBeforeChangeIsInForce() {
-    daemon("e10").rate = 0.996;
-    daemon("v1").rate = 1.005;
+  public void isolatedEntryStopsServingBeforeChangeIsInForce() {
+    daemon("e10").clockRate = 0.996;
+    daemon("v1").clockRate = 1.005;
     daemons.run(Duration.ofSeconds(4));
-    daemons.cutOff.add("e10");
+    daemons.isolated.add("e10");
     daemons.change("w", WITHDRAW);
     daemons.run(Duration.ofSeconds(1));
     SendInForce status = daemons.status(2);
@@ -83,9 +83,9 @@
     assertEquals(status.awaited().stream().map(AwaitedEntry::node).toList(), List.of("e10"));
     assertTrue(daemon("e10").serves());
     assertEquals(daemon("e10").revision(), 1);
-    Duration taken = daemons.untilInForce(2);
+    Duration elapsed = daemons.awaitInForce(2);
     assertFalse(daemon("e10").serves());
-    assertTrue(taken.compareTo(Duration.ofSeconds(5)) < 0, taken.toString());
+    assertTrue(elapsed.compareTo(Duration.ofSeconds(5)) < 0, elapsed.toString());
   }
 
   /**
@@ -93,8 +93,8 @@
    * serving: they name the leader's revision, so its lease runs out like that of a silent entry.
    */
   @Test
-  public void entryThatMissesRevisionsCanNotLiveOnGrants() {
-    daemons.lost =
+  public void leaseGrantsAloneDoNotKeepStaleEntryServing() {
+    daemons.dropped =
         message ->
             message instanceof ConfigurationMessage.Push
                 || message instanceof ConfigurationMessage.CopyChunk;
@@ -102,8 +102,8 @@
     daemons.run(Duration.ofSeconds(6));
     assertFalse(daemon("e10").serves());
     assertEquals(daemon("e10").revision(), 1);
-    daemons.lost = message -> false;
-    daemons.untilInForce(2);
+    daemons.dropped = message -> false;
+    daemons.awaitInForce(2);
     daemons.run(Duration.ofSeconds(3));
     assertTrue(daemon("e10").serves());
   }
@@ -114,9 +114,9 @@
    * and would call it in force at once, had it not to wait for one longest lease.
    */
   @Test
-  public void newLeaderWaitsForLeasesOfTheOldOne() {
+  public void newLeaderWaitsForLeasesOfPreviousLeader() {
     daemons.run(Duration.ofSeconds(2));
-    daemons.cutOff.addAll(Set.of("v1", "e10", "e11", "e12"));
+    daemons.isolated.addAll(Set.of("v1", "e10", "e11", "e12"));
     daemons.lead(null);
     daemons.lead("v2");
     daemons.change("w", WITHDRAW);
@@ -125,7 +125,7 @@
     assertFalse(status.inForce());
     assertNotNull(status.unknownUntil());
     assertTrue(daemon("e10").serves());
-    daemons.untilInForce(2);
+    daemons.awaitInForce(2);
     assertFalse(daemon("e10").serves());
     assertFalse(daemon("v1").serves());
   }
@@ -136,9 +136,9 @@
    * the leader would call the withdrawal in force while the three still serve under revision 1.
    */
   @Test
-  public void restartedRelayAcknowledgesOnlyAfterLeasesItForgot() {
+  public void restartedRelayAcknowledgesOnlyAfterItsEarlierLeasesExpire() {
     daemons.run(Duration.ofSeconds(40)); // until each is back at its preferred source
-    daemons.cutOff.addAll(Set.of("e13", "e14", "e15"));
+    daemons.isolated.addAll(Set.of("e13", "e14", "e15"));
     daemon("e10").restart();
     daemons.run(Duration.ofMillis(500));
     assertTrue(daemon("e10").serves());
@@ -146,13 +146,13 @@
     daemons.run(Duration.ofMillis(500));
     assertEquals(daemon("e10").revision(), 2);
     assertTrue(daemon("e13").serves());
-    daemons.untilInForce(2);
+    daemons.awaitInForce(2);
     assertFalse(daemon("e13").serves());
   }
 
   /** With the quorum lost, entries stop after one lease, and serve again once it is back. */
   @Test
-  public void entriesStopWithoutLeaderAndGoOnWithOne() {
+  public void entriesStopServingWithoutLeaderAndResumeWithOne() {
     daemons.lead(null);
     daemons.run(Duration.ofSeconds(6));
     daemons.byName.values().forEach(daemon -> assertFalse(daemon.serves(), daemon.name));
@@ -166,9 +166,9 @@
    * than the leader counts, so it ends at once and is asked for anew.
    */
   @Test
-  public void clockThatStepsBackEndsLease() {
-    Daemons.Daemon entry = daemon("e10");
-    entry.rate = 0.9;
+  public void backwardClockStepEndsLease() {
+    SimulatedDaemons.Daemon entry = daemon("e10");
+    entry.clockRate = 0.9;
     entry.apply(new LifecycleEvent.Tick());
     assertFalse(entry.serves());
   }
@@ -178,10 +178,10 @@
    * log from the start. The old revisions on its way must not replace the newer one.
    */
   @Test
-  public void replicaThatReplaysItsLogDoesNotGoBack() {
+  public void replicaReplayingItsLogNeverReverts() {
     daemons.change("w", WITHDRAW);
-    daemons.untilInForce(2);
-    Daemons.Daemon voter = daemon("v2");
+    daemons.awaitInForce(2);
+    SimulatedDaemons.Daemon voter = daemon("v2");
     voter.logDelayed = true;
     voter.restart();
     daemons.lead("v1");
@@ -193,11 +193,11 @@
 
   /** A lost step is noticed by the next one and asked for at once, not at the next renewal. */
   @Test
-  public void gapIsRepairedAtOnce() {
-    daemons.lost = message -> message instanceof ConfigurationMessage.Push;
+  public void missingStepIsRequestedImmediately() {
+    daemons.dropped = message -> message instanceof ConfigurationMessage.Push;
     daemons.change("w", WITHDRAW);
     daemons.run(Duration.ofMillis(40));
-    daemons.lost = message -> false;
+    daemons.dropped = message -> false;
     daemons.change("d", new ConfigurationChange.DrainVm("e10"));
     daemons.run(Duration.ofMillis(300));
     daemons.byName.values().forEach(daemon -> assertEquals(daemon.revision(), 3, daemon.name));
@@ -208,14 +208,15 @@
    */
   @Test
   public void daemonFarBehindGetsFullCopy() {
-    daemons.cutOff.add("e10");
+    daemons.isolated.add("e10");
     ConfigurationChange large =
         new ConfigurationChange.ReplaceAll(Samples.configuration(300, 3000));
     daemons.change("large", large);
-    daemons.untilInForce(2);
+    daemons.awaitInForce(2);
     int[] chunks = {0};
-    daemons.lost = message -> message instanceof ConfigurationMessage.CopyChunk && ++chunks[0] == 3;
-    daemons.cutOff.clear();
+    daemons.dropped =
+        message -> message instanceof ConfigurationMessage.CopyChunk && ++chunks[0] == 3;
+    daemons.isolated.clear();
     daemons.run(Duration.ofSeconds(6));
     assertEquals(daemon("e10").part.current(), daemon("v1").machine.configuration());
     assertTrue(daemon("e10").serves());
@@ -227,19 +228,19 @@
    * first answer, and an operator with the old revision gets a conflict with the present one.
    */
   @Test
-  public void operatorIsAnsweredThroughAnyEntry() {
-    OperatorEffect first = daemon("e10").ask(changeRequest("w", "anna", 1L, WITHDRAW));
+  public void anyEntryAnswersOperator() {
+    OperatorEffect first = daemon("e10").query(changeRequest("w", "anna", 1L, WITHDRAW));
     assertTrue(first instanceof OperatorEffect.ChangeAccepted accepted && accepted.revision() == 2);
     daemons.run(Duration.ofSeconds(1));
-    assertEquals(daemon("e12").ask(changeRequest("w", "anna", 1L, WITHDRAW)), first);
+    assertEquals(daemon("e12").query(changeRequest("w", "anna", 1L, WITHDRAW)), first);
     daemons.run(Duration.ofSeconds(1));
-    OperatorEffect conflict = daemon("e13").ask(changeRequest("x", "ben", 1L, WITHDRAW));
+    OperatorEffect conflict = daemon("e13").query(changeRequest("x", "ben", 1L, WITHDRAW));
     assertTrue(conflict instanceof OperatorEffect.ChangeConflict refused && refused.present() == 2);
-    OperatorEffect stranger = daemon("e13").ask(changeRequest("y", "eve", 2L, WITHDRAW));
+    OperatorEffect unknownOperator = daemon("e13").query(changeRequest("y", "eve", 2L, WITHDRAW));
     assertTrue(
-        stranger instanceof OperatorEffect.RefuseOperator refused
+        unknownOperator instanceof OperatorEffect.RefuseOperator refused
             && refused.error().kind() == ErrorKind.UNAUTHORIZED);
-    OperatorEffect bootstrap = daemon("e13").ask(changeRequest("z", "first", 2L, WITHDRAW));
+    OperatorEffect bootstrap = daemon("e13").query(changeRequest("z", "first", 2L, WITHDRAW));
     assertTrue(bootstrap instanceof OperatorEffect.RefuseOperator);
   }
 
@@ -251,12 +252,12 @@
 
   /** Questions about history reach a control voter, and those about force the leader. */
   @Test
-  public void questionsArePassedOn() {
+  public void queriesAreForwarded() {
     daemons.change("w", WITHDRAW);
-    daemons.untilInForce(2);
-    Daemons.Daemon entry = daemon("e14");
+    daemons.awaitInForce(2);
+    SimulatedDaemons.Daemon entry = daemon("e14");
     String key = Samples.hash("anna");
-    assertNull(entry.ask(new OperatorEvent.HistoryRequested("h", key, 0, 10)));
+    assertNull(entry.query(new OperatorEvent.HistoryRequested("h", key, 0, 10)));
     entry.apply(new OperatorEvent.DifferenceRequested("d", key, 2, 1));
     entry.apply(new OperatorEvent.RevisionRequested("r", key, 1));
     entry.apply(new OperatorEvent.RevisionRequested("n", key, 7));
@@ -284,8 +285,8 @@
   // in. Two parts had answered the call: this one, which found no key in it, and the one that
   // carries it out. Calls that belong to other parts must stay without an answer from this one.
   @Test
-  public void callsOfOtherPartsAreLeftToThem() {
-    assertNull(daemon("e10").ask(new OperatorEvent.ControlVmRequested("c", "v9", true)));
+  public void callsOfOtherPartsGetNoAnswer() {
+    assertNull(daemon("e10").query(new OperatorEvent.ControlVmRequested("c", "v9", true)));
   }
 
   // A control VM is replaced by one with another name, which then leads; the settings of all others
@@ -293,9 +294,9 @@
   // every entry refused work with 503 until another replica led. They must ask the leader, and
   // entries get their leases through the replicas that they know.
   @Test
-  public void leaderThatSettingsDoNotNameGivesLeases() {
-    daemons.namedVoters = List.of("v2", "v3");
-    daemons.byName.values().forEach(Daemons.Daemon::restart);
+  public void leaderMissingFromSettingsGrantsLeases() {
+    daemons.configuredVoters = List.of("v2", "v3");
+    daemons.byName.values().forEach(SimulatedDaemons.Daemon::restart);
     daemons.lead("v1");
     daemons.run(Duration.ofSeconds(12));
     daemons.byName.values().forEach(daemon -> assertTrue(daemon.serves(), daemon.name));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/Daemons.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/configuration/SimulatedDaemons.java
@@ -33,32 +33,32 @@
 import org.skylarkfork.core.message.PeerMessage;
 
 /** Several configuration parts with seeded delivery, and a log that stands in for the group. */
-final class Daemons {
+final class SimulatedDaemons {
 
   static final ConfigurationSettings SETTINGS =
       ConfigurationSettings.defaults(Samples.hash("first"));
   static final List<String> VOTERS = List.of("v1", "v2", "v3");
 
   final Map<String, Daemon> byName = new TreeMap<>();
-  final Set<String> cutOff = new HashSet<>();
+  final Set<String> isolated = new HashSet<>();
   final UniformRandomProvider random;
-  Predicate<PeerMessage> lost = message -> false;
-  double loss;
-  List<String> namedVoters = VOTERS;
+  Predicate<PeerMessage> dropped = message -> false;
+  double lossRate;
+  List<String> configuredVoters = VOTERS;
   Instant time = Samples.START;
   long inForce;
   long messages;
-  private final List<Appended> log = new ArrayList<>();
+  private final List<LogRecord> log = new ArrayList<>();
   private final List<InFlight> inFlight = new ArrayList<>();
   private @Nullable String leader;
   private long term;
   private long submissions;
 
-  private record Appended(Instant stampedAt, SubmitChange command) {}
+  private record LogRecord(Instant stampedAt, SubmitChange command) {}
 
   private record InFlight(Instant at, String from, String to, PeerMessage message) {}
 
-  Daemons(long seed, int entries) {
+  SimulatedDaemons(long seed, int entries) {
     random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     VOTERS.forEach(name -> byName.put(name, new Daemon(name, true)));
     for (int number = 0; number < entries; number++) {
@@ -73,13 +73,13 @@
     final String name;
     final boolean voter;
     final List<OperatorEffect> answers = new ArrayList<>();
-    double rate = 1;
+    double clockRate = 1;
     boolean logDelayed;
     ConfigurationMachine machine = new ConfigurationMachine();
     ConfigurationPart part;
     private Reducer reducer;
     private int logApplied;
-    private long highest;
+    private long highestRevision;
 
     Daemon(String name, boolean voter) {
       this.name = name;
@@ -91,9 +91,9 @@
     void restart() {
       machine = new ConfigurationMachine();
       logApplied = 0;
-      highest = 0;
+      highestRevision = 0;
       LocalReplica replica = voter ? new LocalReplica(machine, now -> name.equals(leader)) : null;
-      List<String> named = namedVoters;
+      List<String> named = configuredVoters;
       ZoneTree tree = new ZoneTree(name, () -> named, () -> List.copyOf(byName.keySet()));
       part = new ConfigurationPart(name, SETTINGS, tree, named, this, replica);
       reducer = new Reducer(List.of(part));
@@ -101,7 +101,7 @@
 
     Instant clock() {
       long nanos = Duration.between(Samples.START, time).toNanos();
-      return Samples.START.plusNanos((long) (nanos * rate));
+      return Samples.START.plusNanos((long) (nanos * clockRate));
     }
 
     boolean serves() {
@@ -120,14 +120,14 @@
           answers.add(answer);
         }
       }
-      assertTrue(revision() >= highest, name + " went back");
-      highest = revision();
+      assertTrue(revision() >= highestRevision, name + " went back");
+      highestRevision = revision();
     }
 
     /** Applies the log as far as it is committed, as the replica would. */
     void catchUp() {
       while (logApplied < log.size()) {
-        Appended entry = log.get(logApplied++);
+        LogRecord entry = log.get(logApplied++);
         CommandResult result = machine.apply(logApplied, entry.stampedAt(), entry.command());
         apply(
             new ConsensusEvent.CommandCommitted(
@@ -135,7 +135,7 @@
       }
     }
 
-    @Nullable OperatorEffect ask(OperatorEvent call) {
+    @Nullable OperatorEffect query(OperatorEvent call) {
       int before = answers.size();
       apply(call);
       return answers.size() > before ? answers.get(answers.size() - 1) : null;
@@ -149,12 +149,12 @@
     @Override
     public void submit(
         GroupId group, Command command, long id, Instant deadline, Instant now, Output output) {
-      if (leader == null || cutOff.contains(name)) {
+      if (leader == null || isolated.contains(name)) {
         output.raise(new ConsensusEvent.SubmissionFailed(group, id, true, "no leader"));
         return;
       }
       Daemon leading = byName.get(leader);
-      Appended entry = new Appended(leading.clock(), (SubmitChange) command);
+      LogRecord entry = new LogRecord(leading.clock(), (SubmitChange) command);
       log.add(entry);
       ConfigurationMachine trial = new ConfigurationMachine();
       trial.restore(leading.machine.snapshot());
@@ -171,7 +171,7 @@
       byName.get(name).catchUp();
     }
     for (String voter : VOTERS) {
-      if (!cutOff.contains(voter)) {
+      if (!isolated.contains(voter)) {
         byName
             .get(voter)
             .apply(new ConsensusEvent.LeaderChanged(GroupId.CONFIGURATION, name, term));
@@ -185,17 +185,17 @@
 
   void change(String changeId, ConfigurationChange change) {
     Daemon leading = byName.get(leader);
-    log.add(new Appended(leading.clock(), Samples.submit(changeId, "anna", null, change)));
+    log.add(new LogRecord(leading.clock(), Samples.submit(changeId, "anna", null, change)));
     leading.catchUp();
   }
 
   private void send(String from, String to, PeerMessage message) {
     messages++;
-    if (lost.test(message) || random.nextDouble() < loss) {
+    if (dropped.test(message) || random.nextDouble() < lossRate) {
       return;
     }
     inFlight.add(new InFlight(time.plusMillis(1 + random.nextInt(15)), from, to, message));
-    if (loss > 0 && random.nextInt(10) == 0) {
+    if (lossRate > 0 && random.nextInt(10) == 0) {
       inFlight.add(new InFlight(time.plusMillis(random.nextInt(3000)), from, to, message));
     }
   }
@@ -207,12 +207,12 @@
       deliver();
       for (Daemon daemon : byName.values()) {
         boolean replays = daemon.voter && !daemon.logDelayed && random.nextInt(8) == 0;
-        if (replays && !cutOff.contains(daemon.name)) {
+        if (replays && !isolated.contains(daemon.name)) {
           daemon.catchUp();
         }
         daemon.apply(new LifecycleEvent.Tick());
       }
-      check();
+      checkInvariants();
     }
   }
 
@@ -221,7 +221,7 @@
     due.removeIf(message -> message.at().isAfter(time));
     inFlight.removeAll(due);
     for (InFlight message : due) {
-      if (!cutOff.contains(message.from()) && !cutOff.contains(message.to())) {
+      if (!isolated.contains(message.from()) && !isolated.contains(message.to())) {
         byName
             .get(message.to())
             .apply(new PeerEvent.MessageReceived(message.from(), message.message()));
@@ -230,7 +230,7 @@
   }
 
   /** Asks the leader what is in force, and holds every daemon that serves to its answer. */
-  private void check() {
+  private void checkInvariants() {
     if (leader != null) {
       SendInForce status = status(byName.get(leader).machine.configuration().revision());
       if (status != null && status.inForce()) {
@@ -248,12 +248,12 @@
     OperatorEffect answer =
         byName
             .get(leader)
-            .ask(new OperatorEvent.InForceRequested("q", Samples.hash("anna"), revision));
+            .query(new OperatorEvent.InForceRequested("q", Samples.hash("anna"), revision));
     return answer instanceof SendInForce status ? status : null;
   }
 
   /** Runs until a revision is in force; returns how long it took, or fails after a minute. */
-  Duration untilInForce(long revision) {
+  Duration awaitInForce(long revision) {
     Instant start = time;
     while (inForce < revision) {
       run(Reducer.TICK);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/AutomaticMembershipTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/AutomaticMembershipTest.java
@@ -61,7 +61,7 @@
     TestCluster cluster = cluster(2);
     cluster.write(cluster.awaitLeader(), "before-", 30);
     cluster.network.crash("node-2");
-    cluster.network.wipe("node-2");
+    cluster.network.crashAndWipe("node-2");
     cluster.network.start("node-2");
     assertTrue(cluster.awaitVoters(3), cluster.statuses());
     cluster.assertNothingLost();
@@ -147,7 +147,7 @@
   }
 
   private static void randomRun(long seed, TestCluster cluster) {
-    cluster.network.weather(0.02, 0.01, 3);
+    cluster.network.setMessageFaults(0.02, 0.01, 3);
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(seed);
     cluster.awaitLeader();
     cluster.add("node-4", true);
@@ -159,7 +159,7 @@
         cluster.submit(names.get(random.nextInt(names.size())), "key-" + step + "-" + key);
       }
       cluster.network.run(Duration.ofMillis(random.nextInt(4000)));
-      cluster.network.heal();
+      cluster.network.reconnectAll();
       if (!cluster.network.isUp(victim)) {
         cluster.network.start(victim);
       }
@@ -175,7 +175,7 @@
     }
     cluster.network.crash(victim);
     if (faultKind == 1) {
-      cluster.network.wipe(victim);
+      cluster.network.crashAndWipe(victim);
     }
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/ConsensusPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/ConsensusPartTest.java
@@ -66,7 +66,7 @@
     assertNotEquals(cluster.status(oldLeader).role(), Role.LEADER);
     assertTrue(cluster.awaitAnswer("free"), cluster.statuses());
     assertFalse(cluster.answers.containsKey("cut-off"));
-    cluster.network.heal();
+    cluster.network.reconnectAll();
     assertTrue(cluster.awaitAnswer("cut-off"), cluster.statuses());
     cluster.assertNothingLost();
   }
@@ -93,7 +93,7 @@
             reachable,
             new RaftMessage.VoteResponse(TestCluster.GROUP, term, instance, false, false)));
     cluster.write(reachable, "free-", 1);
-    cluster.network.heal();
+    cluster.network.reconnectAll();
     assertTrue(cluster.awaitAnswer("cut-off"), cluster.statuses());
     cluster.assertNothingLost();
   }
@@ -109,7 +109,7 @@
     String cutOff = other(cluster, leader);
     cluster.network.isolate(cutOff);
     cluster.network.run(Duration.ofSeconds(60));
-    cluster.network.heal();
+    cluster.network.reconnectAll();
     cluster.network.run(Duration.ofSeconds(3));
     assertEquals(cluster.leader(), leader);
     assertEquals(cluster.status(cutOff).term(), term);
@@ -123,13 +123,13 @@
     TestCluster cluster = cluster(seed, 3, 40);
     cluster.write("node-2", "before-", 60);
     String repaired = other(cluster, cluster.leader());
-    cluster.network.wipe(repaired);
+    cluster.network.crashAndWipe(repaired);
     cluster.network.start(repaired);
     cluster.write(cluster.awaitLeader(), "between-", 30);
     assertTrue(
         cluster.network.runUntil(Duration.ofSeconds(30), () -> isRepaired(cluster, repaired)));
     String lost = other(cluster, repaired);
-    cluster.network.wipe(lost);
+    cluster.network.crashAndWipe(lost);
     cluster.awaitLeader();
     cluster.write(repaired, "after-", 10);
     cluster.network.start(lost);
@@ -160,14 +160,14 @@
     String survivor = cluster.leader();
     for (String name : cluster.daemons.keySet()) {
       if (!name.equals(survivor)) {
-        cluster.network.wipe(name);
+        cluster.network.crashAndWipe(name);
         cluster.network.start(name);
       }
     }
     cluster.network.isolate(survivor);
     cluster.network.run(Duration.ofSeconds(20));
     assertEquals(cluster.leader(), null);
-    cluster.network.heal();
+    cluster.network.reconnectAll();
     cluster.network.run(Duration.ofSeconds(20));
     assertEquals(cluster.leader(), null);
   }
@@ -196,10 +196,10 @@
     String lagging = other(cluster, cluster.leader());
     cluster.network.crash(lagging);
     cluster.write(cluster.leader(), "missed-", 150);
-    cluster.network.weather(0.2, 0.2, 20);
+    cluster.network.setMessageFaults(0.2, 0.2, 20);
     cluster.network.start(lagging);
     cluster.network.run(Duration.ofSeconds(10));
-    cluster.network.weather(0, 0, 2);
+    cluster.network.setMessageFaults(0, 0, 2);
     cluster.assertNothingLost();
     assertTrue(cluster.daemons.get(lagging).restores > 0);
   }
@@ -210,7 +210,7 @@
   public void failedSyncStopsOnlyTheVoter() {
     TestCluster cluster = cluster(8, 3, 1000);
     String failing = cluster.leader();
-    cluster.network.failDisk(failing);
+    cluster.network.failWrites(failing);
     cluster.submit(failing, "during");
     cluster.network.run(Duration.ofSeconds(3));
     assertTrue(cluster.status(failing).storageFailed());
@@ -223,7 +223,7 @@
   @Test(dataProvider = "seeds")
   public void answeredEntriesAreSynced(long seed) {
     TestCluster cluster = cluster(seed, 3, 1000);
-    cluster.network.syncMillis(50);
+    cluster.network.setMaxSyncMillis(50);
     for (int round = 0; round < 5; round++) {
       String key = "round-" + round;
       cluster.submit(cluster.awaitLeader(), key);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/RandomFaultsTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/RandomFaultsTest.java
@@ -48,9 +48,9 @@
       submit();
       cluster.network.run(Duration.ofMillis(20 + random(400)));
     }
-    cluster.network.heal();
-    cluster.network.weather(0, 0, 2);
-    cluster.network.syncMillis(3);
+    cluster.network.reconnectAll();
+    cluster.network.setMessageFaults(0, 0, 2);
+    cluster.network.setMaxSyncMillis(3);
     for (String name : cluster.daemons.keySet()) {
       startIfDown(name);
     }
@@ -84,11 +84,12 @@
       case 0 -> cluster.network.crash(name);
       case 1, 2, 3 -> cluster.daemons.keySet().forEach(this::startIfDown);
       case 4 -> cluster.network.isolate(name);
-      case 5 -> cluster.network.cut(name, anyDaemon());
-      case 6, 7 -> cluster.network.heal();
-      case 8 -> cluster.network.weather(random(30) / 100.0, random(30) / 100.0, 1 + random(200));
-      case 9 -> cluster.network.weather(0, 0, 1 + random(5));
-      case 10 -> cluster.network.syncMillis(1 + random(random(2) == 0 ? 5 : 150));
+      case 5 -> cluster.network.disconnect(name, anyDaemon());
+      case 6, 7 -> cluster.network.reconnectAll();
+      case 8 ->
+          cluster.network.setMessageFaults(random(30) / 100.0, random(30) / 100.0, 1 + random(200));
+      case 9 -> cluster.network.setMessageFaults(0, 0, 1 + random(5));
+      case 10 -> cluster.network.setMaxSyncMillis(1 + random(random(2) == 0 ? 5 : 150));
       case 11 -> wipeIfFullyRedundant(name);
       case 12 -> stop(name);
       default -> changeMembers();
@@ -112,7 +113,7 @@
     repairedNode = name;
     wipedInstance = member.instance();
     wiped++;
-    cluster.network.wipe(name);
+    cluster.network.crashAndWipe(name);
     cluster.network.start(name);
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/SuccessiveDiskLossTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/SuccessiveDiskLossTest.java
@@ -52,14 +52,14 @@
   }
 
   private void run(TestCluster cluster) {
-    cluster.network.weather(0.01, 0.01, 5);
+    cluster.network.setMessageFaults(0.01, 0.01, 5);
     cluster.awaitLeader();
     List<String> names = List.copyOf(cluster.daemons.keySet());
     int first = random(cluster, names.size());
     runUpTo(cluster, 1000);
     boolean wipedNodeStartsAfterKills = cluster.network.random().nextBoolean();
     if (wipedNodeStartsAfterKills) {
-      cluster.network.wipe(names.get(first));
+      cluster.network.crashAndWipe(names.get(first));
     } else {
       loseDisk(cluster, names.get(first));
       killAll(cluster, names);
@@ -84,12 +84,12 @@
     awaitCommittedVoters(cluster, names);
     loseDisk(cluster, second);
     awaitCommittedVoters(cluster, names);
-    cluster.network.weather(0, 0, 2);
+    cluster.network.setMessageFaults(0, 0, 2);
     cluster.assertNothingLost();
   }
 
   private static void loseDisk(TestCluster cluster, String name) {
-    cluster.network.wipe(name);
+    cluster.network.crashAndWipe(name);
     runUpTo(cluster, 2500);
     cluster.network.start(name);
     runUpTo(cluster, 1500);
@@ -102,7 +102,7 @@
   }
 
   private static void freezeAndKill(TestCluster cluster, String name) {
-    cluster.network.freeze(name);
+    cluster.network.suspend(name);
     runUpTo(cluster, 1200);
     cluster.network.crash(name);
     runUpTo(cluster, 600);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/TestCluster.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/consensus/TestCluster.java
@@ -27,7 +27,7 @@
 import org.skylarkfork.core.event.LifecycleEvent;
 import org.skylarkfork.core.ledger.LedgerBounds;
 import org.skylarkfork.core.ledger.LedgerMachine;
-import org.skylarkfork.core.testing.MiniNetwork;
+import org.skylarkfork.core.testing.SimulatedNetwork;
 import org.testng.Assert;
 
 /** Cluster of daemons with one group, and the invariants that are checked after every event. */
@@ -37,7 +37,7 @@
 
   private static final long CLAIM_HOLD_MILLIS = 3_600_000;
 
-  final MiniNetwork network;
+  final SimulatedNetwork network;
   final Map<String, Daemon> daemons = new LinkedHashMap<>();
 
   /** Results by key, as received by their submitters. */
@@ -59,7 +59,7 @@
   }
 
   TestCluster(long seed, int voterCount, RaftSettings settings, MembershipChangePolicy policy) {
-    this.network = new MiniNetwork(seed);
+    this.network = new SimulatedNetwork(seed);
     this.settings = settings;
     this.policy = policy;
     List<String> names = new ArrayList<>();
@@ -71,7 +71,7 @@
       add(name, true);
     }
     if (settings.maxRestartWait().isZero()) {
-      network.check(this::checkLeases);
+      network.setCheck(this::checkLeases);
     }
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/ledger/LedgerMachineTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/ledger/LedgerMachineTest.java
@@ -15,7 +15,7 @@
 import org.skylarkfork.core.command.LedgerResult.ClaimDecided;
 import org.skylarkfork.core.command.LedgerResult.ClaimsFull;
 import org.skylarkfork.core.event.LedgerEvent.ClaimState;
-import org.skylarkfork.core.request.AnswerFacts;
+import org.skylarkfork.core.request.AnswerMetadata;
 import org.skylarkfork.core.request.Bytes;
 import org.testng.annotations.Test;
 
@@ -56,7 +56,7 @@
   }
 
   static ClaimOutcome.Answered answered(String body) {
-    AnswerFacts facts = new AnswerFacts("r", null, null, null, 1, 0, null, null);
+    AnswerMetadata facts = new AnswerMetadata("r", null, null, null, 1, 0, null, null);
     return new ClaimOutcome.Answered(201, List.of(), Bytes.ofText(body), facts);
   }
 
@@ -67,7 +67,7 @@
   private void advanceBySteps(LedgerMachine machine, Duration duration) {
     Instant end = now.plus(duration);
     while (now.isBefore(end)) {
-      now = now.plus(SteppedTime.LONGEST_STEP);
+      now = now.plus(BoundedStepClock.LONGEST_STEP);
       apply(machine, new LedgerCommand.ReadStatement("club"));
     }
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/ledger/LedgerPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/ledger/LedgerPartTest.java
@@ -109,7 +109,7 @@
     fixture.hasLeader = true;
     fixture.run(LONG);
     assertEquals(fixture.machine.statement("club").requests(), 20);
-    assertEquals(fixture.entries.get("entry-2").part.heldBills(), 0);
+    assertEquals(fixture.entries.get("entry-2").part.backupBillCount(), 0);
   }
 
   // Screens get their lookups a little later while no backup can be reached: the bill's commit
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/CrashingRequestTest.java
@@ -108,7 +108,7 @@
 
   private static CrashingRequestSimulation randomRun(long seed) {
     CrashingRequestSimulation run = new CrashingRequestSimulation(seed, 7, 13);
-    run.network.weather(0.01, 0.01, 3);
+    run.network.setMessageFaults(0.01, 0.01, 3);
     run.sendOrdinaryRequests(60);
     for (int fault = 1; fault <= FAULTS; fault++) {
       run.sendCrashingRequest(fault, 600);
@@ -139,12 +139,12 @@
       case 1 -> downDaemons.addAll(run.controls);
       case 2 -> downDaemons.addAll(run.entries.subList(0, 1 + random.nextInt(run.entries.size())));
       case 3 -> {
-        run.network.wipe(control);
+        run.network.crashAndWipe(control);
         downDaemons.add(control);
       }
       case 4 -> {
         String frozen = random.nextBoolean() || leader == null ? run.entries.get(0) : leader;
-        run.network.freeze(frozen);
+        run.network.suspend(frozen);
         run.markDisturbed(frozen);
         return List.of();
       }
@@ -160,12 +160,12 @@
   }
 
   private static void recover(CrashingRequestSimulation run, List<String> downDaemons) {
-    run.network.heal();
+    run.network.reconnectAll();
     List<String> all = new ArrayList<>(run.controls);
     all.addAll(run.entries);
     for (String name : all) {
-      if (run.network.isFrozen(name)) {
-        run.network.thaw(name);
+      if (run.network.isSuspended(name)) {
+        run.network.resume(name);
       }
     }
     downDaemons.forEach(run.network::start);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedDeployment.java
@@ -23,7 +23,7 @@
 import org.skylarkfork.core.effect.Effect;
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.RelayEvent;
-import org.skylarkfork.core.testing.MiniNetwork;
+import org.skylarkfork.core.testing.SimulatedNetwork;
 
 /** Three control VMs and some entries in virtual time; subclasses emulate their surroundings. */
 abstract class EmulatedDeployment {
@@ -36,7 +36,7 @@
   private static final int CONTROLS = 3;
   private static final long CALL_MILLIS = 4000;
 
-  final MiniNetwork network;
+  final SimulatedNetwork network;
   final List<String> controls = new ArrayList<>();
   final List<String> entries = new ArrayList<>();
   final UniformRandomProvider random;
@@ -65,9 +65,9 @@
    * @param entryCount number of entries
    */
   EmulatedDeployment(long seed, int entryCount) {
-    this.network = new MiniNetwork(seed);
+    this.network = new SimulatedNetwork(seed);
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-    network.listen(this::onEffect);
+    network.setEffectListener(this::onEffect);
     for (int number = 1; number <= CONTROLS; number++) {
       controls.add("control-" + number);
     }
@@ -188,7 +188,7 @@
   }
 
   boolean isAwake(String name) {
-    return network.isUp(name) && !network.isFrozen(name);
+    return network.isUp(name) && !network.isSuspended(name);
   }
 
   /** Delivers an event to an entry, unless the entry is down or frozen. */
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadExchangePartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LoadExchangePartTest.java
@@ -14,8 +14,8 @@
 import org.skylarkfork.core.event.LifecycleEvent;
 import org.skylarkfork.core.event.PeerEvent;
 import org.skylarkfork.core.message.RelayMessage;
+import org.skylarkfork.core.message.RelayMessage.CachedPrefix;
 import org.skylarkfork.core.message.RelayMessage.EntryLoads;
-import org.skylarkfork.core.message.RelayMessage.KeptPrompt;
 import org.skylarkfork.core.message.RelayMessage.Neighbourhood;
 import org.skylarkfork.core.message.RelayMessage.UpstreamLoad;
 import org.skylarkfork.core.placement.PromptPart;
@@ -103,7 +103,7 @@
     EntryLoads expected =
         new EntryLoads(
             List.of(new UpstreamLoad("up", 1, 250)),
-            List.of(new KeptPrompt("up", PREFIXES.key(0))));
+            List.of(new CachedPrefix("up", PREFIXES.key(0))));
     assertEquals(
         sent, List.of(new SendToPeer("entry-2", expected), new SendToPeer("entry-3", expected)));
     assertTrue(tick(100).isEmpty(), "the load has not changed");
@@ -126,7 +126,7 @@
 
   @Test
   public void peerReportCountsUntilItExpires() {
-    KeptPrompt prefix = new KeptPrompt("up", PREFIXES.key(0));
+    CachedPrefix prefix = new CachedPrefix("up", PREFIXES.key(0));
     receive("entry-2", new EntryLoads(List.of(new UpstreamLoad("up", 2, 700)), List.of(prefix)));
     receive("entry-3", new EntryLoads(List.of(new UpstreamLoad("gone", 9, 9)), List.of()));
     assertEquals(upstream().waitingMillis(now), 700.0);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitTest.java
@@ -114,7 +114,7 @@
   }
 
   private static void randomRun(RateLimitSimulation run) {
-    run.network.weather(0.01, 0.01, 3);
+    run.network.setMessageFaults(0.01, 0.01, 3);
     for (int injectFault = 0; injectFault < FAULTS; injectFault++) {
       changeLimits(run);
       run.run(Duration.ofMillis(run.random.nextInt(4000)));
@@ -150,7 +150,7 @@
       case 1 -> crashed.addAll(run.controls);
       case 2 -> crashed.addAll(run.entries.subList(0, run.entries.size() / 2));
       case 3 -> crashed.add(entry);
-      case 4 -> run.network.freeze(run.random.nextBoolean() ? entry : control);
+      case 4 -> run.network.suspend(run.random.nextBoolean() ? entry : control);
       case 5 -> run.network.isolate(entry);
       default -> run.network.isolate(leader == null ? control : leader);
     }
@@ -170,10 +170,10 @@
 
   private static void recover(RateLimitSimulation run, List<String> crashed) {
     unavailable(run).forEach(run::markDisturbed);
-    run.network.heal();
+    run.network.reconnectAll();
     for (String name : unavailable(run)) {
-      if (run.network.isFrozen(name)) {
-        run.network.thaw(name);
+      if (run.network.isSuspended(name)) {
+        run.network.resume(name);
       }
     }
     crashed.forEach(run.network::start);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRandomRunTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRandomRunTest.java
@@ -90,7 +90,7 @@
   private static RelaySimulation run(long seed, Consumer<RelaySimulation> orders) {
     int voters = VOTERS.get((int) Math.floorMod(seed, (long) VOTERS.size()));
     RelaySimulation run = new RelaySimulation(seed, voters, (int) (seed % 2), ENTRIES);
-    run.network.weather(0.01, 0.01, 3);
+    run.network.setMessageFaults(0.01, 0.01, 3);
     assertTrue(
         run.runUntilRepaired(), "the group is bootstrapped and grows" + run.describeGroups());
     run.putNext(run.controls.get(0));
@@ -141,12 +141,12 @@
 
   private static List<String> wipe(RelaySimulation run) {
     List<String> wiped = pick(run, run.controls, 1);
-    wiped.forEach(run.network::wipe);
+    wiped.forEach(run.network::crashAndWipe);
     return wiped;
   }
 
   private static void freeze(RelaySimulation run, List<String> from, int count) {
-    pick(run, from, count).forEach(run.network::freeze);
+    pick(run, from, count).forEach(run.network::suspend);
   }
 
   private static void partition(RelaySimulation run, UniformRandomProvider random) {
@@ -154,7 +154,7 @@
     for (String isolated : partitioned) {
       for (String other : run.controls) {
         if (!partitioned.contains(other)) {
-          run.network.cut(isolated, other);
+          run.network.disconnect(isolated, other);
         }
       }
     }
@@ -184,10 +184,10 @@
   }
 
   private static void recover(RelaySimulation run, List<String> downDaemons) {
-    run.network.heal();
+    run.network.reconnectAll();
     List<String> all = new ArrayList<>(run.controls);
     all.addAll(run.entries);
-    all.stream().filter(run.network::isFrozen).forEach(run.network::thaw);
+    all.stream().filter(run.network::isSuspended).forEach(run.network::resume);
     downDaemons.stream().filter(name -> !run.network.isUp(name)).forEach(run::start);
     assertTrue(run.runUntilRepaired(), "all voters have recovered" + run.describeGroups());
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
@@ -32,7 +32,7 @@
 import org.skylarkfork.core.event.ConsensusEvent;
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.RelayEvent;
-import org.skylarkfork.core.testing.MiniNetwork;
+import org.skylarkfork.core.testing.SimulatedNetwork;
 
 /**
  * Simulates control VMs and entries of the relay in virtual time and checks their invariants after
@@ -52,7 +52,7 @@
   private static final int MAX_OFFSET_SECONDS = 3600;
   private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
 
-  final MiniNetwork network;
+  final SimulatedNetwork network;
   final List<String> controls = new ArrayList<>();
   final List<String> entries = new ArrayList<>();
   long events;
@@ -107,11 +107,11 @@
    * @param entryCount number of entries
    */
   RelaySimulation(long seed, int voters, int spares, int entryCount) {
-    this.network = new MiniNetwork(seed);
+    this.network = new SimulatedNetwork(seed);
     this.voters = voters;
     this.firstSeeds = List.of("control-1", "control-2", "control-3");
-    network.listen(this::onEffect);
-    network.check(this::check);
+    network.setEffectListener(this::onEffect);
+    network.setCheck(this::check);
     for (int number = 1; number <= voters + spares; number++) {
       addControl("control-" + number);
     }
@@ -133,7 +133,7 @@
   /** Starts a daemon; its clock may have jumped since its last start. */
   void start(String name) {
     int seconds = network.random().nextInt(2 * MAX_OFFSET_SECONDS) - MAX_OFFSET_SECONDS;
-    network.clock(name, Duration.ofSeconds(seconds));
+    network.setClockOffset(name, Duration.ofSeconds(seconds));
     network.start(name);
   }
 
@@ -157,7 +157,10 @@
             name,
             List.of(
                 new GroupSetup(
-                    GroupId.RELAY, seeds(), new MembershipChangePolicy(first, voters, VOTER_TIMEOUT), machine)),
+                    GroupId.RELAY,
+                    seeds(),
+                    new MembershipChangePolicy(first, voters, VOTER_TIMEOUT),
+                    machine)),
             settings(),
             codec,
             seed);
@@ -331,7 +334,7 @@
   private void check() {
     events++;
     for (Map.Entry<String, RelayEntryPart> entry : entryParts.entrySet()) {
-      if (network.isUp(entry.getKey()) && !network.isFrozen(entry.getKey())) {
+      if (network.isUp(entry.getKey()) && !network.isSuspended(entry.getKey())) {
         checkEntry(entry.getKey(), entry.getValue());
       }
     }
@@ -363,7 +366,9 @@
 
   /** Returns the control VMs that run and are not frozen. */
   List<String> runningControls() {
-    return controls.stream().filter(name -> network.isUp(name) && !network.isFrozen(name)).toList();
+    return controls.stream()
+        .filter(name -> network.isUp(name) && !network.isSuspended(name))
+        .toList();
   }
 
   /** Runs until all voters have recovered; returns whether they have. */
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/CompiledRulesTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/CompiledRulesTest.java
@@ -23,7 +23,7 @@
   private final UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(20260504L);
 
   @Test
-  public void matchesAsTheWalkThroughTheList() {
+  public void matchesSameRuleAsLinearScan() {
     int matched = 0;
     for (int round = 0; round < 300; round++) {
       List<Rule> rules = rules(1 + random.nextInt(40));
@@ -32,7 +32,7 @@
         CallerRequest request = request();
         String team = pick("team", 6);
         Instant now = RoutingFakes.NOW.plusSeconds(random.nextInt(86_400));
-        Optional<Rule> expected = walk(rules, request, team, now);
+        Optional<Rule> expected = linearScan(rules, request, team, now);
         assertEquals(compiled.match(request, team, now), expected);
         String last = compiled.explain(request, team, now).lines().reduce((a, b) -> b).get();
         assertEquals(
@@ -54,7 +54,7 @@
   }
 
   @Test
-  public void manyCombinationsStayBoundedAndRight() {
+  public void manyCombinationsAreIndexedCorrectly() {
     List<String> teams = new ArrayList<>();
     for (int i = 0; i < 500; i++) {
       teams.add("team" + i);
@@ -66,7 +66,7 @@
     assertTrue(rules.match(request, "team500", RoutingFakes.NOW).isEmpty());
   }
 
-  private static Optional<Rule> walk(
+  private static Optional<Rule> linearScan(
       List<Rule> rules, CallerRequest request, String team, Instant now) {
     return rules.stream()
         .filter(rule -> Conditions.holds(rule.when(), request, team, now))
@@ -83,16 +83,16 @@
 
   private Rule.Condition randomCondition() {
     return new Rule.Condition(
-        names("team", 6),
-        names("model", 4),
-        random.nextInt(4) == 0 ? names("service", 3) : List.of(),
+        randomNames("team", 6),
+        randomNames("model", 4),
+        random.nextInt(4) == 0 ? randomNames("service", 3) : List.of(),
         random.nextInt(4) == 0 ? List.of(new Header("X-Kind", pick("v", 2))) : List.of(),
-        maybe(500),
-        maybe(2_000),
-        maybe(10),
+        randomOrNull(500),
+        randomOrNull(2_000),
+        randomOrNull(10),
         random.nextInt(5) == 0 ? random.nextBoolean() : null,
-        maybe(1_440),
-        maybe(1_440));
+        randomOrNull(1_440),
+        randomOrNull(1_440));
   }
 
   private CallerRequest request() {
@@ -119,7 +119,7 @@
         null);
   }
 
-  private List<String> names(String prefix, int kinds) {
+  private List<String> randomNames(String prefix, int kinds) {
     List<String> names = new ArrayList<>();
     while (random.nextInt(3) > 0) {
       names.add(pick(prefix, kinds));
@@ -131,7 +131,7 @@
     return prefix + random.nextInt(kinds);
   }
 
-  private @Nullable Integer maybe(int bound) {
+  private @Nullable Integer randomOrNull(int bound) {
     return random.nextInt(6) == 0 ? random.nextInt(bound) : null;
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/DryRunPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/DryRunPartTest.java
@@ -22,7 +22,7 @@
   private final RoutingFakes.FakeQuality quality = new RoutingFakes.FakeQuality();
 
   @Test
-  public void tellsRuleReasonAndVersion() {
+  public void reportsRuleReasonAndVersion() {
     OperatorEffect.DryRunResult result = (OperatorEffect.DryRunResult) run("club", "ruling");
     assertEquals(result.rule(), "rulings");
     assertTrue(result.reason().startsWith("other: the model is not in its list\nrulings: matches"));
@@ -30,7 +30,7 @@
   }
 
   @Test
-  public void tellsThatNoRuleMatches() {
+  public void reportsThatNoRuleMatches() {
     OperatorEffect.DryRunResult result = (OperatorEffect.DryRunResult) run("club", "unknown");
     assertNull(result.rule());
     assertNull(result.version());
@@ -51,8 +51,8 @@
         List.of(
             new Rule("other", when("commentary"), route),
             new Rule("rulings", when("ruling"), route));
-    Versions versions =
-        new Versions(
+    VersionChooser versions =
+        new VersionChooser(
             configuration,
             new RoutingFakes.FakeDirectory(),
             quality,
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/PlannersTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/PlannersTest.java
@@ -51,15 +51,16 @@
     directory = new RoutingFakes.FakeDirectory();
     quality = new RoutingFakes.FakeQuality();
     pins = new RoutingFakes.FakePins();
-    Versions versions = new Versions(configuration, directory, quality, pins, "utrecht-a");
+    VersionChooser versions =
+        new VersionChooser(configuration, directory, quality, pins, "utrecht-a");
     candidates = new Candidates(configuration, versions);
-    expect(SMALL, 0.7, 0.02);
-    expect(MEDIUM, 0.85, 0.02);
-    expect(LARGE, 0.97, 0.01);
+    setEstimate(SMALL, 0.7, 0.02);
+    setEstimate(MEDIUM, 0.85, 0.02);
+    setEstimate(LARGE, 0.97, 0.01);
   }
 
   @Test
-  public void leastCostIsOneModelOrCascadeAsTheTargetSays() {
+  public void leastCostPlanDependsOnQualityTarget() {
     assertEquals(steps(plan(0.6, null)), List.of(SMALL));
     assertEquals(steps(plan(0.85, null)), List.of(SMALL, MEDIUM));
     assertEquals(steps(plan(0.985, null)), List.of(SMALL, MEDIUM, LARGE));
@@ -69,16 +70,16 @@
   }
 
   @Test
-  public void uncertainEstimateIsNotTrusted() {
-    expect(SMALL, 0.7, 0.4);
+  public void uncertainEstimateDoesNotMeetTarget() {
+    setEstimate(SMALL, 0.7, 0.4);
     assertFalse(steps(plan(0.6, null)).equals(List.of(SMALL)));
   }
 
   @Test
-  public void impossibleTargetGetsTheLikeliestPlan() {
-    expect(SMALL, 0.1, 0);
-    expect(MEDIUM, 0.1, 0);
-    expect(LARGE, 0.5, 0);
+  public void unreachableTargetSelectsMostLikelyPlan() {
+    setEstimate(SMALL, 0.1, 0);
+    setEstimate(MEDIUM, 0.1, 0);
+    setEstimate(LARGE, 0.5, 0);
     assertEquals(steps(plan(0.99, null)).size(), 3);
   }
 
@@ -88,19 +89,22 @@
    * so the plan is the single model that is enough.
    */
   @Test
-  public void shortDeadlineRulesCascadesOut() {
+  public void shortDeadlineExcludesCascades() {
     PlannerSettings slow = new PlannerSettings(0, 300, 0.5, 1.5, 30_000, 0, 1);
     assertEquals(
         steps(planner(slow).plan(query(0.85, null, null), RoutingFakes.NOW).get()), List.of(LARGE));
   }
 
   @Test
-  public void sessionsAreNeverCascadesAndKeepTheirModel() {
+  public void sessionsKeepTheirModelAndNeverCascade() {
     assertEquals(steps(plan(0.85, "s")), List.of(LARGE));
     pins.pin("club", "s", MEDIUM, RoutingFakes.NOW);
     assertEquals(steps(plan(0.85, "s")), List.of(MEDIUM));
     directory.without.add(MEDIUM);
-    assertTrue(planner(exact()).plan(query(0.85, "s", MEDIUM), RoutingFakes.NOW).isEmpty());
+    assertTrue(
+        planner(settingsWithoutExploration())
+            .plan(query(0.85, "s", MEDIUM), RoutingFakes.NOW)
+            .isEmpty());
     configuration.withdrawn = List.of(MEDIUM);
     Plan moved = plan(0.85, "s");
     assertEquals(steps(moved), List.of(LARGE));
@@ -112,14 +116,14 @@
     configuration.withdrawn = List.of(LARGE);
     configuration.rollOuts =
         List.of(new RollOut("large", "1", "2", List.of(), 0, RollOut.State.FINISHED));
-    expect(new ModelVersion("large", "2"), 0.97, 0);
+    setEstimate(new ModelVersion("large", "2"), 0.97, 0);
     Plan moved = plan(0.9, "s");
     assertEquals(steps(moved), List.of(new ModelVersion("large", "2")));
     assertNotNull(moved.notice());
   }
 
   @Test
-  public void baselinesChooseAsTheyAreNamed() {
+  public void baselinePlannersFollowTheirPolicy() {
     PlanQuery query = query(0.9, null, null);
     assertEquals(first(new BestModelPlanner(candidates, quality), query), LARGE);
     assertEquals(first(new CheapestModelPlanner(candidates), query), SMALL);
@@ -129,9 +133,9 @@
   }
 
   @Test
-  public void exploringSpendsItsShareAndIsAlwaysRated() {
-    expect(SMALL, 0.05, 0.3);
-    expect(MEDIUM, 0.95, 0);
+  public void explorationUsesItsShareAndIsAlwaysRated() {
+    setEstimate(SMALL, 0.05, 0.3);
+    setEstimate(MEDIUM, 0.95, 0);
     Planner planner = planner(new PlannerSettings(0, 300, 0.5, 1.5, 3_000, 0.02, 0.05));
     int explored = 0;
     for (int i = 0; i < 5_000; i++) {
@@ -150,7 +154,7 @@
    * the team isn't allowed or that is withdrawn: a draft would run where it never may.
    */
   @Test
-  public void noPlanEverNamesForbiddenVersions() {
+  public void plansNeverIncludeForbiddenVersions() {
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(99L);
     List<ModelVersion> all = new ArrayList<>();
     for (String model : List.of("small", "medium", "large")) {
@@ -159,14 +163,14 @@
     }
     int plans = 0;
     for (int round = 0; round < 3_000; round++) {
-      configuration.withdrawn = some(all, random, 4);
+      configuration.withdrawn = randomSubset(all, random, 4);
       quality.suspects.clear();
-      quality.suspects.addAll(some(all, random, 4));
+      quality.suspects.addAll(randomSubset(all, random, 4));
       directory.without.clear();
-      directory.without.addAll(some(all, random, 5));
+      directory.without.addAll(randomSubset(all, random, 5));
       pins.pins.clear();
-      some(all, random, 3).forEach(pin -> pins.pin("club", "s", pin, RoutingFakes.NOW));
-      Team team = narrowed(random);
+      randomSubset(all, random, 3).forEach(pin -> pins.pin("club", "s", pin, RoutingFakes.NOW));
+      Team team = randomTeam(random);
       String session = random.nextBoolean() ? "s" : null;
       PlanQuery query =
           new PlanQuery(
@@ -174,7 +178,8 @@
               team,
               RoutingFakes.route(Rule.PlanKind.CHEAPEST, 0.9, "small", "medium", "large"),
               random.nextBoolean() ? all.get(random.nextInt(6)) : null);
-      for (Planner planner : List.of(planner(exact()), new FixedOrderPlanner(candidates))) {
+      for (Planner planner :
+          List.of(planner(settingsWithoutExploration()), new FixedOrderPlanner(candidates))) {
         Optional<Plan> plan = planner.plan(query, RoutingFakes.NOW);
         plans += plan.isPresent() ? 1 : 0;
         for (ModelVersion version : plan.map(PlannersTest::steps).orElse(List.of())) {
@@ -187,25 +192,25 @@
     assertTrue(plans > 2_000, "plans " + plans);
   }
 
-  private static <T> List<T> some(List<T> all, UniformRandomProvider random, int oneOf) {
+  private static <T> List<T> randomSubset(List<T> all, UniformRandomProvider random, int oneOf) {
     return all.stream().filter(item -> random.nextInt(oneOf) == 0).toList();
   }
 
-  private static Team narrowed(UniformRandomProvider random) {
+  private static Team randomTeam(UniformRandomProvider random) {
     Team.AllowedModel[] allowed =
         IntStream.range(0, 3)
             .filter(i -> random.nextInt(4) > 0)
             .mapToObj(i -> List.of("small", "medium", "large").get(i))
-            .map(name -> new Team.AllowedModel(name, some(List.of("1", "2"), random, 2)))
+            .map(name -> new Team.AllowedModel(name, randomSubset(List.of("1", "2"), random, 2)))
             .toArray(Team.AllowedModel[]::new);
     return RoutingFakes.team("club", allowed);
   }
 
-  private void expect(ModelVersion version, double mean, double deviation) {
+  private void setEstimate(ModelVersion version, double mean, double deviation) {
     quality.estimates.put(version, new VersionQuality.Estimate(mean, deviation, 100));
   }
 
-  private static PlannerSettings exact() {
+  private static PlannerSettings settingsWithoutExploration() {
     return new PlannerSettings(0, 300, 0.5, 1.5, 3_000, 0, 1);
   }
 
@@ -214,7 +219,9 @@
   }
 
   private Plan plan(double target, @Nullable String session) {
-    return planner(exact()).plan(query(target, session, null), RoutingFakes.NOW).get();
+    return planner(settingsWithoutExploration())
+        .plan(query(target, session, null), RoutingFakes.NOW)
+        .get();
   }
 
   private static PlanQuery query(
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/PowerOfTwoChooserTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/PowerOfTwoChooserTest.java
@@ -38,7 +38,7 @@
    * entry's own requests counted they spread.
    */
   @Test
-  public void burstSpreadsThoughReportsAreOld() {
+  public void burstIsSpreadDespiteOldReports() {
     List<Announcement> engines = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
       engines.add(RoutingFakes.engine("e" + i, "a", 8, i == 0 ? 0 : 2, VERSION));
@@ -55,7 +55,7 @@
    * counted as answers, the engine that refuses would look the fastest and draw nearly all drafts.
    */
   @Test
-  public void engineThatRefusesAtOnceDrawsFewRequests() {
+  public void fastRefusingEngineReceivesFewRequests() {
     Announcement refusing = RoutingFakes.engine("e0", "a", 16, 0, VERSION);
     Announcement answering = RoutingFakes.engine("e1", "a", 16, 0, VERSION);
     Map<String, Integer> counts = new HashMap<>();
@@ -76,7 +76,7 @@
   }
 
   @Test
-  public void unequalEnginesGetUnequalShares() {
+  public void requestsAreProportionalToCapacity() {
     Announcement small = RoutingFakes.engine("e0", "a", 4, 0, VERSION);
     Announcement big = RoutingFakes.engine("e1", "a", 16, 0, VERSION);
     Map<String, Integer> counts = new HashMap<>();
@@ -104,7 +104,7 @@
    * not flooded.
    */
   @Test
-  public void failingUpstreamIsTakenOutAndProbedGently() {
+  public void failingUpstreamIsEjectedAndProbedBySingleRequests() {
     List<Announcement> engines =
         List.of(
             RoutingFakes.engine("e0", "a", 8, 0, VERSION),
@@ -135,7 +135,7 @@
    * time. The age of what waits there does, and requests go elsewhere.
    */
   @Test
-  public void silentUpstreamLosesNewWorkBeforeAnythingFails() {
+  public void silentUpstreamReceivesNoNewRequestsBeforeAnyFailure() {
     List<Announcement> engines =
         List.of(
             RoutingFakes.engine("e0", "a", 8, 0, VERSION),
@@ -156,7 +156,7 @@
   }
 
   @Test
-  public void allOutStillGivesOneAndExcludedNone() {
+  public void ejectedUpstreamIsUsedIfNoneIsLeftUnlessExcluded() {
     List<Announcement> engines = List.of(RoutingFakes.engine("e0", "a", 8, 0, VERSION));
     for (int i = 0; i < 5; i++) {
       dispatch(engines, NOW);
@@ -168,7 +168,7 @@
   }
 
   @Test
-  public void heldPrefixDrawsRequestsWhileTheQueueIsShort() {
+  public void cachedPrefixIsPreferredWhileLoadIsLow() {
     List<Announcement> engines = new ArrayList<>();
     for (int i = 0; i < 20; i++) {
       engines.add(RoutingFakes.engine("e" + (char) ('a' + i), "a", 8, 0, VERSION));
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/VersionsTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/routing/VersionChooserTest.java
@@ -16,7 +16,7 @@
 import org.testng.annotations.Test;
 
 /** Tests which version of a model requests and sessions get. */
-public class VersionsTest {
+public class VersionChooserTest {
 
   private static final ModelVersion OLD = new ModelVersion("ruling", "1");
   private static final ModelVersion NEW = new ModelVersion("ruling", "2");
@@ -27,7 +27,7 @@
   private RoutingFakes.FakeDirectory directory;
   private RoutingFakes.FakeQuality quality;
   private RoutingFakes.FakePins pins;
-  private Versions versions;
+  private VersionChooser versions;
 
   /** Makes a model with two versions, the first of which is current. */
   @BeforeMethod
@@ -37,11 +37,11 @@
     directory = new RoutingFakes.FakeDirectory();
     quality = new RoutingFakes.FakeQuality();
     pins = new RoutingFakes.FakePins();
-    versions = new Versions(configuration, directory, quality, pins, "utrecht-a");
+    versions = new VersionChooser(configuration, directory, quality, pins, "utrecht-a");
   }
 
   @Test
-  public void shareFollowsTheStepAndNeverFallsForAnEarlierTeam() {
+  public void rollOutShareNeverDecreasesForTeamOfEarlierStep() {
     RollOut.Step own = new RollOut.Step(60, List.of("club"), List.of());
     RollOut.Step elsewhere = new RollOut.Step(100, List.of(), List.of("amersfoort"));
     RollOut.Step all = new RollOut.Step(20, List.of(), List.of());
@@ -65,7 +65,7 @@
    * at some step and its user would see another version's answers half-way through a case.
    */
   @Test
-  public void sessionsKeepTheirVersionThroughEveryStep() {
+  public void sessionsKeepTheirVersionThroughoutRollOut() {
     List<RollOut.Step> steps = List.of(all(10), all(40), all(100));
     for (int session = 0; session < 200; session++) {
       String name = "s" + session;
@@ -90,7 +90,7 @@
    * next request must not run on it; it runs on another version and the caller is told.
    */
   @Test
-  public void withdrawalAndAllowedListBeatThePin() {
+  public void withdrawalAndAllowedListOverridePin() {
     pins.pin("club", "s", NEW, RoutingFakes.NOW);
     configuration.withdrawn = List.of(NEW);
     VersionChoice moved = choose("s").get();
@@ -111,7 +111,7 @@
   }
 
   @Test
-  public void suspectsGetNoNewWorkUnlessNothingElseIsLeft() {
+  public void suspectVersionIsChosenOnlyIfNoOtherIsLeft() {
     configuration.rollOuts = List.of(rollOut(RollOut.State.RUNNING, 0, List.of(all(100))));
     assertEquals(choose("s").get().version(), NEW);
     quality.suspects.add(NEW);
@@ -126,7 +126,7 @@
   }
 
   @Test
-  public void versionThatNobodyRolledOutTakesNoWork() {
+  public void versionOutsideRollOutIsNotChosen() {
     directory.without.add(OLD);
     assertTrue(choose("s").isEmpty());
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/session/SessionPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/session/SessionPartTest.java
@@ -29,13 +29,13 @@
   private int requests;
 
   @Test
-  public void eachEntryLearnsThePin() {
+  public void everyEntryFindsThePin() {
     TestNetwork network = new TestNetwork(11).withEntries(7);
     pin(network, network.daemons.get(0), "s", ONE);
     for (TestDaemon daemon : network.daemons) {
-      assertEquals(ask(network, daemon, "s", null).orElseThrow(), ONE);
+      assertEquals(lookUp(network, daemon, "s", null).orElseThrow(), ONE);
     }
-    assertEquals(ask(network, network.daemons.get(1), "t", null), Optional.empty());
+    assertEquals(lookUp(network, network.daemons.get(1), "t", null), Optional.empty());
     int owned = network.daemons.stream().mapToInt(entry -> entry.sessions.ownedSessions()).sum();
     assertEquals(owned, 4, "two owners for each of two sessions");
   }
@@ -46,18 +46,18 @@
    * version at all entries, that of the earlier pin, whichever owner heard which pin first.
    */
   @Test
-  public void equalTimePinsEndAsOne() {
+  public void concurrentPinsConvergeToTheEarlierOne() {
     for (int seed = 0; seed < 20; seed++) {
       TestNetwork network = new TestNetwork(seed).withEntries(5);
-      ask(network, network.daemons.get(0), "s", null);
-      ask(network, network.daemons.get(1), "s", null);
+      lookUp(network, network.daemons.get(0), "s", null);
+      lookUp(network, network.daemons.get(1), "s", null);
       Instant first = network.now.plusMillis(seed % 3);
       network.daemons.get(0).sessions.pin(TEAM, "s", TWO, first);
       network.daemons.get(1).sessions.pin(TEAM, "s", ONE, network.now);
       network.run(Duration.ofSeconds(1));
       for (TestDaemon daemon : network.daemons) {
         ModelVersion earlier = seed % 3 == 0 ? TWO : ONE;
-        assertEquals(ask(network, daemon, "s", null).orElseThrow(), earlier, "seed " + seed);
+        assertEquals(lookUp(network, daemon, "s", null).orElseThrow(), earlier, "seed " + seed);
       }
     }
   }
@@ -73,20 +73,20 @@
     pin(network, network.daemons.get(0), "s", ONE);
     network.daemons.forEach(daemon -> daemon.sendDelay = Duration.ofMillis(200));
     for (TestDaemon daemon : network.daemons) {
-      assertEquals(ask(network, daemon, "s", null), Optional.of(ONE));
+      assertEquals(lookUp(network, daemon, "s", null), Optional.of(ONE));
     }
   }
 
   @Test
-  public void replacedPinReachesEntriesThatKnewTheOldOne() {
+  public void replacedPinIsSentToEntriesWithTheOldPin() {
     TestNetwork network = new TestNetwork(12).withEntries(5);
     pin(network, network.daemons.get(0), "s", ONE);
-    ask(network, network.daemons.get(1), "s", null);
+    lookUp(network, network.daemons.get(1), "s", null);
     pin(network, network.daemons.get(2), "s", TWO);
-    assertEquals(ask(network, network.daemons.get(2), "s", null).orElseThrow(), ONE);
+    assertEquals(lookUp(network, network.daemons.get(2), "s", null).orElseThrow(), ONE);
     network.daemons.get(2).sessions.pin(TEAM, "s", TWO, network.now);
     network.run(Duration.ofSeconds(1));
-    assertEquals(ask(network, network.daemons.get(1), "s", null).orElseThrow(), TWO);
+    assertEquals(lookUp(network, network.daemons.get(1), "s", null).orElseThrow(), TWO);
   }
 
   /**
@@ -94,7 +94,7 @@
    * and keeps its version. A token of another session, or of a withdrawn version, does nothing.
    */
   @Test
-  public void tokenOutlivesAllEntries() {
+  public void tokenRestoresPinAfterRestartOfAllEntries() {
     TestNetwork network = new TestNetwork(13).withEntries(3);
     String token = pin(network, network.daemons.get(0), "s", ONE);
     for (int number = 1; number <= 3; number++) {
@@ -103,14 +103,14 @@
     }
     network.run(Duration.ofSeconds(10));
     TestDaemon first = network.daemons.get(0);
-    assertEquals(ask(network, first, "other", token), Optional.empty());
-    assertEquals(ask(network, first, "s", token + "x"), Optional.empty());
+    assertEquals(lookUp(network, first, "other", token), Optional.empty());
+    assertEquals(lookUp(network, first, "s", token + "x"), Optional.empty());
     first.configuration.set(List.of(), List.of(), List.of(ONE));
-    assertEquals(ask(network, first, "s", token), Optional.empty());
+    assertEquals(lookUp(network, first, "s", token), Optional.empty());
     network.run(Duration.ofMinutes(1));
     TestDaemon second = network.daemons.get(1);
-    assertEquals(ask(network, second, "s", token).orElseThrow(), ONE);
-    assertEquals(ask(network, network.daemons.get(2), "s", null).orElseThrow(), ONE);
+    assertEquals(lookUp(network, second, "s", token).orElseThrow(), ONE);
+    assertEquals(lookUp(network, network.daemons.get(2), "s", null).orElseThrow(), ONE);
   }
 
   /**
@@ -118,15 +118,15 @@
    * with that of the token, and doesn't hang.
    */
   @Test
-  public void silentOwnersCostOneBoundedWait() {
+  public void lookupWithSilentOwnersEndsAfterBoundedWait() {
     TestNetwork network = new TestNetwork(14).withEntries(5);
     String token = pin(network, network.daemons.get(0), "s", ONE);
-    TestDaemon cut = network.daemons.get(4);
-    network.isolate(cut.self.host(), true);
+    TestDaemon isolated = network.daemons.get(4);
+    network.isolate(isolated.self.host(), true);
     for (int i = 0; i < 20; i++) {
-      assertEquals(ask(network, cut, "new" + i, null), Optional.empty());
+      assertEquals(lookUp(network, isolated, "new" + i, null), Optional.empty());
     }
-    assertEquals(ask(network, cut, "s", token).orElseThrow(), ONE);
+    assertEquals(lookUp(network, isolated, "s", token).orElseThrow(), ONE);
   }
 
   /**
@@ -134,14 +134,14 @@
    * while sessions come through any of them without tokens. No session may ever change its version.
    */
   @Test
-  public void sessionsKeepVersionsThroughLossOfEachEntry() {
+  public void sessionsKeepVersionsWhileEntriesAreReplaced() {
     for (int seed = 30; seed < 34; seed++) {
       TestNetwork network = new TestNetwork(seed).withEntries(6);
       Map<String, ModelVersion> expected = new HashMap<>();
       for (int step = 0; step < 120; step++) {
         TestDaemon entry = network.daemons.get(network.random.nextInt(network.daemons.size()));
         String session = "s" + network.random.nextInt(40);
-        Optional<ModelVersion> found = ask(network, entry, session, null);
+        Optional<ModelVersion> found = lookUp(network, entry, session, null);
         if (expected.containsKey(session)) {
           assertEquals(found.orElse(null), expected.get(session), "seed " + seed + " at " + step);
         } else {
@@ -174,7 +174,7 @@
   }
 
   private String pin(TestNetwork network, TestDaemon entry, String session, ModelVersion version) {
-    ask(network, entry, session, null);
+    lookUp(network, entry, session, null);
     Optional<ModelVersion> known = entry.sessions.pinned(TEAM, session, version.model());
     String token = entry.sessions.pin(TEAM, session, known.orElse(version), network.now);
     assertNotEquals(token, "");
@@ -182,12 +182,12 @@
     return token;
   }
 
-  private Optional<ModelVersion> ask(
+  private Optional<ModelVersion> lookUp(
       TestNetwork network, TestDaemon entry, String session, @Nullable String token) {
     String id = "request-" + requests++;
     if (entry.sessions.lookup(request(id, session, token), TEAM, network.now)
         == SessionPins.Lookup.PENDING) {
-      network.run(SessionSettings.DEFAULT.askTimeout().plusMillis(50));
+      network.run(SessionSettings.DEFAULT.queryTimeout().plusMillis(50));
       assertTrue(entry.resolved.contains(id), id + " hangs");
     }
     return entry.sessions.pinned(TEAM, session, ONE.model());
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/session/SessionTokensTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/session/SessionTokensTest.java
@@ -32,7 +32,7 @@
   }
 
   @Test
-  public void refusesEachChangedOrCutToken() {
+  public void rejectsModifiedAndTruncatedTokens() {
     SessionTokens tokens = new SessionTokens(List.of(OLD));
     String token = tokens.sign(PIN, LATER);
     for (int i = 0; i < token.length(); i++) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/testing/MiniDisk.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/testing/SimulatedDisk.java
@@ -13,7 +13,7 @@
 import org.skylarkfork.core.event.StorageEvent;
 
 /** One group's part of a data folder: what is synced, and what a crash may still take away. */
-final class MiniDisk {
+final class SimulatedDisk {
 
   private final GroupId group;
   private final Deque<StorageEffect> unsynced = new ArrayDeque<>();
@@ -22,7 +22,7 @@
   private @Nullable Snapshot snapshot;
   private long lastIndex;
 
-  MiniDisk(GroupId group) {
+  SimulatedDisk(GroupId group) {
     this.group = group;
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/testing/MiniNetwork.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/testing/SimulatedNetwork.java
@@ -31,11 +31,11 @@
  *
  * <p>Carries out peer and storage effects; hands all others to a listener.
  */
-public final class MiniNetwork {
+public final class SimulatedNetwork {
 
   /** Makes a daemon's reducer at each of its starts. */
   @FunctionalInterface
-  public interface Boot {
+  public interface ReducerFactory {
 
     /** Returns a new reducer; the seed differs at each start. */
     Reducer start(long seed);
@@ -48,9 +48,9 @@
   private final Map<String, Node> nodes = new LinkedHashMap<>();
   private final PriorityQueue<Delivery> queue =
       new PriorityQueue<>(Comparator.comparing(Delivery::at).thenComparing(Delivery::order));
-  private final Set<String> cuts = new HashSet<>();
+  private final Set<String> blockedLinks = new HashSet<>();
   private BiConsumer<String, Effect> listener = (node, effect) -> {};
-  private Runnable check = () -> {};
+  private Runnable setCheck = () -> {};
   private Instant now = Instant.parse("2026-01-01T00:00:00Z");
   private long order;
   private double loss;
@@ -59,35 +59,35 @@
   private int maxSyncMillis = 3;
 
   /** Makes a network without nodes; the same seed gives the same run. */
-  public MiniNetwork(long seed) {
+  public SimulatedNetwork(long seed) {
     this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
   }
 
   /** Adds a daemon, not started yet, with an empty disk for the groups that it hosts. */
-  public void add(String name, List<GroupId> groups, Boot boot) {
+  public void add(String name, List<GroupId> groups, ReducerFactory boot) {
     nodes.put(name, new Node(name, groups, boot));
   }
 
   /** Sets the share of messages lost and doubled, and the greatest delay of one. */
-  public void weather(double lostShare, double doubledShare, int delayMillis) {
-    loss = lostShare;
-    duplication = doubledShare;
-    maxDelayMillis = delayMillis;
+  public void setMessageFaults(double lossRate, double duplicationRate, int maxDelay) {
+    loss = lossRate;
+    duplication = duplicationRate;
+    maxDelayMillis = maxDelay;
   }
 
   /** Sets the greatest time of a sync. */
-  public void syncMillis(int millis) {
+  public void setMaxSyncMillis(int millis) {
     maxSyncMillis = millis;
   }
 
   /** Gives effects other than those for peers and storage to a listener. */
-  public void listen(BiConsumer<String, Effect> effects) {
+  public void setEffectListener(BiConsumer<String, Effect> effects) {
     listener = effects;
   }
 
   /** Runs a check after each event. */
-  public void check(Runnable afterEvent) {
-    check = afterEvent;
+  public void setCheck(Runnable afterEvent) {
+    setCheck = afterEvent;
   }
 
   /** Returns the present time of all daemons. */
@@ -110,7 +110,7 @@
     Node node = nodes.get(name);
     node.starts++;
     node.reducer = node.boot.start(random.nextLong());
-    for (MiniDisk disk : node.disks.values()) {
+    for (SimulatedDisk disk : node.disks.values()) {
       apply(node, disk.recover());
     }
     apply(node, new LifecycleEvent.Started());
@@ -121,15 +121,15 @@
   public void crash(String name) {
     Node node = nodes.get(name);
     node.reducer = null;
-    node.frozen = false;
+    node.suspended = false;
     node.deferred.clear();
-    for (MiniDisk disk : node.disks.values()) {
+    for (SimulatedDisk disk : node.disks.values()) {
       disk.crash(random.nextInt(disk.unsynced() + 1));
     }
   }
 
   /** Ends a daemon and empties its disk. */
-  public void wipe(String name) {
+  public void crashAndWipe(String name) {
     crash(name);
     nodes.get(name).format();
   }
@@ -140,7 +140,7 @@
    * @param name the daemon; to be called before it starts, since its clock must not jump
    * @param offset added to the network's time
    */
-  public void clock(String name, Duration offset) {
+  public void setClockOffset(String name, Duration offset) {
     nodes.get(name).clockOffset = offset;
   }
 
@@ -150,14 +150,14 @@
   }
 
   /** Suspends a daemon: what happens to it waits, while its clock runs on. */
-  public void freeze(String name) {
-    nodes.get(name).frozen = true;
+  public void suspend(String name) {
+    nodes.get(name).suspended = true;
   }
 
   /** Wakes a suspended daemon up, which then sees all at once what has waited. */
-  public void thaw(String name) {
+  public void resume(String name) {
     Node node = nodes.get(name);
-    node.frozen = false;
+    node.suspended = false;
     for (Delivery waited : node.deferred) {
       queue.add(new Delivery(now, order++, node, waited.starts, waited.action));
     }
@@ -165,31 +165,31 @@
   }
 
   /** Returns whether a daemon is suspended. */
-  public boolean isFrozen(String name) {
-    return nodes.get(name).frozen;
+  public boolean isSuspended(String name) {
+    return nodes.get(name).suspended;
   }
 
   /** Makes all later writes of a daemon fail. */
-  public void failDisk(String name) {
-    nodes.get(name).diskFails = true;
+  public void failWrites(String name) {
+    nodes.get(name).writesFail = true;
   }
 
   /** Drops all messages between two daemons, in silence. */
-  public void cut(String one, String other) {
-    cuts.add(one + ">" + other);
-    cuts.add(other + ">" + one);
+  public void disconnect(String one, String other) {
+    blockedLinks.add(one + ">" + other);
+    blockedLinks.add(other + ">" + one);
   }
 
   /** Drops all messages between a daemon and the others, in silence. */
   public void isolate(String name) {
     for (String other : nodes.keySet()) {
-      cut(name, other);
+      disconnect(name, other);
     }
   }
 
   /** Ends all cuts. */
-  public void heal() {
-    cuts.clear();
+  public void reconnectAll() {
+    blockedLinks.clear();
   }
 
   /** Gives a running daemon an event. */
@@ -219,7 +219,7 @@
   }
 
   private void deliver(Delivery delivery) {
-    if (delivery.node.frozen) {
+    if (delivery.node.suspended) {
       delivery.node.deferred.add(delivery);
       return;
     }
@@ -234,8 +234,8 @@
     apply(node, new LifecycleEvent.Tick());
   }
 
-  private StorageEvent sync(Node node, MiniDisk disk) {
-    if (node.diskFails) {
+  private StorageEvent sync(Node node, SimulatedDisk disk) {
+    if (node.writesFail) {
       return new StorageEvent.Failed(disk.recover().group(), "no space left on device");
     }
     return disk.sync();
@@ -248,7 +248,7 @@
     for (Effect effect : node.reducer.apply(event, now.plus(node.clockOffset))) {
       carryOut(node, effect);
     }
-    check.run();
+    setCheck.run();
   }
 
   private void carryOut(Node node, Effect effect) {
@@ -265,7 +265,7 @@
 
   private void send(Node from, String to, PeerMessage message) {
     Node target = nodes.get(to);
-    boolean lost = random.nextDouble() < loss || cuts.contains(from.name + ">" + to);
+    boolean lost = random.nextDouble() < loss || blockedLinks.contains(from.name + ">" + to);
     if (target == null || lost) {
       return;
     }
@@ -278,7 +278,7 @@
   }
 
   private void write(Node node, GroupId group, StorageEffect effect) {
-    MiniDisk disk = node.disks.get(group);
+    SimulatedDisk disk = node.disks.get(group);
     disk.write(effect);
     Instant synced = now.plusMillis(1 + random.nextInt(maxSyncMillis));
     node.lastSync = node.lastSync.isAfter(synced) ? node.lastSync : synced;
@@ -293,17 +293,17 @@
   private static final class Node {
     private final String name;
     private final List<GroupId> groups;
-    private final Boot boot;
-    private final Map<GroupId, MiniDisk> disks = new LinkedHashMap<>();
+    private final ReducerFactory boot;
+    private final Map<GroupId, SimulatedDisk> disks = new LinkedHashMap<>();
     private @Nullable Reducer reducer;
     private Instant lastSync = Instant.EPOCH;
     private int starts;
-    private boolean diskFails;
-    private boolean frozen;
+    private boolean writesFail;
+    private boolean suspended;
     private Duration clockOffset = Duration.ZERO;
     private final List<Delivery> deferred = new ArrayList<>();
 
-    private Node(String name, List<GroupId> groups, Boot boot) {
+    private Node(String name, List<GroupId> groups, ReducerFactory boot) {
       this.name = name;
       this.groups = groups;
       this.boot = boot;
@@ -311,9 +311,9 @@
     }
 
     private void format() {
-      diskFails = false;
+      writesFail = false;
       for (GroupId group : groups) {
-        disks.put(group, new MiniDisk(group));
+        disks.put(group, new SimulatedDisk(group));
       }
     }
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/AnswerFormat.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/AnswerFormat.java
@@ -6,7 +6,7 @@
 import java.time.Instant;
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.error.RoutingError;
-import org.skylarkfork.core.request.AnswerFacts;
+import org.skylarkfork.core.request.AnswerMetadata;
 import org.skylarkfork.core.request.RequestKind;
 import org.skylarkfork.core.request.Usage;
 
@@ -42,7 +42,7 @@
   /** Returns a whole answer. */
   String whole(
       RequestKind kind,
-      AnswerFacts facts,
+      AnswerMetadata facts,
       Instant created,
       String answer,
       String finishReason,
@@ -64,13 +64,13 @@
   }
 
   /** Returns a frame with tokens of a streamed answer. */
-  String chunk(RequestKind kind, AnswerFacts facts, Instant created, String tokens) {
+  String chunk(RequestKind kind, AnswerMetadata facts, Instant created, String tokens) {
     return frame(text(chunkObject(kind, facts, created, tokens, null)));
   }
 
   /** Returns the frame with the finish reason and the usage. */
   String lastChunk(
-      RequestKind kind, AnswerFacts facts, Instant created, String finishReason, Usage usage) {
+      RequestKind kind, AnswerMetadata facts, Instant created, String finishReason, Usage usage) {
     ObjectNode root = chunkObject(kind, facts, created, "", finishReason);
     root.set("usage", usageObject(usage));
     return frame(text(root));
@@ -78,7 +78,7 @@
 
   private ObjectNode chunkObject(
       RequestKind kind,
-      AnswerFacts facts,
+      AnswerMetadata facts,
       Instant created,
       String tokens,
       @Nullable String finishReason) {
@@ -98,7 +98,7 @@
     return root;
   }
 
-  private ObjectNode head(String object, AnswerFacts facts, Instant created) {
+  private ObjectNode head(String object, AnswerMetadata facts, Instant created) {
     ObjectNode root = json.createObjectNode();
     root.put("id", facts.requestId());
     root.put("object", object);
@@ -121,7 +121,7 @@
     node.put("type", error.kind().type());
     node.putNull("param");
     node.put("code", error.kind().name().toLowerCase(java.util.Locale.ROOT));
-    node.put("run_state", error.runState().header());
+    node.put("run_state", error.runState().headerValue());
     return node;
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/CallerAnswer.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/CallerAnswer.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.jspecify.annotations.Nullable;
 import org.skylarkfork.core.effect.CallerEffect;
-import org.skylarkfork.core.request.AnswerFacts;
+import org.skylarkfork.core.request.AnswerMetadata;
 import org.skylarkfork.core.request.CallerRequest;
 import reactor.core.publisher.Flux;
 import reactor.core.publisher.Sinks;
@@ -25,7 +25,7 @@
   private final Sinks.Many<String> frames = Sinks.many().unicast().onBackpressureBuffer();
   private final AtomicLong waiting = new AtomicLong();
   private volatile Runnable drop = () -> {};
-  private @Nullable AnswerFacts facts;
+  private @Nullable AnswerMetadata facts;
   private volatile boolean cut;
   private boolean ended;
 
@@ -54,7 +54,7 @@
   }
 
   /** Returns the facts told at the stream's begin. */
-  AnswerFacts facts() {
+  AnswerMetadata facts() {
     if (facts == null) {
       throw new IllegalStateException("no stream was begun for " + request.requestId());
     }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/CallerServer.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/CallerServer.java
@@ -17,7 +17,7 @@
 import org.skylarkfork.core.error.RoutingError;
 import org.skylarkfork.core.event.CallerEvent;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.request.AnswerFacts;
+import org.skylarkfork.core.request.AnswerMetadata;
 import org.skylarkfork.core.request.CallerRequest;
 import org.skylarkfork.core.request.Header;
 import org.skylarkfork.core.request.RequestKind;
@@ -110,7 +110,7 @@
     }
   }
 
-  private static String comment(AnswerFacts facts) {
+  private static String comment(AnswerMetadata facts) {
     return ": attempts=" + facts.attempts() + " cost-micros=" + facts.costMicros() + "\n";
   }
 
@@ -313,7 +313,7 @@
     return Replies.future(value).flatMap(found -> Replies.json(response, 200, text(found)));
   }
 
-  private static void facts(HttpServerResponse response, AnswerFacts facts) {
+  private static void facts(HttpServerResponse response, AnswerMetadata facts) {
     response.header(HttpNames.REQUEST_ID, facts.requestId());
     response.header(HttpNames.ATTEMPTS, Integer.toString(facts.attempts()));
     response.header(HttpNames.COST_MICROS, Long.toString(facts.costMicros()));
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/ConnectionGuard.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/ConnectionGuard.java
@@ -221,7 +221,7 @@
             + " Refused\r\nConnection: close\r\nContent-Type: application/json\r\n"
             + (HttpNames.REQUEST_ID + ": " + ids.get() + "\r\n")
             + (HttpNames.ATTEMPTS + ": 0\r\n" + HttpNames.COST_MICROS + ": 0\r\n")
-            + (HttpNames.RUN_STATE + ": " + error.runState().header() + "\r\n")
+            + (HttpNames.RUN_STATE + ": " + error.runState().headerValue() + "\r\n")
             + ("Content-Length: " + body.getBytes(StandardCharsets.UTF_8).length + "\r\n\r\n");
     send(context, head + body).addListener(sent -> closeGently(context));
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/DraftClient.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/DraftClient.java
@@ -12,7 +12,7 @@
 import org.reactivestreams.Publisher;
 import org.skylarkfork.core.effect.UpstreamEffect;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.request.RequestKind;
 import org.skylarkfork.core.request.Usage;
 import reactor.core.publisher.Flux;
@@ -99,7 +99,7 @@
     }
 
     Publisher<Void> read(HttpClientResponse response, ByteBufFlux content) {
-      call.reached(Moment.ANSWER_BEGUN);
+      call.reached(AttemptStage.ANSWER_BEGUN);
       echoedId = response.responseHeaders().get(HttpNames.REQUEST_ID);
       if (response.status().code() != OK) {
         return Refusals.read(response, content, call).then();
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/Moments.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/Moments.java
@@ -1,6 +1,6 @@
 package org.skylarkfork.runtime.http;
 
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import reactor.netty.http.client.HttpClient;
 
 /** Observes how far an HTTP request gets, which decides whether "not run" is true. */
@@ -17,9 +17,9 @@
    */
   static HttpClient observed(HttpClient client, UpstreamCall call) {
     return client
-        .doOnConnected(connection -> call.reached(Moment.CONNECTED))
-        .doOnRequest((request, connection) -> call.reached(Moment.PARTLY_WRITTEN))
-        .doAfterRequest((request, connection) -> call.reached(Moment.WRITTEN))
-        .doOnResponse((response, connection) -> call.reached(Moment.ANSWER_BEGUN));
+        .doOnConnected(connection -> call.reached(AttemptStage.CONNECTED))
+        .doOnRequest((request, connection) -> call.reached(AttemptStage.PARTLY_WRITTEN))
+        .doAfterRequest((request, connection) -> call.reached(AttemptStage.WRITTEN))
+        .doOnResponse((response, connection) -> call.reached(AttemptStage.ANSWER_BEGUN));
   }
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/Refusals.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/Refusals.java
@@ -1,6 +1,6 @@
 package org.skylarkfork.runtime.http;
 
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import reactor.core.publisher.Mono;
 import reactor.netty.ByteBufFlux;
 import reactor.netty.http.client.HttpClientResponse;
@@ -16,7 +16,8 @@
   static Mono<Void> read(HttpClientResponse response, ByteBufFlux content, UpstreamCall call) {
     boolean notStarted =
         "true".equalsIgnoreCase(response.responseHeaders().get(HttpNames.NOT_STARTED));
-    Moment moment = notStarted ? Moment.REFUSED_NOT_STARTED : Moment.REFUSED_STARTED;
+    AttemptStage moment =
+        notStarted ? AttemptStage.REFUSED_NOT_STARTED : AttemptStage.REFUSED_STARTED;
     return content
         .asString()
         .scan("", (start, part) -> shortened(start + part))
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/Replies.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/Replies.java
@@ -187,7 +187,7 @@
       response.header(HttpNames.ATTEMPTS, "0");
       response.header(HttpNames.COST_MICROS, "0");
     }
-    response.header(HttpNames.RUN_STATE, error.runState().header());
+    response.header(HttpNames.RUN_STATE, error.runState().headerValue());
     @Nullable Long retryAfter = error.retryAfterMillis();
     if (retryAfter != null) {
       long seconds = (retryAfter + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/ServiceClient.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/ServiceClient.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import org.skylarkfork.core.effect.UpstreamEffect;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.request.Bytes;
 import org.skylarkfork.core.request.Header;
 import reactor.core.publisher.Mono;
@@ -43,7 +43,7 @@
   /** Starts an attempt; its one event goes through the call. */
   void send(UpstreamEffect.DispatchCall effect, UpstreamCall call) {
     if (effect.request().headers().stream().anyMatch(ServiceClient::isUnsafe)) {
-      call.fail(Moment.BEFORE_CONNECT, "a header holds control characters");
+      call.fail(AttemptStage.BEFORE_CONNECT, "a header holds control characters");
       return;
     }
     byte[] body = effect.request().body().value();
@@ -75,14 +75,14 @@
   }
 
   private Mono<Void> read(HttpClientResponse response, ByteBufFlux content, UpstreamCall call) {
-    call.reached(Moment.ANSWER_BEGUN);
+    call.reached(AttemptStage.ANSWER_BEGUN);
     boolean notStarted =
         "true".equalsIgnoreCase(response.responseHeaders().get(HttpNames.NOT_STARTED));
     return BoundedBody.collect(content, maxAnswerBytes, this::tooLong)
         .doOnNext(
             body -> {
               if (notStarted) {
-                call.fail(Moment.REFUSED_NOT_STARTED, response.status().toString());
+                call.fail(AttemptStage.REFUSED_NOT_STARTED, response.status().toString());
               } else {
                 call.end(answered(response, body, call));
               }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/UpstreamCall.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/UpstreamCall.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import reactor.core.Disposable;
 import reactor.core.Disposables;
 
@@ -14,7 +14,8 @@
 
   private final String attemptId;
   private final Consumer<Event> events;
-  private final AtomicReference<Moment> moment = new AtomicReference<>(Moment.BEFORE_CONNECT);
+  private final AtomicReference<AttemptStage> moment =
+      new AtomicReference<>(AttemptStage.BEFORE_CONNECT);
   private final AtomicBoolean ended = new AtomicBoolean();
   private final Disposable.Swap connection = Disposables.swap();
 
@@ -28,7 +29,7 @@
   }
 
   /** Notes that the attempt got as far as this; it never goes back. */
-  void reached(Moment newMoment) {
+  void reached(AttemptStage newMoment) {
     moment.accumulateAndGet(newMoment, (old, next) -> next.ordinal() > old.ordinal() ? next : old);
   }
 
@@ -57,7 +58,7 @@
   }
 
   /** Ends the attempt as failed at a moment that the upstream stated. */
-  void fail(Moment stated, String detail) {
+  void fail(AttemptStage stated, String detail) {
     end(new UpstreamEvent.AttemptFailed(attemptId, stated, detail));
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/DaemonNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/DaemonNode.java
@@ -125,8 +125,8 @@
         effect -> callers.carryOut(effect),
         effect -> upstreams.carryOut(effect),
         effect -> adminServer().carryOut(effect),
-        effect -> peers.carryOut(effect),
-        effect -> storage().carryOut(effect),
+        effect -> peers.execute(effect),
+        effect -> storage().execute(effect),
         traces::carryOut,
         effect -> ended.countDown());
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeGauges.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeGauges.java
@@ -46,7 +46,7 @@
     metrics.set("peer_messages", "sent", counts.sent());
     metrics.set("peer_messages", "received", counts.received());
     metrics.set("peer_messages", "dropped", counts.dropped());
-    metrics.set("peer_connections", "rubbish", counts.rubbish());
+    metrics.set("peer_connections", "rubbish", counts.malformed());
     metrics.set("peer_connections", "refused", counts.refused());
     metrics.set("peer_connections", "lost", counts.lost());
   }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/NodeParts.java
@@ -75,7 +75,7 @@
 import org.skylarkfork.core.routing.PlannerSettings;
 import org.skylarkfork.core.routing.PowerOfTwoChooser;
 import org.skylarkfork.core.routing.RoutePlanner;
-import org.skylarkfork.core.routing.Versions;
+import org.skylarkfork.core.routing.VersionChooser;
 import org.skylarkfork.core.session.SessionPart;
 import org.skylarkfork.core.session.SessionSettings;
 import org.skylarkfork.core.session.SessionTokens;
@@ -256,7 +256,7 @@
     Candidates candidates =
         new Candidates(
             configuration,
-            new Versions(configuration, directory, quality, sessions, settings.zone()));
+            new VersionChooser(configuration, directory, quality, sessions, settings.zone()));
     return new RoutePlanner(
         new LeastCostPlanner(candidates, quality, PlannerSettings.DEFAULT, seed),
         new DirectPlanner(candidates),
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/CommandPacking.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/CommandPacking.java
@@ -170,7 +170,7 @@
         return new RelayCommand.UpstreamLeaves(
             components.consumeIfPresent()
                 ? new UpstreamRun(id, in.number())
-                : UpstreamRun.everyStartOf(id));
+                : UpstreamRun.allRunsOf(id));
       case EVACUATE_ZONE:
         components.consume(1);
         return new RelayCommand.EvacuateZone(in.text());
