--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/PeerTransportTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/PeerTransportTest.java
@@ -21,7 +21,7 @@
 /** Tests of {@link PeerTransport}. */
 public final class PeerTransportTest {
 
-  private static final int FUZZED = 300;
+  private static final int FUZZ_RUNS = 300;
 
   private static PeerMessage message(long number) {
     return new MembershipMessage.Nack(1, number);
@@ -42,8 +42,8 @@
         b.send("a", message(-i));
       }
       for (int i = 0; i < 500; i++) {
-        assertEquals(b.take(), new PeerEvent.MessageReceived("a", message(i)));
-        assertEquals(a.take(), new PeerEvent.MessageReceived("b", message(-i)));
+        assertEquals(b.nextEvent(), new PeerEvent.MessageReceived("a", message(i)));
+        assertEquals(a.nextEvent(), new PeerEvent.MessageReceived("b", message(-i)));
       }
       assertEquals(a.transport.counts().sent(), 500);
       assertEquals(b.transport.counts().received(), 500);
@@ -56,16 +56,16 @@
         TestNode b = new TestNode("b")) {
       a.send("b", message(1));
       a.learn(b, "127.0.0.1");
-      String tooLong = "x".repeat(TestNode.LIMITS.frameBytes());
+      String tooLong = "x".repeat(TestNode.LIMITS.maxFrameBytes());
       a.send("b", new MembershipMessage.PingRequest(1, 2, tooLong));
       a.send("b", message(3));
-      assertEquals(b.take(), new PeerEvent.MessageReceived("a", message(3)));
+      assertEquals(b.nextEvent(), new PeerEvent.MessageReceived("a", message(3)));
       assertEquals(a.transport.counts().dropped(), 2);
     }
   }
 
   @Test
-  public void testRestartedPeerIsReachedAgain() {
+  public void testReconnectsToRestartedPeer() {
     // A peer's process dies: the others are told that its connection was lost. Under the same
     // address a new process comes up; messages reach it without anybody's help.
     try (TestNode a = new TestNode("a")) {
@@ -74,9 +74,9 @@
         port = b.transport.port();
         a.learn(b, "127.0.0.1");
         a.send("b", message(1));
-        b.take();
+        b.nextEvent();
       }
-      assertEquals(a.take(), new PeerEvent.ConnectionLost("b"));
+      assertEquals(a.nextEvent(), new PeerEvent.ConnectionLost("b"));
       try (TestNode b = new TestNode("b", "127.0.0.1", port)) {
         TestNode.await(
             "a message after the restart",
@@ -84,38 +84,38 @@
               a.send("b", message(2));
               return !b.events.isEmpty();
             });
-        assertEquals(b.take(), new PeerEvent.MessageReceived("a", message(2)));
+        assertEquals(b.nextEvent(), new PeerEvent.MessageReceived("a", message(2)));
       }
     }
   }
 
   @Test
-  public void testForgottenPeerGetsNothing() {
+  public void testForgottenPeerReceivesNothing() {
     try (TestNode a = new TestNode("a");
         TestNode b = new TestNode("b")) {
       a.learn(b, "127.0.0.1");
       a.send("b", message(1));
-      b.take();
-      a.transport.carryOut(new PeerEffect.ForgetPeer("b"));
+      b.nextEvent();
+      a.transport.execute(new PeerEffect.ForgetPeer("b"));
       a.send("b", message(2));
-      assertEquals(b.take(), new PeerEvent.ConnectionLost("a"));
+      assertEquals(b.nextEvent(), new PeerEvent.ConnectionLost("a"));
       assertEquals(a.transport.counts().dropped(), 1);
     }
   }
 
   @Test
-  public void testNodeCutOffInSilenceIsNoticedByBothSides() {
+  public void testBothSidesDetectPartitionWithoutConnectionErrors() {
     // A switch drops all frames of one node; no connection is closed. Both sides notice by the
     // missing keep-alive frames within the silence limit. Once frames pass again, so do messages.
-    try (TestNode a = new TestNode("a", "127.0.0.1", 0, TestNode.SOON, null);
-        TestNode b = new TestNode("b", "127.0.0.1", 0, TestNode.SOON, null)) {
+    try (TestNode a = new TestNode("a", "127.0.0.1", 0, TestNode.SHORT_SILENCE, null);
+        TestNode b = new TestNode("b", "127.0.0.1", 0, TestNode.SHORT_SILENCE, null)) {
       a.learn(b, "127.0.0.1");
       a.send("b", message(1));
-      b.take();
+      b.nextEvent();
       b.cut(true);
       a.send("b", message(2));
-      assertEquals(a.take(), new PeerEvent.ConnectionLost("b"));
-      assertEquals(b.take(), new PeerEvent.ConnectionLost("a"));
+      assertEquals(a.nextEvent(), new PeerEvent.ConnectionLost("b"));
+      assertEquals(b.nextEvent(), new PeerEvent.ConnectionLost("a"));
       b.cut(false);
       TestNode.await(
           "a message after the cut",
@@ -123,12 +123,12 @@
             a.send("b", message(3));
             return !b.events.isEmpty();
           });
-      assertEquals(b.take(), new PeerEvent.MessageReceived("a", message(3)));
+      assertEquals(b.nextEvent(), new PeerEvent.MessageReceived("a", message(3)));
     }
   }
 
   @Test
-  public void testSlowPeerNeverGrowsMemory() throws IOException {
+  public void testQueueOfSlowPeerIsBounded() throws IOException {
     // A peer accepts the greeting and then reads nothing. The sender keeps at most the bytes of its
     // queue, drops the oldest and counts them; it neither blocks nor grows.
     try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -144,7 +144,7 @@
           a.send("slow", big);
           most = Math.max(most, a.transport.queuedBytes("slow"));
         }
-        assertTrue(most <= TestNode.LIMITS.queueBytes(), "queued " + most);
+        assertTrue(most <= TestNode.LIMITS.maxQueueBytes(), "queued " + most);
         assertTrue(a.transport.counts().dropped() > 500, a.transport.counts().toString());
         System.out.println("transport: slow peer, most bytes queued " + most);
       }
@@ -152,7 +152,7 @@
   }
 
   @Test
-  public void testRubbishIsDroppedAndCounted() throws IOException {
+  public void testMalformedBytesCloseConnectionAndAreCounted() throws IOException {
     // A stranger sends bytes that are no frames, or claims a frame of gigabytes before or after
     // its greeting. Its connection ends, nothing is delivered, and other peers aren't disturbed.
     byte[] huge = ByteBuffer.allocate(4).putInt(Integer.MAX_VALUE).array();
@@ -166,22 +166,22 @@
           stranger.awaitEnd();
         }
       }
-      assertEquals(b.transport.counts().rubbish(), 3);
+      assertEquals(b.transport.counts().malformed(), 3);
       try (RawPeer greeted = new RawPeer(b.transport.port())) {
         greeted.write(greeting("x"));
         assertTrue(greeted.readHandshake() instanceof Handshake.Welcome);
         greeted.write(huge);
         greeted.awaitEnd();
       }
-      assertEquals(b.take(), new PeerEvent.ConnectionLost("x"));
-      assertEquals(b.transport.counts().rubbish(), 4);
+      assertEquals(b.nextEvent(), new PeerEvent.ConnectionLost("x"));
+      assertEquals(b.transport.counts().malformed(), 4);
       a.send("b", message(1));
-      assertEquals(b.take(), new PeerEvent.MessageReceived("a", message(1)));
+      assertEquals(b.nextEvent(), new PeerEvent.MessageReceived("a", message(1)));
     }
   }
 
   @Test
-  public void testUnfitGreetingIsRefusedWithReason() throws IOException {
+  public void testInvalidGreetingIsRefusedWithReason() throws IOException {
     try (TestNode b = new TestNode("b")) {
       assertEquals(
           refusal(b, new Handshake.Greeting(9, 8, "x", "test", 1)), Handshake.Reason.VERSION);
@@ -204,7 +204,7 @@
   }
 
   @Test
-  public void testWrongDaemonAtAddressGetsNoMessage() {
+  public void testWrongDaemonAtAddressReceivesNoMessage() {
     try (TestNode a = new TestNode("a");
         TestNode c = new TestNode("c")) {
       a.learn("b", "127.0.0.1", c.transport.port());
@@ -227,13 +227,13 @@
       peer.readHandshake();
       peer.write(new Frame(Frame.Kind.MESSAGE, later).toBytes());
       peer.write(new Frame(Frame.Kind.MESSAGE, known).toBytes());
-      assertEquals(b.take(), new PeerEvent.MessageReceived("x", message(1)));
+      assertEquals(b.nextEvent(), new PeerEvent.MessageReceived("x", message(1)));
       assertEquals(b.transport.counts().unknownMessages(), 1);
     }
   }
 
   @Test
-  public void testPortInUseNamesRemedy() {
+  public void testPortInUseIsReportedAsUnusableAddress() {
     try (TestNode a = new TestNode("a")) {
       TransportException refused =
           expectThrows(
@@ -243,7 +243,7 @@
   }
 
   @Test
-  public void testFuzzedStreamsNeitherCrashNorDeliverRubbish() throws IOException {
+  public void testFuzzedStreamsNeitherCrashNorDeliverInvalidMessages() throws IOException {
     UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(31L);
     Codec codec = new Codec();
     byte[] first = new Frame(Frame.Kind.HANDSHAKE, codec.toBytes(greeting("x"))).toBytes();
@@ -251,7 +251,7 @@
     byte[] sound = Arrays.copyOf(first, first.length + second.length);
     System.arraycopy(second, 0, sound, first.length, second.length);
     try (TestNode b = new TestNode("b")) {
-      for (int i = 0; i < FUZZED; i++) {
+      for (int i = 0; i < FUZZ_RUNS; i++) {
         boolean cut = random.nextBoolean();
         byte[] bytes = Arrays.copyOf(sound, cut ? random.nextInt(sound.length) : sound.length);
         for (int flips = random.nextInt(4); flips > 0 && bytes.length > 0; flips--) {
@@ -263,7 +263,7 @@
           peer.awaitEnd();
         }
       }
-      System.out.println("transport: fuzzed streams " + FUZZED + ", " + b.transport.counts());
+      System.out.println("transport: fuzzed streams " + FUZZ_RUNS + ", " + b.transport.counts());
       try (RawPeer peer = new RawPeer(b.transport.port())) {
         peer.write(sound);
         TestNode.await(
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/TestNode.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/TestNode.java
@@ -21,7 +21,7 @@
   static final TransportSettings.Limits LIMITS = limits(Duration.ofSeconds(60));
 
   /** Notices silence soon. */
-  static final TransportSettings.Limits SOON = limits(Duration.ofMillis(1500));
+  static final TransportSettings.Limits SHORT_SILENCE = limits(Duration.ofMillis(1500));
 
   final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
   final PeerTransport transport;
@@ -65,18 +65,18 @@
   }
 
   void learn(String node, String host, int port) {
-    transport.carryOut(new PeerEffect.LearnPeer(node, host, port));
+    transport.execute(new PeerEffect.LearnPeer(node, host, port));
   }
 
   void send(String node, PeerMessage message) {
-    transport.carryOut(new PeerEffect.SendToPeer(node, message));
+    transport.execute(new PeerEffect.SendToPeer(node, message));
   }
 
   void cut(boolean now) {
     cut = now;
   }
 
-  Event take() {
+  Event nextEvent() {
     try {
       Event event = events.poll(20, TimeUnit.SECONDS);
       assertNotNull(event, "no event at " + name);
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/TlsTransportTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/transport/TlsTransportTest.java
@@ -37,17 +37,17 @@
   }
 
   @Test
-  public void testNodesWithCertificatesOfOneAuthorityTalk() {
+  public void testNodesWithCertificatesOfOneAuthorityCommunicate() {
     try (TestNode a = node("node-a", files("node-a"));
         TestNode b = node("node-b", files("node-b"))) {
       a.learn(b, "127.0.0.1");
       a.send("node-b", MESSAGE);
-      assertEquals(b.take(), new PeerEvent.MessageReceived("node-a", MESSAGE));
+      assertEquals(b.nextEvent(), new PeerEvent.MessageReceived("node-a", MESSAGE));
     }
   }
 
   @Test
-  public void testStrangersAreRefusedAndCounted() throws IOException {
+  public void testUntrustedPeersAreRefusedAndCounted() throws IOException {
     // Three strangers: one signed by another authority, one that uses a signed certificate under
     // another node's name, one without TLS. None gets a message through; each is counted.
     try (TestNode b = node("node-b", files("node-b"));
@@ -64,7 +64,7 @@
       try (RawPeer plain = new RawPeer(b.transport.port())) {
         plain.write("no TLS at all, just text".getBytes());
         plain.awaitEnd();
-        TestNode.await("the plain one", () -> b.transport.counts().rubbish() == 1);
+        TestNode.await("the plain one", () -> b.transport.counts().malformed() == 1);
       }
       assertEquals(b.transport.counts().received(), 0);
       assertTrue(b.events.isEmpty());
@@ -72,7 +72,7 @@
   }
 
   @Test
-  public void testReloadTakesNewFilesAndKeepsOldOnesIfTheyDoNotFit() throws IOException {
+  public void testReloadUsesNewFilesAndKeepsOldOnesIfTheyDoNotMatch() throws IOException {
     Path folder = Files.createTempDirectory("pem");
     TlsFiles copies =
         new TlsFiles(folder.resolve("c.pem"), folder.resolve("c.key"), folder.resolve("ca.pem"));
@@ -96,7 +96,7 @@
             a.send("node-b", MESSAGE);
             return !b.events.isEmpty();
           });
-      assertEquals(b.take(), new PeerEvent.MessageReceived("node-a", MESSAGE));
+      assertEquals(b.nextEvent(), new PeerEvent.MessageReceived("node-a", MESSAGE));
     }
   }
 
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/FootprintCrowd.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/FootprintCrowd.java
@@ -131,7 +131,7 @@
       if (effect instanceof PeerEffect.LearnPeer learn) {
         member.ports.put(learn.node(), learn.port());
         if (!byPort.containsKey(learn.port())) {
-          member.transport.carryOut(learn);
+          member.transport.execute(learn);
         }
       } else if (effect instanceof PeerEffect.SendToPeer send) {
         send(member, send);
@@ -148,7 +148,7 @@
     if (send.node().equals(counted)) {
       bytesToDaemon.addAndGet(codec.toBytes(send.message()).length + FRAME_HEADER_BYTES);
     }
-    from.transport.carryOut(send);
+    from.transport.execute(send);
   }
 
   @Override
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/GroupMeasure.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/GroupMeasure.java
@@ -27,7 +27,7 @@
 import org.skylarkfork.core.ledger.LedgerBounds;
 import org.skylarkfork.core.ledger.LedgerMachine;
 import org.skylarkfork.core.ledger.NumberedBill;
-import org.skylarkfork.core.request.AnswerFacts;
+import org.skylarkfork.core.request.AnswerMetadata;
 import org.skylarkfork.core.request.Bytes;
 import org.skylarkfork.runtime.loop.MonotonicClock;
 
@@ -263,7 +263,8 @@
           CLIENT,
           HOLD_MILLIS);
     }
-    AnswerFacts facts = new AnswerFacts("request-" + pair, "issue", null, "s-1", 1, 0, null, null);
+    AnswerMetadata facts =
+        new AnswerMetadata("request-" + pair, "issue", null, "s-1", 1, 0, null, null);
     Bytes body = new Bytes(new byte[ANSWER_BYTES]);
     return new LedgerCommand.RecordOutcome(
         "team-" + pair % TEAMS,
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/GroupNode.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/GroupNode.java
@@ -101,7 +101,7 @@
     if (effect instanceof PeerEffect.SendToPeer send) {
       send(send);
     } else if (effect instanceof StorageEffect write && storage != null) {
-      storage.carryOut(write);
+      storage.execute(write);
     }
     loopNanos = ProcessorTime.nanos();
   }
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/PlannerMeasure.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/PlannerMeasure.java
@@ -26,7 +26,7 @@
 import org.skylarkfork.core.routing.Plan;
 import org.skylarkfork.core.routing.PlanQuery;
 import org.skylarkfork.core.routing.Planner;
-import org.skylarkfork.core.routing.Versions;
+import org.skylarkfork.core.routing.VersionChooser;
 
 /**
  * Drafts of unlike difficulty on three models of unlike cost, whose quality must be found out.
@@ -83,8 +83,9 @@
         FixedConfiguration.of(models.stream().map(ModelTruth::configured).toList(), List.of());
     books = new EntryBooks(1, configuration, seed);
     quality = books.book(0);
-    Versions versions =
-        new Versions(configuration, new FixedDirectory(), quality, new MapPins(pins), "wien-halle");
+    VersionChooser versions =
+        new VersionChooser(
+            configuration, new FixedDirectory(), quality, new MapPins(pins), "wien-halle");
     planner = make.apply(new Candidates(configuration, versions), quality);
     team =
         new Team(
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/StorageMeasure.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/StorageMeasure.java
@@ -96,7 +96,7 @@
       for (int round = 0; round < ROUNDS; round++) {
         for (int i = 0; i < batch; i++) {
           sequence++;
-          storage.carryOut(persist(sequence, List.of(entry(sequence))));
+          storage.execute(persist(sequence, List.of(entry(sequence))));
         }
         awaitSequence(sequence);
       }
@@ -111,7 +111,7 @@
       storage.recover(GroupId.LEDGER);
       events.take();
       for (int i = 1; i <= length; i++) {
-        storage.carryOut(persist(i, List.of(entry(i))));
+        storage.execute(persist(i, List.of(entry(i))));
       }
       awaitSequence(length);
     }
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/FakeEngine.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/FakeEngine.java
@@ -13,7 +13,7 @@
 import org.skylarkfork.core.effect.UpstreamEffect.DispatchDraft;
 import org.skylarkfork.core.event.Event;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.request.Usage;
 import org.skylarkfork.core.routing.PromptPrefixes;
 import org.skylarkfork.core.upstream.Announcement;
@@ -89,9 +89,9 @@
   /** Takes a draft, or says that it does not. */
   void dispatch(DispatchDraft draft) {
     if (faults.gone) {
-      fail(draft.attemptId(), Moment.BEFORE_CONNECT);
+      fail(draft.attemptId(), AttemptStage.BEFORE_CONNECT);
     } else if (faults.refusing || queue.size() >= 2 * spec.capacity()) {
-      fail(draft.attemptId(), Moment.REFUSED_NOT_STARTED);
+      fail(draft.attemptId(), AttemptStage.REFUSED_NOT_STARTED);
     } else if (!faults.silent) {
       Job job = new Job(draft, around.ask(draft.request().requestId()));
       jobs.put(draft.attemptId(), job);
@@ -109,7 +109,7 @@
     jobs.remove(attemptId);
   }
 
-  private void fail(String attemptId, Moment moment) {
+  private void fail(String attemptId, AttemptStage moment) {
     daemon.accept(new UpstreamEvent.AttemptFailed(attemptId, moment, "as planned"));
   }
 
@@ -160,7 +160,7 @@
     String id = job.draft.attemptId();
     if (job.cutAt >= 0 && job.offset >= job.cutAt) {
       end(job);
-      fail(id, Moment.ANSWER_BEGUN);
+      fail(id, AttemptStage.ANSWER_BEGUN);
       return;
     }
     UpstreamEvent sent =
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/FakeService.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/FakeService.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.skylarkfork.core.effect.UpstreamEffect.DispatchCall;
 import org.skylarkfork.core.event.UpstreamEvent;
-import org.skylarkfork.core.event.UpstreamEvent.Moment;
+import org.skylarkfork.core.event.UpstreamEvent.AttemptStage;
 import org.skylarkfork.core.request.Bytes;
 import org.skylarkfork.core.upstream.Announcement;
 import org.skylarkfork.core.upstream.LoadReport;
@@ -47,9 +47,9 @@
   /** Takes a call, or says that it does not. */
   void dispatch(DispatchCall call) {
     if (faults.gone) {
-      fail(call, Moment.BEFORE_CONNECT);
+      fail(call, AttemptStage.BEFORE_CONNECT);
     } else if (faults.refusing || queue.size() >= MOST_QUEUED) {
-      fail(call, Moment.REFUSED_NOT_STARTED);
+      fail(call, AttemptStage.REFUSED_NOT_STARTED);
     } else if (!faults.silent) {
       queue.add(call);
       startNext();
@@ -63,7 +63,7 @@
     }
   }
 
-  private void fail(DispatchCall call, Moment moment) {
+  private void fail(DispatchCall call, AttemptStage moment) {
     around.daemon().accept(new UpstreamEvent.AttemptFailed(call.attemptId(), moment, "as planned"));
   }
 
@@ -86,7 +86,7 @@
       return;
     }
     if (faults.cutting && around.random().nextDouble() < LOST_SHARE) {
-      fail(call, Moment.WRITTEN);
+      fail(call, AttemptStage.WRITTEN);
       return;
     }
     UpstreamEvent answered =
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/FigureReader.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/FigureReader.java
@@ -106,7 +106,7 @@
       RoutingError error = end == null ? null : end.error();
       if (error != null) {
         String sentence = DIGITS.matcher(error.message().split("\\. ")[0]).replaceAll("0");
-        String what = error.kind() + ", " + error.runState().header() + ": " + sentence;
+        String what = error.kind() + ", " + error.runState().headerValue() + ": " + sentence;
         refusals.merge(ask.kind() + " " + what, 1, Integer::sum);
       }
     }
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/MeasuredDaemon.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/MeasuredDaemon.java
@@ -53,7 +53,7 @@
 import org.skylarkfork.core.routing.RoundRobinChooser;
 import org.skylarkfork.core.routing.RoutePlanner;
 import org.skylarkfork.core.routing.UpstreamChooser;
-import org.skylarkfork.core.routing.Versions;
+import org.skylarkfork.core.routing.VersionChooser;
 import org.skylarkfork.core.session.SessionPart;
 import org.skylarkfork.core.session.SessionSettings;
 import org.skylarkfork.core.session.SessionTokens;
@@ -120,7 +120,8 @@
             new RequestCollaborators(
                 configuration,
                 current -> new CompiledRules(current.rules()),
-                planner(new Versions(configuration, directory, quality, sessions, zone), quality),
+                planner(
+                    new VersionChooser(configuration, directory, quality, sessions, zone), quality),
                 directory,
                 chooser(zone),
                 quality,
@@ -179,7 +180,7 @@
         NODE, 1, QualitySettings.DEFAULT, configuration, List::of, withdrawer, seed);
   }
 
-  private Planner planner(Versions versions, VersionQuality quality) {
+  private Planner planner(VersionChooser versions, VersionQuality quality) {
     Candidates candidates = new Candidates(configuration, versions);
     Planner cheapest =
         switch (policy.planner()) {
--- a/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/Scores.java
+++ b/skylarkfork-standin/src/main/java/org/skylarkfork/standin/measure/daemon/Scores.java
@@ -9,7 +9,7 @@
 import org.skylarkfork.core.configuration.ModelVersion;
 import org.skylarkfork.core.effect.CallerEffect;
 import org.skylarkfork.core.error.RoutingError;
-import org.skylarkfork.core.request.AnswerFacts;
+import org.skylarkfork.core.request.AnswerMetadata;
 import org.skylarkfork.core.request.RunState;
 
 /** What became of each request of a run, as its caller and the upstreams saw it. */
@@ -95,7 +95,8 @@
         : new Ended(atMicros, null, null, 0);
   }
 
-  private static Ended endedWith(long atMicros, @Nullable RoutingError error, AnswerFacts facts) {
+  private static Ended endedWith(
+      long atMicros, @Nullable RoutingError error, AnswerMetadata facts) {
     String model = facts.model();
     String version = facts.version();
     ModelVersion by = model == null || version == null ? null : new ModelVersion(model, version);
