--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayMessages.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayMessages.java
@@ -26,13 +26,13 @@
 import org.skylarkfork.core.relay.EntryOrdinal;
 import org.skylarkfork.core.relay.VersionCounts;
 
-/** The messages between entries and control VMs. */
+/** Packing of the messages between entries and control VMs. */
 final class RelayMessages {
 
-  /** Tags from here on are the relay's; those below are the replicated group's. */
+  /** Lowest tag of the relay's messages; lower tags belong to the replicated group. */
   static final int FIRST_TAG = 32;
 
-  // Numbers on the wire; each is used once and never for another record.
+  // Tags on the wire; a tag is never reused for another record.
   private static final int ENTRY_POLL = FIRST_TAG;
   private static final int ENTRY_UPDATE = 33;
   private static final int UPSTREAM_HEARD = 34;
@@ -61,7 +61,7 @@
     } else if (message instanceof EntryLoads loads) {
       out.tagged(ENTRY_LOADS, 2)
           .list(loads.loads(), RelayMessages::writeLoad)
-          .list(loads.prompts(), RelayMessages::writePrompt);
+          .list(loads.prompts(), RelayMessages::writeCachedPrefix);
     } else if (message instanceof PlacementAsk ask) {
       writeAsk(ask, out);
     } else if (message instanceof PlacementAnswer answer) {
@@ -97,7 +97,8 @@
         return new UpstreamHeard(RelayValues.readInstance(in));
       case ENTRY_LOADS:
         components.consume(2);
-        return new EntryLoads(in.list(RelayMessages::readLoad), in.list(RelayMessages::readPrompt));
+        return new EntryLoads(
+            in.list(RelayMessages::readLoad), in.list(RelayMessages::readCachedPrefix));
       case PLACEMENT_ASK:
         components.consume(ASK_COMPONENTS);
         return readAsk(in);
@@ -187,10 +188,10 @@
         .flag(poll.busy())
         .list(poll.counts(), RelayValues::writeCounts)
         .number(poll.neighbourhoodVersion())
-        .list(poll.limits(), RelayMessages::writeHeard);
+        .list(poll.limits(), RelayMessages::writeRateLimit);
   }
 
-  private static EntryPoll readPoll(PackedReader in, PackedReader.Components more) {
+  private static EntryPoll readPoll(PackedReader in, PackedReader.Components remaining) {
     String callerAddress = in.text();
     String zone = in.text();
     boolean serving = in.flag();
@@ -215,17 +216,17 @@
         directorySequence,
         searching,
         busy,
-        more.consumeIfPresent() ? in.number() : 0,
+        remaining.consumeIfPresent() ? in.number() : 0,
         counts,
-        more.consumeIfPresent() ? in.list(RelayMessages::readHeard) : List.of());
+        remaining.consumeIfPresent() ? in.list(RelayMessages::readRateLimit) : List.of());
   }
 
-  private static void writeHeard(UpstreamRateLimit heard, PackedWriter out) {
+  private static void writeRateLimit(UpstreamRateLimit heard, PackedWriter out) {
     RelayValues.writeRun(heard.upstream(), out.record(2));
     RelayValues.writeReportedLimit(heard.named(), out);
   }
 
-  private static UpstreamRateLimit readHeard(PackedReader in) {
+  private static UpstreamRateLimit readRateLimit(PackedReader in) {
     return in.record(
         2,
         from ->
@@ -241,11 +242,11 @@
         3, from -> new UpstreamLoad(from.text(), from.smallNumber(), from.smallNumber()));
   }
 
-  private static void writePrompt(CachedPrefix prompt, PackedWriter out) {
+  private static void writeCachedPrefix(CachedPrefix prompt, PackedWriter out) {
     out.record(2).text(prompt.upstream()).number(prompt.key());
   }
 
-  private static CachedPrefix readPrompt(PackedReader in) {
+  private static CachedPrefix readCachedPrefix(PackedReader in) {
     return in.record(2, from -> new CachedPrefix(from.text(), from.number()));
   }
 
@@ -273,25 +274,27 @@
   private static Neighbourhood readNeighbourhood(PackedReader in) {
     return in.extensibleRecord(
         3,
-        (from, more) ->
+        (from, remaining) ->
             new Neighbourhood(
                 from.number(),
                 from.list(PackedReader::text),
                 from.list(PackedReader::text),
-                more.consumeIfPresent() ? from.list(PackedReader::text) : List.of(),
-                more.consumeIfPresent() ? readPlace(from, more) : EntryOrdinal.UNKNOWN));
+                remaining.consumeIfPresent() ? from.list(PackedReader::text) : List.of(),
+                remaining.consumeIfPresent()
+                    ? readOrdinal(from, remaining)
+                    : EntryOrdinal.UNKNOWN));
   }
 
-  private static EntryOrdinal readPlace(PackedReader in, PackedReader.Components more) {
+  private static EntryOrdinal readOrdinal(PackedReader in, PackedReader.Components remaining) {
     int number = in.smallNumber();
-    return more.consumeIfPresent()
+    return remaining.consumeIfPresent()
         ? new EntryOrdinal(number, in.smallNumber())
         : EntryOrdinal.UNKNOWN;
   }
 
   private static void writeUpdate(EntryUpdate update, PackedWriter out) {
     out.tagged(ENTRY_UPDATE, UPDATE_COMPONENTS + 1)
-        .optional(update.provenAt(), (moment, to) -> to.instant(moment))
+        .optional(update.provenAt(), (time, to) -> to.instant(time))
         .number(update.stateIndex())
         .optional(update.configuration(), RelayValues::writeConfiguration)
         .optional(update.shared(), RelayMessages::writeShared);
@@ -300,7 +303,7 @@
     out.optional(update.neighbourhood(), RelayMessages::writeNeighbourhood);
   }
 
-  private static EntryUpdate readUpdate(PackedReader in, PackedReader.Components more) {
+  private static EntryUpdate readUpdate(PackedReader in, PackedReader.Components remaining) {
     return new EntryUpdate(
         in.optional(PackedReader::instant),
         in.number(),
@@ -309,7 +312,7 @@
         readDirectory(in),
         in.list(PackedReader::text),
         in.smallNumber(),
-        more.consumeIfPresent() ? in.optional(RelayMessages::readNeighbourhood) : null);
+        remaining.consumeIfPresent() ? in.optional(RelayMessages::readNeighbourhood) : null);
   }
 
   private static void writeShared(SharedState shared, PackedWriter out) {
@@ -322,12 +325,12 @@
   private static SharedState readShared(PackedReader in) {
     return in.extensibleRecord(
         2,
-        (from, more) ->
+        (from, remaining) ->
             new SharedState(
                 from.list(RelayValues::readRollOut),
-                RelayValues.readRuns(from, more),
-                more.consumeIfPresent() ? from.list(PackedReader::text) : List.of(),
-                more.consumeIfPresent() ? from.list(RelayValues::readKey) : List.of()));
+                RelayValues.readRuns(from, remaining),
+                remaining.consumeIfPresent() ? from.list(PackedReader::text) : List.of(),
+                remaining.consumeIfPresent() ? from.list(RelayValues::readKey) : List.of()));
   }
 
   private static void writeDirectory(DirectoryChanges changes, PackedWriter out) {
