--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
@@ -72,8 +72,8 @@
    */
   boolean isEvacuated(ActiveRelay relay) {
     List<TrackedUpstream> all = view.upstreams(relay.service.name());
-    return all.stream().anyMatch(track -> track.condition() == UpstreamCondition.EVACUATED)
-        && all.stream().allMatch(track -> track.condition().rejectsNewWork());
+    return all.stream().anyMatch(upstream -> upstream.condition() == UpstreamCondition.EVACUATED)
+        && all.stream().allMatch(upstream -> upstream.condition().rejectsNewWork());
   }
 
   /**
@@ -185,15 +185,15 @@
     relay.grant = grant;
     relay.sentAt = now;
     relay.pendingWorkMillis = placement.workMillis();
-    TrackedUpstream track = placement.upstream();
-    track.recordSent(placement.workMillis(), now);
+    TrackedUpstream upstream = placement.upstream();
+    upstream.recordSent(placement.workMillis(), now);
     if (grant == null) {
       picker.recordSent(relay.service, placement, now);
     }
     PromptPrefixes prefixes = placement.prefixes();
     if (prefixes != null) {
-      track.prefixCache().recordSent(prefixes, (double) placement.newTokens() * view.entries());
-      prompts.recordSent(track.instance().id(), prefixes, now);
+      upstream.prefixCache().recordSent(prefixes, (double) placement.newTokens() * view.entries());
+      prompts.recordSent(upstream.instance().id(), prefixes, now);
     }
     long remainingMillis = Duration.between(now, relay.deadline).toMillis();
     output.effect(
@@ -244,16 +244,16 @@
    * @param output receives the resulting effects
    */
   void recordFailure(ActiveRelay relay, AttemptProgress progress, Instant now, Output output) {
-    TrackedUpstream track = relay.upstream();
-    if (track == null) {
+    TrackedUpstream upstream = relay.upstream();
+    if (upstream == null) {
       return;
     }
     boolean gone =
         progress == AttemptProgress.UNREACHABLE
-            || progress == AttemptProgress.SILENT && track.isSilentSince(relay.sentAt);
-    track.recordFailure(gone, now);
+            || progress == AttemptProgress.SILENT && upstream.isSilentSince(relay.sentAt);
+    upstream.recordFailure(gone, now);
     if (relay.grant != null) {
-      schedulers.reportProgress(relay.grant, progress, 0, track.rate().toReport(now), output);
+      schedulers.reportProgress(relay.grant, progress, 0, upstream.rate().toReport(now), output);
       relay.grant = null;
     }
   }
@@ -274,10 +274,10 @@
     schedulers.cancel(relay);
     releaseGrant(relay.grant, output);
     relay.grant = null;
-    TrackedUpstream track = relay.upstream();
-    if (track != null) {
-      track.recordEnded(relay.pendingWorkMillis);
-      relay.triedUpstreams.add(track.instance().id());
+    TrackedUpstream upstream = relay.upstream();
+    if (upstream != null) {
+      upstream.recordEnded(relay.pendingWorkMillis);
+      relay.triedUpstreams.add(upstream.instance().id());
       relay.placement = null;
       relay.pendingWorkMillis = 0;
     }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRateDivision.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRateDivision.java
@@ -21,7 +21,7 @@
 
   @Override
   public RateShare share(RelayService service, TrackedUpstream upstream, Instant now) {
-    EntryOrdinal ordinal = view.place();
+    EntryOrdinal ordinal = view.entryOrdinal();
     // Until the leader has reported the number of entries, each entry would assume to be the only
     // one.
     if (!ordinal.isKnown()) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadExchangePart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadExchangePart.java
@@ -86,7 +86,7 @@
 
   private List<UpstreamLoad> loads() {
     List<UpstreamLoad> loads = new ArrayList<>();
-    for (TrackedUpstream tracked : entry.tracks()) {
+    for (TrackedUpstream tracked : entry.allUpstreams()) {
       if (tracked.ownRunning() > 0 && loads.size() < MAX_LOADS) {
         int waiting = (int) Math.round(tracked.ownWaitingMillis());
         loads.add(new UpstreamLoad(tracked.instance().id(), tracked.ownRunning(), waiting));
@@ -98,13 +98,13 @@
   private void recordReport(String peer, EntryLoads message, Instant now) {
     Map<String, UpstreamLoad> byUpstream = new HashMap<>();
     message.loads().forEach(load -> byUpstream.put(load.upstream(), load));
-    for (TrackedUpstream tracked : entry.tracks()) {
+    for (TrackedUpstream tracked : entry.allUpstreams()) {
       UpstreamLoad load = byUpstream.get(tracked.instance().id());
       int running = load == null ? 0 : load.running();
       tracked.peerLoads().update(peer, running, load == null ? 0 : load.waitingMillis(), now);
     }
     for (CachedPrefix prompt : message.prompts()) {
-      TrackedUpstream tracked = entry.track(prompt.upstream());
+      TrackedUpstream tracked = entry.upstream(prompt.upstream());
       if (tracked != null) {
         tracked.prefixCache().recordUse(prompt.key());
       }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayEntryPart.java
@@ -132,7 +132,7 @@
   }
 
   @Override
-  public EntryOrdinal place() {
+  public EntryOrdinal entryOrdinal() {
     return neighbourhood.place();
   }
 
@@ -170,7 +170,10 @@
 
   /** Returns the number of known upstreams that report a rate limit. */
   public int limitedUpstreamCount() {
-    return (int) directory.tracks().stream().filter(track -> track.rateLimit().isBounded()).count();
+    return (int)
+        directory.allUpstreams().stream()
+            .filter(upstream -> upstream.rateLimit().isBounded())
+            .count();
   }
 
   @Override
@@ -193,12 +196,12 @@
     return neighbourhood.schedulers();
   }
 
-  Collection<TrackedUpstream> tracks() {
-    return directory.tracks();
+  Collection<TrackedUpstream> allUpstreams() {
+    return directory.allUpstreams();
   }
 
-  @Nullable TrackedUpstream track(String id) {
-    return directory.track(id);
+  @Nullable TrackedUpstream upstream(String id) {
+    return directory.upstream(id);
   }
 
   @Override
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayView.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayView.java
@@ -36,7 +36,7 @@
   @Nullable String stableVersion(String service);
 
   /** Returns this entry's ordinal among all entries. */
-  EntryOrdinal place();
+  EntryOrdinal entryOrdinal();
 
   /** Returns the number of serving entries, at least 1. */
   int entries();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestTrace.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RequestTrace.java
@@ -25,22 +25,22 @@
   }
 
   void sent(ActiveRelay relay, Placement placement, Instant now, Output output) {
-    TrackedUpstream track = placement.upstream();
+    TrackedUpstream tracked = placement.upstream();
     String facts =
         "attempt="
             + relay.attempt
             + " content="
             + relay.requestKey
             + " upstream="
-            + track.instance().id()
+            + tracked.instance().id()
             + " upstream_version="
-            + track.instance().version()
+            + tracked.instance().version()
             + " upstream_zone="
-            + track.instance().zone()
+            + tracked.instance().zone()
             + " condition="
-            + track.condition()
+            + tracked.condition()
             + " running="
-            + track.running(now)
+            + tracked.running(now)
             + " wait_ms="
             + Math.round(placement.waitMillis())
             + " first_byte_ms="
@@ -48,9 +48,9 @@
             + " new_tokens="
             + placement.newTokens()
             + " failure_share="
-            + Math.round(track.failureShare() * 100)
+            + Math.round(tracked.failureShare() * 100)
             + " rate_limit="
-            + track.rateLimit()
+            + tracked.rateLimit()
             + " scheduler="
             + (relay.grant == null ? "-" : relay.grant.scheduler())
             + " model="
@@ -61,7 +61,7 @@
             + relay.lastEventId;
     String placedBy = relay.grant == null ? "entry" : "scheduler";
     output.effect(new TraceEffect.Count("relay_placements", placedBy, 1));
-    if (track.rateLimit().isBounded()) {
+    if (tracked.rateLimit().isBounded()) {
       output.effect(new TraceEffect.Count("relay_limited_sends", relay.service.name(), 1));
     }
     log(false, "sent", relay, facts, now, output);
@@ -93,8 +93,8 @@
   /** Reports an attempt that ended without a successful answer. */
   void attemptEnded(String event, ActiveRelay relay, String facts, Instant now, Output output) {
     output.effect(new TraceEffect.Count("relay_attempts_ended", event, 1));
-    TrackedUpstream track = relay.upstream();
-    String upstream = track == null ? "-" : track.instance().id();
+    TrackedUpstream tracked = relay.upstream();
+    String upstream = tracked == null ? "-" : tracked.instance().id();
     String allFacts =
         "attempt="
             + relay.attempt
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ScheduledEngines.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/ScheduledEngines.java
@@ -18,7 +18,7 @@
 final class ScheduledEngines implements UpstreamSource {
 
   private final RelayView view;
-  private final Map<UpstreamRun, TrackedUpstream> tracks = new HashMap<>();
+  private final Map<UpstreamRun, TrackedUpstream> trackedUpstreams = new HashMap<>();
 
   ScheduledEngines(RelayView view) {
     this.view = view;
@@ -30,7 +30,8 @@
     for (TrackedUpstream known : view.upstreams(service)) {
       UpstreamStatus status = new UpstreamStatus(known.instance(), known.condition());
       TrackedUpstream engine =
-          tracks.computeIfAbsent(known.instance().run(), run -> new TrackedUpstream(status));
+          trackedUpstreams.computeIfAbsent(
+              known.instance().run(), run -> new TrackedUpstream(status));
       engine.updateStatus(status);
       engine.coldUntil(known.coldUntil());
       engine.rate().updateIfNewer(known.rateLimit(), known.rate().reportedAt());
@@ -56,6 +57,6 @@
     for (String service : services) {
       view.upstreams(service).forEach(upstream -> present.add(upstream.instance().run()));
     }
-    tracks.keySet().retainAll(present);
+    trackedUpstreams.keySet().retainAll(present);
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
@@ -135,9 +135,9 @@
 
   private PlacementAsk message(
       ActiveRelay relay, PlacementQuery query, PromptPrefixes prefixes, int group, Instant now) {
-    List<PromptPrefix> beginnings = new ArrayList<>();
+    List<PromptPrefix> promptPrefixes = new ArrayList<>();
     for (int index = 0; index < prefixes.size(); index++) {
-      beginnings.add(new PromptPrefix(prefixes.key(index), prefixes.tokens(index)));
+      promptPrefixes.add(new PromptPrefix(prefixes.key(index), prefixes.tokens(index)));
     }
     Set<String> versions = versions(query);
     return new PlacementAsk(
@@ -147,7 +147,7 @@
         query.service().name(),
         String.valueOf(query.model()),
         query.zone(),
-        beginnings,
+        promptPrefixes,
         prefixes.totalTokens(),
         query.objectiveMillis(),
         List.copyOf(versions),
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
@@ -151,9 +151,9 @@
   }
 
   private static PromptPrefixes prefixes(PlacementAsk ask) {
-    List<PromptPrefix> beginnings = ask.beginnings();
-    long[] keys = beginnings.stream().mapToLong(PromptPrefix::key).toArray();
-    int[] tokens = beginnings.stream().mapToInt(PromptPrefix::tokens).toArray();
+    List<PromptPrefix> prefixes = ask.beginnings();
+    long[] keys = prefixes.stream().mapToLong(PromptPrefix::key).toArray();
+    int[] tokens = prefixes.stream().mapToInt(PromptPrefix::tokens).toArray();
     return PromptPrefixes.ofKeys(keys, tokens, ask.promptTokens());
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
@@ -54,11 +54,11 @@
     return byService.getOrDefault(service, List.of());
   }
 
-  Collection<TrackedUpstream> tracks() {
+  Collection<TrackedUpstream> allUpstreams() {
     return byId.values();
   }
 
-  @Nullable TrackedUpstream track(String id) {
+  @Nullable TrackedUpstream upstream(String id) {
     return byId.get(id);
   }
 
@@ -84,8 +84,8 @@
     byId.values().forEach(this::markEvacuated);
   }
 
-  private void markEvacuated(TrackedUpstream track) {
-    track.evacuated(evacuated.contains(track.instance().zone()));
+  private void markEvacuated(TrackedUpstream upstream) {
+    upstream.evacuated(evacuated.contains(upstream.instance().zone()));
   }
 
   /**
@@ -99,10 +99,10 @@
     leaving.clear();
     runs.forEach(run -> leaving.put(run.id(), run));
     for (UpstreamRun run : leaving.values()) {
-      TrackedUpstream track = byId.get(run.id());
-      boolean matches = track != null && run.covers(track.instance().run());
-      if (matches && track.condition() != UpstreamCondition.LEAVING) {
-        track.markLeaving();
+      TrackedUpstream upstream = byId.get(run.id());
+      boolean matches = upstream != null && run.covers(upstream.instance().run());
+      if (matches && upstream.condition() != UpstreamCondition.LEAVING) {
+        upstream.markLeaving();
         log("event=upstream_leaves id=" + run.id() + " index=" + index, output);
       }
     }
@@ -145,20 +145,20 @@
     } else if (known.condition() != status.condition() || instance.isNewerThan(known.instance())) {
       known.updateStatus(status);
     }
-    TrackedUpstream track = byId.get(instance.id());
-    applyCold(track, instance, now, output);
-    applyRateLimit(track, status.named(), now, output);
+    TrackedUpstream upstream = byId.get(instance.id());
+    applyCold(upstream, instance, now, output);
+    applyRateLimit(upstream, status.named(), now, output);
   }
 
   /** Updates until when an upstream is cold; message delay can only lengthen that time. */
   private static void applyCold(
-      TrackedUpstream track, UpstreamInstance instance, Instant now, Output output) {
-    if (instance.sequence() < track.instance().sequence()) {
+      TrackedUpstream upstream, UpstreamInstance instance, Instant now, Output output) {
+    if (instance.sequence() < upstream.instance().sequence()) {
       return;
     }
-    boolean wasCold = track.isCold(now);
-    track.coldUntil(now.plusMillis(instance.coldMillis()));
-    if (wasCold != track.isCold(now)) {
+    boolean wasCold = upstream.isCold(now);
+    upstream.coldUntil(now.plusMillis(instance.coldMillis()));
+    if (wasCold != upstream.isCold(now)) {
       log("event=upstream_cold id=" + instance.id() + " cold_ms=" + instance.coldMillis(), output);
     }
   }
@@ -174,32 +174,32 @@
     if (before != null) {
       byService.getOrDefault(before.instance().service(), List.of()).remove(before);
     }
-    TrackedUpstream track = new TrackedUpstream(status);
+    TrackedUpstream upstream = new TrackedUpstream(status);
     UpstreamRun left = leaving.get(instance.id());
     if (left != null && left.covers(instance.run())) {
-      track.markLeaving();
+      upstream.markLeaving();
     }
-    markEvacuated(track);
-    byId.put(instance.id(), track);
-    byService.computeIfAbsent(instance.service(), service -> new ArrayList<>()).add(track);
+    markEvacuated(upstream);
+    byId.put(instance.id(), upstream);
+    byService.computeIfAbsent(instance.service(), service -> new ArrayList<>()).add(upstream);
     stableVersions.putIfAbsent(instance.service(), instance.version());
     log("event=upstream_taken " + facts(status), output);
   }
 
   private static void applyRateLimit(
-      TrackedUpstream track, @Nullable ReportedLimit named, Instant now, Output output) {
-    RateLimit before = track.rateLimit();
-    track.rate().setKnownToLeader(named);
-    if (track.rate().updateIfNewer(named, now) && !track.rateLimit().isNear(before)) {
+      TrackedUpstream upstream, @Nullable ReportedLimit named, Instant now, Output output) {
+    RateLimit before = upstream.rateLimit();
+    upstream.rate().setKnownToLeader(named);
+    if (upstream.rate().updateIfNewer(named, now) && !upstream.rateLimit().isNear(before)) {
       String facts =
           "event=rate_limit_told id="
-              + track.instance().id()
+              + upstream.instance().id()
               + " per_second="
-              + track.rateLimit()
+              + upstream.rateLimit()
               + " before="
               + before
               + " age_ms="
-              + Duration.between(track.rate().reportedAt(), now).toMillis();
+              + Duration.between(upstream.rate().reportedAt(), now).toMillis();
       log(facts, output);
     }
   }
@@ -210,11 +210,11 @@
    */
   List<UpstreamRateLimit> limitsUnknownToLeader(Instant now) {
     List<UpstreamRateLimit> limits = new ArrayList<>();
-    for (TrackedUpstream track : byId.values()) {
-      TrackedRateLimit rate = track.rate();
+    for (TrackedUpstream upstream : byId.values()) {
+      TrackedRateLimit rate = upstream.rate();
       ReportedLimit named = rate.differsFromLeader() ? rate.toReport(now) : null;
       if (named != null && limits.size() < MAX_LIMITS) {
-        limits.add(new UpstreamRateLimit(track.instance().run(), named));
+        limits.add(new UpstreamRateLimit(upstream.instance().run(), named));
       }
     }
     return limits;
@@ -225,7 +225,7 @@
     all.forEach(status -> ids.add(status.instance().id()));
     byId.keySet().retainAll(ids);
     for (List<TrackedUpstream> tracks : byService.values()) {
-      tracks.removeIf(track -> !ids.contains(track.instance().id()));
+      tracks.removeIf(upstream -> !ids.contains(upstream.instance().id()));
     }
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CallTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/attempt/CallTest.java
@@ -91,11 +91,11 @@
     // The answer of the first call exceeded the size limit for recorded bodies. The resend must be
     // refused with "ran", instead of getting an empty answer with status 201.
     RequestFixture fixture = new RequestFixture();
-    AnswerMetadata facts = new AnswerMetadata("o", null, null, "s", 1, 50, null, null);
+    AnswerMetadata metadata = new AnswerMetadata("o", null, null, "s", 1, 50, null, null);
     fixture.ledger.owners.put("jury/k", "request of another entry");
     fixture.ledger.outcomes.put(
         "jury/k",
-        new ClaimOutcome.Answered(201, List.of(LedgerMachine.BODY_DROPPED), Bytes.EMPTY, facts));
+        new ClaimOutcome.Answered(201, List.of(LedgerMachine.BODY_DROPPED), Bytes.EMPTY, metadata));
     fixture.send("r", RequestFixture.call("POST", "k"));
     fixture.settleLedger();
     assertEquals(fixture.lastEffect(CallerEffect.Refuse.class).error().runState(), RunState.RAN);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/ledger/LedgerMachineTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/ledger/LedgerMachineTest.java
@@ -56,8 +56,8 @@
   }
 
   static ClaimOutcome.Answered answered(String body) {
-    AnswerMetadata facts = new AnswerMetadata("r", null, null, null, 1, 0, null, null);
-    return new ClaimOutcome.Answered(201, List.of(), Bytes.ofText(body), facts);
+    AnswerMetadata metadata = new AnswerMetadata("r", null, null, null, 1, 0, null, null);
+    return new ClaimOutcome.Answered(201, List.of(), Bytes.ofText(body), metadata);
   }
 
   static Bill bill(String requestId, String key, long costMicros) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ColdStartLimiterTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/ColdStartLimiterTest.java
@@ -29,7 +29,7 @@
     return view;
   }
 
-  private static TrackedUpstream track(String id, Instant coldUntil) {
+  private static TrackedUpstream trackedUpstream(String id, Instant coldUntil) {
     UpstreamStatus status =
         new UpstreamStatus(RelayFixture.instance(id, "v1"), UpstreamCondition.READY);
     TrackedUpstream tracked = new TrackedUpstream(status);
@@ -51,7 +51,7 @@
     int sum = 0;
     for (int entry = 0; entry < view.entries; entry++) {
       ColdStartLimiter limiter = new EntryColdStartLimiter(view, "entry-" + entry);
-      sum += sends(limiter, track(upstream, START.plusSeconds(3)), START);
+      sum += sends(limiter, trackedUpstream(upstream, START.plusSeconds(3)), START);
     }
     return sum;
   }
@@ -83,15 +83,15 @@
   @Test
   public void warmUpstreamsAndServicesWithoutBoundAreNotLimited() {
     ColdStartLimiter limiter = new EntryColdStartLimiter(view(55), "entry-1");
-    assertEquals(sends(limiter, track("up", START), START), 1000);
+    assertEquals(sends(limiter, trackedUpstream("up", START), START), 1000);
     RelayService unbounded = new RelayService("service", "/health", 100, ENGINE);
-    assertTrue(limiter.allows(unbounded, track("up", START.plusSeconds(3)), START));
+    assertTrue(limiter.allows(unbounded, trackedUpstream("up", START.plusSeconds(3)), START));
   }
 
   @Test
   public void sendsLeaveTheWindow() {
     ColdStartLimiter limiter = new EntryColdStartLimiter(view(1), "entry-1");
-    TrackedUpstream tracked = track("up", START.plusSeconds(3));
+    TrackedUpstream tracked = trackedUpstream("up", START.plusSeconds(3));
     assertEquals(sends(limiter, tracked, START), 18);
     assertEquals(sends(limiter, tracked, START.plusMillis(1000)), 0);
     assertEquals(sends(limiter, tracked, START.plusMillis(1200)), 18);
@@ -106,8 +106,8 @@
     RelayFixture.FakeView view = view(1);
     view.settled = false;
     ColdStartLimiter limiter = new EntryColdStartLimiter(view, "entry-1");
-    assertFalse(limiter.allows(SERVICE, track("up", START.plusSeconds(3)), START));
-    assertTrue(limiter.allows(SERVICE, track("warm", START), START));
+    assertFalse(limiter.allows(SERVICE, trackedUpstream("up", START.plusSeconds(3)), START));
+    assertTrue(limiter.allows(SERVICE, trackedUpstream("warm", START), START));
   }
 
   /**
@@ -123,14 +123,14 @@
     SchedulerColdStartLimiter limiter = new SchedulerColdStartLimiter(role);
     role.tick(START);
     Instant soon = START.plusMillis(1400);
-    assertEquals(sends(limiter, track("up", START.plusSeconds(9)), soon), 0);
+    assertEquals(sends(limiter, trackedUpstream("up", START.plusSeconds(9)), soon), 0);
     Instant later = START.plusMillis(1500);
-    assertEquals(sends(limiter, track("up", START.plusSeconds(9)), later), 15);
+    assertEquals(sends(limiter, trackedUpstream("up", START.plusSeconds(9)), later), 15);
     view.proofAge = Duration.ofMillis(1000);
-    assertEquals(sends(limiter, track("up", START.plusSeconds(9)), later), 0, "cut off");
+    assertEquals(sends(limiter, trackedUpstream("up", START.plusSeconds(9)), later), 0, "cut off");
     view.proofAge = Duration.ZERO;
     view.schedulers = List.of("other");
-    assertEquals(sends(limiter, track("up", START.plusSeconds(9)), later), 0, "replaced");
+    assertEquals(sends(limiter, trackedUpstream("up", START.plusSeconds(9)), later), 0, "replaced");
   }
 
   @Test
@@ -142,7 +142,7 @@
     Instant later = START.plusSeconds(2);
     List<Integer> sends = new ArrayList<>();
     for (int engine = 0; engine < 20; engine++) {
-      sends.add(sends(limiter, track("up-" + engine, START.plusSeconds(9)), later));
+      sends.add(sends(limiter, trackedUpstream("up-" + engine, START.plusSeconds(9)), later));
     }
     assertTrue(sends.contains(0) && sends.contains(15), sends.toString());
   }
@@ -155,7 +155,7 @@
   public void engineAboveColdRateIsNotPreferred() {
     SchedulerColdStartLimiter limiter =
         new SchedulerColdStartLimiter(new SchedulerRole(view(55, "scheduler"), "scheduler"));
-    TrackedUpstream tracked = track("up", START);
+    TrackedUpstream tracked = trackedUpstream("up", START);
     for (int sent = 0; sent < 23; sent++) {
       assertFalse(limiter.exceedsColdRate(SERVICE, tracked, START), "after " + sent);
       tracked.recordSent(0, START);
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EvacuatedZoneTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EvacuatedZoneTest.java
@@ -27,12 +27,12 @@
    */
   @Test
   public void evacuatedUpstreamIsNoFallback() {
-    entry.view.tracks.get(0).evacuated(true);
-    entry.view.tracks.get(1).evacuated(true);
+    entry.view.trackedUpstreams.get(0).evacuated(true);
+    entry.view.trackedUpstreams.get(1).evacuated(true);
     for (long number = 1; number <= 10; number++) {
       assertEquals(entry.send(number, "/lookup/x").target().upstream().id(), "up-3");
     }
-    entry.view.tracks.get(2).evacuated(true);
+    entry.view.trackedUpstreams.get(2).evacuated(true);
     RelayEffect.Refuse refused = only(entry.arrives(11, "/lookup/x"), RelayEffect.Refuse.class);
     assertEquals(refused.refusal(), Refusal.NO_UPSTREAM);
     assertEquals(refused.retryAfterMillis(), 1000);
@@ -43,9 +43,9 @@
   public void brokenStreamIsNotResumedInEvacuatedZone() {
     String first = entry.send(1, "/stream/x").target().upstream().id();
     entry.answers(1, 1, 200, false);
-    entry.view.tracks.stream()
-        .filter(track -> !track.instance().id().equals(first))
-        .forEach(track -> track.evacuated(true));
+    entry.view.trackedUpstreams.stream()
+        .filter(upstream -> !upstream.instance().id().equals(first))
+        .forEach(upstream -> upstream.evacuated(true));
     List<RelayEffect> effects = entry.fails(1, 1, AttemptFailure.BROKEN_OFF, "4");
     assertTrue(none(effects, RelayEffect.SendAttempt.class), effects.toString());
   }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LimitedRequestTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/LimitedRequestTest.java
@@ -22,10 +22,10 @@
   }
 
   private void limitUpstreams(int firstIndex) {
-    List<TrackedUpstream> tracks = entry.view.tracks;
-    tracks
-        .subList(firstIndex, tracks.size())
-        .forEach(track -> track.rate().recordLimit(ONE_PER_TWO_SECONDS, RelayFixture.START));
+    List<TrackedUpstream> upstreams = entry.view.trackedUpstreams;
+    upstreams
+        .subList(firstIndex, upstreams.size())
+        .forEach(upstream -> upstream.rate().recordLimit(ONE_PER_TWO_SECONDS, RelayFixture.START));
   }
 
   /**
@@ -79,7 +79,9 @@
     entry.send(2, "/book/x");
     entry.apply(new RelayEvent.AnswerBegan(2, 1, 500, false, null, RateLimit.NONE));
     long limited =
-        entry.view.tracks.stream().filter(track -> track.rateLimit().isBounded()).count();
+        entry.view.trackedUpstreams.stream()
+            .filter(upstream -> upstream.rateLimit().isBounded())
+            .count();
     assertEquals(limited, 3);
   }
 }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitSimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimitSimulation.java
@@ -310,7 +310,7 @@
   }
 
   private boolean treatsAsLimited(String entry, Upstream upstream) {
-    TrackedUpstream tracked = entryParts.get(entry).track(upstream.instance.id());
+    TrackedUpstream tracked = entryParts.get(entry).upstream(upstream.instance.id());
     return tracked != null && tracked.rateLimit().isBounded();
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
@@ -151,7 +151,7 @@
     RouteTable table = new RouteTable(configuration(1, "key"));
     boolean proven = true;
     boolean settled = true;
-    final List<TrackedUpstream> tracks = new ArrayList<>();
+    final List<TrackedUpstream> trackedUpstreams = new ArrayList<>();
     List<ServiceRollOut> rollOuts = List.of();
     @Nullable String stableVersion;
     List<String> schedulers = List.of();
@@ -168,7 +168,7 @@
     }
 
     void add(String id, String version) {
-      tracks.add(
+      trackedUpstreams.add(
           new TrackedUpstream(new UpstreamStatus(instance(id, version), UpstreamCondition.READY)));
     }
 
@@ -199,7 +199,7 @@
 
     @Override
     public List<TrackedUpstream> upstreams(String service) {
-      return tracks;
+      return trackedUpstreams;
     }
 
     @Override
@@ -218,7 +218,7 @@
     }
 
     @Override
-    public EntryOrdinal place() {
+    public EntryOrdinal entryOrdinal() {
       return place;
     }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayRequestPartTest.java
@@ -176,8 +176,8 @@
   @Test
   public void lookupIsRetriedAtTheOnlyRemainingUpstream() {
     fillRetryBudget();
-    entry.view.tracks.get(1).markLeaving();
-    entry.view.tracks.get(2).markLeaving();
+    entry.view.trackedUpstreams.get(1).markLeaving();
+    entry.view.trackedUpstreams.get(2).markLeaving();
     String only = entry.send(1, "/lookup/x").target().upstream().id();
     RelayEffect.SendAttempt second =
         RelayFixture.only(
@@ -193,8 +193,8 @@
   @Test
   public void requestIsNotRetriedAtFullUpstream() {
     fillRetryBudget();
-    entry.view.tracks.get(1).markLeaving();
-    entry.view.tracks.get(2).markLeaving();
+    entry.view.trackedUpstreams.get(1).markLeaving();
+    entry.view.trackedUpstreams.get(2).markLeaving();
     entry.send(1, "/lookup/x");
     RelayEffect.Refuse refuse =
         RelayFixture.only(entry.answers(1, 1, 503, true), RelayEffect.Refuse.class);
@@ -208,8 +208,8 @@
   @Test
   public void errorOfTheOnlyUpstreamIsForwarded() {
     fillRetryBudget();
-    entry.view.tracks.get(1).markLeaving();
-    entry.view.tracks.get(2).markLeaving();
+    entry.view.trackedUpstreams.get(1).markLeaving();
+    entry.view.trackedUpstreams.get(2).markLeaving();
     entry.send(1, "/book/x");
     RelayFixture.only(entry.answers(1, 1, 500, false), RelayEffect.PassAnswer.class);
   }
@@ -221,12 +221,12 @@
   @Test
   public void requestWaitsForFirstUpstreamAfterFullOutage() {
     fillRetryBudget();
-    final List<TrackedUpstream> known = List.copyOf(entry.view.tracks);
-    entry.view.tracks.clear();
+    final List<TrackedUpstream> known = List.copyOf(entry.view.trackedUpstreams);
+    entry.view.trackedUpstreams.clear();
     entry.view.settled = false;
     assertTrue(entry.arrives(1, "/lookup/x").isEmpty());
     assertTrue(entry.advance(400).isEmpty());
-    entry.view.tracks.addAll(known);
+    entry.view.trackedUpstreams.addAll(known);
     RelayFixture.only(entry.advance(100), RelayEffect.SendAttempt.class);
   }
 
@@ -237,7 +237,7 @@
   @Test
   public void requestIsRefusedIfServiceHasNoUpstream() {
     fillRetryBudget();
-    entry.view.tracks.clear();
+    entry.view.trackedUpstreams.clear();
     RelayEffect.Refuse refuse =
         RelayFixture.only(entry.arrives(1, "/lookup/x"), RelayEffect.Refuse.class);
     assertEquals(refuse.refusal(), Refusal.NO_UPSTREAM);
@@ -251,8 +251,8 @@
   @Test
   public void requestThatWouldMissItsDeadlineIsRefused() {
     fillRetryBudget();
-    for (TrackedUpstream track : entry.view.tracks) {
-      track.peerLoads().update("entry-2", 600, 0, RelayFixture.START);
+    for (TrackedUpstream upstream : entry.view.trackedUpstreams) {
+      upstream.peerLoads().update("entry-2", 600, 0, RelayFixture.START);
     }
     RelayEffect.Refuse refuse =
         RelayFixture.only(entry.arrives(1, "/lookup/x"), RelayEffect.Refuse.class);
@@ -305,8 +305,8 @@
   @Test
   public void streamStaysIfOtherUpstreamsWouldBeSlower() {
     fillRetryBudget();
-    for (TrackedUpstream track : entry.view.tracks) {
-      track.peerLoads().update("entry-2", 60, 0, RelayFixture.START);
+    for (TrackedUpstream upstream : entry.view.trackedUpstreams) {
+      upstream.peerLoads().update("entry-2", 60, 0, RelayFixture.START);
     }
     entry.send(1, "/stream/x");
     entry.answers(1, 1, 200, false);
@@ -339,8 +339,8 @@
     RelayFixture.only(
         entry.fails(1, 1, AttemptFailure.STALE_CONNECTION, null), RelayEffect.SendAttempt.class);
     assertTrue(entry.counts.allCounts().isEmpty(), entry.counts.allCounts().toString());
-    for (TrackedUpstream track : entry.view.tracks) {
-      assertEquals(track.failureShare(), 0.0, first);
+    for (TrackedUpstream upstream : entry.view.trackedUpstreams) {
+      assertEquals(upstream.failureShare(), 0.0, first);
     }
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/SchedulerTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/SchedulerTest.java
@@ -185,7 +185,7 @@
   @Test
   public void leavingEngineIsNotUsedAlthoughScheduled() {
     PlacementAsk ask = queryOf(1);
-    view.tracks.get(1).markLeaving();
+    view.trackedUpstreams.get(1).markLeaving();
     List<Effect> effects = handleAnswer(new PlacementAnswer(ask.number(), "up-2", 0, 20, 40, 1000));
     assertNotEquals(only(effects, SendAttempt.class).target().upstream().id(), "up-2");
     SendToPeer released = only(effects, SendToPeer.class);
@@ -196,7 +196,7 @@
   @Test
   public void evacuatedEngineIsNotUsedAlthoughScheduled() {
     PlacementAsk ask = queryOf(1);
-    view.tracks.get(1).evacuated(true);
+    view.trackedUpstreams.get(1).evacuated(true);
     List<Effect> effects = handleAnswer(new PlacementAnswer(ask.number(), "up-2", 0, 20, 40, 1000));
     assertNotEquals(only(effects, SendAttempt.class).target().upstream().id(), "up-2");
     assertEquals(
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/AdminServer.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/AdminServer.java
@@ -91,7 +91,7 @@
   }
 
   /** Carries an answer to its operator; ignored if the call has timed out. */
-  public void carryOut(OperatorEffect effect) {
+  public void execute(OperatorEffect effect) {
     CompletableFuture<OperatorEffect> call = waiting.remove(effect.callId());
     if (call != null) {
       call.complete(effect);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/CallerServer.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/CallerServer.java
@@ -86,7 +86,7 @@
   }
 
   /** Carries an answer to its caller; ignored if the caller has left. */
-  public void carryOut(CallerEffect effect) {
+  public void execute(CallerEffect effect) {
     CallerAnswer answer = answers.get(effect.requestId());
     if (answer == null) {
       return;
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/UpstreamClient.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/UpstreamClient.java
@@ -74,7 +74,7 @@
   }
 
   /** Starts to carry an effect out. */
-  public void carryOut(UpstreamEffect effect) {
+  public void execute(UpstreamEffect effect) {
     if (effect instanceof UpstreamEffect.DispatchDraft draft) {
       UpstreamCall call = begin(draft.attemptId(), draft);
       drafts.send(draft, call);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/loop/EffectHandler.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/loop/EffectHandler.java
@@ -6,5 +6,5 @@
 public interface EffectHandler {
 
   /** Starts to carry an effect out. */
-  void carryOut(Effect effect);
+  void execute(Effect effect);
 }
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/loop/EventLoopReducer.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/loop/EventLoopReducer.java
@@ -99,7 +99,7 @@
     try {
       while (!waiting.isEmpty()) {
         List<Effect> effects = running.apply(waiting.removeFirst(), clock.instant());
-        effects.forEach(handler::carryOut);
+        effects.forEach(handler::execute);
       }
     } catch (RuntimeException | Error failure) {
       failed = true;
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/loop/ReducerLoop.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/loop/ReducerLoop.java
@@ -135,7 +135,7 @@
     Instant now = clock.instant();
     List<Effect> effects = reducer.apply(event, now);
     journal.applied(now, event, effects);
-    effects.forEach(handler::carryOut);
+    effects.forEach(handler::execute);
   }
 
   /** Stops the thread without applying what is left. */
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/DaemonNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/DaemonNode.java
@@ -122,12 +122,12 @@
   private EffectRouter router() {
     TraceHandler traces = new TraceHandler(settings.node(), metrics, timeline);
     return new EffectRouter(
-        effect -> callers.carryOut(effect),
-        effect -> upstreams.carryOut(effect),
-        effect -> adminServer().carryOut(effect),
+        effect -> callers.execute(effect),
+        effect -> upstreams.execute(effect),
+        effect -> adminServer().execute(effect),
         effect -> peers.execute(effect),
         effect -> storage().execute(effect),
-        traces::carryOut,
+        traces::execute,
         effect -> ended.countDown());
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/EffectRouter.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/node/EffectRouter.java
@@ -33,7 +33,7 @@
     implements EffectHandler {
 
   @Override
-  public void carryOut(Effect effect) {
+  public void execute(Effect effect) {
     if (effect instanceof CallerEffect caller) {
       callers.accept(caller);
     } else if (effect instanceof UpstreamEffect upstream) {
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayNode.java
@@ -365,7 +365,7 @@
     } else if (effect instanceof TraceEffect.LogLine line) {
       log.add(line, loop.now().toEpochMilli());
     } else if (effect instanceof TraceEffect trace) {
-      traces.carryOut(trace);
+      traces.execute(trace);
     }
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/trace/TraceHandler.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/trace/TraceHandler.java
@@ -26,7 +26,7 @@
   }
 
   /** Carries an effect out. */
-  public void carryOut(TraceEffect effect) {
+  public void execute(TraceEffect effect) {
     if (effect instanceof TraceEffect.TimelineEntry entry) {
       add(entry);
     } else if (effect instanceof TraceEffect.Count count) {
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/http/AdminServerTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/http/AdminServerTest.java
@@ -47,7 +47,7 @@
     AtomicInteger ids = new AtomicInteger();
     loop =
         new ReducerLoop(
-            clock, effect -> server.carryOut((OperatorEffect) effect), Journal.NONE, failure -> {});
+            clock, effect -> server.execute((OperatorEffect) effect), Journal.NONE, failure -> {});
     server =
         new AdminServer(
             HttpSettings.usual("127.0.0.1", 0),
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/http/AttemptMomentsTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/http/AttemptMomentsTest.java
@@ -145,7 +145,7 @@
       String what, boolean read, String answer, Set<AttemptStage> moments) throws Exception {
     // The engine fails in some way. The moment decides what the caller is told of whether its
     // request ran, so a moment that is too early would let a resend run it twice.
-    client.carryOut(draft("r.1"));
+    client.execute(draft("r.1"));
     serve(read, answer);
     Event event = events.poll(20, TimeUnit.SECONDS);
     if (event instanceof UpstreamEvent.TokensArrived) {
@@ -162,7 +162,7 @@
     boolean service =
         answer == null || !answer.startsWith(STREAM) && !answer.startsWith("HTTP/1.1 500");
     if (service) {
-      client.carryOut(call("r.1", "POST", List.of()));
+      client.execute(call("r.1", "POST", List.of()));
       serve(read, answer);
       AttemptStage moment = failed().moment();
       assertTrue(moments.contains(moment), what + ": " + moment);
@@ -182,9 +182,9 @@
   @Test
   public void refusedConnectionIsBeforeConnect() throws Exception {
     server.close();
-    client.carryOut(draft("r.1"));
+    client.execute(draft("r.1"));
     assertEquals(failed().moment(), AttemptStage.BEFORE_CONNECT);
-    client.carryOut(call("r.2", "POST", List.of()));
+    client.execute(call("r.2", "POST", List.of()));
     assertEquals(failed().moment(), AttemptStage.BEFORE_CONNECT);
   }
 
@@ -192,11 +192,11 @@
   public void connectionOfAbandonedAnswerIsNotUsedAgain() throws Exception {
     // An attempt is given up before its answer came. The answer comes late on the same connection;
     // was that one used again, the next caller would get the other's answer.
-    client.carryOut(call("r.1", "GET", List.of()));
+    client.execute(call("r.1", "GET", List.of()));
     try (Socket first = server.accept()) {
       EdgeFixture.readUntil(first, "{}");
-      client.carryOut(new UpstreamEffect.CancelAttempt("r.1"));
-      client.carryOut(call("r.2", "GET", List.of()));
+      client.execute(new UpstreamEffect.CancelAttempt("r.1"));
+      client.execute(call("r.2", "GET", List.of()));
       try (Socket second = server.accept()) {
         EdgeFixture.readUntil(second, "{}");
         EdgeFixture.send(first, OK + "Content-Length: 4\r\n\r\nlate");
@@ -214,14 +214,14 @@
   public void headersCannotBeInjected() throws Exception {
     // A value with a line end is refused by the listener already. Should one come here, nothing of
     // the call may be sent.
-    client.carryOut(call("r.1", "POST", List.of(new Header("x-a", "1\r\nx-b: 2"))));
+    client.execute(call("r.1", "POST", List.of(new Header("x-a", "1\r\nx-b: 2"))));
     AttemptStage moment = failed().moment();
     assertFalse(moment.ordinal() > AttemptStage.CONNECTED.ordinal(), moment.toString());
   }
 
   @Test
   public void repeatedHeadersArePassedOn() throws Exception {
-    client.carryOut(call("r.1", "PUT", List.of(new Header("x-a", "1"), new Header("x-a", "2"))));
+    client.execute(call("r.1", "PUT", List.of(new Header("x-a", "1"), new Header("x-a", "2"))));
     try (Socket socket = server.accept()) {
       String got = EdgeFixture.readUntil(socket, "{}");
       assertTrue(got.contains("x-a: 1\r\nx-a: 2\r\n"), got);
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/http/EdgeFixture.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/http/EdgeFixture.java
@@ -92,11 +92,11 @@
   }
 
   private void carryOut(Effect effect) {
-    server.carryOut((CallerEffect) effect);
+    server.execute((CallerEffect) effect);
   }
 
   void carryOutLater(CallerEffect effect) {
-    server.carryOut(effect);
+    server.execute(effect);
   }
 
   Event next() throws InterruptedException {
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/http/UpstreamClientTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/http/UpstreamClientTest.java
@@ -65,7 +65,7 @@
     UpstreamRun run = new UpstreamRun("e1", 7);
     try (UpstreamClient client =
         new UpstreamClient(new ObjectMapper(), null, event -> take(event, end))) {
-      client.carryOut(new UpstreamEffect.ProbeUpstream(run, "127.0.0.1", port));
+      client.execute(new UpstreamEffect.ProbeUpstream(run, "127.0.0.1", port));
       UpstreamEvent.UpstreamProbed probed =
           (UpstreamEvent.UpstreamProbed) end.get(30, TimeUnit.SECONDS);
       assertEquals(probed.upstream(), run);
@@ -87,7 +87,7 @@
     CompletableFuture<Event> end = new CompletableFuture<>();
     try (UpstreamClient client =
         new UpstreamClient(new ObjectMapper(), null, event -> take(event, end))) {
-      client.carryOut(
+      client.execute(
           new UpstreamEffect.DispatchDraft(
               "r.1",
               "e1",
