--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryIdentity.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryIdentity.java
@@ -3,7 +3,7 @@
 /**
  * Identifies an entry to the control VMs.
  *
- * @param callerAddress IP number and port where callers connect
+ * @param callerAddress IP address and port where callers connect
  * @param zone its availability zone
  * @param incarnation number of its process, different for each start
  */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamCondition.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamCondition.java
@@ -13,7 +13,7 @@
   LEAVING,
   /**
    * The upstream's availability zone is evacuated; it receives no new requests until the zone is
-   * reinstated.
+   * restored.
    */
   EVACUATED;
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamInstance.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamInstance.java
@@ -7,7 +7,7 @@
  *
  * @param id id of the upstream; a restarted process may have the same id
  * @param service service that it belongs to
- * @param address IP number and port
+ * @param address IP address and port
  * @param zone its availability zone
  * @param version version of its software
  * @param slots number of requests that it runs at once; 0 if unknown
