--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptFailureHandler.java
@@ -54,16 +54,16 @@
   /** Handles an upstream's report that it has not run the request. */
   void onNotRun(
       ActiveRelay relay,
-      TrackedUpstream track,
+      TrackedUpstream upstream,
       RelayEvent.AnswerBegan began,
       Instant now,
       Output output) {
     if (began.status() == MISDIRECTED_REQUEST) {
-      track.markReplaced();
+      upstream.markReplaced();
     } else {
       sender.recordFailure(relay, AttemptProgress.FAILED, now, output);
     }
-    relay.refusingUpstreams.add(track.instance().id());
+    relay.refusingUpstreams.add(upstream.instance().id());
     trace.attemptEnded("not_run", relay, "status=" + began.status(), now, output);
     sender.cancelAttempt(relay, output);
     starter.retryOrEnd(relay, now, output);
@@ -78,12 +78,12 @@
    */
   boolean onServerError(
       ActiveRelay relay,
-      TrackedUpstream track,
+      TrackedUpstream upstream,
       RelayEvent.AnswerBegan began,
       Instant now,
       Output output) {
     sender.recordFailure(relay, AttemptProgress.FAILED, now, output);
-    counts.recordFailure(track.instance());
+    counts.recordFailure(upstream.instance());
     trace.attemptEnded("upstream_failed", relay, "status=" + began.status(), now, output);
     boolean retried =
         relay.route.retryable()
@@ -101,8 +101,8 @@
   /** Handles an attempt that failed before its answer was complete. */
   void onAttemptFailed(
       ActiveRelay relay, RelayEvent.AttemptFailed failed, Instant now, Output output) {
-    TrackedUpstream track = relay.upstream();
-    if (track == null) {
+    TrackedUpstream upstream = relay.upstream();
+    if (upstream == null) {
       return;
     }
     boolean unsent = failed.failure() == AttemptFailure.NOT_SENT;
@@ -112,17 +112,18 @@
     }
     if (failed.failure().mayHaveRun()) {
       relay.mayHaveRun = true;
-      crashes.recordLoss(suspected(track.instance()), relay.requestKey, relay.sentAt, now, output);
+      crashes.recordLoss(
+          suspected(upstream.instance()), relay.requestKey, relay.sentAt, now, output);
     }
     if (failed.failure().countsAgainstVersion()) {
-      counts.recordFailure(track.instance());
+      counts.recordFailure(upstream.instance());
     }
     updateLastEventId(relay, failed.lastEventId());
     String facts = "how=" + failed.failure() + " after_event=" + relay.lastEventId;
     trace.attemptEnded("attempt_failed", relay, facts, now, output);
     sender.releaseAttempt(relay, output);
     if (unsent) {
-      relay.refusingUpstreams.add(track.instance().id());
+      relay.refusingUpstreams.add(upstream.instance().id());
       onUnreachable(relay, now, output);
     } else {
       starter.retryOrEnd(relay, now, output);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/AttemptSender.java
@@ -140,7 +140,7 @@
    */
   boolean queryScheduler(ActiveRelay relay, Instant now, Output output) {
     PlacementQuery query = query(relay, relay.modelName(), relay.triedUpstreams);
-    return schedulers.ask(relay, query, false, now, output);
+    return schedulers.sendQuery(relay, query, false, now, output);
   }
 
   /**
@@ -149,7 +149,7 @@
    */
   boolean querySchedulerForEscalation(ActiveRelay relay, int model, Instant now, Output output) {
     PlacementQuery query = query(relay, relay.route.models().get(model), triedAndCurrent(relay));
-    return schedulers.ask(relay, query, true, now, output);
+    return schedulers.sendQuery(relay, query, true, now, output);
   }
 
   /** Releases an unused grant at the scheduler that issued it; does nothing for null. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRegistry.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EntryRegistry.java
@@ -110,15 +110,15 @@
     boolean few = sorted.size() <= MAX_PEERS + 1;
     List<String> peers = few ? othersInOrder(sorted, own) : List.of();
     List<String> schedulers = few ? List.of() : schedulers(sorted, engines);
-    EntryOrdinal place = new EntryOrdinal(own, sorted.size());
+    EntryOrdinal ordinal = new EntryOrdinal(own, sorted.size());
     long version =
         StableHash.of(
                 String.join(",", addresses),
                 String.join(",", peers),
                 String.join(",", schedulers),
-                place.toString())
+                ordinal.toString())
             | 1;
-    return new Neighbourhood(version, addresses, peers, schedulers, place);
+    return new Neighbourhood(version, addresses, peers, schedulers, ordinal);
   }
 
   /**
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayRequestPart.java
@@ -175,35 +175,35 @@
 
   private void answerBegan(
       ActiveRelay relay, RelayEvent.AnswerBegan began, Instant now, Output output) {
-    TrackedUpstream track = relay.upstream();
-    if (track == null) {
+    TrackedUpstream upstream = relay.upstream();
+    if (upstream == null) {
       return;
     }
     if (began.status() != MISDIRECTED_REQUEST) {
-      rateLimits.recordAnswer(track, began, relay.request.id(), now, output);
+      rateLimits.recordAnswer(upstream, began, relay.request.id(), now, output);
     }
     if (began.notRun() || began.status() == MISDIRECTED_REQUEST) {
-      failures.onNotRun(relay, track, began, now, output);
+      failures.onNotRun(relay, upstream, began, now, output);
       return;
     }
     relay.mayHaveRun = true;
     relay.confidence = began.confidence();
     relay.answeredAt = now;
     long millis = Duration.between(relay.sentAt, now).toMillis();
-    track.recordAnswered(now);
+    upstream.recordAnswered(now);
     sender.recordFirstByte(relay, now, output);
     firstByteTimeout.addSample(relay.route, relay.modelIndex, millis);
     boolean serverError = began.status() >= FIRST_SERVER_ERROR;
-    if (serverError && failures.onServerError(relay, track, began, now, output)) {
+    if (serverError && failures.onServerError(relay, upstream, began, now, output)) {
       return;
     }
     if (!serverError) {
       trace.answered(relay, began.status(), now, output);
-      track.recordSuccess();
-      counts.recordAnswer(track.instance(), millis);
+      upstream.recordSuccess();
+      counts.recordAnswer(upstream.instance(), millis);
     }
     if (relay.forwarding || serverError || relay.modelIndex < 0 || !escalate(relay, now, output)) {
-      forwardAnswer(relay, track, output);
+      forwardAnswer(relay, upstream, output);
     }
   }
 
@@ -255,18 +255,18 @@
     int largerModel = models.largerModel(relay.route, relay.modelIndex);
     Placement chosen = placed.placement();
     Placement placement = chosen == null ? sender.placeEscalation(relay, largerModel, now) : chosen;
-    TrackedUpstream track = relay.upstream();
+    TrackedUpstream upstream = relay.upstream();
     boolean isEscalated =
         placement != null && escalate(relay, largerModel, placement, placed.grant(), now, output);
-    if (!isEscalated && track != null) {
-      forwardAnswer(relay, track, output);
+    if (!isEscalated && upstream != null) {
+      forwardAnswer(relay, upstream, output);
     }
   }
 
-  private static void forwardAnswer(ActiveRelay relay, TrackedUpstream track, Output output) {
+  private static void forwardAnswer(ActiveRelay relay, TrackedUpstream upstream, Output output) {
     if (!relay.forwarding) {
       relay.forwarding = true;
-      relay.version = track.instance().version();
+      relay.version = upstream.instance().version();
     }
     output.effect(new RelayEffect.PassAnswer(relay.request.number(), relay.attempt));
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerClient.java
@@ -89,7 +89,7 @@
    * @param output receives the effects
    * @return whether a scheduler was asked; if not, the entry places the prompt itself
    */
-  boolean ask(
+  boolean sendQuery(
       ActiveRelay relay, PlacementQuery query, boolean escalates, Instant now, Output output) {
     cancel(relay);
     PromptPrefixes prefixes = query.prefixes();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/UpstreamDirectory.java
@@ -224,8 +224,8 @@
     Set<String> ids = new HashSet<>();
     all.forEach(status -> ids.add(status.instance().id()));
     byId.keySet().retainAll(ids);
-    for (List<TrackedUpstream> tracks : byService.values()) {
-      tracks.removeIf(upstream -> !ids.contains(upstream.instance().id()));
+    for (List<TrackedUpstream> upstreams : byService.values()) {
+      upstreams.removeIf(upstream -> !ids.contains(upstream.instance().id()));
     }
   }
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimiterTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RateLimiterTest.java
@@ -25,7 +25,7 @@
 
   private static RelayFixture.FakeView view(int number, int of, String... schedulers) {
     RelayFixture.FakeView view = new RelayFixture.FakeView();
-    view.place = new EntryOrdinal(number, of);
+    view.entryOrdinal = new EntryOrdinal(number, of);
     view.schedulers = List.of(schedulers);
     return view;
   }
@@ -48,11 +48,11 @@
   @DataProvider
   public Object[][] limits() {
     Object[][] limits = new Object[6 * 2 * 7][];
-    int place = 0;
+    int index = 0;
     for (int entries : new int[] {1, 2, 7, 10, 75, 520}) {
       for (boolean scheduled : new boolean[] {false, true}) {
         for (double limit : new double[] {0, 0.1, 0.5, 2.3, 6, 50, 1e300}) {
-          limits[place++] = new Object[] {entries, scheduled, limit};
+          limits[index++] = new Object[] {entries, scheduled, limit};
         }
       }
     }
@@ -110,9 +110,9 @@
     TrackedUpstream upstream = upstream("up", 1);
     assertFalse(limiter.allows(PLAIN_SERVICE, upstream, START));
     assertTrue(limiter.allows(PLAIN_SERVICE, upstream, START.plusSeconds(9)));
-    view.place = EntryOrdinal.UNKNOWN;
+    view.entryOrdinal = EntryOrdinal.UNKNOWN;
     assertFalse(limiter.allows(PLAIN_SERVICE, upstream, START.plusSeconds(10)));
-    view.place = new EntryOrdinal(0, 1);
+    view.entryOrdinal = new EntryOrdinal(0, 1);
     assertFalse(limiter.allows(PLAIN_SERVICE, upstream, START.plusSeconds(11)));
     assertTrue(limiter.allows(PLAIN_SERVICE, upstream, START.plusSeconds(12)));
   }
@@ -126,7 +126,7 @@
       if (!knownFromTheStart) {
         limiter.allows(PLAIN_SERVICE, upstream, START);
       }
-      view.place = new EntryOrdinal(number, 2);
+      view.entryOrdinal = new EntryOrdinal(number, 2);
       limiter.allows(PLAIN_SERVICE, upstream, START);
       send += limiter.allows(PLAIN_SERVICE, upstream, START.plusSeconds(1)) ? 1 : 0;
     }
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
@@ -156,7 +156,7 @@
     @Nullable String stableVersion;
     List<String> schedulers = List.of();
     int entries = 1;
-    EntryOrdinal place = new EntryOrdinal(0, 1);
+    EntryOrdinal entryOrdinal = new EntryOrdinal(0, 1);
     Duration proofAge = Duration.ZERO;
     final Set<RequestKey> quarantined = new HashSet<>();
     @Nullable String leader = "control-1";
@@ -219,7 +219,7 @@
 
     @Override
     public EntryOrdinal entryOrdinal() {
-      return place;
+      return entryOrdinal;
     }
 
     @Override
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelaySimulation.java
@@ -144,8 +144,8 @@
    * permanently cannot find the group.
    */
   private List<String> seeds() {
-    boolean founding = network.now().equals(START);
-    return founding ? firstSeeds : List.copyOf(controls.subList(0, firstSeeds.size()));
+    boolean bootstrapping = network.now().equals(START);
+    return bootstrapping ? firstSeeds : List.copyOf(controls.subList(0, firstSeeds.size()));
   }
 
   private Reducer bootControl(String name, long seed) {
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/testing/SimulatedNetwork.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/testing/SimulatedNetwork.java
@@ -257,12 +257,12 @@
       return;
     }
     for (Effect effect : node.reducer.apply(event, now.plus(node.clockOffset))) {
-      carryOut(node, effect);
+      execute(node, effect);
     }
     setCheck.run();
   }
 
-  private void carryOut(Node node, Effect effect) {
+  private void execute(Node node, Effect effect) {
     if (effect instanceof PeerEffect.SendToPeer send) {
       send(node, send.node(), send.message());
     } else if (effect instanceof StorageEffect.Persist write) {
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayMessages.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayMessages.java
@@ -139,7 +139,7 @@
         .text(ask.zone())
         .list(
             ask.beginnings(),
-            (beginning, to) -> to.record(2).number(beginning.key()).number(beginning.tokens()))
+            (prefix, to) -> to.record(2).number(prefix.key()).number(prefix.tokens()))
         .number(ask.promptTokens())
         .number(ask.objectiveMillis())
         .list(ask.versions(), (version, to) -> to.text(version))
