--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/UpstreamClient.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/http/UpstreamClient.java
@@ -73,7 +73,7 @@
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS);
   }
 
-  /** Starts to carry an effect out. */
+  /** Starts to execute an effect. */
   public void execute(UpstreamEffect effect) {
     if (effect instanceof UpstreamEffect.DispatchDraft draft) {
       UpstreamCall call = begin(draft.attemptId(), draft);
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/loop/EffectHandler.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/loop/EffectHandler.java
@@ -2,9 +2,9 @@
 
 import org.skylarkfork.core.effect.Effect;
 
-/** Carries effects out; called on the reducer's thread, so it must not block. */
+/** Executes effects; called on the reducer's thread, so it must not block. */
 public interface EffectHandler {
 
-  /** Starts to carry an effect out. */
+  /** Starts to execute an effect. */
   void execute(Effect effect);
 }
