--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestSettings.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestSettings.java
@@ -17,7 +17,7 @@
  * @param watchdogGrace time added to the timeouts of the runtime before this part fails an attempt
  *     itself, since the runtime knows more precisely how far the attempt had progressed
  * @param pinTimeout longest wait for the owners of a session; longer than the wait of the session
- *     part, which can tell more precisely when to stop waiting
+ *     part, which determines more precisely when to stop waiting
  * @param ratingTimeout longest wait for a rating
  * @param deliveryTimeout longest wait for the confirmation that a sent answer was delivered
  * @param retryShare retries allowed per request, on average
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/EntryListing.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/EntryListing.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 import java.util.List;
 
-/** Lists the entries for callers, and tells whether this daemon accepts new work. */
+/** Lists the entries for callers, and reports whether this daemon accepts new work. */
 public interface EntryListing {
 
   /** Returns the list of entries for callers. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/membership/MembershipPart.java
@@ -59,7 +59,7 @@
    * @param self this daemon; its incarnation must be above those of its earlier processes, such as
    *     the time of start
    * @param seeds daemons from which the list of members is requested; this daemon may be among them
-   * @param configuration tells whether this daemon holds the configuration lease
+   * @param configuration reports whether this daemon holds the configuration lease
    * @param settings settings of the failure detector and of gossip
    * @param seed seed of the random choices
    */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PrefillTimes.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PrefillTimes.java
@@ -39,8 +39,8 @@
   private final Map<String, Line> byModel = new HashMap<>();
 
   /**
-   * Returns the engine time that reading takes, in milliseconds; the engine reads nothing else in
-   * it.
+   * Returns the engine time that a prefill takes, in milliseconds; the engine runs no other prefill
+   * during it.
    */
   public double prefillMillis(String model, double tokens) {
     return line(model).millisPerToken * tokens;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PrefixCacheEstimate.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/placement/PrefixCacheEstimate.java
@@ -50,7 +50,7 @@
    * Records that a prompt is sent to the engine.
    *
    * @param prefixes prefixes of the prompt
-   * @param newTokens tokens that the engine reads for the prompt and for other work meanwhile
+   * @param newTokens tokens that the engine prefills for the prompt and for other work meanwhile
    */
   public void recordSent(PromptPrefixes prefixes, double newTokens) {
     tokensRead += newTokens;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EngineLatencyModel.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/EngineLatencyModel.java
@@ -18,9 +18,9 @@
 final class EngineLatencyModel {
 
   /**
-   * Minimum cost to other requests of reading a shared part at an engine that has not cached it, as
-   * a share of its prefill time. At 0 a short wait creates a new copy, which takes engine time from
-   * all requests and memory from other parts.
+   * Minimum cost to other requests of the prefill of a shared prefix at an engine that has not
+   * cached it, as a share of its prefill time. At 0 a short wait creates a new copy, which takes
+   * engine time from all requests and memory from other parts.
    */
   private static final double MIN_COPY_SHARE = 1;
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadExchangePart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/LoadExchangePart.java
@@ -21,7 +21,7 @@
  * report.
  *
  * <p>Each entry sees an eighth of the traffic or less. Without the other entries' load it would
- * queue a prompt that takes a second to read behind seconds of their prompts while other engines
+ * queue a prompt that takes a second to prefill behind seconds of their prompts while other engines
  * are idle.
  */
 public final class LoadExchangePart implements Part {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/SchedulerPart.java
@@ -24,11 +24,11 @@
 /**
  * Places the prompts of all entries on a group of engines.
  *
- * <p>If 75 entries each know a tenth of the load, they let engines read the same prefixes again and
- * again, behind prompts that they don't know of. An entry that sees the whole load of some engines
- * sends a prompt to the engine that has its prefix cached and the shortest queue, without messages
- * to other entries. Its knowledge is lost if it fails; its successor rebuilds it from the next
- * answers.
+ * <p>If 75 entries each know a tenth of the load, they let engines prefill the same prefixes again
+ * and again, behind prompts that they don't know of. An entry that sees the whole load of some
+ * engines sends a prompt to the engine that has its prefix cached and the shortest queue, without
+ * messages to other entries. Its knowledge is lost if it fails; its successor rebuilds it from the
+ * next answers.
  */
 public final class SchedulerPart implements Part {
 
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedEngine.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EmulatedEngine.java
@@ -10,7 +10,7 @@
 import org.skylarkfork.core.placement.PromptPrefixes;
 
 /**
- * An engine in virtual time. It reads one prompt at a time, the most urgent first, caches their
+ * An engine in virtual time. It prefills one prompt at a time, the most urgent first, caches their
  * prefixes for each model, and generates tokens for all running attempts in parallel to the
  * prefill.
  */
--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplayTest.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/EngineLoadReplayTest.java
@@ -117,7 +117,7 @@
   }
 
   /**
-   * Guards against engines that read the same prefixes again. Seventy-five entries each see two
+   * Guards against engines that prefill the same prefixes again. Seventy-five entries each see two
    * requests per second and receive the reports of eight others; nothing fails.
    *
    * <p>Shared tokens read again in 20 s: 15.1 to 15.7 million if entries report to eight others,
@@ -154,7 +154,7 @@
   /**
    * Guards against copies of cached prefixes under three times the usual load. Engines with a short
    * queue were chosen for prefixes that others had cached, until all engines spent most of their
-   * time on reading them; a prompt now waits for the engine that has cached its prefix as long as
+   * time on their prefill; a prompt now waits for the engine that has cached its prefix as long as
    * it stays in time.
    *
    * <p>Worth of four seeds: 0.80 in the mean if a copy costs only its prefill, 0.92 with the cost
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayMessages.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/packed/RelayMessages.java
@@ -221,9 +221,9 @@
         remaining.consumeIfPresent() ? in.list(RelayMessages::readRateLimit) : List.of());
   }
 
-  private static void writeRateLimit(UpstreamRateLimit heard, PackedWriter out) {
-    RelayValues.writeRun(heard.upstream(), out.record(2));
-    RelayValues.writeReportedLimit(heard.named(), out);
+  private static void writeRateLimit(UpstreamRateLimit limit, PackedWriter out) {
+    RelayValues.writeRun(limit.upstream(), out.record(2));
+    RelayValues.writeReportedLimit(limit.named(), out);
   }
 
   private static UpstreamRateLimit readRateLimit(PackedReader in) {
