--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/http/CallerServerTest.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/http/CallerServerTest.java
@@ -161,7 +161,7 @@
       CallerEvent.RequestReceived received = (CallerEvent.RequestReceived) later.next();
       String interim = EdgeFixture.readUntil(socket, "\r\n\r\n");
       assertTrue(interim.startsWith("HTTP/1.1 102"), interim);
-      later.carryOutLater(EdgeFixture.draft(received.request().requestId()));
+      later.executeLater(EdgeFixture.draft(received.request().requestId()));
       assertTrue(EdgeFixture.readAll(socket).contains("offside"));
       assertTrue(later.next() instanceof CallerEvent.AnswerDelivered);
     }
@@ -208,7 +208,7 @@
       socket.close();
       Event end = null;
       for (int i = 0; end == null && i < 10_000; i++) {
-        stream.carryOutLater(new CallerEffect.SendTokens("r1", "more"));
+        stream.executeLater(new CallerEffect.SendTokens("r1", "more"));
         end = stream.events.poll(2, TimeUnit.MILLISECONDS);
       }
       assertTrue(end instanceof CallerEvent.CallerLeft, String.valueOf(end));
@@ -226,7 +226,7 @@
       stream.next();
       String piece = "x".repeat(100_000);
       for (int i = 0; i < 400 && stream.events.isEmpty(); i++) {
-        stream.carryOutLater(new CallerEffect.SendTokens("r1", piece));
+        stream.executeLater(new CallerEffect.SendTokens("r1", piece));
       }
       assertTrue(stream.next() instanceof CallerEvent.CallerLeft);
     }
--- a/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/http/EdgeFixture.java
+++ b/skylarkfork-runtime/src/test/java/org/skylarkfork/runtime/http/EdgeFixture.java
@@ -44,7 +44,7 @@
 
   EdgeFixture(Function<Event, List<? extends Effect>> answers) {
     InstantSource clock = InstantSource.system();
-    loop = new ReducerLoop(clock, this::carryOut, Journal.NONE, failure -> {});
+    loop = new ReducerLoop(clock, this::execute, Journal.NONE, failure -> {});
     AtomicInteger ids = new AtomicInteger();
     server =
         new CallerServer(
@@ -91,11 +91,11 @@
     return new AnswerMetadata(id, "m", "1", "e1", 1, 5, null, null);
   }
 
-  private void carryOut(Effect effect) {
+  private void execute(Effect effect) {
     server.execute((CallerEffect) effect);
   }
 
-  void carryOutLater(CallerEffect effect) {
+  void executeLater(CallerEffect effect) {
     server.execute(effect);
   }
 
