--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualityCounters.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/quality/QualityCounters.java
@@ -11,7 +11,7 @@
  *     from 0
  * @param epoch number of the epoch
  * @param key key of the counts
- * @param counts the counts in the order of {@link TransportCounters}
+ * @param counts the counts in the order of {@link Counters}
  */
 public record QualityCounters(
     String entry, long incarnation, long epoch, EvidenceKey key, List<Long> counts) {
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/HeaderValues.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/HeaderValues.java
@@ -127,7 +127,10 @@
     }
   }
 
-  /** Returns a percentage, or null if it is missing or malformed; the range isn't checked. */
+  /**
+   * Returns a percentage, meant to be from 0 to 100, or null if it is missing or malformed; the
+   * range isn't checked.
+   */
   public static @Nullable Integer percent(@Nullable String value) {
     try {
       return value == null ? null : (int) Double.parseDouble(value.trim());
