--- a/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
+++ b/skylarkfork-core/src/test/java/org/skylarkfork/core/relay/RelayFixture.java
@@ -151,12 +151,12 @@
     RouteTable table = new RouteTable(configuration(1, "key"));
     boolean proven = true;
     boolean settled = true;
-    final List<TrackedUpstream> tracks = new ArrayList<>();
+    final List<TrackedUpstream> trackedUpstreams = new ArrayList<>();
     List<ServiceRollOut> rollOuts = List.of();
     @Nullable String stableVersion;
     List<String> schedulers = List.of();
     int entries = 1;
-    EntryOrdinal place = new EntryOrdinal(0, 1);
+    EntryOrdinal entryOrdinal = new EntryOrdinal(0, 1);
     Duration proofAge = Duration.ZERO;
     final Set<RequestKey> quarantined = new HashSet<>();
     @Nullable String leader = "control-1";
@@ -168,7 +168,7 @@
     }
 
     void add(String id, String version) {
-      tracks.add(
+      trackedUpstreams.add(
           new TrackedUpstream(new UpstreamStatus(instance(id, version), UpstreamCondition.READY)));
     }
 
@@ -199,7 +199,7 @@
 
     @Override
     public List<TrackedUpstream> upstreams(String service) {
-      return tracks;
+      return trackedUpstreams;
     }
 
     @Override
@@ -218,8 +218,8 @@
     }
 
     @Override
-    public EntryOrdinal place() {
-      return place;
+    public EntryOrdinal entryOrdinal() {
+      return entryOrdinal;
     }
 
     @Override
