--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/CallExecutor.java
@@ -166,7 +166,7 @@
             .isPresent();
     if (service.isEmpty() || !allowed) {
       String message =
-          "The team lost access to the service while the call waited. Ask your operator.";
+          "The service was taken from the team while the call waited. Ask your operator.";
       completer.fail(
           active,
           new RoutingError(ErrorKind.NOT_ALLOWED, message, active.runState(), null),
@@ -178,9 +178,7 @@
       send(active, upstream.get(), service.get(), context);
     } else if (!retryPolicy.backOff(active, context.now())) {
       completer.fail(
-          active,
-          retryPolicy.failure(active, "all of its upstreams are busy or unavailable"),
-          context);
+          active, retryPolicy.failure(active, "all of its upstreams are busy or out"), context);
     }
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftExecutor.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/DraftExecutor.java
@@ -133,7 +133,7 @@
     context.timeline("request.replanned", active, null, version + " may not run any more");
     if (active.streamStarted || active.replans > MAX_REPLANS) {
       String message =
-          version + " was withdrawn or forbidden before the answer was complete. Send it again.";
+          version + " was withdrawn or forbidden before the answer was whole. Send it again.";
       deliverBestOrFail(
           active, new RoutingError(ErrorKind.NOT_ALLOWED, message, active.runState(), 0L), context);
       return;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCompleter.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/attempt/RequestCompleter.java
@@ -175,7 +175,7 @@
         active.idempotent
             ? "Send the request again with the same Idempotency-Key."
             : "Send it again with the same Idempotency-Key to get the recorded answer.";
-    String message = "The answer is complete but could not be recorded in time. " + remedy;
+    String message = "The answer is there but its record could not be kept in time. " + remedy;
     return failure(active, new RoutingError(ErrorKind.DEADLINE, message, RunState.RAN, null));
   }
 
@@ -249,7 +249,7 @@
     String remedy =
         state == RunState.NOT_RUN || active.idempotent
             ? "Send it again with a later deadline."
-            : "Send it again with the same Idempotency-Key to get its outcome.";
+            : "Send it again with the same Idempotency-Key to learn what came of it.";
     return new RoutingError(ErrorKind.DEADLINE, "The deadline passed. " + remedy, state, null);
   }
 
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/command/CompositeMachine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/command/CompositeMachine.java
@@ -37,7 +37,7 @@
       }
     }
     return new CommandResult.Rejected(
-        "this group has no state machine for "
+        "this group doesn't know "
             + command.getClass().getSimpleName()
             + "; submit it to the group of its family");
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationMachine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationMachine.java
@@ -24,7 +24,7 @@
   @Override
   public CommandResult apply(long index, Instant stampedAt, Command command) {
     if (!(command instanceof SubmitChange submitted)) {
-      return new CommandResult.Rejected("submit this command to the group of its family");
+      return new CommandResult.Rejected("send this command to the group that it belongs to");
     }
     RememberedChange remembered = changes.find(submitted.changeId());
     if (remembered != null) {
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationValidator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ConfigurationValidator.java
@@ -60,7 +60,7 @@
       validator.problems.add(
           Kind.LAST_OPERATOR_KEY,
           "operator keys",
-          "no operator could make further changes; add another operator key first");
+          "nobody could make a change any more; add another operator key first");
     }
     if (validator.checkSizes()) {
       boolean all =
@@ -184,7 +184,7 @@
             method.matches("[A-Z]{1,20}"),
             Kind.MALFORMED,
             subject,
-            Problems.quote(method) + " is not an HTTP method; write it like POST");
+            Problems.quote(method) + " is no HTTP method; write it like POST");
       }
     }
   }
@@ -276,8 +276,7 @@
     Set<ModelVersion> seen = new HashSet<>();
     for (ModelVersion version : configuration.withdrawn()) {
       String subject = "withdrawn version " + version;
-      problems.require(
-          seen.add(version), Kind.DUPLICATE, subject, "it is listed twice; remove one");
+      problems.require(seen.add(version), Kind.DUPLICATE, subject, "it comes twice; remove one");
       problems.reference(versions.keySet(), version.model(), "model", subject);
       problems.reference(
           versions.getOrDefault(version.model(), Set.of()), version.version(), "version", subject);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/OperatorCalls.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/OperatorCalls.java
@@ -126,8 +126,7 @@
     }
     if (pendingChanges.size() >= MAX_PENDING) {
       output.effect(
-          OperatorAnswers.retryLater(
-              call.callId(), "too many changes are waiting; send the change again later"));
+          OperatorAnswers.retryLater(call.callId(), "too many changes are waiting; send it later"));
       return;
     }
     SubmitChange command =
@@ -206,8 +205,7 @@
     String target = reader == null ? anyVoter() : leader;
     if (target == null || target.equals(node) || pendingQueries.size() >= MAX_PENDING) {
       output.effect(
-          OperatorAnswers.retryLater(
-              call.callId(), "the control group has no leader; retry later"));
+          OperatorAnswers.retryLater(call.callId(), "the control group has no leader; ask again"));
       return;
     }
     pendingQueries.put(call.callId(), now.plus(settings.callTimeout()));
@@ -238,7 +236,7 @@
       output.effect(new PeerEffect.SendToPeer(leader, forwarded));
     } else {
       OperatorEffect refusal =
-          OperatorAnswers.retryLater(call.callId(), "the control group has no leader; retry later");
+          OperatorAnswers.retryLater(call.callId(), "the control group has no leader; ask again");
       output.effect(new PeerEffect.SendToPeer(query.origin(), new OperatorAnswer(refusal)));
     }
   }
@@ -266,7 +264,7 @@
     expired.sort(null);
     for (String callId : expired) {
       output.effect(
-          OperatorAnswers.retryLater(callId, "no control VM answered in time; retry later"));
+          OperatorAnswers.retryLater(callId, "no control VM answered in time; ask again"));
     }
   }
 }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Problems.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/Problems.java
@@ -48,7 +48,7 @@
         NAME.matcher(name).matches(),
         Kind.MALFORMED,
         subject,
-        quote(name) + " is not a valid name; use 1 to 128 letters, digits and . _ / @ + -");
+        quote(name) + " is no name; use 1 to 128 letters, digits and . _ / @ + -");
   }
 
   /** Checks the name of a rule, which may contain spaces and letters of any language. */
@@ -57,8 +57,7 @@
         RULE_NAME.matcher(name).matches(),
         Kind.MALFORMED,
         subject,
-        quote(name)
-            + " is not a rule name; use 1 to 128 letters, digits, spaces and . _ / @ + : , -");
+        quote(name) + " is no rule name; use 1 to 128 letters, digits, spaces and . _ / @ + : , -");
   }
 
   /** Checks the id of an upstream or VM. */
@@ -67,7 +66,7 @@
         NODE_ID.matcher(id).matches(),
         Kind.MALFORMED,
         subject,
-        quote(id) + " is not a valid id; use up to 256 letters, digits and . _ / @ + : [ ] -");
+        quote(id) + " is no id; use up to 256 letters, digits and . _ / @ + : [ ] -");
   }
 
   void hash(String sha256, String subject) {
@@ -118,7 +117,7 @@
         add(
             Kind.DUPLICATE,
             typeName + " " + name,
-            "the " + typeName + " is listed twice; rename or remove one");
+            "the " + typeName + " comes twice; rename or remove one");
       }
     }
     return seen;
@@ -133,7 +132,7 @@
               + typeName
               + " "
               + quote(name)
-              + "; add it first, or remove it from "
+              + "; add it first, or take it out of "
               + subject);
     }
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ReplicaReader.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/ReplicaReader.java
@@ -45,8 +45,7 @@
     if (call instanceof OperatorEvent.DifferenceRequested requested) {
       return difference(requested);
     }
-    return OperatorAnswers.refuse(
-        call.callId(), ErrorKind.BAD_REQUEST, "send this call to any entry");
+    return OperatorAnswers.refuse(call.callId(), ErrorKind.BAD_REQUEST, "send this to any entry");
   }
 
   private OperatorEffect revision(OperatorEvent.RevisionRequested requested) {
@@ -63,7 +62,7 @@
         ErrorKind.NOT_FOUND,
         "revision "
             + revision
-            + " does not exist; the history holds "
+            + " is not there; the history holds "
             + machine.oldestRevision()
             + " to "
             + machine.configuration().revision());
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RuleValidator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/configuration/RuleValidator.java
@@ -76,7 +76,7 @@
         min == null || max == null || min <= max,
         Kind.OUT_OF_RANGE,
         subject,
-        "minPromptTokens is above maxPromptTokens, so the condition never holds; swap them");
+        "minPromptTokens is above maxPromptTokens, so it never holds; swap them");
   }
 
   private void checkBound(@Nullable Integer value, int max, String subject) {
@@ -99,7 +99,7 @@
             seen.add(model),
             Kind.DUPLICATE,
             subject,
-            "model " + model + " is listed twice; remove one");
+            "model " + model + " comes twice; remove one");
       }
     }
     problems.fraction(route.qualityTarget(), subject + " qualityTarget");
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/MemberChanges.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/MemberChanges.java
@@ -48,10 +48,10 @@
   /** Returns why no member change is possible now, or null if one is possible. */
   @Nullable String rejectionReason() {
     if (replica.log.termAt(replica.commitIndex()) != replica.term()) {
-      return "raft: the new leader has not committed an entry yet; submit again in a second";
+      return "raft: the leader is new; submit again in a second";
     }
     if (replica.members.latestIndex() > replica.commitIndex()) {
-      return "raft: another member change isn't committed yet; submit again once it is";
+      return "raft: another change of members isn't committed yet; submit again once it is";
     }
     return null;
   }
@@ -60,12 +60,10 @@
   @Nullable String admitRejectionReason(String node) {
     Long instance = joiningInstances.get(node);
     if (instance == null) {
-      return "raft: "
-          + node
-          + " has not requested to join; start it with this group, then resubmit";
+      return "raft: " + node + " doesn't ask to join; start it with this group, then submit again";
     }
     if (replica.members.latest().all().contains(new Member(node, instance))) {
-      return "raft: " + node + " is already a member; nothing to do";
+      return "raft: " + node + " is a member already; nothing is to be done";
     }
     if (isOnlyVoter(node)) {
       return "raft: " + node + " is the only voter; admit another node first";
@@ -81,7 +79,7 @@
   /** Returns why a node can't be removed, or null if it can. */
   @Nullable String removeRejectionReason(String node) {
     if (replica.members.latest().find(node) == null) {
-      return "raft: " + node + " isn't a member; nothing to do";
+      return "raft: " + node + " isn't a member; nothing is to be done";
     }
     if (isOnlyVoter(node)) {
       return "raft: " + node + " is the only voter; admit another node first";
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Proposals.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/Proposals.java
@@ -33,7 +33,7 @@
     long entries = replica.log.lastIndex() - replica.commitIndex();
     if (entries >= settings.maxUncommittedEntries()
         || uncommittedBytes >= settings.maxUncommittedBytes()) {
-      return "raft: " + replica.group + " has too many uncommitted entries; submit again later";
+      return "raft: " + replica.group + " is behind with its commits; submit again later";
     }
     return null;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/RaftGroup.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/RaftGroup.java
@@ -381,7 +381,7 @@
       return memberChanges.removeRejectionReason(remove.node());
     }
     if (command instanceof GroupCommand && !(command instanceof GroupCommand.Probe)) {
-      return "raft: only leaders create this command; submit AdmitMember or RemoveMember";
+      return "raft: only a leader makes this command; submit AdmitMember or RemoveMember";
     }
     return null;
   }
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SubmissionClient.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/consensus/SubmissionClient.java
@@ -69,12 +69,7 @@
       return;
     }
     if (pending.size() >= settings.maxPendingSubmissions()) {
-      fail(
-          group,
-          submissionId,
-          false,
-          "raft: too many pending submissions; submit again later",
-          context);
+      fail(group, submissionId, false, "raft: too many submissions wait; submit later", context);
       return;
     }
     Submission submission = new Submission(group, command, submissionId, deadline);
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/ClaimTable.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/ClaimTable.java
@@ -35,9 +35,9 @@
   private static final Duration MAX_HOLD = Duration.ofHours(1);
   private static final ClaimOutcome.Unknown NO_OUTCOME =
       new ClaimOutcome.Unknown(
-          "the entry recorded no outcome in time; don't resend, ask the service");
+          "the entry that ran it recorded no outcome in time; don't resend, ask the service");
   private static final String FULL_REMEDY =
-      "the ledger's claim table is full; resend later, the request was not run";
+      "the ledger keeps as many claims as it may; resend later, the request was not run";
 
   private final LedgerBounds bounds;
   private final Map<ClaimKey, ClaimRecord> records = new LinkedHashMap<>();
@@ -123,8 +123,7 @@
       return new CommandResult.Done();
     }
     return known.isFree()
-        ? new CommandResult.Rejected(
-            "the claim was released as not run, so the request must not have run")
+        ? new CommandResult.Rejected("the claim was given up as not run and must not have run")
         : new CommandResult.Done();
   }
 
@@ -158,7 +157,7 @@
     }
     if (known.outcome() != null) {
       return new CommandResult.Rejected(
-          "an outcome is recorded already; a claim that may have run can't be released");
+          "an outcome is recorded already; a claim that may have run can't be given up");
     }
     put(withReleasedIds(withOutcome(known, command.outcome(), expiresAt), released));
     return new CommandResult.Done();
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/EntryClaims.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/EntryClaims.java
@@ -24,7 +24,7 @@
 
   private static final Duration OUTCOME_RETRY_TIMEOUT = Duration.ofSeconds(10);
   private static final ClaimOutcome.NotRun ABANDONED =
-      new ClaimOutcome.NotRun("the ledger was unreachable, so the request was refused unsent");
+      new ClaimOutcome.NotRun("the ledger was out of reach, so the request was refused unsent");
 
   private final LedgerSettings settings;
   private final LedgerShards shards;
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerMachine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/ledger/LedgerMachine.java
@@ -48,7 +48,7 @@
     if (command instanceof LedgerCommand.ReadStatement read) {
       return new LedgerResult.StatementRead(bills.statement(read.team()));
     }
-    return new CommandResult.Rejected("this group accepts ledger commands only");
+    return new CommandResult.Rejected("this group takes ledger commands only");
   }
 
   /** Returns a team's statement from the commands that this replica has applied. */
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderMachine.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/order/OrderMachine.java
@@ -58,7 +58,7 @@
     if (command instanceof OrderCommand.RecordProgress record) {
       return withLease(record.fencingNumber(), held -> recordProgress(record.progress()));
     }
-    return new CommandResult.Rejected("this state machine accepts order commands only");
+    return new CommandResult.Rejected("these machines take order commands only");
   }
 
   private CommandResult acquire(AcquireLease acquire, Instant stampedAt) {
@@ -128,7 +128,7 @@
     if (known != null) {
       return known.order().equals(order)
           ? new CommandResult.Done()
-          : new CommandResult.Rejected("the order's id was used for another order; use a new id");
+          : new CommandResult.Rejected("the order's id was used for another one; take a new id");
     }
     if (openIntents().size() >= MAX_OPEN_ORDERS) {
       return new CommandResult.Rejected("too many orders are open; wait until some are concluded");
--- a/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayConfigurationValidator.java
+++ b/skylarkfork-core/src/main/java/org/skylarkfork/core/relay/RelayConfigurationValidator.java
@@ -33,7 +33,7 @@
       if (service.name().isEmpty()) {
         problems.add("a service has no name; give it one");
       } else if (!names.add(service.name())) {
-        problems.add("service " + service.name() + " is defined twice; remove one");
+        problems.add("service " + service.name() + " stands twice; drop one");
       }
     }
     return names;
@@ -82,7 +82,7 @@
     Set<String> names = new HashSet<>();
     for (RelayTeam team : configuration.teams()) {
       if (!names.add(team.name())) {
-        problems.add("team " + team.name() + " is defined twice; remove one");
+        problems.add("team " + team.name() + " stands twice; drop one");
       }
       for (String key : team.keys()) {
         String owner = owners.put(key, team.name());
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/HeaderValues.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/HeaderValues.java
@@ -25,7 +25,7 @@
     try {
       return Math.max(1, (long) Double.parseDouble(value.trim()));
     } catch (NumberFormatException e) {
-      throw new MalformedHeaderException(name + " is not a number; send milliseconds");
+      throw new MalformedHeaderException(name + " is no number; send milliseconds");
     }
   }
 
@@ -53,7 +53,7 @@
         counts[index] = Integer.parseInt(words[index].trim());
       }
     } catch (NumberFormatException e) {
-      throw new MalformedHeaderException(name + " is malformed; send two numbers");
+      throw new MalformedHeaderException(name + " is unreadable; send two numbers");
     }
     return counts;
   }
@@ -84,7 +84,7 @@
     try {
       return Integer.parseInt(entry.substring(colon + 1).trim());
     } catch (NumberFormatException e) {
-      throw new MalformedHeaderException(name + " is malformed; send ID:TOKENS entries");
+      throw new MalformedHeaderException(name + " is unreadable; send ID:TOKENS entries");
     }
   }
 
--- a/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayAdmin.java
+++ b/skylarkfork-runtime/src/main/java/org/skylarkfork/runtime/relay/RelayAdmin.java
@@ -89,7 +89,7 @@
   @Override
   public CompletableFuture<HttpReply> answer(HttpCall call, ControlCalls control) {
     if (!call.path().startsWith(PREFIX)) {
-      return completed(error(NOT_FOUND, "paths of calls start with " + PREFIX));
+      return completed(error(NOT_FOUND, "calls begin with " + PREFIX));
     }
     String[] path = call.path().substring(PREFIX.length()).split("/");
     String last = path.length > 1 ? path[1] : "";
@@ -114,14 +114,12 @@
             submit(control, new RelayCommand.LiftQuarantine(requestKey(last, call)));
         case "GET quarantine" ->
             mapResult(control.submit(new RelayCommand.ReadQuarantine()), this::quarantine);
-        default ->
-            completed(error(NOT_FOUND, "there is no such call; see the operators' documentation"));
+        default -> completed(error(NOT_FOUND, "there is no such call; see the page for operators"));
       };
     } catch (CodecException malformed) {
       return completed(error(BAD_REQUEST, String.valueOf(malformed.getMessage())));
     } catch (NumberFormatException malformed) {
-      return completed(
-          error(BAD_REQUEST, "the path must end with the request's hash in hexadecimal"));
+      return completed(error(BAD_REQUEST, "the path ends with the request's hash in hexadecimal"));
     }
   }
 
@@ -134,7 +132,7 @@
     boolean known = call.method().equals("GET") && call.path().equals(PREFIX + "entries");
     return known
         ? json(new Entries(directory.callerAddresses(call.parameter("zone"))))
-        : error(NOT_FOUND, "this daemon only looks up entries; ask a control VM");
+        : error(NOT_FOUND, "only entries are looked up here; ask a control VM");
   }
 
   private <T> T body(HttpCall call, Class<T> type) {
@@ -165,7 +163,7 @@
   private HttpReply group(ControlCalls control) {
     GroupStatus status = control.group();
     if (status == null) {
-      return error(UNAVAILABLE, "this control VM knows no group yet; ask another one");
+      return error(UNAVAILABLE, "this control VM knows of no group yet; ask another one");
     }
     return json(
         new Group(
@@ -182,7 +180,7 @@
   private HttpReply limits(ControlCalls control) {
     List<LimitedUpstream> limited = control.limitedUpstreams();
     return limited == null
-        ? error(UNAVAILABLE, "only the leading control VM knows the rate limits; ask another one")
+        ? error(UNAVAILABLE, "only the control VM that leads is told of limits; ask another one")
         : json(new Limits(limited));
   }
 
@@ -192,8 +190,7 @@
       return completed(error(BAD_REQUEST, "the path and the body name different upstreams"));
     }
     if (!UpstreamAddress.isValid(instance.address())) {
-      return completed(
-          error(BAD_REQUEST, "the address is not an IP address with a port; send one"));
+      return completed(error(BAD_REQUEST, "the address is no IP number with a port; send one"));
     }
     control.heartbeat(instance);
     return completed(json(new Version(instance.sequence())));
@@ -210,7 +207,7 @@
       String zone, RelayCommand command, ControlCalls control) {
     return control.isZone(zone)
         ? submit(control, command)
-        : completed(error(NOT_FOUND, "unknown availability zone " + zone));
+        : completed(error(NOT_FOUND, "no availability zone is called " + zone));
   }
 
   private CompletableFuture<HttpReply> submit(ControlCalls control, RelayCommand command) {
